--- a/standin/storage/journal.go
+++ b/standin/storage/journal.go
@@ -20,26 +20,27 @@
 const journalName = "journal"
 
 type change struct {
-	What   string // bucket, unbucket, put, delete, upload, part, end
-	Bucket string
-	Key    string            `json:",omitempty"`
-	ID     string            `json:",omitempty"` // of an upload
-	Part   int               `json:",omitempty"`
-	At     time.Time         `json:",omitempty"`
-	Header map[string]string `json:",omitempty"`
-	Object *record           `json:",omitempty"`
+	What   string            `json:"What"` // bucket, unbucket, put, delete, upload, part, end
+	Bucket string            `json:"Bucket"`
+	Key    string            `json:"Key,omitempty"`
+	ID     string            `json:"ID,omitempty"` // of an upload
+	Part   int               `json:"Part,omitempty"`
+	At     time.Time         `json:"At,omitempty"`
+	Header map[string]string `json:"Header,omitempty"`
+	Object *record           `json:"Object,omitempty"`
 }
 
 // record is an object as the journal has it.
 type record struct {
-	Files      []string `json:",omitempty"`
-	Sizes      []int64  `json:",omitempty"`
-	Size       int64
-	ETag       string
-	Modified   time.Time
-	Header     map[string]string `json:",omitempty"`
-	Sum, Value string            `json:",omitempty"`
-	Parts      []int64           `json:",omitempty"`
+	Files    []string          `json:"Files,omitempty"`
+	Sizes    []int64           `json:"Sizes,omitempty"`
+	Size     int64             `json:"Size"`
+	ETag     string            `json:"ETag"`
+	Modified time.Time         `json:"Modified"`
+	Header   map[string]string `json:"Header,omitempty"`
+	Sum      string            `json:"Sum,omitempty"`
+	Value    string            `json:"Value,omitempty"`
+	Parts    []int64           `json:"Parts,omitempty"`
 }
 
 func (o *object) record() *record {
--- /dev/null
+++ b/trace/fixtures_test.go
@@ -0,0 +1,107 @@
+package trace
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/klauspost/compress/zstd"
+
+	"chalkstand/choice"
+)
+
+// Traces that were recorded by an earlier build stay readable: each event and each action of
+// these files is understood, and written again they give the same bytes.
+func TestStoredTraces(t *testing.T) {
+	for _, c := range []struct {
+		name            string
+		events, actions int
+	}{
+		{"gateway0.trace", 433, 354},
+		{"gateway1.trace", 581, 493},
+		{"every-event.trace", 719, 423},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			stored, err := os.ReadFile(filepath.Join("testdata", c.name))
+			if err != nil {
+				t.Fatal(err)
+			}
+			res, err := Replay(bytes.NewReader(stored))
+			if err != nil || res.Split != nil || res.Torn {
+				t.Fatalf("%+v %+v %v", res, res.Split, err)
+			}
+			if res.Events != c.events || res.Actions != c.actions {
+				t.Errorf("%d events and %d actions, want %d and %d", res.Events, res.Actions, c.events, c.actions)
+			}
+			want := decompress(t, stored)
+			if have := rewrite(t, want); !bytes.Equal(have, want) {
+				t.Errorf("written again, the trace differs:\n%s", firstDifference(have, want))
+			}
+		})
+	}
+}
+
+func decompress(t *testing.T, b []byte) []byte {
+	t.Helper()
+	z, err := zstd.NewReader(nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer z.Close()
+	out, err := z.DecodeAll(b, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return out
+}
+
+// rewrite plays the lines of a trace on a dispatcher and records what it does.
+func rewrite(t *testing.T, lines []byte) []byte {
+	t.Helper()
+	header, rest, _ := bytes.Cut(lines, []byte("\n"))
+	h := decodeLine[headerRecord](t, header)
+	d, err := choice.New(h.Config.decode(), h.Seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out bytes.Buffer
+	w, err := NewWriter(&out, h.Config.decode(), h.Seed, 1<<16)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for line := range bytes.Lines(rest) {
+		r := decodeLine[eventRecord](t, line)
+		ev, err := r.event()
+		if err != nil {
+			t.Fatal(err)
+		}
+		w.Record(r.Now, ev, d.Handle(r.Now, ev))
+	}
+	if err := w.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return decompress(t, out.Bytes())
+}
+
+func decodeLine[T any](t *testing.T, line []byte) T {
+	t.Helper()
+	var v T
+	dec := json.NewDecoder(bytes.NewReader(line))
+	dec.DisallowUnknownFields()
+	if err := dec.Decode(&v); err != nil {
+		t.Fatalf("%v in %s", err, line)
+	}
+	return v
+}
+
+func firstDifference(have, want []byte) string {
+	h, w := bytes.SplitAfter(have, []byte("\n")), bytes.SplitAfter(want, []byte("\n"))
+	for i := range min(len(h), len(w)) {
+		if !bytes.Equal(h[i], w[i]) {
+			return "have " + string(h[i]) + "want " + string(w[i])
+		}
+	}
+	return "one is longer"
+}
--- /dev/null
+++ b/trace/record.go
@@ -0,0 +1,414 @@
+package trace
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"strconv"
+	"time"
+
+	"chalkstand/choice"
+)
+
+// The stored form of a trace. Its names are fixed: a trace that was recorded by any build
+// with the same Version must stay readable. They are mapped to the dispatcher's types here
+// and nowhere else.
+
+// headerRecord is the first line of a trace.
+type headerRecord struct {
+	Version int          `json:"Version"`
+	Config  configRecord `json:"Config"`
+	Seed    uint64       `json:"Seed"`
+}
+
+type configRecord struct {
+	Me            int           `json:"Me"`
+	Peers         int           `json:"Peers"`
+	Cancel        bool          `json:"Cancel"`
+	AskDiscovery  bool          `json:"AskDiscovery"`
+	MaxRetryAfter time.Duration `json:"MaxRetryAfter"`
+	MaxAttempts   int           `json:"MaxAttempts"`
+	Round         time.Duration `json:"Round"`
+	Classes       []classRecord `json:"Classes"`
+	Plans         []planRecord  `json:"Plans"`
+	UsualUnits    float64       `json:"UsualUnits"`
+	LargestUnits  float64       `json:"LargestUnits"`
+	Cold          coldRecord    `json:"Cold"`
+	Budget        budgetRecord  `json:"Budget"`
+	Settle        time.Duration `json:"Settle"`
+}
+
+type classRecord struct {
+	Name     string        `json:"Name"`
+	Aim      time.Duration `json:"Aim"`
+	Deadline time.Duration `json:"Deadline"`
+	Worth    float64       `json:"Worth"`
+	Effect   int           `json:"Effect"`
+	Group    int           `json:"Group"`
+	Window   time.Duration `json:"Window"`
+	InTurn   bool          `json:"InTurn"`
+}
+
+type planRecord struct {
+	Name    string  `json:"Name"`
+	Reserve float64 `json:"Reserve"`
+	Weight  float64 `json:"Weight"`
+	Price   float64 `json:"Price"`
+	Limit   float64 `json:"Limit"`
+	Burst   float64 `json:"Burst"`
+	Slack   float64 `json:"Slack"`
+}
+
+type coldRecord struct {
+	From       float64       `json:"From"`
+	WarmUp     time.Duration `json:"WarmUp"`
+	Multiple   float64       `json:"Multiple"`
+	Span       time.Duration `json:"Span"`
+	YoungLimit float64       `json:"YoungLimit"`
+}
+
+type budgetRecord struct {
+	Free  float64       `json:"Free"`
+	Ratio float64       `json:"Ratio"`
+	Span  time.Duration `json:"Span"`
+}
+
+// eventRecord is one event with the actions that answered it. Exactly one of the events is
+// set.
+type eventRecord struct {
+	Now      time.Duration   `json:"t"`
+	List     *listRecord     `json:"list,omitempty"`
+	Request  *requestRecord  `json:"req,omitempty"`
+	Outcome  *outcomeRecord  `json:"out,omitempty"`
+	Gone     *goneRecord     `json:"gone,omitempty"`
+	Measured *measuredRecord `json:"meas,omitempty"`
+	Fired    *firedRecord    `json:"fired,omitempty"`
+	Actions  []string        `json:"a,omitempty"`
+}
+
+type listRecord struct {
+	Kind  int          `json:"Kind"`
+	Nodes []nodeRecord `json:"Nodes"`
+}
+
+type nodeRecord struct {
+	ID      string        `json:"ID"`
+	Zone    int           `json:"Zone"`
+	Kind    int           `json:"Kind"`
+	Shard   int           `json:"Shard"`
+	State   int           `json:"State"`
+	Started time.Duration `json:"Started"`
+}
+
+type requestRecord struct {
+	ID     uint64        `json:"ID"`
+	Class  int           `json:"Class"`
+	Plan   int           `json:"Plan"`
+	Volume string        `json:"Volume"`
+	Key    string        `json:"Key"`
+	Shard  int           `json:"Shard"`
+	Units  float64       `json:"Units"`
+	Hosts  int           `json:"Hosts"`
+	Left   time.Duration `json:"Left"`
+}
+
+type outcomeRecord struct {
+	ID        uint64             `json:"ID"`
+	Attempt   int                `json:"Attempt"`
+	Node      string             `json:"Node"`
+	Status    int                `json:"Status"`
+	Concluded bool               `json:"Concluded"`
+	Took      time.Duration      `json:"Took"`
+	Use       float64            `json:"Use"`
+	Elsewhere float64            `json:"Elsewhere"`
+	Report    map[string]float64 `json:"Report"`
+}
+
+type goneRecord struct {
+	ID uint64 `json:"ID"`
+}
+
+type measuredRecord struct {
+	Volume string  `json:"Volume"`
+	Node   string  `json:"Node"`
+	Units  float64 `json:"Units"`
+}
+
+type firedRecord struct {
+	Token string `json:"Token"`
+}
+
+// convert maps a slice, nil to nil.
+func convert[A, B any](as []A, one func(A) B) []B {
+	if as == nil {
+		return nil
+	}
+	bs := make([]B, len(as))
+	for i, a := range as {
+		bs[i] = one(a)
+	}
+	return bs
+}
+
+func encodeConfig(c *choice.Config) configRecord {
+	return configRecord{
+		Me:            c.Me,
+		Peers:         c.Peers,
+		Cancel:        c.Cancel,
+		AskDiscovery:  c.AskDiscovery,
+		MaxRetryAfter: c.MaxRetryAfter,
+		MaxAttempts:   c.MaxAttempts,
+		Round:         c.Round,
+		Classes:       convert(c.Classes, encodeClass),
+		Plans:         convert(c.Plans, encodePlan),
+		UsualUnits:    c.UsualUnits,
+		LargestUnits:  c.LargestUnits,
+		Cold: coldRecord{
+			From:       c.Cold.From,
+			WarmUp:     c.Cold.WarmUp,
+			Multiple:   c.Cold.Multiple,
+			Span:       c.Cold.Span,
+			YoungLimit: c.Cold.YoungLimit,
+		},
+		Budget: budgetRecord{Free: c.Budget.Free, Ratio: c.Budget.Ratio, Span: c.Budget.Span},
+		Settle: c.Settle,
+	}
+}
+
+func (r *configRecord) decode() choice.Config {
+	return choice.Config{
+		Me:            r.Me,
+		Peers:         r.Peers,
+		Cancel:        r.Cancel,
+		AskDiscovery:  r.AskDiscovery,
+		MaxRetryAfter: r.MaxRetryAfter,
+		MaxAttempts:   r.MaxAttempts,
+		Round:         r.Round,
+		Classes:       convert(r.Classes, classRecord.decode),
+		Plans:         convert(r.Plans, planRecord.decode),
+		UsualUnits:    r.UsualUnits,
+		LargestUnits:  r.LargestUnits,
+		Cold: choice.ColdRule{
+			From:       r.Cold.From,
+			WarmUp:     r.Cold.WarmUp,
+			Multiple:   r.Cold.Multiple,
+			Span:       r.Cold.Span,
+			YoungLimit: r.Cold.YoungLimit,
+		},
+		Budget: choice.BudgetRule{Free: r.Budget.Free, Ratio: r.Budget.Ratio, Span: r.Budget.Span},
+		Settle: r.Settle,
+	}
+}
+
+func encodeClass(c choice.Class) classRecord {
+	return classRecord{
+		Name:     c.Name,
+		Aim:      c.Aim,
+		Deadline: c.Deadline,
+		Worth:    c.Worth,
+		Effect:   int(c.Effect),
+		Group:    int(c.Group),
+		Window:   c.Window,
+		InTurn:   c.InTurn,
+	}
+}
+
+func (r classRecord) decode() choice.Class {
+	return choice.Class{
+		Name:     r.Name,
+		Aim:      r.Aim,
+		Deadline: r.Deadline,
+		Worth:    r.Worth,
+		Effect:   choice.Effect(r.Effect),
+		Group:    choice.Group(r.Group),
+		Window:   r.Window,
+		InTurn:   r.InTurn,
+	}
+}
+
+func encodePlan(p choice.Plan) planRecord {
+	return planRecord{
+		Name:    p.Name,
+		Reserve: p.Reserve,
+		Weight:  p.Weight,
+		Price:   p.Price,
+		Limit:   p.Limit,
+		Burst:   p.Burst,
+		Slack:   p.Slack,
+	}
+}
+
+func (r planRecord) decode() choice.Plan {
+	return choice.Plan{
+		Name:    r.Name,
+		Reserve: r.Reserve,
+		Weight:  r.Weight,
+		Price:   r.Price,
+		Limit:   r.Limit,
+		Burst:   r.Burst,
+		Slack:   r.Slack,
+	}
+}
+
+func encodeNode(n choice.Node) nodeRecord {
+	return nodeRecord{
+		ID:      string(n.ID),
+		Zone:    n.Zone,
+		Kind:    n.Kind,
+		Shard:   int(n.Shard),
+		State:   int(n.State),
+		Started: n.Started,
+	}
+}
+
+func (r nodeRecord) decode() choice.Node {
+	return choice.Node{
+		ID:      choice.NodeID(r.ID),
+		Zone:    r.Zone,
+		Kind:    r.Kind,
+		Shard:   choice.Shard(r.Shard),
+		State:   choice.NodeState(r.State),
+		Started: r.Started,
+	}
+}
+
+func encodeRequest(q *choice.Request) *requestRecord {
+	return &requestRecord{
+		ID:     uint64(q.ID),
+		Class:  q.Class,
+		Plan:   q.Plan,
+		Volume: string(q.Volume),
+		Key:    q.Key,
+		Shard:  int(q.Shard),
+		Units:  q.Units,
+		Hosts:  q.Hosts,
+		Left:   q.Left,
+	}
+}
+
+func (r *requestRecord) decode() choice.Request {
+	return choice.Request{
+		ID:     choice.RequestID(r.ID),
+		Class:  r.Class,
+		Plan:   r.Plan,
+		Volume: choice.VolumeID(r.Volume),
+		Key:    r.Key,
+		Shard:  choice.Shard(r.Shard),
+		Units:  r.Units,
+		Hosts:  r.Hosts,
+		Left:   r.Left,
+	}
+}
+
+func encodeOutcome(o *choice.Outcome) *outcomeRecord {
+	return &outcomeRecord{
+		ID:        uint64(o.ID),
+		Attempt:   o.Attempt,
+		Node:      string(o.Node),
+		Status:    int(o.Status),
+		Concluded: o.Concluded,
+		Took:      o.Took,
+		Use:       o.Use,
+		Elsewhere: o.Elsewhere,
+		Report:    o.Report,
+	}
+}
+
+func (r *outcomeRecord) decode() choice.Outcome {
+	return choice.Outcome{
+		ID:        choice.RequestID(r.ID),
+		Attempt:   r.Attempt,
+		Node:      choice.NodeID(r.Node),
+		Status:    choice.Status(r.Status),
+		Concluded: r.Concluded,
+		Took:      r.Took,
+		Use:       r.Use,
+		Elsewhere: r.Elsewhere,
+		Report:    r.Report,
+	}
+}
+
+// encodeEvent returns the record of an event and of the actions that answered it.
+func encodeEvent(now time.Duration, ev choice.Event, actions []choice.Action) eventRecord {
+	r := eventRecord{Now: now, Actions: renderActions(actions)}
+	switch e := ev.(type) {
+	case choice.NodeList:
+		r.List = &listRecord{Kind: int(e.Kind), Nodes: convert(e.Nodes, encodeNode)}
+	case choice.Request:
+		r.Request = encodeRequest(&e)
+	case choice.Outcome:
+		r.Outcome = encodeOutcome(&e)
+	case choice.Gone:
+		r.Gone = &goneRecord{ID: uint64(e.ID)}
+	case choice.Measured:
+		r.Measured = &measuredRecord{Volume: string(e.Volume), Node: string(e.Node), Units: e.Units}
+	case choice.Fired:
+		r.Fired = &firedRecord{Token: e.Token}
+	}
+	return r
+}
+
+// errNoEvent reports a record that holds none of the known events.
+var errNoEvent = errors.New("record without an event")
+
+// event returns the dispatcher's event of a record.
+func (r *eventRecord) event() (choice.Event, error) {
+	switch {
+	case r.List != nil:
+		return choice.NodeList{Kind: choice.ListKind(r.List.Kind), Nodes: convert(r.List.Nodes, nodeRecord.decode)}, nil
+	case r.Request != nil:
+		return r.Request.decode(), nil
+	case r.Outcome != nil:
+		return r.Outcome.decode(), nil
+	case r.Gone != nil:
+		return choice.Gone{ID: choice.RequestID(r.Gone.ID)}, nil
+	case r.Measured != nil:
+		return choice.Measured{Volume: choice.VolumeID(r.Measured.Volume), Node: choice.NodeID(r.Measured.Node), Units: r.Measured.Units}, nil
+	case r.Fired != nil:
+		return choice.Fired{Token: r.Fired.Token}, nil
+	}
+	return nil, errNoEvent
+}
+
+// describe renders a record's event without its actions, for messages.
+func (r *eventRecord) describe() string {
+	e := *r
+	e.Actions = nil
+	text, err := json.Marshal(e)
+	if err != nil {
+		return err.Error()
+	}
+	return string(text)
+}
+
+// renderActions renders actions as a trace stores them. Replay compares these texts, so a
+// rendering must not change while Version stays the same.
+func renderActions(actions []choice.Action) []string {
+	var out []string
+	for _, a := range actions {
+		out = append(out, renderAction(a))
+	}
+	return out
+}
+
+func renderAction(a choice.Action) string {
+	switch a := a.(type) {
+	case choice.Attempt:
+		return fmt.Sprintf("choice.Attempt{ID:%d Node:%s Until:%v Held:%s}", uint64(a.ID), string(a.Node), a.Until, renderHeld(a.Held))
+	case choice.Refuse:
+		return fmt.Sprintf("choice.Refuse{ID:%d After:%v Held:%s}", uint64(a.ID), a.After, renderHeld(a.Held))
+	case choice.Fail:
+		return fmt.Sprintf("choice.Fail{ID:%d Held:%s}", uint64(a.ID), renderHeld(a.Held))
+	case choice.Cancel:
+		return fmt.Sprintf("choice.Cancel{ID:%d Attempt:%d}", uint64(a.ID), a.Attempt)
+	case choice.SetTimer:
+		return fmt.Sprintf("choice.SetTimer{At:%v Token:%s}", a.At, a.Token)
+	case choice.Watch:
+		return "choice.Watch{On:" + strconv.FormatBool(a.On) + "}"
+	}
+	return fmt.Sprintf("unknown action %T", a)
+}
+
+func renderHeld(h choice.Held) string {
+	return fmt.Sprintf("{Line:%v Limit:%v Cold:%v Suspect:%v}", h.Line, h.Limit, h.Cold, h.Suspect)
+}
--- a/trace/trace.go
+++ b/trace/trace.go
@@ -21,70 +21,6 @@
 // Version is that of the form written here.
 const Version = 1
 
-// header is the first line.
-type header struct {
-	Version int
-	Config  choice.Config
-	Seed    uint64
-}
-
-// line is one event. Exactly one of the events is set.
-type line struct {
-	Now      time.Duration    `json:"t"`
-	List     *choice.NodeList `json:"list,omitempty"`
-	Request  *choice.Request  `json:"req,omitempty"`
-	Outcome  *choice.Outcome  `json:"out,omitempty"`
-	Gone     *choice.Gone     `json:"gone,omitempty"`
-	Measured *choice.Measured `json:"meas,omitempty"`
-	Fired    *choice.Fired    `json:"fired,omitempty"`
-	Acts     []string         `json:"a,omitempty"`
-}
-
-func lineOf(now time.Duration, ev choice.Event, acts []choice.Action) line {
-	l := line{Now: now, Acts: words(acts)}
-	switch e := ev.(type) {
-	case choice.NodeList:
-		l.List = &e
-	case choice.Request:
-		l.Request = &e
-	case choice.Outcome:
-		l.Outcome = &e
-	case choice.Gone:
-		l.Gone = &e
-	case choice.Measured:
-		l.Measured = &e
-	case choice.Fired:
-		l.Fired = &e
-	}
-	return l
-}
-
-func (l line) event() (choice.Event, error) {
-	switch {
-	case l.List != nil:
-		return *l.List, nil
-	case l.Request != nil:
-		return *l.Request, nil
-	case l.Outcome != nil:
-		return *l.Outcome, nil
-	case l.Gone != nil:
-		return *l.Gone, nil
-	case l.Measured != nil:
-		return *l.Measured, nil
-	case l.Fired != nil:
-		return *l.Fired, nil
-	}
-	return nil, errors.New("an entry without an event")
-}
-
-func words(acts []choice.Action) []string {
-	var out []string
-	for _, a := range acts {
-		out = append(out, fmt.Sprintf("%T%+v", a, a))
-	}
-	return out
-}
-
 // Writer records. Record may be called from any one goroutine at a time and does
 // not block: entries wait in a bounded queue, and when that is full the record
 // ends there, as one with a gap could not be played.
@@ -113,7 +49,7 @@
 		return nil, fmt.Errorf("trace: %w", err)
 	}
 	enc := json.NewEncoder(z)
-	if err := enc.Encode(header{Version, cfg, seed}); err != nil {
+	if err := enc.Encode(headerRecord{Version: Version, Config: encodeConfig(&cfg), Seed: seed}); err != nil {
 		return nil, fmt.Errorf("trace: %w", err)
 	}
 	t := &Writer{queue: make(chan entry, queue), done: make(chan struct{})}
@@ -130,7 +66,7 @@
 	var err error
 	for e := range t.queue {
 		if err == nil {
-			err = enc.Encode(lineOf(e.now, e.ev, e.acts))
+			err = enc.Encode(encodeEvent(e.now, e.ev, e.acts))
 		}
 		if n++; n%flushEvery == 0 && err == nil {
 			err = z.Flush()
@@ -203,19 +139,19 @@
 	if !sc.Scan() {
 		return res, fmt.Errorf("trace: no record: %w", errors.Join(sc.Err(), io.ErrUnexpectedEOF))
 	}
-	var h header
+	var h headerRecord
 	if err := json.Unmarshal(sc.Bytes(), &h); err != nil {
 		return res, fmt.Errorf("trace: no record: %w", err)
 	}
 	if h.Version != Version {
 		return res, fmt.Errorf("trace: the record is of version %d, this reads %d", h.Version, Version)
 	}
-	d, err := choice.New(h.Config, h.Seed)
+	d, err := choice.New(h.Config.decode(), h.Seed)
 	if err != nil {
 		return res, fmt.Errorf("trace: %w", err)
 	}
 	for sc.Scan() {
-		var l line
+		var l eventRecord
 		if err := json.Unmarshal(sc.Bytes(), &l); err != nil {
 			res.Torn = true
 			break
@@ -224,12 +160,12 @@
 		if err != nil {
 			return res, fmt.Errorf("trace: entry %d: %w", res.Events, err)
 		}
-		have := words(d.Handle(l.Now, ev))
+		have := renderActions(d.Handle(l.Now, ev))
 		res.Events++
 		res.Actions += len(have)
 		res.Last = l.Now
-		if !slices.Equal(have, l.Acts) {
-			res.Split = &Split{Event: res.Events, Now: l.Now, What: fmt.Sprintf("%T%+v", ev, ev), Want: l.Acts, Have: have}
+		if !slices.Equal(have, l.Actions) {
+			res.Split = &Split{Event: res.Events, Now: l.Now, What: l.describe(), Want: l.Actions, Have: have}
 			return res, nil
 		}
 	}
