--- a/accounts/books.go
+++ b/accounts/books.go
@@ -31,8 +31,10 @@
 // DefaultConfig keeps seconds for two minutes, tens of seconds for half an hour and
 // five minutes for a day.
 func DefaultConfig() Config {
-	return Config{Resolutions: []Resolution{{time.Second, 120}, {10 * time.Second, 180}, {5 * time.Minute, 288}},
-		Volumes: 64, Pairs: 128, Distributions: 16, Settle: time.Second}
+	return Config{
+		Resolutions: []Resolution{{time.Second, 120}, {10 * time.Second, 180}, {5 * time.Minute, 288}},
+		Volumes:     64, Pairs: 128, Distributions: 16, Settle: time.Second,
+	}
 }
 
 func (c Config) check() error {
--- a/accounts/cause.go
+++ b/accounts/cause.go
@@ -40,8 +40,10 @@
 // Causes is how many causes there are.
 const Causes = int(causes)
 
-var causeNames = [Causes]string{"gateway", "body_in", "held_untold", "behind_others", "behind_own", "limit", "cold_node", "suspect_node", "turn", "pause",
-	"lost_attempts", "connect", "node_queue", "node_work", "node_unknown", "body_out", "slow_client", "loop"}
+var causeNames = [Causes]string{
+	"gateway", "body_in", "held_untold", "behind_others", "behind_own", "limit", "cold_node", "suspect_node", "turn", "pause",
+	"lost_attempts", "connect", "node_queue", "node_work", "node_unknown", "body_out", "slow_client", "loop",
+}
 
 // String returns the cause's name in reports.
 func (c Cause) String() string {
--- a/choice/checker_test.go
+++ b/choice/checker_test.go
@@ -53,9 +53,11 @@
 const drainGrace = 100 * ms
 
 func newChecker(cfg Config) *checker {
-	return &checker{cfg: cfg, slack: 8 * ms, broken: map[string]string{}, lives: make([]*life, cfg.Peers),
+	return &checker{
+		cfg: cfg, slack: 8 * ms, broken: map[string]string{}, lives: make([]*life, cfg.Peers),
 		stores: map[VolumeID]*store{}, works: map[NodeID][]work{},
-		served: map[NodeID][]work{}, nodes: map[NodeID]Node{}}
+		served: map[NodeID][]work{}, nodes: map[NodeID]Node{},
+	}
 }
 
 func (c *checker) breach(rule, format string, args ...any) {
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -65,10 +65,12 @@
 	if err := check(cfg); err != nil {
 		return nil, fmt.Errorf("choice: %w", err)
 	}
-	d := &Dispatcher{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0)),
+	d := &Dispatcher{
+		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0)),
 		nodes: map[NodeID]*node{}, shards: map[Shard]*node{}, usages: map[Shard]*meter{},
 		vols: map[VolumeID]*volume{}, reqs: map[RequestID]*request{}, turns: map[string]*turn{},
-		maxLeft: make([]time.Duration, len(cfg.Classes)), tightest: cfg.Classes[0].Aim}
+		maxLeft: make([]time.Duration, len(cfg.Classes)), tightest: cfg.Classes[0].Aim,
+	}
 	for _, c := range cfg.Classes {
 		d.tightest = min(d.tightest, c.Aim)
 		for _, p := range cfg.Plans {
@@ -736,8 +738,10 @@
 	v := d.vols[e.Volume]
 	if v == nil {
 		p := &d.cfg.Plans[e.Plan]
-		v = &volume{id: e.Volume, plan: p, phi: p.Weight, hosts: max(e.Hosts, 1), tokensAt: d.born,
-			reserveAt: d.now}
+		v = &volume{
+			id: e.Volume, plan: p, phi: p.Weight, hosts: max(e.Hosts, 1), tokensAt: d.born,
+			reserveAt: d.now,
+		}
 		v.reserve = v.reserveTop(d)
 		d.vols[v.id] = v
 		d.volOrder = append(d.volOrder, v)
--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -1,10 +1,9 @@
 package choice_test
 
 import (
+	"chalkstand/choice"
 	"fmt"
 	"time"
-
-	"chalkstand/choice"
 )
 
 // A dispatcher is told of its nodes and of requests, and says what to do. The
@@ -39,8 +38,10 @@
 	show(d.Handle(now, choice.Request{ID: 1, Volume: "photos", Shard: 0, Units: 2, Hosts: 1, Left: time.Second}))
 	show(d.Handle(now, choice.Request{ID: 2, Volume: "photos", Shard: 5, Units: 2, Hosts: 1, Left: time.Second}))
 	now += 20 * time.Millisecond
-	show(d.Handle(now, choice.Outcome{ID: 1, Node: "disk-a", Status: choice.Served, Concluded: true,
-		Took: 20 * time.Millisecond}))
+	show(d.Handle(now, choice.Outcome{
+		ID: 1, Node: "disk-a", Status: choice.Served, Concluded: true,
+		Took: 20 * time.Millisecond,
+	}))
 	// Output:
 	// send 1 to disk-a
 	// refuse 2, come back in 200ms
--- a/choice/held_test.go
+++ b/choice/held_test.go
@@ -129,8 +129,10 @@
 // Whatever stands in the way, the parts are the time that the request was queued:
 // nothing twice, nothing left out.
 func TestHeldPartsSum(t *testing.T) {
-	h := newHeldRun(t, Config{Plans: []Plan{{Weight: 1, Reserve: 1000, Price: 1, Limit: 80, Burst: 8, Slack: 1}},
-		Cold: ColdRule{From: 0.2, WarmUp: 3 * time.Second, Multiple: 2, Span: time.Second, YoungLimit: 8}})
+	h := newHeldRun(t, Config{
+		Plans: []Plan{{Weight: 1, Reserve: 1000, Price: 1, Limit: 80, Burst: 8, Slack: 1}},
+		Cold:  ColdRule{From: 0.2, WarmUp: 3 * time.Second, Multiple: 2, Span: time.Second, YoungLimit: 8},
+	})
 	h.now = time.Minute
 	h.tell(NodeList{Kind: Complete, Nodes: []Node{{ID: "a", Started: h.now}}})
 	asked := map[RequestID]time.Duration{}
--- a/choice/helpers_test.go
+++ b/choice/helpers_test.go
@@ -15,8 +15,10 @@
 		UsualUnits: 2, LargestUnits: 8,
 		Classes: []Class{
 			{Name: "look", Aim: 200 * ms, Deadline: time.Second, Worth: 2, Effect: Safe},
-			{Name: "put", Aim: 300 * ms, Deadline: 1500 * ms, Worth: 2, Effect: Keyed, Group: GroupShard,
-				Window: 800 * ms, InTurn: true},
+			{
+				Name: "put", Aim: 300 * ms, Deadline: 1500 * ms, Worth: 2, Effect: Keyed, Group: GroupShard,
+				Window: 800 * ms, InTurn: true,
+			},
 			{Name: "pay", Aim: 300 * ms, Deadline: 1500 * ms, Worth: 2, Effect: Unsafe},
 		},
 		Plans: []Plan{
--- a/choice/odd_test.go
+++ b/choice/odd_test.go
@@ -113,8 +113,10 @@
 				id := RequestID(0)
 				ask := func() {
 					id++
-					d.Handle(time.Second, Request{ID: id, Plan: 1, Volume: VolumeID(fmt.Sprint("v", id%500)),
-						Shard: 0, Units: 1, Hosts: 1, Left: 2 * time.Hour})
+					d.Handle(time.Second, Request{
+						ID: id, Plan: 1, Volume: VolumeID(fmt.Sprint("v", id%500)),
+						Shard: 0, Units: 1, Hosts: 1, Left: 2 * time.Hour,
+					})
 				}
 				for range backlog {
 					ask()
@@ -131,8 +133,10 @@
 // A request that has its answer leaves nothing behind until its aim: with long aims
 // the agenda would else hold every request of the last minutes.
 func TestAnsweredRequestsLeaveTheAgenda(t *testing.T) {
-	d, err := New(Config{Peers: 1, UsualUnits: 1, LargestUnits: 1, MaxRetryAfter: time.Second,
-		Classes: []Class{{Aim: time.Hour, Deadline: 2 * time.Hour, Worth: 1, InTurn: true}}, Plans: []Plan{{Weight: 1, Reserve: 1000, Price: 1}}}, 1)
+	d, err := New(Config{
+		Peers: 1, UsualUnits: 1, LargestUnits: 1, MaxRetryAfter: time.Second,
+		Classes: []Class{{Aim: time.Hour, Deadline: 2 * time.Hour, Worth: 1, InTurn: true}}, Plans: []Plan{{Weight: 1, Reserve: 1000, Price: 1}},
+	}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/choice/queue_test.go
+++ b/choice/queue_test.go
@@ -27,8 +27,10 @@
 
 func (q *queueRig) hold(v *volume, units float64) *request {
 	q.d.seq++
-	r := &request{Request: Request{Units: units}, class: &q.d.cfg.Classes[0], vol: v, seq: q.d.seq, aimAt: math.MaxInt64 / 4,
-		deadline: math.MaxInt64 / 4}
+	r := &request{
+		Request: Request{Units: units}, class: &q.d.cfg.Classes[0], vol: v, seq: q.d.seq, aimAt: math.MaxInt64 / 4,
+		deadline: math.MaxInt64 / 4,
+	}
 	q.d.enqueue(r, q.n, false)
 	return r
 }
--- a/choice/random_test.go
+++ b/choice/random_test.go
@@ -119,16 +119,20 @@
 	if took >= left {
 		st, took = TimedOut, left
 	}
-	s.later(took, i, Outcome{ID: a.ID, Attempt: no, Node: a.Node, Status: st, Concluded: st == Served, Took: took,
+	s.later(took, i, Outcome{
+		ID: a.ID, Attempt: no, Node: a.Node, Status: st, Concluded: st == Served, Took: took,
 		Use: float64(s.rng.IntN(400)), Elsewhere: float64(s.rng.IntN(3)),
-		Report: Report{"inflight": float64(s.rng.IntN(60) - 2)}}, nil) // as good as seconds late
+		Report: Report{"inflight": float64(s.rng.IntN(60) - 2)},
+	}, nil) // as good as seconds late
 }
 
 func (s *storm) request(i int) {
 	s.nextID++
 	v := i/s.hosts*2 + s.rng.IntN(2)
-	q := Request{ID: s.nextID, Class: s.rng.IntN(len(s.truth.Classes)), Plan: v % 2, Volume: VolumeID(fmt.Sprint("v", v)),
-		Units: float64(1 + s.rng.IntN(8)), Hosts: s.hosts, Shard: Shard(s.rng.IntN(3))}
+	q := Request{
+		ID: s.nextID, Class: s.rng.IntN(len(s.truth.Classes)), Plan: v % 2, Volume: VolumeID(fmt.Sprint("v", v)),
+		Units: float64(1 + s.rng.IntN(8)), Hosts: s.hosts, Shard: Shard(s.rng.IntN(3)),
+	}
 	if s.rng.IntN(8) == 0 {
 		q.Shard = AnyShard
 	}
@@ -217,8 +221,10 @@
 func newWideStorm(seed uint64, peers, hosts int) *storm {
 	cfg := testConfig()
 	cfg.Peers, cfg.UsualUnits = peers, 4.5 // the mean of what request draws
-	return &storm{rng: rand.New(rand.NewPCG(seed, 7)), module: cfg, truth: cfg, lost: 0.03, hosts: hosts,
-		said: fnv.New64a()}
+	return &storm{
+		rng: rand.New(rand.NewPCG(seed, 7)), module: cfg, truth: cfg, lost: 0.03, hosts: hosts,
+		said: fnv.New64a(),
+	}
 }
 
 func TestRandomEventsKeepTheRules(t *testing.T) {
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -573,8 +573,11 @@
 		{"no reserve", func(c *Config) { c.Plans[1].Reserve = 0 }, Request{Shard: 0, Plan: 1}, "sent"},
 		{"no worth stated", func(c *Config) { c.Classes[0].Worth = 0 }, Request{Shard: 0}, "sent"},
 		{"an aim beyond the deadline", func(c *Config) { c.Classes[0].Aim = time.Hour }, Request{Shard: 0}, "sent"},
-		{"a limit below one request", func(c *Config) { c.Plans[0].Limit, c.Plans[0].Burst, c.Plans[0].Slack = 1, 1, 1 },
-			Request{Shard: 0, Units: 8}, "refused"},
+		{
+			"a limit below one request", func(c *Config) { c.Plans[0].Limit, c.Plans[0].Burst, c.Plans[0].Slack = 1, 1, 1 },
+			Request{Shard: 0, Units: 8},
+			"refused",
+		},
 		{"no limit's store at all", func(c *Config) { c.Plans[0].Burst, c.Plans[0].Slack = 0, 0 }, Request{Shard: 0}, "refused"},
 		{"units below nothing", func(*Config) {}, Request{Shard: 0, Units: -1}, "refused"},
 		{"no time left", func(*Config) {}, Request{Shard: 0, Left: -1}, "refused"},
--- a/cmd/chalkstand/accounts.go
+++ b/cmd/chalkstand/accounts.go
@@ -1,6 +1,11 @@
 package main
 
 import (
+	"chalkstand/accounts"
+	"chalkstand/gateway"
+	"chalkstand/internal/accountlog"
+	"chalkstand/internal/accountreport"
+	"chalkstand/internal/settings"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -13,12 +18,6 @@
 
 	"github.com/spf13/cobra"
 	"go.uber.org/zap"
-
-	"chalkstand/accounts"
-	"chalkstand/gateway"
-	"chalkstand/internal/accountlog"
-	"chalkstand/internal/accountreport"
-	"chalkstand/internal/settings"
 )
 
 // accountsFlags are what all the account commands take.
@@ -30,7 +29,8 @@
 
 func accountsCommand() *cobra.Command {
 	var f accountsFlags
-	c := &cobra.Command{Use: "accounts", Short: "Tell where the time of requests went, and who waited behind whom",
+	c := &cobra.Command{
+		Use: "accounts", Short: "Tell where the time of requests went, and who waited behind whom",
 		Long: `Tell where the time of requests went, by volume and cause, and which volume waited behind
 which, over the last time that a running gateway (--admin) or a saved log (--log) knows of.
 
@@ -40,26 +40,33 @@
   chalkstand accounts report --out report.html
 
 Over up to two minutes a gateway tells by seconds, over half an hour by ten seconds, over a
-day by five minutes. docs/operate/accounts.md names the causes.`}
+day by five minutes. docs/operate/accounts.md names the causes.`,
+	}
 	p := c.PersistentFlags()
 	p.StringVar(&f.admin, "admin", "127.0.0.1:9001", "admin address of a running gateway")
 	p.StringVar(&f.log, "log", "", "read a saved log instead")
 	p.DurationVar(&f.since, "since", 5*time.Minute, "how far back from now, or from the end of the log")
 	var n int
-	top := &cobra.Command{Use: "top", Short: "The volumes that spent most time", Args: cobra.NoArgs,
+	top := &cobra.Command{
+		Use: "top", Short: "The volumes that spent most time", Args: cobra.NoArgs,
 		RunE: f.run(func(out io.Writer, d *accountreport.Data, _ []string) error {
 			accountreport.Top(out, d, n)
 			return nil
-		})}
+		}),
+	}
 	top.Flags().IntVar(&n, "n", 20, "volumes")
-	volume := &cobra.Command{Use: "volume VOLUME", Short: "One volume's time by cause, with percentiles", Args: cobra.ExactArgs(1),
+	volume := &cobra.Command{
+		Use: "volume VOLUME", Short: "One volume's time by cause, with percentiles", Args: cobra.ExactArgs(1),
 		RunE: f.run(func(out io.Writer, d *accountreport.Data, args []string) error {
 			return accountreport.Volume(out, d, args[0])
-		})}
-	blame := &cobra.Command{Use: "blame VOLUME", Short: "Whom a volume waited behind, and who waited behind it", Args: cobra.ExactArgs(1),
+		}),
+	}
+	blame := &cobra.Command{
+		Use: "blame VOLUME", Short: "Whom a volume waited behind, and who waited behind it", Args: cobra.ExactArgs(1),
 		RunE: f.run(func(out io.Writer, d *accountreport.Data, args []string) error {
 			return accountreport.Blame(out, d, args[0])
-		})}
+		}),
+	}
 	for _, sub := range []*cobra.Command{top, volume, blame} {
 		sub.Flags().BoolVar(&f.json, "json", false, "write the account as JSON")
 		c.AddCommand(sub)
@@ -70,7 +77,8 @@
 
 func reportCommand(f *accountsFlags) *cobra.Command {
 	var file, volume string
-	c := &cobra.Command{Use: "report", Short: "One HTML file with pictures", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use: "report", Short: "One HTML file with pictures", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			d, err := f.load(cmd.Context())
 			if err != nil {
@@ -85,7 +93,8 @@
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), file)
 			return nil
-		}}
+		},
+	}
 	c.Flags().StringVar(&file, "out", "accounts.html", "file to write")
 	c.Flags().StringVar(&volume, "volume", "", "volume that comes first")
 	return c
--- a/cmd/chalkstand/accounts_test.go
+++ b/cmd/chalkstand/accounts_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"bytes"
+	"chalkstand/internal/accountreport"
+	"chalkstand/standin/storage"
 	"encoding/json"
 	"net/http/httptest"
 	"os"
@@ -10,9 +12,7 @@
 	"testing"
 	"time"
 
-	"chalkstand/internal/accountreport"
 	kit "chalkstand/internal/testkit"
-	"chalkstand/standin/storage"
 )
 
 // run runs a command and returns what it wrote.
--- a/cmd/chalkstand/badday.go
+++ b/cmd/chalkstand/badday.go
@@ -1,6 +1,9 @@
 package main
 
 import (
+	"chalkstand/choice"
+	"chalkstand/lab/badday"
+	"chalkstand/trace"
 	"errors"
 	"fmt"
 	"io"
@@ -10,10 +13,6 @@
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"chalkstand/choice"
-	"chalkstand/lab/badday"
-	"chalkstand/trace"
 )
 
 func baddayCommand() *cobra.Command {
@@ -21,7 +20,8 @@
 	var script, record string
 	var show, quiet bool
 	var seeds int
-	c := &cobra.Command{Use: "badday", Short: "Play a scripted bad day through real gateways and check the rules",
+	c := &cobra.Command{
+		Use: "badday", Short: "Play a scripted bad day through real gateways and check the rules",
 		Long: `Play a bad day on loopback: several gateways before many stand-in nodes, with surges, a
 flooding volume, waves of drains with cold successors, gateway crashes with stale lists, late
 reports, silent, slow and dying nodes, lost and broken answers, and impatient clients. The
@@ -73,7 +73,8 @@
 				return fmt.Errorf("rules broken on %d of %d days", broken, seeds)
 			}
 			return nil
-		}}
+		},
+	}
 	f := c.Flags()
 	f.Uint64Var(&o.Seed, "seed", 1, "of the script, the load and the gateways")
 	f.IntVar(&seeds, "days", 1, "days to play, with seeds from --seed on")
@@ -126,7 +127,8 @@
 }
 
 func replayCommand() *cobra.Command {
-	return &cobra.Command{Use: "replay FILE...", Short: "Play recorded events again and compare the dispatcher's actions", Args: cobra.MinimumNArgs(1),
+	return &cobra.Command{
+		Use: "replay FILE...", Short: "Play recorded events again and compare the dispatcher's actions", Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			split := 0
 			for _, name := range args {
@@ -153,5 +155,6 @@
 				return fmt.Errorf("%d of %d records differ", split, len(args))
 			}
 			return nil
-		}}
+		},
+	}
 }
--- a/cmd/chalkstand/bench.go
+++ b/cmd/chalkstand/bench.go
@@ -1,6 +1,8 @@
 package main
 
 import (
+	"chalkstand/lab/bench"
+	"chalkstand/lab/sign"
 	"fmt"
 	"io"
 	"net"
@@ -11,16 +13,14 @@
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"chalkstand/lab/bench"
-	"chalkstand/lab/sign"
 )
 
 func benchCommand() *cobra.Command {
 	var each time.Duration
 	var conns, rounds, big int
 	var small, showRounds bool
-	c := &cobra.Command{Use: "bench", Short: "Measure a gateway beside a plain reverse proxy on the same node",
+	c := &cobra.Command{
+		Use: "bench", Short: "Measure a gateway beside a plain reverse proxy on the same node",
 		Long: `Measure a gateway on one core beside net/http/httputil's reverse proxy on one core, both
 before the same stand-in node (two cores), each in a process of its own on loopback. The gateway
 checks a signature and makes every decision; the proxy passes on. A second gateway keeps no latency
@@ -28,14 +28,16 @@
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return runBench(cmd.OutOrStdout(), each, conns, rounds, big, small, showRounds)
-		}}
+		},
+	}
 	c.Flags().DurationVar(&each, "each", 3*time.Second, "length of one measurement")
 	c.Flags().IntVar(&conns, "conns", 32, "connections for the highest rate")
 	c.Flags().IntVar(&rounds, "rounds", 3, "rounds; the median one is shown")
 	c.Flags().BoolVar(&showRounds, "show-rounds", false, "show each round")
 	c.Flags().BoolVar(&small, "small", false, "small requests only")
 	c.Flags().IntVar(&big, "mib", 64, "size of large bodies, MiB")
-	c.AddCommand(&cobra.Command{Use: "proxy TARGET", Hidden: true, Args: cobra.ExactArgs(1),
+	c.AddCommand(&cobra.Command{
+		Use: "proxy TARGET", Hidden: true, Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
@@ -43,12 +45,15 @@
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), ln.Addr())
 			return bench.Proxy(ln, args[0])
-		}})
+		},
+	})
 	var pairs int
-	acc := &cobra.Command{Use: "accounts", Short: "Measure what latency accounts cost, in pairs of short runs that alternate", Args: cobra.NoArgs,
+	acc := &cobra.Command{
+		Use: "accounts", Short: "Measure what latency accounts cost, in pairs of short runs that alternate", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return benchAccounts(cmd.OutOrStdout(), each, conns, pairs)
-		}}
+		},
+	}
 	acc.Flags().IntVar(&pairs, "pairs", 30, "pairs of runs")
 	acc.Flags().DurationVar(&each, "each", time.Second, "length of a run")
 	acc.Flags().IntVar(&conns, "conns", 32, "connections")
--- a/cmd/chalkstand/benchoverload.go
+++ b/cmd/chalkstand/benchoverload.go
@@ -1,6 +1,8 @@
 package main
 
 import (
+	"chalkstand/internal/settings"
+	"chalkstand/lab/bench"
 	"fmt"
 	"os"
 	"time"
@@ -9,9 +11,6 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
-
-	"chalkstand/internal/settings"
-	"chalkstand/lab/bench"
 )
 
 // Users of the overload part: each asks again a pause after the last answer, and has no use for
--- a/cmd/chalkstand/benchshare.go
+++ b/cmd/chalkstand/benchshare.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"chalkstand/lab/bench"
 	"cmp"
 	"fmt"
 	"io"
@@ -11,8 +12,6 @@
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"chalkstand/lab/bench"
 )
 
 // shareBench measures what weights do for bytes and turns.
@@ -31,7 +30,8 @@
 
 func benchShareCommand() *cobra.Command {
 	b := shareBench{}
-	c := &cobra.Command{Use: "share", Short: "Measure the shares of volumes in bytes and in turns of the loops",
+	c := &cobra.Command{
+		Use: "share", Short: "Measure the shares of volumes in bytes and in turns of the loops",
 		Long: `Measure what the weights of two volumes do for the bytes that they get and for the latency of small
 reads, beside the same gateway with turns in order of arrival. Gateway and node are processes of their own;
 the load is this process. Shares are those of the gateway as long as it is what is scarce: on a machine
@@ -40,7 +40,8 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			b.out = cmd.OutOrStdout()
 			return b.run()
-		}}
+		},
+	}
 	c.Flags().DurationVar(&b.each, "each", 3*time.Second, "length of one measurement")
 	c.Flags().IntSliceVar(&b.loops, "loops", []int{1, 4}, "event loops of the gateway")
 	c.Flags().IntVar(&b.cores, "cores", 1, "cores of the gateway")
@@ -174,7 +175,8 @@
 
 // floods are what the light volume does beside small reads.
 func floods(p bench.Peer) []*bench.Load {
-	return []*bench.Load{nil,
+	return []*bench.Load{
+		nil,
 		load(p, "64 connections of 8 MiB reads", "GET", "/light/large", nil, 64),
 		load(p, "256 connections of 4 KiB reads", "GET", "/light/small", nil, 256),
 		load(p, "8 connections of lists of 1,000", "GET", "/light?list-type=2", nil, 8),
--- a/cmd/chalkstand/drill.go
+++ b/cmd/chalkstand/drill.go
@@ -1,6 +1,8 @@
 package main
 
 import (
+	"chalkstand/internal/accountreport"
+	"chalkstand/lab/drill"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -8,16 +10,14 @@
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"chalkstand/internal/accountreport"
-	"chalkstand/lab/drill"
 )
 
 func drillCommand() *cobra.Command {
 	var runs int
 	var seed uint64
 	var only, dir string
-	c := &cobra.Command{Use: "drill", Short: "Make small troubles on loopback and check that the accounts name their cause", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use: "drill", Short: "Make small troubles on loopback and check that the accounts name their cause", Args: cobra.NoArgs,
 		Long: `Play small troubles through a real gateway with a stand-in node on loopback. Clients measure each
 request themselves; the accounts of each volume must match that within 5 %, each account must sum
 exactly, and the cause that was made must be the one that is named.`,
@@ -73,7 +73,8 @@
 				return fmt.Errorf("%d of %d scenarios are not as they should be", bad, played)
 			}
 			return nil
-		}}
+		},
+	}
 	f := c.Flags()
 	f.IntVar(&runs, "runs", 1, "runs of each scenario, with seeds that follow each other")
 	f.Uint64Var(&seed, "seed", 1, "seed of the first run")
--- a/cmd/chalkstand/explore.go
+++ b/cmd/chalkstand/explore.go
@@ -1,6 +1,8 @@
 package main
 
 import (
+	"chalkstand/internal/explore"
+	"chalkstand/lab/mutants"
 	"context"
 	"fmt"
 	"io"
@@ -11,9 +13,6 @@
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"chalkstand/internal/explore"
-	"chalkstand/lab/mutants"
 )
 
 func exploreCommand() *cobra.Command {
@@ -21,7 +20,8 @@
 	var names []string
 	var full, cover, quiet bool
 	var limit time.Duration
-	c := &cobra.Command{Use: "explore", Short: "Try every ordering of events in small worlds against the rules", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use: "explore", Short: "Try every ordering of events in small worlds against the rules", Args: cobra.NoArgs,
 		Long: `Drive the real exchange, dispatcher and connection reader through every ordering of events in small
 worlds: requests, connections, answers, losses, clients that leave, drains, restarts, and time on either side of
 each moment at which something is due. Each distinct state is visited once. What breaks a rule is told as the
@@ -69,7 +69,8 @@
 				}
 			}
 			return nil
-		}}
+		},
+	}
 	c.AddCommand(playCommand(), mutantsCommand(), walkCommand())
 	f := c.Flags()
 	f.StringSliceVar(&names, "scenario", nil, "only these")
@@ -84,7 +85,8 @@
 }
 
 func playCommand() *cobra.Command {
-	return &cobra.Command{Use: "play FILE", Short: "Play a replay", Args: cobra.ExactArgs(1),
+	return &cobra.Command{
+		Use: "play FILE", Short: "Play a replay", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			f, err := os.Open(args[0])
 			if err != nil {
@@ -100,13 +102,15 @@
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), "every rule is kept")
 			return nil
-		}}
+		},
+	}
 }
 
 func walkCommand() *cobra.Command {
 	var seed uint64
 	var walks, nodes, requests, most int
-	c := &cobra.Command{Use: "walk", Short: "Walk at random through a world too large to be explored whole", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use: "walk", Short: "Walk at random through a world too large to be explored whole", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := cmd.OutOrStdout()
 			s, cover, moves := explore.Large(nodes, requests), explore.NewCoverage(), 0
@@ -121,7 +125,8 @@
 			fmt.Fprintf(out, "%d walks, %d moves, %d nodes, %d requests: every rule is kept\n", walks, moves, nodes, requests)
 			tellCoverage(out, cover)
 			return nil
-		}}
+		},
+	}
 	f := c.Flags()
 	f.Uint64Var(&seed, "seed", 1, "of the first walk")
 	f.IntVar(&walks, "walks", 100, "walks")
@@ -143,7 +148,8 @@
 
 func mutantsCommand() *cobra.Command {
 	var root, only string
-	c := &cobra.Command{Use: "mutants", Short: "Put faults into the guards, one at a time, and have the explorer find them", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use: "mutants", Short: "Put faults into the guards, one at a time, and have the explorer find them", Args: cobra.NoArgs,
 		Long: "Copy the sources, put one fault after another into the copy, and run the explorer's tests on it. It needs Go and\nthe sources, and some minutes.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
@@ -186,7 +192,8 @@
 				return fmt.Errorf("%d faults were not found", missed)
 			}
 			return nil
-		}}
+		},
+	}
 	c.Flags().StringVar(&root, "sources", ".", "root of the sources")
 	c.Flags().StringVar(&only, "only", "", "only faults whose name has this in it")
 	return c
--- a/cmd/chalkstand/main.go
+++ b/cmd/chalkstand/main.go
@@ -35,7 +35,8 @@
 }
 
 func versionCommand() *cobra.Command {
-	return &cobra.Command{Use: "version", Short: "Print the version and how it was built", Args: cobra.NoArgs,
+	return &cobra.Command{
+		Use: "version", Short: "Print the version and how it was built", Args: cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
 			v, rev := "devel", ""
 			if b, ok := debug.ReadBuildInfo(); ok {
@@ -47,5 +48,6 @@
 				v = b.GoVersion
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "chalkstand%s (%s)\n", rev, v)
-		}}
+		},
+	}
 }
--- a/cmd/chalkstand/node.go
+++ b/cmd/chalkstand/node.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"chalkstand/standin/storage"
 	"context"
 	"fmt"
 	"os"
@@ -9,15 +10,14 @@
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"chalkstand/standin/storage"
 )
 
 func nodeCommand() *cobra.Command {
 	var addr, dir, faults string
 	var linkMiB float64
 	cfg := storage.Config{Forget: true}
-	c := &cobra.Command{Use: "node", Short: "Run a stand-in storage node",
+	c := &cobra.Command{
+		Use: "node", Short: "Run a stand-in storage node",
 		Long: `Run a stand-in storage node until SIGTERM or SIGINT. It speaks the object API without
 signatures, so it belongs on loopback. It keeps a shard's objects in memory, or in a directory, which
 a successor takes over after it. It fails as a script says: a JSON list, comments allowed, such as
@@ -58,7 +58,8 @@
 			case <-n.Done():
 			}
 			return nil
-		}}
+		},
+	}
 	f := c.Flags()
 	f.StringVar(&addr, "listen", "127.0.0.1:0", "address; port 0 takes any, which is printed")
 	f.StringVar(&cfg.ID, "id", "node", "name in load reports")
--- a/cmd/chalkstand/run.go
+++ b/cmd/chalkstand/run.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"chalkstand/relayfront"
 	"errors"
 	"os"
 	"os/signal"
@@ -10,13 +11,12 @@
 
 	"github.com/spf13/cobra"
 	"go.uber.org/zap"
-
-	"chalkstand/relayfront"
 )
 
 func runCommand() *cobra.Command {
 	var file, level string
-	c := &cobra.Command{Use: "run", Short: "Run a dispatcher of the platform's protocol", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use: "run", Short: "Run a dispatcher of the platform's protocol", Args: cobra.NoArgs,
 		Long: `Run a dispatcher that speaks RESP2 with clients and storage nodes and follows the platform's
 discovery, until SIGTERM or SIGINT, which let it finish what it has taken. SIGHUP reads the
 configuration again and takes over where discovery is.`,
@@ -28,7 +28,8 @@
 				return errors.New("run: RELAY_CONFIG: expected the path of the configuration")
 			}
 			return runRelay(file, level)
-		}}
+		},
+	}
 	c.Flags().StringVar(&file, "config", "", "configuration file; empty: what RELAY_CONFIG names")
 	c.Flags().StringVar(&level, "log", "info", "log level")
 	return c
--- a/cmd/chalkstand/serve.go
+++ b/cmd/chalkstand/serve.go
@@ -1,6 +1,12 @@
 package main
 
 import (
+	"chalkstand/choice"
+	"chalkstand/exchange"
+	"chalkstand/gateway"
+	"chalkstand/internal/settings"
+	"chalkstand/standin/storage"
+	"chalkstand/trace"
 	"context"
 	"errors"
 	"fmt"
@@ -19,17 +25,11 @@
 	"github.com/spf13/cobra"
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
-
-	"chalkstand/choice"
-	"chalkstand/exchange"
-	"chalkstand/gateway"
-	"chalkstand/internal/settings"
-	"chalkstand/standin/storage"
-	"chalkstand/trace"
 )
 
 func checkCommand() *cobra.Command {
-	return &cobra.Command{Use: "check-config FILE", Short: "Check a settings file and say what is wrong with it", Args: cobra.ExactArgs(1),
+	return &cobra.Command{
+		Use: "check-config FILE", Short: "Check a settings file and say what is wrong with it", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := settings.Load(args[0])
 			if err != nil {
@@ -38,15 +38,18 @@
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: in order: %d shards, %d nodes, %d classes, %d plans, %d bucket rules, %d keys\n",
 				args[0], s.Shards, len(s.Nodes), len(s.Classes), len(s.Plans), len(s.Buckets), len(s.Keys))
 			return nil
-		}}
+		},
+	}
 }
 
 func serveCommand() *cobra.Command {
 	var file string
-	c := &cobra.Command{Use: "serve", Short: "Run a gateway", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use: "serve", Short: "Run a gateway", Args: cobra.NoArgs,
 		Long: `Run a gateway until SIGTERM or SIGINT, which let it finish what it has taken.
 SIGHUP reads the settings again and takes over nodes and keys; all else needs a restart.`,
-		RunE: func(cmd *cobra.Command, _ []string) error { return serve(cmd.Context(), file) }}
+		RunE: func(cmd *cobra.Command, _ []string) error { return serve(cmd.Context(), file) },
+	}
 	c.Flags().StringVar(&file, "config", "", "settings file (JSON with comments)")
 	c.MarkFlagRequired("config")
 	return c
@@ -200,8 +203,10 @@
 	}
 	epoch := time.Now()
 	for i := range s.Shards {
-		cfg := storage.Config{ID: fmt.Sprintf("embedded-%d", i), Shard: i, Cores: e.Cores, Queue: e.Queue, PerUnit: e.PerUnit.D(),
-			ReportEvery: 100 * time.Millisecond, Remember: 30 * time.Second, Forget: true, Timing: true}
+		cfg := storage.Config{
+			ID: fmt.Sprintf("embedded-%d", i), Shard: i, Cores: e.Cores, Queue: e.Queue, PerUnit: e.PerUnit.D(),
+			ReportEvery: 100 * time.Millisecond, Remember: 30 * time.Second, Forget: true, Timing: true,
+		}
 		data := storage.NewDataset("")
 		if e.Dir != "" {
 			var err error
--- a/cmd/chalkstand/serve_test.go
+++ b/cmd/chalkstand/serve_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"chalkstand/internal/testkit"
 	"context"
 	"fmt"
 	"io"
@@ -13,8 +14,6 @@
 	"syscall"
 	"testing"
 	"time"
-
-	"chalkstand/internal/testkit"
 )
 
 func freeAddr(t *testing.T) string {
@@ -109,8 +108,18 @@
 }
 
 func TestCommandsExplainThemselves(t *testing.T) {
-	for _, args := range [][]string{{"--help"}, {"serve", "--help"}, {"node", "--help"}, {"badday", "--help"}, {"bench", "--help"}, {"replay", "--help"},
-		{"check-config", "--help"}, {"version"}, {"check-config", "../../configs/quickstart.jsonc"}, {"badday", "--print-script"}} {
+	for _, args := range [][]string{
+		{"--help"},
+		{"serve", "--help"},
+		{"node", "--help"},
+		{"badday", "--help"},
+		{"bench", "--help"},
+		{"replay", "--help"},
+		{"check-config", "--help"},
+		{"version"},
+		{"check-config", "../../configs/quickstart.jsonc"},
+		{"badday", "--print-script"},
+	} {
 		var out bytes.Buffer
 		cmd := root()
 		cmd.SetOut(&out)
--- a/cmd/chalkstand/standins.go
+++ b/cmd/chalkstand/standins.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"chalkstand/standin/relay"
 	"encoding/json"
 	"fmt"
 	"os"
@@ -9,8 +10,6 @@
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"chalkstand/standin/relay"
 )
 
 // standinSettings are made-up settings of the platform for a try by hand.
@@ -25,7 +24,8 @@
 	var nodes int
 	var file, listen string
 	var work time.Duration
-	c := &cobra.Command{Use: "standins", Short: "Run stand-in storage nodes and discovery for chalkstand run", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use: "standins", Short: "Run stand-in storage nodes and discovery for chalkstand run", Args: cobra.NoArgs,
 		Long: `Run stand-ins for the platform's storage nodes, which speak RESP2, and for its discovery, on
 loopback, until SIGTERM or SIGINT, and write a configuration with which chalkstand run reaches them.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -47,9 +47,11 @@
 				n.Usually(relay.Order{Wait: work})
 				entries = append(entries, relay.Entry{ID: fmt.Sprintf("s%d", i), Addr: n.Addr(), State: "Ready", Cell: i})
 			}
-			text, err := json.Marshal(map[string]any{"name": "n1", "listen": listen, "discovery": disc.Addr(), "seed": "1",
+			text, err := json.Marshal(map[string]any{
+				"name": "n1", "listen": listen, "discovery": disc.Addr(), "seed": "1",
 				"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 512},
-				"known":  json.RawMessage(relay.List(1, true, entries...)), "settings": json.RawMessage(fmt.Sprintf(standinSettings, nodes))})
+				"known":  json.RawMessage(relay.List(1, true, entries...)), "settings": json.RawMessage(fmt.Sprintf(standinSettings, nodes)),
+			})
 			if err != nil {
 				return err
 			}
@@ -61,7 +63,8 @@
 			signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 			<-stop
 			return nil
-		}}
+		},
+	}
 	c.Flags().IntVar(&nodes, "nodes", 4, "storage nodes, each with a shard of its own")
 	c.Flags().StringVar(&file, "config", "relay.json", "configuration to write")
 	c.Flags().StringVar(&listen, "listen", "127.0.0.1:6379", "where the dispatcher is to listen")
--- a/cmd/chalkstand/top.go
+++ b/cmd/chalkstand/top.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"chalkstand/gateway"
 	"cmp"
 	"encoding/json"
 	"fmt"
@@ -12,8 +13,6 @@
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"chalkstand/gateway"
 )
 
 // sharesTold is what /shares answers.
@@ -26,7 +25,8 @@
 	var admin string
 	var every time.Duration
 	var times, n int
-	c := &cobra.Command{Use: "top", Short: "Show who holds a running gateway's loops and links now",
+	c := &cobra.Command{
+		Use: "top", Short: "Show who holds a running gateway's loops and links now",
 		Long: `Show, second by second, which volumes have the event loops of a running gateway, how many bytes
 they move, and what of them waits. Volumes are shared out by the weights of their plans:
 docs/operate/share.md. (newcomers) are connections that have not spoken for a volume yet, (gateway)
@@ -57,7 +57,8 @@
 				before = now
 			}
 			return nil
-		}}
+		},
+	}
 	c.Flags().StringVar(&admin, "admin", "127.0.0.1:9001", "admin address of a running gateway")
 	c.Flags().DurationVar(&every, "every", time.Second, "time between two tables")
 	c.Flags().IntVar(&times, "times", 0, "tables; 0: until stopped")
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -3,13 +3,12 @@
 package main
 
 import (
+	"chalkstand/choice"
+	"chalkstand/internal/wire"
 	"errors"
 	"fmt"
 	"io"
 	"os"
-
-	"chalkstand/choice"
-	"chalkstand/internal/wire"
 )
 
 func main() {
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -28,27 +28,43 @@
 		name, in, out, fault string
 	}{
 		{"an empty batch", "BEGIN_BATCH 1\nGO\n", "READY\n", ""},
-		{"a request is sent, answered and over",
+		{
+			"a request is sent, answered and over",
 			"BEGIN_BATCH 1000\nFOR d_1\n" + begin + "ASK 7 1 0 0 2 0 k 1500 c:v 0\nGO\n" +
 				"BEGIN_BATCH 1020\nFOR d_1\nATTEMPT_END 7 1 10.0.0.7:8003 0 delivered 0 0 20 -\nABANDONED 7\nGO\n",
-			"BY d_1\nDEFER 4000 wake\nFORWARD 7 10.0.0.7:8003 0\nREADY\nREADY\n", ""},
-		{"no node holds the shard",
+			"BY d_1\nDEFER 4000 wake\nFORWARD 7 10.0.0.7:8003 0\nREADY\nREADY\n", "",
+		},
+		{
+			"no node holds the shard",
 			"BEGIN_BATCH 1000\nFOR d_1\n" + begin + "ASK 7 1 0 0 2 0 k 1500 c:v 4\nGO\n",
-			"BY d_1\nDEFER 4000 wake\nTURN_AWAY 7 200\nREADY\n", ""},
-		{"killed and started again in one batch",
+			"BY d_1\nDEFER 4000 wake\nTURN_AWAY 7 200\nREADY\n", "",
+		},
+		{
+			"killed and started again in one batch",
 			"BEGIN_BATCH 1000\nFOR d_1\n" + begin + "ASK 7 1 0 0 2 0 k 1500 c:v 0\nGO\n" +
 				"BEGIN_BATCH 1010\nFOR d_1\nCRASH_NOW\n" + begin + "GO\n",
-			"BY d_1\nDEFER 4000 wake\nFORWARD 7 10.0.0.7:8003 0\nREADY\nBY d_1\nDEFER 4010 wake\nREADY\n", ""},
-		{"an instance that is not running", "BEGIN_BATCH 1\nFOR d_9\nABANDONED 7\nGO\n",
-			"BY d_9\nFATAL line 3: event for d_9, which is not running\nREADY\n", "line 3"},
-		{"started twice", "BEGIN_BATCH 1\nFOR d_1\n" + begin + begin + "GO\n",
-			"BY d_1\nFATAL line 7: BEGIN for d_1, which is running\nREADY\n", "line 7"},
-		{"an unknown class", "BEGIN_BATCH 1\nFOR d_1\n" + begin + "ASK 7 1 0 0 2 3 k 1500 c:v 0\nGO\n",
-			"BY d_1\nFATAL line 7: ASK: tier_class 3: expected 0 to 0\nREADY\n", "tier_class"},
-		{"an unknown plan", "BEGIN_BATCH 1\nFOR d_1\n" + begin + "ASK 7 1 5 0 2 0 k 1500 c:v 0\nGO\n",
-			"BY d_1\nFATAL line 7: ASK: plan 5: expected 0 to 0\nREADY\n", "plan"},
-		{"senseless settings", "BEGIN_BATCH 1\nFOR d_1\nBEGIN 1 peers_total=0\nGO\n",
-			"BY d_1\nFATAL line 3: BEGIN: choice: Peers: want at least 1\nREADY\n", "Peers"},
+			"BY d_1\nDEFER 4000 wake\nFORWARD 7 10.0.0.7:8003 0\nREADY\nBY d_1\nDEFER 4010 wake\nREADY\n", "",
+		},
+		{
+			"an instance that is not running", "BEGIN_BATCH 1\nFOR d_9\nABANDONED 7\nGO\n",
+			"BY d_9\nFATAL line 3: event for d_9, which is not running\nREADY\n", "line 3",
+		},
+		{
+			"started twice", "BEGIN_BATCH 1\nFOR d_1\n" + begin + begin + "GO\n",
+			"BY d_1\nFATAL line 7: BEGIN for d_1, which is running\nREADY\n", "line 7",
+		},
+		{
+			"an unknown class", "BEGIN_BATCH 1\nFOR d_1\n" + begin + "ASK 7 1 0 0 2 3 k 1500 c:v 0\nGO\n",
+			"BY d_1\nFATAL line 7: ASK: tier_class 3: expected 0 to 0\nREADY\n", "tier_class",
+		},
+		{
+			"an unknown plan", "BEGIN_BATCH 1\nFOR d_1\n" + begin + "ASK 7 1 5 0 2 0 k 1500 c:v 0\nGO\n",
+			"BY d_1\nFATAL line 7: ASK: plan 5: expected 0 to 0\nREADY\n", "plan",
+		},
+		{
+			"senseless settings", "BEGIN_BATCH 1\nFOR d_1\nBEGIN 1 peers_total=0\nGO\n",
+			"BY d_1\nFATAL line 3: BEGIN: choice: Peers: want at least 1\nREADY\n", "Peers",
+		},
 		{"noise where no instance is known", "noise\n", "", "expected BEGIN_BATCH"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/exchange/account.go
+++ b/exchange/account.go
@@ -1,10 +1,9 @@
 package exchange
 
 import (
-	"time"
-
 	"chalkstand/accounts"
 	"chalkstand/choice"
+	"time"
 )
 
 // The accounts of requests: told to whoever asked for them, decided on by none.
--- a/exchange/account_test.go
+++ b/exchange/account_test.go
@@ -1,11 +1,10 @@
 package exchange
 
 import (
-	"testing"
-	"time"
-
 	"chalkstand/accounts"
 	"chalkstand/choice"
+	"testing"
+	"time"
 )
 
 const ms = time.Millisecond
--- a/exchange/api.go
+++ b/exchange/api.go
@@ -6,12 +6,11 @@
 package exchange
 
 import (
+	"chalkstand/accounts"
+	"chalkstand/choice"
 	"errors"
 	"fmt"
 	"time"
-
-	"chalkstand/accounts"
-	"chalkstand/choice"
 )
 
 // ConnID names a connection to a node. It is never used twice.
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -1,15 +1,14 @@
 package exchange
 
 import (
+	"chalkstand/accounts"
+	"chalkstand/choice"
 	"container/heap"
 	"fmt"
 	"math"
 	"slices"
 	"strings"
 	"time"
-
-	"chalkstand/accounts"
-	"chalkstand/choice"
 )
 
 // Exchange is the state machine of one gateway's requests. It is not safe for
@@ -117,8 +116,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("exchange: %w", err)
 	}
-	return &Exchange{cfg: cfg, d: d, calls: map[choice.RequestID]*call{}, conns: map[ConnID]*conn{},
-		nodes: map[choice.NodeID]*node{}, wakeAt: math.MaxInt64}, nil
+	return &Exchange{
+		cfg: cfg, d: d, calls: map[choice.RequestID]*call{}, conns: map[ConnID]*conn{},
+		nodes: map[choice.NodeID]*node{}, wakeAt: math.MaxInt64,
+	}, nil
 }
 
 // Calls returns how many requests are held or out.
@@ -282,15 +283,19 @@
 	}
 	if len(x.calls) >= x.cfg.MaxCalls || e.Request.Class < 0 || e.Request.Class >= len(x.cfg.Choice.Classes) {
 		if x.cfg.Accounts {
-			x.act(Accounted{ID: e.Request.ID, Lane: e.Lane,
-				Entry: &accounts.Entry{Volume: string(e.Request.Volume), Started: x.now, Ended: x.now, Outcome: accounts.Refused}})
+			x.act(Accounted{
+				ID: e.Request.ID, Lane: e.Lane,
+				Entry: &accounts.Entry{Volume: string(e.Request.Volume), Started: x.now, Ended: x.now, Outcome: accounts.Refused},
+			})
 		}
 		x.act(Refuse{ID: e.Request.ID, Lane: e.Lane, After: x.cfg.Choice.MaxRetryAfter})
 		return
 	}
 	class := &x.cfg.Choice.Classes[e.Request.Class]
-	c := &call{req: e.Request, class: class, lane: e.Lane, attempt: -1, once: e.Once, units: e.Request.Units,
-		deadline: x.now + e.Request.Left - x.cfg.Margin}
+	c := &call{
+		req: e.Request, class: class, lane: e.Lane, attempt: -1, once: e.Once, units: e.Request.Units,
+		deadline: x.now + e.Request.Left - x.cfg.Margin,
+	}
 	c.span = accounts.Begin(x.now, accounts.Held)
 	x.calls[c.req.ID] = c
 	x.tell(e.Request)
@@ -373,8 +378,10 @@
 	if c.conn != nil {
 		id = c.conn.node.ID
 	}
-	x.tell(choice.Outcome{ID: c.req.ID, Attempt: c.attempt, Node: id, Status: s, Concluded: concluded,
-		Took: x.now - c.sentAt, Use: w.Use, Elsewhere: w.Elsewhere, Report: w.Report})
+	x.tell(choice.Outcome{
+		ID: c.req.ID, Attempt: c.attempt, Node: id, Status: s, Concluded: concluded,
+		Took: x.now - c.sentAt, Use: w.Use, Elsewhere: w.Elsewhere, Report: w.Report,
+	})
 }
 
 // onGone ends a call that nobody waits for. An attempt that is out ends with it;
@@ -590,8 +597,10 @@
 	x.leaves(c)
 	if !c.settled {
 		c.settled = true
-		x.tell(choice.Outcome{ID: c.req.ID, Attempt: c.attempt, Status: choice.Served, Concluded: true, Took: c.headAt - c.sentAt,
-			Use: c.headWord.Use, Elsewhere: c.headWord.Elsewhere, Report: c.headWord.Report})
+		x.tell(choice.Outcome{
+			ID: c.req.ID, Attempt: c.attempt, Status: choice.Served, Concluded: true, Took: c.headAt - c.sentAt,
+			Use: c.headWord.Use, Elsewhere: c.headWord.Elsewhere, Report: c.headWord.Report,
+		})
 	}
 }
 
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -1,29 +1,34 @@
 package exchange
 
 import (
+	"chalkstand/accounts"
+	"chalkstand/choice"
 	"fmt"
 	"math/rand/v2"
 	"slices"
 	"testing"
 	"time"
-
-	"chalkstand/accounts"
-	"chalkstand/choice"
 )
 
 func settings() Config {
-	return Config{Seed: 1, ConnsPerNode: 4, Streams: 2, IdleFor: 2 * time.Second, MaxAge: 20 * time.Second,
+	return Config{
+		Seed: 1, ConnsPerNode: 4, Streams: 2, IdleFor: 2 * time.Second, MaxAge: 20 * time.Second,
 		Connect: 200 * time.Millisecond, Margin: 5 * time.Millisecond, MaxCalls: 64,
-		Choice: choice.Config{Me: 0, Peers: 1, Cancel: true, MaxRetryAfter: time.Second, MaxAttempts: 3,
+		Choice: choice.Config{
+			Me: 0, Peers: 1, Cancel: true, MaxRetryAfter: time.Second, MaxAttempts: 3,
 			UsualUnits: 1, LargestUnits: 8, Settle: 50 * time.Millisecond, Round: time.Millisecond,
 			Budget: choice.BudgetRule{Free: 3, Ratio: 0.2, Span: 5 * time.Second},
 			Classes: []choice.Class{
 				{Name: "read", Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 2},
-				{Name: "write", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Worth: 2, Effect: choice.Keyed,
-					Group: choice.GroupShard, Window: 2 * time.Second, InTurn: true},
+				{
+					Name: "write", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Worth: 2, Effect: choice.Keyed,
+					Group: choice.GroupShard, Window: 2 * time.Second, InTurn: true,
+				},
 				{Name: "unsafe", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1, Effect: choice.Unsafe},
 			},
-			Plans: []choice.Plan{{Name: "p", Reserve: 1000, Weight: 1, Price: 1}}}}
+			Plans: []choice.Plan{{Name: "p", Reserve: 1000, Weight: 1, Price: 1}},
+		},
+	}
 }
 
 // rig plays the world around an exchange and checks what it does.
@@ -68,8 +73,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &rig{t: t, x: x, accounts: map[string]accounts.Entry{}, conns: map[ConnID]*rigConn{}, state: map[choice.NodeID]choice.NodeState{}, volume: "v",
-		calls: map[choice.RequestID]*rigCall{}, wake: 1 << 62, perNod: map[choice.NodeID]int{}, limit: cfg.ConnsPerNode}
+	return &rig{
+		t: t, x: x, accounts: map[string]accounts.Entry{}, conns: map[ConnID]*rigConn{}, state: map[choice.NodeID]choice.NodeState{}, volume: "v",
+		calls: map[choice.RequestID]*rigCall{}, wake: 1 << 62, perNod: map[choice.NodeID]int{}, limit: cfg.ConnsPerNode,
+	}
 }
 
 // tell hands over an event and follows the actions, checking each.
@@ -167,8 +174,10 @@
 	left := r.x.cfg.Choice.Classes[class].Deadline
 	c := &rigCall{id: choice.RequestID(id), due: r.now + left, once: once}
 	r.calls[c.id] = c
-	r.tell(Begin{Once: once, Request: choice.Request{ID: c.id, Class: class, Volume: r.volume, Key: key,
-		Shard: choice.Shard(shard), Units: 1, Hosts: 1, Left: left}})
+	r.tell(Begin{Once: once, Request: choice.Request{
+		ID: c.id, Class: class, Volume: r.volume, Key: key,
+		Shard: choice.Shard(shard), Units: 1, Hosts: 1, Left: left,
+	}})
 	return c
 }
 
@@ -513,8 +522,11 @@
 
 // Unused connections to a node that drains, or that is another process now, are closed.
 func TestConnectionsOfADrainedNodeAreClosed(t *testing.T) {
-	for _, next := range []Node{{Addr: "a", Node: choice.Node{ID: "a", State: choice.Draining}}, {Addr: "a", Node: choice.Node{ID: "a", Started: time.Second}},
-		{Addr: "b", Node: choice.Node{ID: "a"}}} {
+	for _, next := range []Node{
+		{Addr: "a", Node: choice.Node{ID: "a", State: choice.Draining}},
+		{Addr: "a", Node: choice.Node{ID: "a", Started: time.Second}},
+		{Addr: "b", Node: choice.Node{ID: "a"}},
+	} {
 		r := newRig(t, settings())
 		r.node("a", 0, choice.Serving)
 		r.begin(1, 0, 0, "", false)
--- a/exchange/sockets_test.go
+++ b/exchange/sockets_test.go
@@ -1,10 +1,9 @@
 package exchange
 
 import (
+	"chalkstand/choice"
 	"testing"
 	"time"
-
-	"chalkstand/choice"
 )
 
 // An attempt that choice gives up ends with its connection, and the next one goes out on
--- a/gateway/accounting.go
+++ b/gateway/accounting.go
@@ -1,16 +1,15 @@
 package gateway
 
 import (
+	"chalkstand/accounts"
+	"chalkstand/exchange"
+	"chalkstand/internal/settings"
 	"encoding/json"
 	"fmt"
 	"net/http"
 	"strconv"
 	"sync/atomic"
 	"time"
-
-	"chalkstand/accounts"
-	"chalkstand/exchange"
-	"chalkstand/internal/settings"
 )
 
 // Latency accounts: each client request's journey is followed on its loop; what is
@@ -39,8 +38,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return &bookkeeper{keeper: k, now: now, in: make(chan accounts.Batch, s.Batches), each: each, save: save,
-		ask: make(chan func(time.Duration, *accounts.Keeper)), ended: make(chan struct{})}, nil
+	return &bookkeeper{
+		keeper: k, now: now, in: make(chan accounts.Batch, s.Batches), each: each, save: save,
+		ask: make(chan func(time.Duration, *accounts.Keeper)), ended: make(chan struct{}),
+	}, nil
 }
 
 // run keeps the books until in is closed.
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -1,15 +1,14 @@
 package gateway
 
 import (
-	"strconv"
-	"time"
-
 	"chalkstand/choice"
 	"chalkstand/exchange"
 	"chalkstand/internal/http1"
 	"chalkstand/internal/netloop"
 	"chalkstand/internal/upstream"
 	"chalkstand/share"
+	"strconv"
+	"time"
 )
 
 // call is one request to a node, from the exchange's Begin to its final answer.
--- a/gateway/client.go
+++ b/gateway/client.go
@@ -1,14 +1,13 @@
 package gateway
 
 import (
-	"strconv"
-	"time"
-
 	"chalkstand/accounts"
 	"chalkstand/internal/http1"
 	"chalkstand/internal/netloop"
 	"chalkstand/internal/objectapi"
 	"chalkstand/internal/payload"
+	"strconv"
+	"time"
 )
 
 type clientState uint8
@@ -489,8 +488,10 @@
 }
 
 func ownHeader(name []byte) bool {
-	for _, n := range [...]string{"content-length", "transfer-encoding", "connection", "keep-alive", "trailer", "date", "server",
-		loadHeader, timingHeader, "x-amz-request-id", "retry-after"} {
+	for _, n := range [...]string{
+		"content-length", "transfer-encoding", "connection", "keep-alive", "trailer", "date", "server",
+		loadHeader, timingHeader, "x-amz-request-id", "retry-after",
+	} {
 		if http1.EqualFold(name, n) {
 			return true
 		}
--- a/gateway/copy.go
+++ b/gateway/copy.go
@@ -1,11 +1,10 @@
 package gateway
 
 import (
-	"strings"
-	"time"
-
 	"chalkstand/internal/http1"
 	"chalkstand/internal/objectapi"
+	"strings"
+	"time"
 )
 
 // copying moves an object from one shard to another: a read whose answer's body is
--- a/gateway/core.go
+++ b/gateway/core.go
@@ -1,11 +1,10 @@
 package gateway
 
 import (
+	"chalkstand/exchange"
 	"math/rand/v2"
 	"sync"
 	"time"
-
-	"chalkstand/exchange"
 )
 
 // core owns the exchange, and through it the dispatcher. Loops hand events to it
@@ -24,8 +23,10 @@
 }
 
 func newCore(x *exchange.Exchange) *core {
-	c := &core{x: x, start: time.Now(), timer: time.NewTimer(time.Hour), done: make(chan struct{}),
-		nonce: requestID(rand.Uint64())}
+	c := &core{
+		x: x, start: time.Now(), timer: time.NewTimer(time.Hour), done: make(chan struct{}),
+		nonce: requestID(rand.Uint64()),
+	}
 	c.timer.Stop()
 	return c
 }
--- a/gateway/core_test.go
+++ b/gateway/core_test.go
@@ -1,19 +1,20 @@
 package gateway
 
 import (
-	"testing"
-	"time"
-
 	"chalkstand/choice"
 	"chalkstand/exchange"
+	"testing"
+	"time"
 )
 
 // BenchmarkHandOver compares the ways of handing an event to the one owner of the
 // decisions: the lock that is used, and a goroutine with a channel, its peer.
 func BenchmarkHandOver(b *testing.B) {
 	cfg := choice.Config{Peers: 1, Classes: []choice.Class{{Aim: time.Second, Deadline: 2 * time.Second}}, Plans: []choice.Plan{{Weight: 1}}}
-	x, err := exchange.New(exchange.Config{Choice: cfg, Seed: 1, ConnsPerNode: 8,
-		Streams: 4, IdleFor: time.Second, MaxAge: time.Minute, Connect: time.Second, MaxCalls: 8})
+	x, err := exchange.New(exchange.Config{
+		Choice: cfg, Seed: 1, ConnsPerNode: 8,
+		Streams: 4, IdleFor: time.Second, MaxAge: time.Minute, Connect: time.Second, MaxCalls: 8,
+	})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/gateway/draw.go
+++ b/gateway/draw.go
@@ -1,12 +1,11 @@
 package gateway
 
 import (
-	"time"
-
 	"chalkstand/choice"
 	"chalkstand/internal/netloop"
 	"chalkstand/internal/upstream"
 	"chalkstand/share"
+	"time"
 )
 
 // gate is the way to one node for the answers that stream on a lane.
@@ -24,8 +23,10 @@
 		return g
 	}
 	x := l.g.cfg.Share
-	s, err := share.NewGate[*nodeConn](share.GateConfig{Depth: x.Depth, Crowd: x.Crowd, Quantum: x.Draw, Lease: x.Lease.D(), Window: x.Window.D(), Flows: x.Flows,
-		Arrival: x.Order == "arrival"})
+	s, err := share.NewGate[*nodeConn](share.GateConfig{
+		Depth: x.Depth, Crowd: x.Crowd, Quantum: x.Draw, Lease: x.Lease.D(), Window: x.Window.D(), Flows: x.Flows,
+		Arrival: x.Order == "arrival",
+	})
 	if err != nil {
 		panic("gateway: " + err.Error()) // cannot happen: the settings were checked, and loops have the same
 	}
--- a/gateway/fanout.go
+++ b/gateway/fanout.go
@@ -1,16 +1,15 @@
 package gateway
 
 import (
+	"chalkstand/choice"
+	"chalkstand/internal/http1"
+	"chalkstand/internal/objectapi"
 	"encoding/base64"
 	"encoding/xml"
 	"slices"
 	"strconv"
 	"strings"
 	"time"
-
-	"chalkstand/choice"
-	"chalkstand/internal/http1"
-	"chalkstand/internal/objectapi"
 )
 
 // Operations that touch several shards: each shard's part is a request of its own,
@@ -286,8 +285,10 @@
 
 func (t *transaction) listDocument(p objectapi.Page, most int, v2 bool) objectapi.ListBucketResult {
 	in, enc := t.op.Query, t.encoder()
-	res := objectapi.ListBucketResult{Name: t.op.Bucket, Prefix: enc(in.Get("prefix")), Delimiter: enc(in.Get("delimiter")),
-		MaxKeys: most, EncodingType: in.Get("encoding-type"), IsTruncated: p.Truncated && most > 0}
+	res := objectapi.ListBucketResult{
+		Name: t.op.Bucket, Prefix: enc(in.Get("prefix")), Delimiter: enc(in.Get("delimiter")),
+		MaxKeys: most, EncodingType: in.Get("encoding-type"), IsTruncated: p.Truncated && most > 0,
+	}
 	for _, c := range p.Contents {
 		c.Key = enc(c.Key)
 		if !v2 || in.Get("fetch-owner") == "true" {
@@ -342,9 +343,11 @@
 func (t *transaction) uploadsDocument(lists []objectapi.ListMultipartUploadsResult, most int) objectapi.ListMultipartUploadsResult {
 	in, enc := t.op.Query, t.encoder()
 	ups, prefixes, more := objectapi.MergeUploads(lists, most)
-	res := objectapi.ListMultipartUploadsResult{Bucket: t.op.Bucket, KeyMarker: enc(in.Get("key-marker")), UploadIdMarker: in.Get("upload-id-marker"),
+	res := objectapi.ListMultipartUploadsResult{
+		Bucket: t.op.Bucket, KeyMarker: enc(in.Get("key-marker")), UploadIdMarker: in.Get("upload-id-marker"),
 		Prefix: enc(in.Get("prefix")), Delimiter: enc(in.Get("delimiter")), EncodingType: in.Get("encoding-type"), MaxUploads: most,
-		IsTruncated: more && most > 0}
+		IsTruncated: more && most > 0,
+	}
 	for _, u := range ups {
 		if res.IsTruncated {
 			res.NextKeyMarker, res.NextUploadIdMarker = enc(u.Key), u.UploadId
--- a/gateway/front.go
+++ b/gateway/front.go
@@ -1,15 +1,6 @@
 package gateway
 
 import (
-	"math"
-	"path"
-	"slices"
-	"strconv"
-	"strings"
-	"time"
-
-	"go.uber.org/zap"
-
 	"chalkstand/accounts"
 	"chalkstand/choice"
 	"chalkstand/internal/http1"
@@ -19,6 +10,14 @@
 	"chalkstand/internal/sigv4"
 	"chalkstand/placement"
 	"chalkstand/share"
+	"math"
+	"path"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"go.uber.org/zap"
 )
 
 // volume is a bucket as the settings see it.
@@ -289,12 +288,16 @@
 }
 
 // passed are the request headers that go on to a node, beside those of x-amz-.
-var passed = []string{"content-type", "content-encoding", "content-disposition", "content-language", "cache-control", "expires",
-	"range", "if-match", "if-none-match", "if-modified-since", "if-unmodified-since", "if-range", "content-md5"}
+var passed = []string{
+	"content-type", "content-encoding", "content-disposition", "content-language", "cache-control", "expires",
+	"range", "if-match", "if-none-match", "if-modified-since", "if-unmodified-since", "if-range", "content-md5",
+}
 
 // notPassed are headers of x-amz- that speak to the gateway.
-var notPassed = []string{"x-amz-date", "x-amz-content-sha256", "x-amz-security-token", "x-amz-decoded-content-length", "x-amz-trailer",
-	"x-amz-copy-source", "x-amz-acl"}
+var notPassed = []string{
+	"x-amz-date", "x-amz-content-sha256", "x-amz-security-token", "x-amz-decoded-content-length", "x-amz-trailer",
+	"x-amz-copy-source", "x-amz-acl",
+}
 
 func appendPassed(b []byte, hs http1.Headers) []byte {
 	for _, h := range hs {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -4,6 +4,14 @@
 package gateway
 
 import (
+	"chalkstand/accounts"
+	"chalkstand/choice"
+	"chalkstand/exchange"
+	"chalkstand/internal/netloop"
+	"chalkstand/internal/settings"
+	"chalkstand/internal/sigv4"
+	"chalkstand/placement"
+	"chalkstand/tariff"
 	"context"
 	"fmt"
 	"math/rand/v2"
@@ -15,15 +23,6 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"go.uber.org/zap"
 	"golang.org/x/sys/unix"
-
-	"chalkstand/accounts"
-	"chalkstand/choice"
-	"chalkstand/exchange"
-	"chalkstand/internal/netloop"
-	"chalkstand/internal/settings"
-	"chalkstand/internal/sigv4"
-	"chalkstand/placement"
-	"chalkstand/tariff"
 )
 
 // Settings are those of the settings file.
@@ -111,8 +110,10 @@
 	g.SetKeys(cfg.Keys)
 	g.verify = &sigv4.Verifier{Region: cfg.Region, Skew: cfg.Limits.Skew.D(), Secret: g.secret}
 	l := cfg.Limits
-	x, err := exchange.New(exchange.Config{Choice: cfg.Choice(), Seed: g.seed, ConnsPerNode: l.ConnsPerNode, Streams: l.Streams, IdleFor: l.NodeIdle.D(),
-		MaxAge: l.NodeAge.D(), Connect: l.Connect.D(), Margin: l.Margin.D(), MaxCalls: l.Calls, Accounts: cfg.Accounts.On})
+	x, err := exchange.New(exchange.Config{
+		Choice: cfg.Choice(), Seed: g.seed, ConnsPerNode: l.ConnsPerNode, Streams: l.Streams, IdleFor: l.NodeIdle.D(),
+		MaxAge: l.NodeAge.D(), Connect: l.Connect.D(), Margin: l.Margin.D(), MaxCalls: l.Calls, Accounts: cfg.Accounts.On,
+	})
 	if err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
--- a/gateway/lane.go
+++ b/gateway/lane.go
@@ -1,10 +1,6 @@
 package gateway
 
 import (
-	"time"
-
-	"golang.org/x/sys/unix"
-
 	"chalkstand/accounts"
 	"chalkstand/choice"
 	"chalkstand/exchange"
@@ -12,6 +8,9 @@
 	"chalkstand/internal/objectapi"
 	"chalkstand/internal/upstream"
 	"chalkstand/share"
+	"time"
+
+	"golang.org/x/sys/unix"
 )
 
 // lane is one event loop with all that runs on it: clients, their requests, and
@@ -45,8 +44,10 @@
 }
 
 func newLane(g *Gateway, loop *netloop.Loop) *lane {
-	l := &lane{g: g, index: exchange.Lane(loop.Index), loop: loop, calls: map[choice.RequestID]*call{},
-		conns: map[exchange.ConnID]*nodeConn{}, clients: map[*clientConn]struct{}{}, volumes: map[string]*volume{}, leaving: map[choice.RequestID]*call{}, swept: time.Now()}
+	l := &lane{
+		g: g, index: exchange.Lane(loop.Index), loop: loop, calls: map[choice.RequestID]*call{},
+		conns: map[exchange.ConnID]*nodeConn{}, clients: map[*clientConn]struct{}{}, volumes: map[string]*volume{}, leaving: map[choice.RequestID]*call{}, swept: time.Now(),
+	}
 	l.strange = &volume{name: "(newcomers)", terms: share.Terms{Weight: g.cfg.Share.Newcomers}, over: l.newOverload()}
 	l.strange.flow = loop.Flow(l.strange.name, l.strange.terms, g.shares.account(l.strange.name, g.cfg))
 	loop.Alarm(l.nextAlarm, l.ring)
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -1,11 +1,10 @@
 package gateway
 
 import (
+	"chalkstand/internal/objectapi"
 	"time"
 
 	"github.com/prometheus/client_golang/prometheus"
-
-	"chalkstand/internal/objectapi"
 )
 
 // metrics are what a gateway counts. It registers as one collector.
@@ -32,11 +31,16 @@
 	gauge := func(name, help string, f func() float64) prometheus.GaugeFunc {
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "chalkstand", Name: name, Help: help}, f)
 	}
-	m := &metrics{g: g,
-		requests: prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "chalkstand", Name: "requests_total",
-			Help: "Client requests that had their final answer, by operation and class of status; 0xx: broken off."}, []string{"op", "status"}),
-		latency: prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "chalkstand", Name: "request_seconds",
-			Help: "Time from a request's head to its answer's end.", Buckets: prometheus.ExponentialBuckets(0.0005, 2, 18)}),
+	m := &metrics{
+		g: g,
+		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
+			Namespace: "chalkstand", Name: "requests_total",
+			Help: "Client requests that had their final answer, by operation and class of status; 0xx: broken off.",
+		}, []string{"op", "status"}),
+		latency: prometheus.NewHistogram(prometheus.HistogramOpts{
+			Namespace: "chalkstand", Name: "request_seconds",
+			Help: "Time from a request's head to its answer's end.", Buckets: prometheus.ExponentialBuckets(0.0005, 2, 18),
+		}),
 		attempts:   counter("attempts_total", "Requests sent to nodes, further attempts included."),
 		refused:    counter("refused_total", "Requests to nodes that the dispatcher refused."),
 		overloaded: counter("overloaded_total", "Requests refused unread because their volume had more waiting for the loop than its share can do."),
--- a/gateway/overload.go
+++ b/gateway/overload.go
@@ -1,12 +1,11 @@
 package gateway
 
 import (
+	"chalkstand/internal/http1"
+	"chalkstand/internal/payload"
 	"container/heap"
 	"strings"
 	"time"
-
-	"chalkstand/internal/http1"
-	"chalkstand/internal/payload"
 )
 
 // overloaded refuses a request before anything is done for it: its head has been read, and
--- a/gateway/report.go
+++ b/gateway/report.go
@@ -2,11 +2,10 @@
 
 import (
 	"bytes"
-	"strconv"
-
 	"chalkstand/choice"
 	"chalkstand/exchange"
 	"chalkstand/internal/objectapi"
+	"strconv"
 )
 
 // loadHeader carries a node's load report, in the text form of the Open Request
--- a/gateway/shares.go
+++ b/gateway/shares.go
@@ -1,23 +1,24 @@
 package gateway
 
 import (
+	"chalkstand/internal/netloop"
+	"chalkstand/internal/settings"
+	"chalkstand/share"
 	"cmp"
 	"encoding/json"
 	"net/http"
 	"slices"
 	"sync"
 	"time"
-
-	"chalkstand/internal/netloop"
-	"chalkstand/internal/settings"
-	"chalkstand/share"
 )
 
 // loopOptions are a loop's settings.
 func loopOptions(s *settings.Settings, now func() time.Duration) netloop.Options {
 	x := s.Share
-	return netloop.Options{Quantum: x.Quantum, Slice: x.Slice.D(), Now: now, Share: share.Config{ByteTime: x.ByteTime, Window: x.Window.D(),
-		Flows: x.Flows, Finishing: x.Finishing, Arrival: x.Order == "arrival"}}
+	return netloop.Options{Quantum: x.Quantum, Slice: x.Slice.D(), Now: now, Share: share.Config{
+		ByteTime: x.ByteTime, Window: x.Window.D(),
+		Flows: x.Flows, Finishing: x.Finishing, Arrival: x.Order == "arrival",
+	}}
 }
 
 // newOverload returns the state of one flow's refusals.
--- a/gateway/timing.go
+++ b/gateway/timing.go
@@ -2,11 +2,10 @@
 
 import (
 	"bytes"
-	"strconv"
-	"time"
-
 	"chalkstand/accounts"
 	"chalkstand/internal/http1"
+	"strconv"
+	"time"
 )
 
 // timingHeader tells how a request's time at the node divides, in the form of the
--- a/gateway/timing_test.go
+++ b/gateway/timing_test.go
@@ -1,10 +1,9 @@
 package gateway
 
 import (
+	"chalkstand/internal/http1"
 	"testing"
 	"time"
-
-	"chalkstand/internal/http1"
 )
 
 func timingHeaders(v string) http1.Headers {
--- a/gateway/upload.go
+++ b/gateway/upload.go
@@ -1,11 +1,10 @@
 package gateway
 
 import (
-	"time"
-
 	"chalkstand/exchange"
 	"chalkstand/internal/http1"
 	"chalkstand/internal/objectapi"
+	"time"
 )
 
 // upload passes a client's body through to a node as it comes. The node gets the
--- a/internal/accountlog/log.go
+++ b/internal/accountlog/log.go
@@ -7,6 +7,7 @@
 
 import (
 	"bytes"
+	"chalkstand/accounts"
 	"encoding/binary"
 	"encoding/json"
 	"errors"
@@ -17,8 +18,6 @@
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/klauspost/compress/zstd"
-
-	"chalkstand/accounts"
 )
 
 // magic begins each file; the version stands in it.
--- a/internal/accountlog/log_test.go
+++ b/internal/accountlog/log_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"chalkstand/accounts"
 	"errors"
 	"fmt"
 	"os"
@@ -9,8 +10,6 @@
 	"strings"
 	"testing"
 	"time"
-
-	"chalkstand/accounts"
 )
 
 var epoch = time.Date(2026, 5, 4, 8, 0, 0, 0, time.UTC)
@@ -159,8 +158,10 @@
 
 // Corrections find their slots; a second life and a step of the wall clock are told.
 func TestTimeline(t *testing.T) {
-	fix := Record{Run: slot("a", 0).Run, Saved: epoch.Add(25 * time.Second), At: 25 * time.Second, Fix: &accounts.Correction{Volume: "v", Ended: 15 * time.Second,
-		From: accounts.NodeTime, Had: 2 * time.Millisecond, To: []accounts.Moved{{Cause: accounts.NodeQueue, Time: time.Millisecond}}}}
+	fix := Record{Run: slot("a", 0).Run, Saved: epoch.Add(25 * time.Second), At: 25 * time.Second, Fix: &accounts.Correction{
+		Volume: "v", Ended: 15 * time.Second,
+		From: accounts.NodeTime, Had: 2 * time.Millisecond, To: []accounts.Moved{{Cause: accounts.NodeQueue, Time: time.Millisecond}},
+	}}
 	lost := fix
 	lost.Fix = &accounts.Correction{Volume: "v", Ended: time.Hour}
 	stepped := slot("a", 2)
--- a/internal/accountlog/timeline.go
+++ b/internal/accountlog/timeline.go
@@ -1,11 +1,10 @@
 package accountlog
 
 import (
+	"chalkstand/accounts"
 	"fmt"
 	"slices"
 	"time"
-
-	"chalkstand/accounts"
 )
 
 // Timeline is a log put in order: the slots of each run, with their corrections
--- a/internal/accountreport/html.go
+++ b/internal/accountreport/html.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"chalkstand/accounts"
 	"encoding/base64"
 	"fmt"
 	"html/template"
@@ -9,8 +10,6 @@
 
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/vg"
-
-	"chalkstand/accounts"
 )
 
 // The sizes of the pictures, and how many volumes they show.
--- a/internal/accountreport/pictures.go
+++ b/internal/accountreport/pictures.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"chalkstand/accounts"
 	"cmp"
 	"fmt"
 	"image/color"
@@ -13,8 +14,6 @@
 	"gonum.org/v1/plot/palette/moreland"
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
-
-	"chalkstand/accounts"
 )
 
 // colours of the causes: waiting in reds, the node in blues, the gateway's own and
--- a/internal/accountreport/text.go
+++ b/internal/accountreport/text.go
@@ -3,6 +3,8 @@
 package accountreport
 
 import (
+	"chalkstand/accounts"
+	"chalkstand/internal/accountlog"
 	"cmp"
 	"fmt"
 	"io"
@@ -10,9 +12,6 @@
 	"strings"
 	"text/tabwriter"
 	"time"
-
-	"chalkstand/accounts"
-	"chalkstand/internal/accountlog"
 )
 
 // Data is what is shown: slots of a time in order, and what must be known of them.
--- a/internal/discover/discover.go
+++ b/internal/discover/discover.go
@@ -5,6 +5,7 @@
 
 import (
 	"bytes"
+	"chalkstand/internal/targets"
 	"context"
 	"encoding/json"
 	"errors"
@@ -13,8 +14,6 @@
 	"net"
 	"net/http"
 	"time"
-
-	"chalkstand/internal/targets"
 )
 
 // Options bound a watch.
@@ -52,8 +51,10 @@
 	if err != nil {
 		return err
 	}
-	tr := &http.Transport{DisableKeepAlives: true, DisableCompression: true, MaxResponseHeaderBytes: 16 << 10, ReadBufferSize: 4 << 10,
-		WriteBufferSize: 1 << 10, DialContext: (&net.Dialer{Timeout: o.Answer}).DialContext}
+	tr := &http.Transport{
+		DisableKeepAlives: true, DisableCompression: true, MaxResponseHeaderBytes: 16 << 10, ReadBufferSize: 4 << 10,
+		WriteBufferSize: 1 << 10, DialContext: (&net.Dialer{Timeout: o.Answer}).DialContext,
+	}
 	defer tr.CloseIdleConnections()
 	r, err := tr.RoundTrip(req)
 	if err != nil {
--- a/internal/discover/discover_test.go
+++ b/internal/discover/discover_test.go
@@ -1,6 +1,8 @@
 package discover
 
 import (
+	"chalkstand/internal/targets"
+	"chalkstand/standin/relay"
 	"context"
 	"errors"
 	"fmt"
@@ -8,9 +10,6 @@
 	"strings"
 	"testing"
 	"time"
-
-	"chalkstand/internal/targets"
-	"chalkstand/standin/relay"
 )
 
 const patience = 20 * time.Second
@@ -48,8 +47,10 @@
 var usual = Options{Answer: patience, Silence: patience}
 
 // head begins an answer that ends with its connection; chunk is a piece of one in chunks.
-const head = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
-const chunkedHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+const (
+	head        = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
+	chunkedHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+)
 
 func chunk(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 
@@ -147,8 +148,10 @@
 // document that never ends do not.
 func TestSilence(t *testing.T) {
 	short := Options{Answer: 50 * time.Millisecond, Silence: 50 * time.Millisecond}
-	for name, begin := range map[string]string{"before the head": "", "before the list": head, "after the list": head + list(1) + "\n",
-		"within a list": head + list(1)[:40], "after an empty line": head + "\n"} {
+	for name, begin := range map[string]string{
+		"before the head": "", "before the list": head, "after the list": head + list(1) + "\n",
+		"within a list": head + list(1)[:40], "after an empty line": head + "\n",
+	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := watched(t, short, func(c net.Conn) {
 				fmt.Fprint(c, begin)
--- a/internal/e2e/bench_test.go
+++ b/internal/e2e/bench_test.go
@@ -2,16 +2,16 @@
 
 import (
 	"bytes"
+	"chalkstand/choice"
+	"chalkstand/exchange"
+	"chalkstand/gateway"
+	"chalkstand/internal/http1"
 	"context"
 	"fmt"
 	"net"
 	"testing"
 	"time"
 
-	"chalkstand/choice"
-	"chalkstand/exchange"
-	"chalkstand/gateway"
-	"chalkstand/internal/http1"
 	kit "chalkstand/internal/testkit"
 )
 
--- a/internal/e2e/clients_test.go
+++ b/internal/e2e/clients_test.go
@@ -48,8 +48,10 @@
 	for _, n := range []int{0, 1, 4096, 65536, 65537, 300_000, 8 << 20} {
 		key := fmt.Sprintf("line 1/part+%d ü?&=%%.jpg", n)
 		want := kit.Bytes(uint64(n), n)
-		put, err := c.PutObject(ctx, &s3.PutObjectInput{Bucket: aws.String("photos"), Key: &key, Body: bytes.NewReader(want),
-			ContentType: aws.String("image/jpeg"), Metadata: map[string]string{"line": "seven"}})
+		put, err := c.PutObject(ctx, &s3.PutObjectInput{
+			Bucket: aws.String("photos"), Key: &key, Body: bytes.NewReader(want),
+			ContentType: aws.String("image/jpeg"), Metadata: map[string]string{"line": "seven"},
+		})
 		if err != nil {
 			t.Fatalf("%d bytes: %v", n, err)
 		}
@@ -127,8 +129,10 @@
 			t.Fatalf("%v: %s", h, resp.Header.Get("Content-Range"))
 		}
 	}
-	if _, err := c.PutObject(ctx, &s3.PutObjectInput{Bucket: aws.String("photos"), Key: aws.String("k"), Body: strings.NewReader("x"),
-		IfNoneMatch: aws.String("*")}); code(err) != "PreconditionFailed" {
+	if _, err := c.PutObject(ctx, &s3.PutObjectInput{
+		Bucket: aws.String("photos"), Key: aws.String("k"), Body: strings.NewReader("x"),
+		IfNoneMatch: aws.String("*"),
+	}); code(err) != "PreconditionFailed" {
 		t.Fatal(err)
 	}
 }
@@ -175,8 +179,10 @@
 	marker := ""
 	got = nil
 	for {
-		p := kit.Must(c.ListObjects(ctx, &s3.ListObjectsInput{Bucket: aws.String("photos"), Marker: &marker, MaxKeys: aws.Int32(4),
-			Prefix: aws.String("day-"), Delimiter: aws.String("/")}))(t)
+		p := kit.Must(c.ListObjects(ctx, &s3.ListObjectsInput{
+			Bucket: aws.String("photos"), Marker: &marker, MaxKeys: aws.Int32(4),
+			Prefix: aws.String("day-"), Delimiter: aws.String("/"),
+		}))(t)
 		for _, x := range p.CommonPrefixes {
 			got = append(got, *x.Prefix)
 		}
@@ -214,8 +220,10 @@
 	for i, n := range []int{5 << 20, 6 << 20, 100} {
 		b := kit.Bytes(uint64(i), n)
 		want = append(want, b...)
-		p := kit.Must(c.UploadPart(ctx, &s3.UploadPartInput{Bucket: aws.String("photos"), Key: key, UploadId: up.UploadId,
-			PartNumber: aws.Int32(int32(i + 1)), Body: bytes.NewReader(b)}))(t)
+		p := kit.Must(c.UploadPart(ctx, &s3.UploadPartInput{
+			Bucket: aws.String("photos"), Key: key, UploadId: up.UploadId,
+			PartNumber: aws.Int32(int32(i + 1)), Body: bytes.NewReader(b),
+		}))(t)
 		parts = append(parts, types.CompletedPart{ETag: p.ETag, PartNumber: aws.Int32(int32(i + 1))})
 	}
 	ups := kit.Must(c.ListMultipartUploads(ctx, &s3.ListMultipartUploadsInput{Bucket: aws.String("photos")}))(t)
@@ -228,12 +236,16 @@
 	}
 	bad := slices.Clone(parts)
 	slices.Reverse(bad)
-	if _, err := c.CompleteMultipartUpload(ctx, &s3.CompleteMultipartUploadInput{Bucket: aws.String("photos"), Key: key, UploadId: up.UploadId,
-		MultipartUpload: &types.CompletedMultipartUpload{Parts: bad}}); code(err) != "InvalidPartOrder" {
+	if _, err := c.CompleteMultipartUpload(ctx, &s3.CompleteMultipartUploadInput{
+		Bucket: aws.String("photos"), Key: key, UploadId: up.UploadId,
+		MultipartUpload: &types.CompletedMultipartUpload{Parts: bad},
+	}); code(err) != "InvalidPartOrder" {
 		t.Fatal(err)
 	}
-	done := kit.Must(c.CompleteMultipartUpload(ctx, &s3.CompleteMultipartUploadInput{Bucket: aws.String("photos"), Key: key, UploadId: up.UploadId,
-		MultipartUpload: &types.CompletedMultipartUpload{Parts: parts}}))(t)
+	done := kit.Must(c.CompleteMultipartUpload(ctx, &s3.CompleteMultipartUploadInput{
+		Bucket: aws.String("photos"), Key: key, UploadId: up.UploadId,
+		MultipartUpload: &types.CompletedMultipartUpload{Parts: parts},
+	}))(t)
 	if !strings.HasSuffix(*done.ETag, `-3"`) {
 		t.Fatal(*done.ETag)
 	}
@@ -251,8 +263,10 @@
 	c := bucket(t, e, "photos")
 	for _, n := range []int{10, 500_000} {
 		want := kit.Bytes(9, n)
-		kit.Must(c.PutObject(ctx, &s3.PutObjectInput{Bucket: aws.String("photos"), Key: aws.String("from"), Body: bytes.NewReader(want),
-			ContentType: aws.String("image/png"), Metadata: map[string]string{"a": "b"}}))(t)
+		kit.Must(c.PutObject(ctx, &s3.PutObjectInput{
+			Bucket: aws.String("photos"), Key: aws.String("from"), Body: bytes.NewReader(want),
+			ContentType: aws.String("image/png"), Metadata: map[string]string{"a": "b"},
+		}))(t)
 		for i := range 8 { // to other shards and to the same one
 			to := aws.String(fmt.Sprint("to ", i))
 			kit.Must(c.CopyObject(ctx, &s3.CopyObjectInput{Bucket: aws.String("photos"), Key: to, CopySource: aws.String("photos/from")}))(t)
@@ -270,12 +284,16 @@
 	var parts []types.CompletedPart
 	kit.Must(c.PutObject(ctx, &s3.PutObjectInput{Bucket: aws.String("photos"), Key: aws.String("large"), Body: bytes.NewReader(kit.Bytes(4, 11<<20))}))(t)
 	for i, r := range []string{"bytes=0-5242879", "bytes=5242880-11534335"} {
-		p := kit.Must(c.UploadPartCopy(ctx, &s3.UploadPartCopyInput{Bucket: aws.String("photos"), Key: aws.String("parts"), UploadId: up.UploadId,
-			PartNumber: aws.Int32(int32(i + 1)), CopySource: aws.String("photos/large"), CopySourceRange: &r}))(t)
+		p := kit.Must(c.UploadPartCopy(ctx, &s3.UploadPartCopyInput{
+			Bucket: aws.String("photos"), Key: aws.String("parts"), UploadId: up.UploadId,
+			PartNumber: aws.Int32(int32(i + 1)), CopySource: aws.String("photos/large"), CopySourceRange: &r,
+		}))(t)
 		parts = append(parts, types.CompletedPart{PartNumber: aws.Int32(int32(i + 1)), ETag: p.CopyPartResult.ETag})
 	}
-	kit.Must(c.CompleteMultipartUpload(ctx, &s3.CompleteMultipartUploadInput{Bucket: aws.String("photos"), Key: aws.String("parts"), UploadId: up.UploadId,
-		MultipartUpload: &types.CompletedMultipartUpload{Parts: parts}}))(t)
+	kit.Must(c.CompleteMultipartUpload(ctx, &s3.CompleteMultipartUploadInput{
+		Bucket: aws.String("photos"), Key: aws.String("parts"), UploadId: up.UploadId,
+		MultipartUpload: &types.CompletedMultipartUpload{Parts: parts},
+	}))(t)
 	get := kit.Must(c.GetObject(ctx, &s3.GetObjectInput{Bucket: aws.String("photos"), Key: aws.String("parts")}))(t)
 	kit.Same(t, "parts", kit.ReadAll(t, get.Body), kit.Bytes(4, 11<<20))
 
--- a/internal/e2e/hard_test.go
+++ b/internal/e2e/hard_test.go
@@ -2,6 +2,9 @@
 
 import (
 	"bytes"
+	"chalkstand/choice"
+	"chalkstand/internal/settings"
+	"chalkstand/standin/storage"
 	"context"
 	"fmt"
 	"io"
@@ -17,10 +20,7 @@
 	"github.com/aws/aws-sdk-go-v2/service/s3/types"
 	"github.com/minio/minio-go/v7"
 
-	"chalkstand/choice"
-	"chalkstand/internal/settings"
 	kit "chalkstand/internal/testkit"
-	"chalkstand/standin/storage"
 )
 
 func putMinio(m *minio.Client, bucket, key string, b []byte) (minio.UploadInfo, error) {
@@ -95,12 +95,16 @@
 		}
 		b := kit.Bytes(uint64(i), 5<<20)
 		want = append(want, b...)
-		p := kit.Must(c.UploadPart(ctx, &s3.UploadPartInput{Bucket: aws.String("photos"), Key: aws.String("k"), UploadId: up.UploadId,
-			PartNumber: aws.Int32(int32(i + 1)), Body: bytes.NewReader(b)}))(t)
+		p := kit.Must(c.UploadPart(ctx, &s3.UploadPartInput{
+			Bucket: aws.String("photos"), Key: aws.String("k"), UploadId: up.UploadId,
+			PartNumber: aws.Int32(int32(i + 1)), Body: bytes.NewReader(b),
+		}))(t)
 		parts = append(parts, types.CompletedPart{ETag: p.ETag, PartNumber: aws.Int32(int32(i + 1))})
 	}
-	kit.Must(c.CompleteMultipartUpload(ctx, &s3.CompleteMultipartUploadInput{Bucket: aws.String("photos"), Key: aws.String("k"), UploadId: up.UploadId,
-		MultipartUpload: &types.CompletedMultipartUpload{Parts: parts}}))(t)
+	kit.Must(c.CompleteMultipartUpload(ctx, &s3.CompleteMultipartUploadInput{
+		Bucket: aws.String("photos"), Key: aws.String("k"), UploadId: up.UploadId,
+		MultipartUpload: &types.CompletedMultipartUpload{Parts: parts},
+	}))(t)
 	get := kit.Must(c.GetObject(ctx, &s3.GetObjectInput{Bucket: aws.String("photos"), Key: aws.String("k")}))(t)
 	kit.Same(t, "the object", kit.ReadAll(t, get.Body), want)
 	for _, x := range old.Log() {
--- a/internal/e2e/raw_test.go
+++ b/internal/e2e/raw_test.go
@@ -134,8 +134,10 @@
 	kit.Must(c.PutObject(ctx, &s3.PutObjectInput{Bucket: aws.String("photos"), Key: aws.String("k"), Body: strings.NewReader("x")}))(t)
 	before := len(e.Log())
 	client := func(id, secret string) *s3.Client {
-		return s3.New(s3.Options{BaseEndpoint: aws.String("http://" + e.Addr), Region: "us-east-1", UsePathStyle: true, RetryMaxAttempts: 1,
-			Credentials: credentials.NewStaticCredentialsProvider(id, secret, "")})
+		return s3.New(s3.Options{
+			BaseEndpoint: aws.String("http://" + e.Addr), Region: "us-east-1", UsePathStyle: true, RetryMaxAttempts: 1,
+			Credentials: credentials.NewStaticCredentialsProvider(id, secret, ""),
+		})
 	}
 	get := &s3.GetObjectInput{Bucket: aws.String("photos"), Key: aws.String("k")}
 	for want, c := range map[string]*s3.Client{"SignatureDoesNotMatch": client(kit.KeyID, "wrong-secret"), "InvalidAccessKeyId": client("NOBODY", "x")} {
--- a/internal/e2e/share_test.go
+++ b/internal/e2e/share_test.go
@@ -2,6 +2,10 @@
 
 import (
 	"bytes"
+	"chalkstand/choice"
+	"chalkstand/gateway"
+	"chalkstand/internal/settings"
+	"chalkstand/standin/storage"
 	"io"
 	"net"
 	"net/http"
@@ -10,11 +14,7 @@
 	"testing"
 	"time"
 
-	"chalkstand/choice"
-	"chalkstand/gateway"
-	"chalkstand/internal/settings"
 	kit "chalkstand/internal/testkit"
-	"chalkstand/standin/storage"
 )
 
 // crowded is a site whose answers must take turns for every few bytes, on one loop.
--- a/internal/e2e/slow_test.go
+++ b/internal/e2e/slow_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"bufio"
+	"chalkstand/internal/settings"
+	"chalkstand/standin/storage"
 	"fmt"
 	"io"
 	"net"
@@ -14,9 +16,7 @@
 	"github.com/aws/aws-sdk-go-v2/service/s3"
 	"github.com/aws/aws-sdk-go-v2/service/s3/types"
 
-	"chalkstand/internal/settings"
 	kit "chalkstand/internal/testkit"
-	"chalkstand/standin/storage"
 )
 
 func impatient() settings.Settings {
--- a/internal/explore/coverage.go
+++ b/internal/explore/coverage.go
@@ -1,14 +1,13 @@
 package explore
 
 import (
+	"chalkstand/choice"
+	"chalkstand/exchange"
 	"fmt"
 	"reflect"
 	"slices"
 	"strings"
 	"sync"
-
-	"chalkstand/choice"
-	"chalkstand/exchange"
 )
 
 // Coverage counts which transitions of requests in the exchange were taken: the kind
@@ -158,9 +157,11 @@
 
 // Pairs are all pairs of an event and a stage at which it can find its request.
 func Pairs() []string {
-	return []string{"Begin -", "Gone asked", "Gone opening", "Gone out", "Gone passing", "Gone released", "Gone -",
+	return []string{
+		"Begin -", "Gone asked", "Gone opening", "Gone out", "Gone passing", "Gone released", "Gone -",
 		"Dialed opening", "Dialed -", "Headed out", "Headed released", "Headed -", "Answered out", "Answered passing", "Answered released", "Answered -",
 		"Lost opening", "Lost out", "Lost passing", "Lost released", "Lost -", "Flowing out", "Flowing released", "BodySent out", "BodySent released",
 		"Fired asked", "Fired opening", "Fired out", "Fired passing", "Fired released",
-		"Nodes asked", "Nodes opening", "Nodes out", "Nodes passing", "Nodes released"}
+		"Nodes asked", "Nodes opening", "Nodes out", "Nodes passing", "Nodes released",
+	}
 }
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -1,6 +1,8 @@
 package explore
 
 import (
+	"chalkstand/choice"
+	"chalkstand/exchange"
 	"context"
 	"math"
 	"math/rand/v2"
@@ -12,9 +14,6 @@
 	"testing"
 
 	"pgregory.net/rapid"
-
-	"chalkstand/choice"
-	"chalkstand/exchange"
 )
 
 // Two nodes and two requests, every ordering; and the other worlds up to a bound.
@@ -206,8 +205,20 @@
 			}
 		}
 	}
-	for _, x := range []any{World{}, exchange.Exchange{}, exchange.Accounted{}, exchange.Dial{}, exchange.Send{}, exchange.Close{}, exchange.Deliver{},
-		exchange.Drop{}, exchange.Refuse{}, exchange.SetTimer{}, choice.Dispatcher{}, choice.Request{}} {
+	for _, x := range []any{
+		World{},
+		exchange.Exchange{},
+		exchange.Accounted{},
+		exchange.Dial{},
+		exchange.Send{},
+		exchange.Close{},
+		exchange.Deliver{},
+		exchange.Drop{},
+		exchange.Refuse{},
+		exchange.SetTimer{},
+		choice.Dispatcher{},
+		choice.Request{},
+	} {
 		visit(reflect.TypeOf(x))
 	}
 	for name := range fields {
--- a/internal/explore/moves.go
+++ b/internal/explore/moves.go
@@ -1,15 +1,14 @@
 package explore
 
 import (
+	"chalkstand/choice"
+	"chalkstand/exchange"
 	"cmp"
 	"fmt"
 	"maps"
 	"math"
 	"slices"
 	"time"
-
-	"chalkstand/choice"
-	"chalkstand/exchange"
 )
 
 // Kind is a kind of move.
@@ -47,8 +46,10 @@
 	kinds
 )
 
-var kindNames = [kinds]string{"arrive", "follow", "follow-2", "fire", "dial-ok", "dial-fail", "served", "closing", "errored", "full", "headed", "rest",
-	"garbage", "twice", "reset", "leave", "flow", "body-sent", "drain", "remove", "list", "renew", "crash", "truth", "before", "reach"}
+var kindNames = [kinds]string{
+	"arrive", "follow", "follow-2", "fire", "dial-ok", "dial-fail", "served", "closing", "errored", "full", "headed", "rest",
+	"garbage", "twice", "reset", "leave", "flow", "body-sent", "drain", "remove", "list", "renew", "crash", "truth", "before", "reach",
+}
 
 // String returns the kind's name.
 func (k Kind) String() string { return kindNames[k] }
@@ -346,8 +347,10 @@
 	k := w.class(c)
 	c.begun, c.inLane, c.due = true, true, w.now+k.Deadline
 	w.rules.taken(w, c)
-	w.tell(exchange.Begin{Once: c.once, Lane: c.lane, Request: choice.Request{ID: c.id, Class: c.class, Volume: "v", Key: c.key,
-		Shard: c.shard, Units: 1, Hosts: 1, Left: k.Deadline}}, c.lane)
+	w.tell(exchange.Begin{Once: c.once, Lane: c.lane, Request: choice.Request{
+		ID: c.id, Class: c.class, Volume: "v", Key: c.key,
+		Shard: c.shard, Units: 1, Hosts: 1, Left: k.Deadline,
+	}}, c.lane)
 }
 
 // answered lets a node answer on a connection.
--- a/internal/explore/replay.go
+++ b/internal/explore/replay.go
@@ -2,13 +2,12 @@
 
 import (
 	"bufio"
+	"chalkstand/exchange"
 	"fmt"
 	"io"
 	"slices"
 	"strconv"
 	"strings"
-
-	"chalkstand/exchange"
 )
 
 // A replay is a text: a line with the form's name and version, a line with the
--- a/internal/explore/rules.go
+++ b/internal/explore/rules.go
@@ -1,14 +1,13 @@
 package explore
 
 import (
+	"chalkstand/choice"
+	"chalkstand/exchange"
 	"fmt"
 	"reflect"
 	"slices"
 	"strings"
 	"time"
-
-	"chalkstand/choice"
-	"chalkstand/exchange"
 )
 
 // The properties, checked from what crosses the wire. docs/design/explore.md has
--- a/internal/explore/scenario.go
+++ b/internal/explore/scenario.go
@@ -5,12 +5,11 @@
 package explore
 
 import (
+	"chalkstand/choice"
+	"chalkstand/exchange"
 	"fmt"
 	"slices"
 	"time"
-
-	"chalkstand/choice"
-	"chalkstand/exchange"
 )
 
 const ms = time.Millisecond
@@ -65,55 +64,93 @@
 func Scenarios() []Scenario {
 	successor := []place{{id: "a", first: true}, {id: "b"}}
 	return []Scenario{
-		{Name: "drain", What: "a node drains, its successor is listed, then it is removed, while a safe and a keyed request run",
+		{
+			Name: "drain", What: "a node drains, its successor is listed, then it is removed, while a safe and a keyed request run",
 			asks: []ask{{class: safe}, {class: keyed}}, nodes: successor,
-			drains: 1, lists: 1, removes: 1, resets: 1, spread: 20 * ms},
-		{Name: "leave", What: "clients leave at any moment, also while a further attempt waits",
-			asks: []ask{{class: safe}, {class: keyed}}, nodes: successor, leaves: 2, resets: 1, errors: 1, dialFails: 1, spread: 60 * ms},
-		{Name: "turn", What: "two writes of one key, across a reset, a lost answer and a client that leaves",
-			asks: []ask{{class: inTurn, key: "k"}, {class: inTurn, key: "k"}}, nodes: successor, leaves: 1, resets: 1, drains: 1, lists: 1, spread: 60 * ms},
-		{Name: "window", What: "a keyed write whose answer is lost, its window ending between decision and send",
+			drains: 1, lists: 1, removes: 1, resets: 1, spread: 20 * ms,
+		},
+		{
+			Name: "leave", What: "clients leave at any moment, also while a further attempt waits",
+			asks: []ask{{class: safe}, {class: keyed}}, nodes: successor, leaves: 2, resets: 1, errors: 1, dialFails: 1, spread: 60 * ms,
+		},
+		{
+			Name: "turn", What: "two writes of one key, across a reset, a lost answer and a client that leaves",
+			asks: []ask{{class: inTurn, key: "k"}, {class: inTurn, key: "k"}}, nodes: successor, leaves: 1, resets: 1, drains: 1, lists: 1, spread: 60 * ms,
+		},
+		{
+			Name: "window", What: "a keyed write whose answer is lost, its window ending between decision and send",
 			asks: []ask{{class: keyed}}, nodes: successor, resets: 2, dialFails: 2, lists: 1, drains: 1, errors: 1,
-			change: func(c *exchange.Config) { c.Choice.Classes[keyed].Window = 40 * ms }},
-		{Name: "stream", What: "bodies that flow, both ways, and break",
-			asks: []ask{{class: safe, big: true}, {class: keyed, once: true}}, nodes: successor, leaves: 1, resets: 1, heads: 2, flows: 1, fulls: 1, spread: 20 * ms},
-		{Name: "upload", What: "uploads of one key that flow, and break",
-			asks: []ask{{class: inTurn, key: "k", once: true}, {class: inTurn, key: "k"}}, nodes: successor, leaves: 1, resets: 1, flows: 2, spread: 20 * ms},
-		{Name: "renew", What: "a node is announced as a new process; connections grow old and are closed unused",
+			change: func(c *exchange.Config) { c.Choice.Classes[keyed].Window = 40 * ms },
+		},
+		{
+			Name: "stream", What: "bodies that flow, both ways, and break",
+			asks: []ask{{class: safe, big: true}, {class: keyed, once: true}}, nodes: successor, leaves: 1, resets: 1, heads: 2, flows: 1, fulls: 1, spread: 20 * ms,
+		},
+		{
+			Name: "upload", What: "uploads of one key that flow, and break",
+			asks: []ask{{class: inTurn, key: "k", once: true}, {class: inTurn, key: "k"}}, nodes: successor, leaves: 1, resets: 1, flows: 2, spread: 20 * ms,
+		},
+		{
+			Name: "renew", What: "a node is announced as a new process; connections grow old and are closed unused",
 			asks: []ask{{class: safe}, {class: safe}}, nodes: successor, renews: 1, drains: 1, resets: 1, closes: 1, spread: 100 * ms,
-			change: func(c *exchange.Config) { c.IdleFor, c.MaxAge = 60*ms, 100*ms }},
-		{Name: "silent", What: "answers that do not come, so that attempts are given up early",
-			asks: []ask{{class: safe}, {class: safe}, {class: safe}}, nodes: successor[:1], spread: 500 * ms},
-		{Name: "body", What: "one upload, whose node takes the body and may never answer", asks: []ask{{class: keyed, once: true}}, nodes: successor,
-			flows: 1, leaves: 1, resets: 1, fulls: 1, drains: 1},
-		{Name: "tries", What: "one request whose attempts break again and again, with a budget for more than it may have", asks: []ask{{class: safe}}, nodes: successor,
-			resets: 4, errors: 2, dialFails: 1, change: func(c *exchange.Config) { c.Choice.Budget.Free = 8 }},
-		{Name: "thrift", What: "the same with a budget for one further attempt", asks: []ask{{class: safe}}, nodes: successor,
-			resets: 3, errors: 1, change: func(c *exchange.Config) { c.Choice.Budget.Free = 1 }},
-		{Name: "lossy", What: "a node that is known to lose answers, so that attempts end early and are made again",
+			change: func(c *exchange.Config) { c.IdleFor, c.MaxAge = 60*ms, 100*ms },
+		},
+		{
+			Name: "silent", What: "answers that do not come, so that attempts are given up early",
+			asks: []ask{{class: safe}, {class: safe}, {class: safe}}, nodes: successor[:1], spread: 500 * ms,
+		},
+		{
+			Name: "body", What: "one upload, whose node takes the body and may never answer", asks: []ask{{class: keyed, once: true}}, nodes: successor,
+			flows: 1, leaves: 1, resets: 1, fulls: 1, drains: 1,
+		},
+		{
+			Name: "tries", What: "one request whose attempts break again and again, with a budget for more than it may have", asks: []ask{{class: safe}}, nodes: successor,
+			resets: 4, errors: 2, dialFails: 1, change: func(c *exchange.Config) { c.Choice.Budget.Free = 8 },
+		},
+		{
+			Name: "thrift", What: "the same with a budget for one further attempt", asks: []ask{{class: safe}}, nodes: successor,
+			resets: 3, errors: 1, change: func(c *exchange.Config) { c.Choice.Budget.Free = 1 },
+		},
+		{
+			Name: "lossy", What: "a node that is known to lose answers, so that attempts end early and are made again",
 			asks: []ask{{class: safe}, {class: safe}, {class: safe}, {class: safe}, {class: keyed}}, nodes: successor, drains: 1, resets: 1, spread: 20 * ms,
-			prepare: loseOne},
-		{Name: "crash", What: "the gateway ends and begins again with an old list, while a node drains",
-			asks: []ask{{class: safe}, {class: keyed}}, nodes: successor, crashes: 1, drains: 1, lists: 1, spread: 60 * ms},
-		{Name: "doubt", What: "bytes that are no answer, more bytes than the answer, nodes that close idle connections",
-			asks: []ask{{class: safe}, {class: safe}}, nodes: successor, garbage: 1, closes: 1, fulls: 1, resets: 1, spread: 20 * ms},
-		{Name: "loops", What: "two event loops that share one connection to a node",
+			prepare: loseOne,
+		},
+		{
+			Name: "crash", What: "the gateway ends and begins again with an old list, while a node drains",
+			asks: []ask{{class: safe}, {class: keyed}}, nodes: successor, crashes: 1, drains: 1, lists: 1, spread: 60 * ms,
+		},
+		{
+			Name: "doubt", What: "bytes that are no answer, more bytes than the answer, nodes that close idle connections",
+			asks: []ask{{class: safe}, {class: safe}}, nodes: successor, garbage: 1, closes: 1, fulls: 1, resets: 1, spread: 20 * ms,
+		},
+		{
+			Name: "loops", What: "two event loops that share one connection to a node",
 			asks: []ask{{class: safe}, {class: keyed, lane: 1}}, nodes: successor, leaves: 1, resets: 1, drains: 1, lists: 1, spread: 60 * ms,
-			change: func(c *exchange.Config) { c.ConnsPerNode, c.Streams = 1, 0 }},
-		{Name: "limits", What: "few connections, a small budget, two shards",
+			change: func(c *exchange.Config) { c.ConnsPerNode, c.Streams = 1, 0 },
+		},
+		{
+			Name: "limits", What: "few connections, a small budget, two shards",
 			asks: []ask{{class: safe}, {class: safe, shard: 1}, {class: unsafe}}, nodes: []place{{id: "a", first: true}, {id: "c", shard: 1, first: true}},
 			resets: 2, errors: 1, dialFails: 1,
 			change: func(c *exchange.Config) {
 				c.ConnsPerNode, c.Streams = 1, 0
 				c.Choice.Budget = choice.BudgetRule{Free: 1, Ratio: 0, Span: 5 * time.Second}
-			}},
-		{Name: "three", What: "two nodes and three requests: one safe, one keyed, one in turn",
+			},
+		},
+		{
+			Name: "three", What: "two nodes and three requests: one safe, one keyed, one in turn",
 			asks: []ask{{class: safe}, {class: keyed}, {class: inTurn, key: "k"}}, nodes: successor,
-			drains: 1, lists: 1},
-		{Name: "lost", What: "the same three requests, while a connection breaks and a node drains",
-			asks: []ask{{class: safe}, {class: keyed}, {class: inTurn, key: "k"}}, nodes: successor, drains: 1, resets: 1},
-		{Name: "two", What: "two nodes and two requests, in less than a minute", asks: []ask{{class: safe}, {class: inTurn, key: "k"}}, nodes: successor,
-			drains: 1, lists: 1, resets: 1},
+			drains: 1, lists: 1,
+		},
+		{
+			Name: "lost", What: "the same three requests, while a connection breaks and a node drains",
+			asks: []ask{{class: safe}, {class: keyed}, {class: inTurn, key: "k"}}, nodes: successor, drains: 1, resets: 1,
+		},
+		{
+			Name: "two", What: "two nodes and two requests, in less than a minute", asks: []ask{{class: safe}, {class: inTurn, key: "k"}}, nodes: successor,
+			drains: 1, lists: 1, resets: 1,
+		},
 	}
 }
 
@@ -178,9 +215,11 @@
 
 // config returns the settings of a scenario's gateway.
 func (s *Scenario) config() exchange.Config {
-	c := exchange.Config{Seed: 1, ConnsPerNode: 4, Streams: 2, IdleFor: 5 * time.Second, MaxAge: 20 * time.Second,
+	c := exchange.Config{
+		Seed: 1, ConnsPerNode: 4, Streams: 2, IdleFor: 5 * time.Second, MaxAge: 20 * time.Second,
 		Connect: 100 * ms, MaxCalls: 64,
-		Choice: choice.Config{Peers: 1, Cancel: true, MaxRetryAfter: time.Second, MaxAttempts: 3,
+		Choice: choice.Config{
+			Peers: 1, Cancel: true, MaxRetryAfter: time.Second, MaxAttempts: 3,
 			UsualUnits: 1, LargestUnits: 8, Settle: 60 * ms, Round: ms,
 			Budget: choice.BudgetRule{Free: 2, Ratio: 0, Span: 5 * time.Second},
 			Classes: []choice.Class{
@@ -189,7 +228,9 @@
 				{Name: "in turn", Aim: 300 * ms, Deadline: 500 * ms, Worth: 1, Effect: choice.Keyed, Group: choice.GroupShard, Window: 2 * time.Second, InTurn: true},
 				{Name: "unsafe", Aim: 300 * ms, Deadline: 500 * ms, Worth: 1, Effect: choice.Unsafe},
 			},
-			Plans: []choice.Plan{{Name: "p", Weight: 1, Price: 1}}}}
+			Plans: []choice.Plan{{Name: "p", Weight: 1, Price: 1}},
+		},
+	}
 	if s.change != nil {
 		s.change(&c)
 	}
--- a/internal/explore/walk.go
+++ b/internal/explore/walk.go
@@ -1,11 +1,10 @@
 package explore
 
 import (
-	"fmt"
-	"math/rand/v2"
-
 	"chalkstand/choice"
 	"chalkstand/exchange"
+	"fmt"
+	"math/rand/v2"
 )
 
 // Large returns a world that is too large to be explored whole: so many nodes, two
@@ -42,8 +41,10 @@
 
 // weights says how likely the kinds of move are beside each other, so that a walk
 // gets somewhere: most of what happens is work.
-var weights = [kinds]int{Arrive: 6, Follow: 12, Follow2: 12, Fire: 12, DialOK: 8, DialFail: 1, Served: 6, Closing: 1, Errored: 1, Full: 1, Headed: 3, Rest: 4,
-	Garbage: 1, Twice: 1, Reset: 1, Leave: 1, Flow: 3, BodySent: 3, Drain: 1, Remove: 1, List: 1, Renew: 1, Crash: 1, Truth: 2, Before: 3, Reach: 3}
+var weights = [kinds]int{
+	Arrive: 6, Follow: 12, Follow2: 12, Fire: 12, DialOK: 8, DialFail: 1, Served: 6, Closing: 1, Errored: 1, Full: 1, Headed: 3, Rest: 4,
+	Garbage: 1, Twice: 1, Reset: 1, Leave: 1, Flow: 3, BodySent: 3, Drain: 1, Remove: 1, List: 1, Renew: 1, Crash: 1, Truth: 2, Before: 3, Reach: 3,
+}
 
 // Walk takes moves at random, up to a number, and returns its path and the breach
 // that it met. The same seed takes the same path.
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -1,15 +1,14 @@
 package explore
 
 import (
-	"fmt"
-	"math"
-	"strings"
-	"time"
-
 	"chalkstand/choice"
 	"chalkstand/exchange"
 	"chalkstand/internal/http1"
 	"chalkstand/internal/upstream"
+	"fmt"
+	"math"
+	"strings"
+	"time"
 )
 
 // World is a gateway's exchange with all around it: clients, one event loop with its
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -117,9 +117,11 @@
 			t.Fatalf("pieces of %d: %q %q %v %v", size, b, tr, done, err)
 		}
 	}
-	for _, bad := range []string{"5\nhello\r\n0\r\n\r\n", "\r\n", "g\r\n", " 5\r\nhello\r\n", "5\r\nhelloX\n", "5\r\nhello\r\r\n", "-1\r\n", "0x5\r\nhello\r\n",
+	for _, bad := range []string{
+		"5\nhello\r\n0\r\n\r\n", "\r\n", "g\r\n", " 5\r\nhello\r\n", "5\r\nhelloX\n", "5\r\nhello\r\r\n", "-1\r\n", "0x5\r\nhello\r\n",
 		"ffffffffffffffff\r\n", "5\r\nhello\r\n0\r\nbad trailer\r\n\r\n", "5\r\nhello\r\n0\r\n folded: x\r\n\r\n", strings.Repeat("1", 2000),
-		"5;" + strings.Repeat("x", 2000) + "\r\nhello"} {
+		"5;" + strings.Repeat("x", 2000) + "\r\nhello",
+	} {
 		if b, _, done, err := decode([]byte(bad), 1000); err == nil || done {
 			t.Errorf("%.40q is taken: %q", bad, b)
 		}
--- a/internal/netloop/history_test.go
+++ b/internal/netloop/history_test.go
@@ -1,10 +1,9 @@
 package netloop
 
 import (
+	"chalkstand/share"
 	"testing"
 	"time"
-
-	"chalkstand/share"
 )
 
 // Who had the loop during a wait is told by flow, also where the wait began in the middle of
--- a/internal/netloop/loop.go
+++ b/internal/netloop/loop.go
@@ -5,6 +5,7 @@
 package netloop
 
 import (
+	"chalkstand/share"
 	"encoding/binary"
 	"errors"
 	"fmt"
@@ -17,8 +18,6 @@
 	"time"
 
 	"golang.org/x/sys/unix"
-
-	"chalkstand/share"
 )
 
 // ReadSize is the most that one read takes from a socket, in bytes. It is also
@@ -127,8 +126,10 @@
 		unix.Close(ep)
 		return nil, os.NewSyscallError("eventfd", err)
 	}
-	l := &Loop{Index: index, o: o, now: o.Now, epoll: ep, wakeFD: wake, conns: map[int]*Conn{}, listen: map[int]*Conn{}, tasks: map[*task]struct{}{},
-		sched: sched, done: make(chan struct{})}
+	l := &Loop{
+		Index: index, o: o, now: o.Now, epoll: ep, wakeFD: wake, conns: map[int]*Conn{}, listen: map[int]*Conn{}, tasks: map[*task]struct{}{},
+		sched: sched, done: make(chan struct{}),
+	}
 	l.first = sched.Flow(l.now(), "(none)", share.Terms{Weight: 1}, nil)
 	return l, nil
 }
--- a/internal/netloop/loop_test.go
+++ b/internal/netloop/loop_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"chalkstand/share"
 	"io"
 	"net"
 	"os"
@@ -9,8 +10,6 @@
 	"testing"
 
 	"golang.org/x/sys/unix"
-
-	"chalkstand/share"
 )
 
 // echo sends back what it gets, holding its reader back while that waits.
@@ -104,7 +103,7 @@
 		t.Fatal("work that nobody will do is kept")
 	}
 	for _, f := range files {
-		var fds = []unix.PollFd{{Fd: int32(f.Fd()), Events: unix.POLLIN}}
+		fds := []unix.PollFd{{Fd: int32(f.Fd()), Events: unix.POLLIN}}
 		if n, _ := unix.Poll(fds, 0); n > 0 && fds[0].Revents&unix.POLLIN != 0 {
 			t.Fatal("bytes were written to somebody else's descriptor")
 		}
--- a/internal/netloop/work_test.go
+++ b/internal/netloop/work_test.go
@@ -1,12 +1,11 @@
 package netloop
 
 import (
+	"chalkstand/share"
 	"testing"
 	"time"
 
 	"golang.org/x/sys/unix"
-
-	"chalkstand/share"
 )
 
 // Long work takes turns by the weight of its flow beside other work, ends, and is told to
--- a/internal/objcmd/objcmd.go
+++ b/internal/objcmd/objcmd.go
@@ -6,16 +6,15 @@
 
 import (
 	"bytes"
+	"chalkstand/choice"
+	"chalkstand/exchange"
+	"chalkstand/internal/resp"
+	"chalkstand/internal/wire"
 	"errors"
 	"fmt"
 	"strconv"
 	"strings"
 	"time"
-
-	"chalkstand/choice"
-	"chalkstand/exchange"
-	"chalkstand/internal/resp"
-	"chalkstand/internal/wire"
 )
 
 // The commands.
--- a/internal/objcmd/objcmd_test.go
+++ b/internal/objcmd/objcmd_test.go
@@ -1,11 +1,10 @@
 package objcmd
 
 import (
-	"testing"
-	"time"
-
 	"chalkstand/choice"
 	"chalkstand/internal/resp"
+	"testing"
+	"time"
 )
 
 func terms() *Terms {
@@ -107,8 +106,10 @@
 
 // Whatever a node answers, figures that make no sense are left out.
 func FuzzWord(f *testing.F) {
-	for _, s := range []string{"*3\r\n$1\r\nv\r\n$14\r\nused=37,cost=4\r\n$12\r\nrif=7,lat_ms\r\n", "-ERR failed used=9,cost=2 inflight=5,queue=0\r\n", "-BUSY\r\n", "-ERR used=-1e999,cost=NaN\r\n",
-		"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", "*-1\r\n", "$3000000000\r\n"} {
+	for _, s := range []string{
+		"*3\r\n$1\r\nv\r\n$14\r\nused=37,cost=4\r\n$12\r\nrif=7,lat_ms\r\n", "-ERR failed used=9,cost=2 inflight=5,queue=0\r\n", "-BUSY\r\n", "-ERR used=-1e999,cost=NaN\r\n",
+		"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", "*-1\r\n", "$3000000000\r\n",
+	} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/internal/objectapi/operation.go
+++ b/internal/objectapi/operation.go
@@ -5,12 +5,11 @@
 
 import (
 	"bytes"
+	"chalkstand/internal/http1"
+	"chalkstand/internal/sigv4"
 	"strconv"
 	"strings"
 	"unicode/utf8"
-
-	"chalkstand/internal/http1"
-	"chalkstand/internal/sigv4"
 )
 
 // Kind is an operation of the object API.
@@ -42,10 +41,12 @@
 	kinds
 )
 
-var kindNames = [kinds]string{"ListBuckets", "CreateBucket", "HeadBucket", "DeleteBucket", "GetBucketLocation",
+var kindNames = [kinds]string{
+	"ListBuckets", "CreateBucket", "HeadBucket", "DeleteBucket", "GetBucketLocation",
 	"GetBucketVersioning", "ListObjects", "ListObjectsV2", "ListMultipartUploads", "DeleteObjects", "PutObject",
 	"GetObject", "HeadObject", "DeleteObject", "CopyObject", "CreateMultipartUpload", "UploadPart", "UploadPartCopy",
-	"CompleteMultipartUpload", "AbortMultipartUpload", "ListParts"}
+	"CompleteMultipartUpload", "AbortMultipartUpload", "ListParts",
+}
 
 // String returns the operation's name in the specification.
 func (k Kind) String() string {
@@ -224,10 +225,12 @@
 
 // subresources are features of the specification that are not offered. A request
 // that names one must not be taken for a plain one.
-var subresources = []string{"accelerate", "acl", "analytics", "attributes", "cors", "encryption",
+var subresources = []string{
+	"accelerate", "acl", "analytics", "attributes", "cors", "encryption",
 	"intelligent-tiering", "inventory", "legal-hold", "lifecycle", "logging", "metadataTable", "metrics", "notification",
 	"object-lock", "ownershipControls", "policy", "policyStatus", "publicAccessBlock", "replication",
-	"requestPayment", "restore", "retention", "select", "session", "tagging", "torrent", "versions", "website"}
+	"requestPayment", "restore", "retention", "select", "session", "tagging", "torrent", "versions", "website",
+}
 
 func (o *Operation) classify(r *http1.Request) *Error {
 	for i := range o.Query {
--- a/internal/payload/payload_test.go
+++ b/internal/payload/payload_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"bytes"
+	"chalkstand/internal/http1"
+	"chalkstand/internal/sigv4"
 	"crypto/hmac"
 	"crypto/sha256"
 	"encoding/base64"
@@ -11,9 +13,6 @@
 	"strings"
 	"testing"
 	"time"
-
-	"chalkstand/internal/http1"
-	"chalkstand/internal/sigv4"
 )
 
 const (
@@ -204,8 +203,10 @@
 	f.Fuzz(func(t *testing.T, text []byte, size int, chunked bool) {
 		size = min(max(size, 1), 64)
 		feed := func(size int) (string, bool, bool) {
-			r := http1.Request{Headers: http1.Headers{{Name: []byte("x-amz-decoded-content-length"), Value: []byte("5")},
-				{Name: []byte("x-amz-trailer"), Value: []byte("x-amz-checksum-crc32")}}}
+			r := http1.Request{Headers: http1.Headers{
+				{Name: []byte("x-amz-decoded-content-length"), Value: []byte("5")},
+				{Name: []byte("x-amz-trailer"), Value: []byte("x-amz-checksum-crc32")},
+			}}
 			if r.Length = int64(len(text)); chunked {
 				r.Length, r.Chunked = 0, true
 			}
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -25,8 +25,10 @@
 
 // What is wrong is found with its line, before what it announces has come.
 func TestBadCommands(t *testing.T) {
-	for _, s := range []string{"PING\r\n", "*0\r\n", "*-1\r\n", "*17\r\n", "*1\r\n:1\r\n", "*1\r\n$65537\r\n", "*1\r\n$-1\r\n", "*1\r\n$1\r\nab", "*x",
-		"*1\n", "*1\r\n$1\r\na\r\r", "*2\r\n$65536\r\n" + strings.Repeat("x", 65536) + "\r\n$65536\r\n", "*" + strings.Repeat("1", 30), "*-\r\n"} {
+	for _, s := range []string{
+		"PING\r\n", "*0\r\n", "*-1\r\n", "*17\r\n", "*1\r\n:1\r\n", "*1\r\n$65537\r\n", "*1\r\n$-1\r\n", "*1\r\n$1\r\nab", "*x",
+		"*1\n", "*1\r\n$1\r\na\r\r", "*2\r\n$65536\r\n" + strings.Repeat("x", 65536) + "\r\n$65536\r\n", "*" + strings.Repeat("1", 30), "*-\r\n",
+	} {
 		if _, _, err := Command([]byte(s), nil); err == nil {
 			t.Errorf("%.40q: no error", s)
 		}
@@ -39,8 +41,16 @@
 		text  string
 		kind  Kind
 		items int
-	}{{"+OK\r\n", Simple, 0}, {"-BUSY 50\r\n", Failure, 0}, {":7\r\n", Integer, 0}, {"$3\r\nabc\r\n", Bulk, 0}, {"$-1\r\n", Bulk, 0},
-		{"*3\r\n$1\r\nv\r\n$-1\r\n$0\r\n\r\n", Array, 3}, {"*-1\r\n", Array, 0}, {"*0\r\n", Array, 0}} {
+	}{
+		{"+OK\r\n", Simple, 0},
+		{"-BUSY 50\r\n", Failure, 0},
+		{":7\r\n", Integer, 0},
+		{"$3\r\nabc\r\n", Bulk, 0},
+		{"$-1\r\n", Bulk, 0},
+		{"*3\r\n$1\r\nv\r\n$-1\r\n$0\r\n\r\n", Array, 3},
+		{"*-1\r\n", Array, 0},
+		{"*0\r\n", Array, 0},
+	} {
 		for i := range c.text {
 			if n, err := a.Read([]byte(c.text[:i])); n != 0 || err != nil {
 				t.Fatalf("%q, %d bytes: %d, %v", c.text, i, n, err)
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -1,21 +1,22 @@
 package settings
 
 import (
-	"fmt"
-	"net"
-	"path"
-	"time"
-
 	"chalkstand/choice"
 	"chalkstand/internal/objectapi"
 	"chalkstand/share"
 	"chalkstand/tariff"
+	"fmt"
+	"net"
+	"path"
+	"time"
 )
 
 // check finds the first setting that makes no sense: its field and what is wanted.
 func (s *Settings) check() (field, want string) {
-	for _, c := range []func() (string, string){s.checkPlaces, s.checkKeys, s.checkNodes, s.checkClasses, s.checkPlans,
-		s.checkBuckets, s.checkOperations, s.checkRules, s.checkLimits, s.checkShare, s.checkAccounts} {
+	for _, c := range []func() (string, string){
+		s.checkPlaces, s.checkKeys, s.checkNodes, s.checkClasses, s.checkPlans,
+		s.checkBuckets, s.checkOperations, s.checkRules, s.checkLimits, s.checkShare, s.checkAccounts,
+	} {
 		if f, w := c(); w != "" {
 			return f, w
 		}
@@ -259,8 +260,18 @@
 	for _, c := range []struct {
 		field     string
 		have, min int
-	}{{"line", l.Line, 256}, {"headers", l.Headers, 8}, {"head", l.Head, 1024}, {"replay", l.Replay, 1}, {"document", l.Document, 1024},
-		{"pipelined", l.Pipelined, 1}, {"fan_out", l.FanOut, 1}, {"conns", l.Conns, 1}, {"calls", l.Calls, 1}, {"conns_per_node", l.ConnsPerNode, 1}} {
+	}{
+		{"line", l.Line, 256},
+		{"headers", l.Headers, 8},
+		{"head", l.Head, 1024},
+		{"replay", l.Replay, 1},
+		{"document", l.Document, 1024},
+		{"pipelined", l.Pipelined, 1},
+		{"fan_out", l.FanOut, 1},
+		{"conns", l.Conns, 1},
+		{"calls", l.Calls, 1},
+		{"conns_per_node", l.ConnsPerNode, 1},
+	} {
 		if c.have < c.min {
 			return "limits." + c.field, fmt.Sprintf("want at least %d", c.min)
 		}
@@ -271,8 +282,16 @@
 	for _, c := range []struct {
 		field string
 		have  Duration
-	}{{"node_idle", l.NodeIdle}, {"node_age", l.NodeAge}, {"connect", l.Connect}, {"client_head", l.ClientHead}, {"client_idle", l.ClientIdle},
-		{"client_body", l.ClientBody}, {"skew", l.Skew}, {"drain_wait", l.DrainWait}} {
+	}{
+		{"node_idle", l.NodeIdle},
+		{"node_age", l.NodeAge},
+		{"connect", l.Connect},
+		{"client_head", l.ClientHead},
+		{"client_idle", l.ClientIdle},
+		{"client_body", l.ClientBody},
+		{"skew", l.Skew},
+		{"drain_wait", l.DrainWait},
+	} {
 		if c.have <= 0 {
 			return "limits." + c.field, `want a time above 0, such as "30s"`
 		}
@@ -341,8 +360,14 @@
 	for _, c := range []struct {
 		field           string
 		have, min, most int
-	}{{"volumes", a.Volumes, 1, 4096}, {"pairs", a.Pairs, 1, 16384}, {"distributions", a.Distributions, 0, 256}, {"late", a.Late, 1, 1 << 20},
-		{"batches", a.Batches, 1, 4096}, {"log_files", a.LogFiles, 1, 1000}} {
+	}{
+		{"volumes", a.Volumes, 1, 4096},
+		{"pairs", a.Pairs, 1, 16384},
+		{"distributions", a.Distributions, 0, 256},
+		{"late", a.Late, 1, 1 << 20},
+		{"batches", a.Batches, 1, 4096},
+		{"log_files", a.LogFiles, 1, 1000},
+	} {
 		if c.have < c.min || c.have > c.most {
 			return "accounts." + c.field, fmt.Sprintf("want %d to %d", c.min, c.most)
 		}
@@ -375,18 +400,26 @@
 // Choice returns the dispatcher's settings.
 func (s *Settings) Choice() choice.Config {
 	r := s.Rules
-	c := choice.Config{Me: s.Me, Peers: s.Peers, Cancel: true, MaxRetryAfter: r.MaxRetryAfter.D(), MaxAttempts: r.MaxAttempts,
+	c := choice.Config{
+		Me: s.Me, Peers: s.Peers, Cancel: true, MaxRetryAfter: r.MaxRetryAfter.D(), MaxAttempts: r.MaxAttempts,
 		Round: r.Round.D(), UsualUnits: r.UsualUnits, LargestUnits: r.LargestUnits, Settle: r.Settle.D(),
 		Budget: choice.BudgetRule{Free: r.Budget.Free, Ratio: r.Budget.Ratio, Span: r.Budget.Span.D()},
-		Cold: choice.ColdRule{From: r.Cold.From, WarmUp: r.Cold.WarmUp.D(), Multiple: r.Cold.Multiple, Span: r.Cold.Span.D(),
-			YoungLimit: r.Cold.YoungLimit}}
+		Cold: choice.ColdRule{
+			From: r.Cold.From, WarmUp: r.Cold.WarmUp.D(), Multiple: r.Cold.Multiple, Span: r.Cold.Span.D(),
+			YoungLimit: r.Cold.YoungLimit,
+		},
+	}
 	for _, k := range s.Classes {
-		c.Classes = append(c.Classes, choice.Class{Name: k.Name, Aim: k.Aim.D(), Deadline: k.Deadline.D(), Worth: k.Worth,
-			Effect: effects[k.Effect], Group: groups[k.Group], Window: k.Window.D(), InTurn: k.InTurn})
+		c.Classes = append(c.Classes, choice.Class{
+			Name: k.Name, Aim: k.Aim.D(), Deadline: k.Deadline.D(), Worth: k.Worth,
+			Effect: effects[k.Effect], Group: groups[k.Group], Window: k.Window.D(), InTurn: k.InTurn,
+		})
 	}
 	for _, p := range s.Plans {
-		c.Plans = append(c.Plans, choice.Plan{Name: p.Name, Reserve: p.Reserve, Weight: p.Weight, Price: p.Price,
-			Limit: p.Limit, Burst: p.Burst, Slack: p.Slack})
+		c.Plans = append(c.Plans, choice.Plan{
+			Name: p.Name, Reserve: p.Reserve, Weight: p.Weight, Price: p.Price,
+			Limit: p.Limit, Burst: p.Burst, Slack: p.Slack,
+		})
 	}
 	return c
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -239,18 +239,26 @@
 // Default returns the defaults, which a file changes field by field.
 func Default() Settings {
 	ms := func(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
-	return Settings{Name: "gateway", Listen: "127.0.0.1:9000", Region: "us-east-1", Peers: 1,
-		Rules: Rules{MaxAttempts: 3, MaxRetryAfter: ms(2000), Settle: ms(200), Round: ms(5), UsualUnits: 1, LargestUnits: 64,
-			Budget: Budget{Free: 3, Ratio: 0.1, Span: ms(5000)}},
-		Limits: Limits{Line: 8 << 10, Headers: 100, Head: 32 << 10, Replay: 64 << 10, Document: 4 << 20, Pipelined: 32 << 10, FanOut: 16,
+	return Settings{
+		Name: "gateway", Listen: "127.0.0.1:9000", Region: "us-east-1", Peers: 1,
+		Rules: Rules{
+			MaxAttempts: 3, MaxRetryAfter: ms(2000), Settle: ms(200), Round: ms(5), UsualUnits: 1, LargestUnits: 64,
+			Budget: Budget{Free: 3, Ratio: 0.1, Span: ms(5000)},
+		},
+		Limits: Limits{
+			Line: 8 << 10, Headers: 100, Head: 32 << 10, Replay: 64 << 10, Document: 4 << 20, Pipelined: 32 << 10, FanOut: 16,
 			Conns: 8192, Calls: 8192, ConnsPerNode: 128, Streams: 64, NodeIdle: ms(30000), NodeAge: ms(600000), Connect: ms(1000), Margin: ms(20),
 			ClientHead: ms(10000), ClientIdle: ms(120000), ClientBody: ms(30000), Skew: ms(15 * 60000),
-			DrainWait: ms(30000)},
-		Share: Share{Order: "fair", Quantum: 64 << 10, Slice: Duration(50 * time.Microsecond), Window: ms(20), ByteTime: 1, Finishing: 4, Flows: 4096, Newcomers: 1, MaxWait: ms(2000),
+			DrainWait: ms(30000),
+		},
+		Share: Share{
+			Order: "fair", Quantum: 64 << 10, Slice: Duration(50 * time.Microsecond), Window: ms(20), ByteTime: 1, Finishing: 4, Flows: 4096, Newcomers: 1, MaxWait: ms(2000),
 			Depth: 2, Crowd: 64, Draw: 256 << 10, Lease: ms(10), Receive: 512 << 10,
-			Overload: Overload{Target: ms(20), Interval: ms(100), Back: ms(100), MaxBack: ms(5000)}},
+			Overload: Overload{Target: ms(20), Interval: ms(100), Back: ms(100), MaxBack: ms(5000)},
+		},
 		Accounts: Accounts{On: true, Volumes: 64, Pairs: 128, Distributions: 16, Late: 8192, Batches: 64, LogBytes: 16 << 20, LogFiles: 4},
-		Log:      Log{Level: "info"}}
+		Log:      Log{Level: "info"},
+	}
 }
 
 // LoopCount is how many event loops there are.
--- a/internal/sigv4/sigv4.go
+++ b/internal/sigv4/sigv4.go
@@ -5,6 +5,7 @@
 
 import (
 	"bytes"
+	"chalkstand/internal/http1"
 	"crypto/hmac"
 	"crypto/sha256"
 	"crypto/subtle"
@@ -14,8 +15,6 @@
 	"strings"
 	"sync"
 	"time"
-
-	"chalkstand/internal/http1"
 )
 
 // Payload names how a request's body is covered by its signature.
@@ -116,8 +115,10 @@
 		}
 	}
 	if c.credential == "" || c.signed == "" || c.signature == "" {
-		return nil, &Error{400, "AuthorizationHeaderMalformed",
-			"The Authorization header needs Credential, SignedHeaders and Signature."}
+		return nil, &Error{
+			400, "AuthorizationHeaderMalformed",
+			"The Authorization header needs Credential, SignedHeaders and Signature.",
+		}
 	}
 	var err error
 	c.stamp = string(r.Headers.Get("x-amz-date"))
@@ -191,8 +192,10 @@
 	id, scope, ok := strings.Cut(c.credential, "/")
 	day, place, _ := strings.Cut(scope, "/")
 	if !ok || day != c.stamp[:8] || place != v.Region+"/s3/aws4_request" {
-		return nil, &Error{400, "AuthorizationHeaderMalformed",
-			"The credential's scope must be DATE/" + v.Region + "/s3/aws4_request with the date of the request."}
+		return nil, &Error{
+			400, "AuthorizationHeaderMalformed",
+			"The credential's scope must be DATE/" + v.Region + "/s3/aws4_request with the date of the request.",
+		}
 	}
 	a := &Auth{KeyID: id, Presigned: pre, date: c.stamp, scope: scope}
 	if err := a.payload(c.payload); err != nil {
--- a/internal/sigv4/sigv4_test.go
+++ b/internal/sigv4/sigv4_test.go
@@ -1,10 +1,9 @@
 package sigv4
 
 import (
+	"chalkstand/internal/http1"
 	"testing"
 	"time"
-
-	"chalkstand/internal/http1"
 )
 
 // The signer of the checks here is the SDK's own, in internal/e2e; these cases are
@@ -16,8 +15,11 @@
 	v := &Verifier{Region: "us-east-1", Skew: time.Minute, Secret: func(string) (string, bool) { return "secret", true }}
 	now, _ := time.Parse(stamp, "20261201T120000Z")
 	f.Fuzz(func(t *testing.T, auth, target, date, sum string) {
-		r := &http1.Request{Method: []byte("GET"), Target: []byte(target), Headers: http1.Headers{{Name: []byte("Host"), Value: []byte("h")},
-			{Name: []byte("x-amz-date"), Value: []byte(date)}, {Name: []byte("x-amz-content-sha256"), Value: []byte(sum)}}}
+		r := &http1.Request{Method: []byte("GET"), Target: []byte(target), Headers: http1.Headers{
+			{Name: []byte("Host"), Value: []byte("h")},
+			{Name: []byte("x-amz-date"), Value: []byte(date)},
+			{Name: []byte("x-amz-content-sha256"), Value: []byte(sum)},
+		}}
 		if auth != "" {
 			r.Headers = append(r.Headers, http1.Header{Name: []byte("Authorization"), Value: []byte(auth)})
 		}
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -3,15 +3,14 @@
 package targets
 
 import (
+	"chalkstand/choice"
+	"chalkstand/exchange"
 	"encoding/json"
 	"fmt"
 	"hash/fnv"
 	"net/netip"
 	"slices"
 	"time"
-
-	"chalkstand/choice"
-	"chalkstand/exchange"
 )
 
 // Bounds of a document.
@@ -91,9 +90,11 @@
 	if _, err := netip.ParseAddrPort(s.Addr); err != nil && state != choice.Removed {
 		return exchange.Node{}, fmt.Errorf("addr: %w", err)
 	}
-	return exchange.Node{Addr: s.Addr, Node: choice.Node{ID: choice.NodeID(s.ID), Zone: zone(names.Zones, s.Zone),
+	return exchange.Node{Addr: s.Addr, Node: choice.Node{
+		ID: choice.NodeID(s.ID), Zone: zone(names.Zones, s.Zone),
 		Kind: place(names.Kinds, s.Kind), Shard: choice.Shard(s.Cell), State: state,
-		Started: time.Duration(s.Started * float64(time.Millisecond))}}, nil
+		Started: time.Duration(s.Started * float64(time.Millisecond)),
+	}}, nil
 }
 
 // place is a name's number; those that the settings don't name share one.
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -1,10 +1,9 @@
 package targets
 
 import (
+	"chalkstand/choice"
 	"testing"
 	"time"
-
-	"chalkstand/choice"
 )
 
 func TestParse(t *testing.T) {
@@ -17,9 +16,11 @@
 	if n.ID != "s-1" || n.Addr != "10.1.0.18:6379" || n.Zone != 1 || n.Kind != 1 || n.Shard != 3 || n.State != choice.Draining || n.Started != 1700000000*time.Second {
 		t.Errorf("%+v", n)
 	}
-	for _, bad := range []string{``, `[]`, `{}`, `{"version":1,"servers":[{"id":"","addr":"1.2.3.4:5","state":"Ready"}]}`, `{"version":1,"servers":[{"id":"x","addr":"here","state":"Ready"}]}`,
+	for _, bad := range []string{
+		``, `[]`, `{}`, `{"version":1,"servers":[{"id":"","addr":"1.2.3.4:5","state":"Ready"}]}`, `{"version":1,"servers":[{"id":"x","addr":"here","state":"Ready"}]}`,
 		`{"version":1,"servers":[{"id":"x","addr":"1.2.3.4:5","state":"Odd"}]}`, `{"version":1,"servers":[{"id":"x","addr":"1.2.3.4:5","state":"Ready","started_ms":-1}]}`,
-		`{"version":1,"servers":[{"id":"x","addr":"1.2.3.4:5","state":"Ready","cell":-7}]}`, `{"version":1`} {
+		`{"version":1,"servers":[{"id":"x","addr":"1.2.3.4:5","state":"Ready","cell":-7}]}`, `{"version":1`,
+	} {
 		if _, err := Parse([]byte(bad), Names{}); err == nil {
 			t.Errorf("%s: no error", bad)
 		}
@@ -41,8 +42,10 @@
 
 // Whatever comes, a list is taken whole or not at all, and within its bounds.
 func FuzzParse(f *testing.F) {
-	for _, s := range []string{`{"version":43,"full":true,"servers":[{"id":"s-1","addr":"10.1.0.18:6379","zone":"b","kind":"m9","cell":3,"state":"Ready","weight":1.0,"started_ms":1.7e12}]}`,
-		"{\n\t\"version\": 1,\n\t\"servers\": null\n}", `{"version":1e400}`, `{"version":1,"servers":[{"id":"x","state":"Gone","cell":1e9}]}`, `{"version":-1,"servers":[{}]}`, "\x00", `[1]`} {
+	for _, s := range []string{
+		`{"version":43,"full":true,"servers":[{"id":"s-1","addr":"10.1.0.18:6379","zone":"b","kind":"m9","cell":3,"state":"Ready","weight":1.0,"started_ms":1.7e12}]}`,
+		"{\n\t\"version\": 1,\n\t\"servers\": null\n}", `{"version":1e400}`, `{"version":1,"servers":[{"id":"x","state":"Gone","cell":1e9}]}`, `{"version":-1,"servers":[{}]}`, "\x00", `[1]`,
+	} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -3,6 +3,11 @@
 
 import (
 	"bytes"
+	"chalkstand/choice"
+	"chalkstand/exchange"
+	"chalkstand/gateway"
+	"chalkstand/internal/settings"
+	"chalkstand/standin/storage"
 	"context"
 	"fmt"
 	"io"
@@ -16,12 +21,6 @@
 	"github.com/aws/aws-sdk-go-v2/service/s3"
 	"github.com/minio/minio-go/v7"
 	miniocreds "github.com/minio/minio-go/v7/pkg/credentials"
-
-	"chalkstand/choice"
-	"chalkstand/exchange"
-	"chalkstand/gateway"
-	"chalkstand/internal/settings"
-	"chalkstand/standin/storage"
 )
 
 // The keys of the test settings.
@@ -132,8 +131,10 @@
 
 // AWS returns an unmodified aws-sdk-go-v2 client with its default settings.
 func (e *Site) AWS() *s3.Client {
-	return s3.New(s3.Options{BaseEndpoint: aws.String("http://" + e.Addr), Region: "us-east-1", UsePathStyle: true,
-		Credentials: credentials.NewStaticCredentialsProvider(KeyID, Secret, "")})
+	return s3.New(s3.Options{
+		BaseEndpoint: aws.String("http://" + e.Addr), Region: "us-east-1", UsePathStyle: true,
+		Credentials: credentials.NewStaticCredentialsProvider(KeyID, Secret, ""),
+	})
 }
 
 // Minio returns an unmodified minio-go client with its default settings.
--- a/internal/upstream/reader_test.go
+++ b/internal/upstream/reader_test.go
@@ -1,11 +1,10 @@
 package upstream
 
 import (
+	"chalkstand/internal/http1"
 	"fmt"
 	"strings"
 	"testing"
-
-	"chalkstand/internal/http1"
 )
 
 // read plays the owner of a connection over which text comes in the pieces given.
@@ -134,8 +133,10 @@
 			t.Errorf("%s: reusable, though more came with it", a.name)
 		}
 	}
-	for text, whole := range map[string]bool{"HTTP/1.1 200 OK\r\n\r\nabc": true, "HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\nabc": false,
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n": false, "HTTP/1.1 200": false} {
+	for text, whole := range map[string]bool{
+		"HTTP/1.1 200 OK\r\n\r\nabc": true, "HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\nabc": false,
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n": false, "HTTP/1.1 200": false,
+	} {
 		r := &Reader{Limits: http1.DefaultLimits}
 		r.Sent("GET", 2)
 		read(r, []string{text}, true)
--- a/internal/wire/config.go
+++ b/internal/wire/config.go
@@ -1,13 +1,12 @@
 package wire
 
 import (
+	"chalkstand/choice"
 	"fmt"
 	"math"
 	"strconv"
 	"strings"
 	"time"
-
-	"chalkstand/choice"
 )
 
 // settings reads path=value pairs; the first error stays.
@@ -39,28 +38,40 @@
 		Round: p.time("round_ms"), UsualUnits: p.number("family_info.usual_units"),
 		LargestUnits: p.number("family_info.largest"),
 		Settle:       p.time("rules.settle_after_doubt_ms"),
-		Cold: choice.ColdRule{From: p.number("rules.cold_from"), WarmUp: p.time("rules.warm_up_ms"),
+		Cold: choice.ColdRule{
+			From: p.number("rules.cold_from"), WarmUp: p.time("rules.warm_up_ms"),
 			Multiple: p.number("rules.overload_factor"), Span: p.time("rules.overload_for_ms"),
-			YoungLimit: p.number("family_info.young_limit")},
-		Budget: choice.BudgetRule{Free: p.number("rules.free_resends"), Ratio: p.number("rules.resend_ratio"),
-			Span: p.time("rules.resend_span_ms")},
+			YoungLimit: p.number("family_info.young_limit"),
+		},
+		Budget: choice.BudgetRule{
+			Free: p.number("rules.free_resends"), Ratio: p.number("rules.resend_ratio"),
+			Span: p.time("rules.resend_span_ms"),
+		},
 	}
 	for i := range p.count("classes.count") {
 		at := fmt.Sprintf("classes.%d.", i)
-		k := choice.Class{Name: p.m[at+"name"], Aim: p.time(at + "slo_ms"), Deadline: p.time(at + "deadline_ms"),
+		k := choice.Class{
+			Name: p.m[at+"name"], Aim: p.time(at + "slo_ms"), Deadline: p.time(at + "deadline_ms"),
 			Worth: p.number(at + "credit"), Window: p.time(at + "window_ms"),
-			InTurn: p.boolean(at + "in_turn")}
-		k.Effect = choice.Effect(p.oneOf(at+"effect", map[string]int{"": int(choice.Unsafe),
-			"idempotent": int(choice.Safe), "deduplicated": int(choice.Keyed), "at_most_once": int(choice.Unsafe)}))
-		k.Group = choice.Group(p.oneOf(at+"group", map[string]int{"": int(choice.GroupShard),
-			"all": int(choice.GroupAll), "zone": int(choice.GroupZone), "cell": int(choice.GroupShard)}))
+			InTurn: p.boolean(at + "in_turn"),
+		}
+		k.Effect = choice.Effect(p.oneOf(at+"effect", map[string]int{
+			"":           int(choice.Unsafe),
+			"idempotent": int(choice.Safe), "deduplicated": int(choice.Keyed), "at_most_once": int(choice.Unsafe),
+		}))
+		k.Group = choice.Group(p.oneOf(at+"group", map[string]int{
+			"":    int(choice.GroupShard),
+			"all": int(choice.GroupAll), "zone": int(choice.GroupZone), "cell": int(choice.GroupShard),
+		}))
 		c.Classes = append(c.Classes, k)
 	}
 	for i := range p.count("policies.count") {
 		at := fmt.Sprintf("policies.%d.", i)
-		c.Plans = append(c.Plans, choice.Plan{Name: p.m[at+"name"],
+		c.Plans = append(c.Plans, choice.Plan{
+			Name:    p.m[at+"name"],
 			Reserve: p.number(at + "guaranteed"), Weight: p.number(at + "weight"), Price: p.number(at + "value_factor"),
-			Limit: p.number(at + "limit"), Burst: p.number(at + "limit_burst"), Slack: p.number(at + "cap_slack")})
+			Limit: p.number(at + "limit"), Burst: p.number(at + "limit_burst"), Slack: p.number(at + "cap_slack"),
+		})
 	}
 	return c, p.err
 }
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -4,6 +4,7 @@
 
 import (
 	"bufio"
+	"chalkstand/choice"
 	"encoding/base64"
 	"errors"
 	"fmt"
@@ -12,8 +13,6 @@
 	"strconv"
 	"strings"
 	"time"
-
-	"chalkstand/choice"
 )
 
 // Kind tells what an Item of a batch is.
@@ -188,17 +187,25 @@
 	return it, true, f.done()
 }
 
-var known = map[string]bool{"BEGIN": true, "CRASH_NOW": true, "FLEET": true, "ASK": true, "ATTEMPT_END": true,
-	"ACK_FIRST": true, "ABANDONED": true, "TIMEOUT_FIRED": true, "SAMPLED": true, "DATAGRAM": true}
+var known = map[string]bool{
+	"BEGIN": true, "CRASH_NOW": true, "FLEET": true, "ASK": true, "ATTEMPT_END": true,
+	"ACK_FIRST": true, "ABANDONED": true, "TIMEOUT_FIRED": true, "SAMPLED": true, "DATAGRAM": true,
+}
 
 var (
-	listKinds = map[string]int{"Partial": int(choice.Changes), "Complete": int(choice.Complete),
-		"Persisted": int(choice.Persisted), "Error": int(choice.Failed)}
-	statuses = map[string]int{"delivered": int(choice.Served), "app_error": int(choice.Errored), "shed": int(choice.Full),
+	listKinds = map[string]int{
+		"Partial": int(choice.Changes), "Complete": int(choice.Complete),
+		"Persisted": int(choice.Persisted), "Error": int(choice.Failed),
+	}
+	statuses = map[string]int{
+		"delivered": int(choice.Served), "app_error": int(choice.Errored), "shed": int(choice.Full),
 		"expired": int(choice.TimedOut), "dial_failed": int(choice.ConnectFailed), "dropped": int(choice.Dropped),
-		"revoked": int(choice.Cancelled), "unused": int(choice.Moot)}
-	nodeStates = map[string]int{"SERVING": int(choice.Serving), "DRAINING": int(choice.Draining),
-		"DELETED": int(choice.Removed)}
+		"revoked": int(choice.Cancelled), "unused": int(choice.Moot),
+	}
+	nodeStates = map[string]int{
+		"SERVING": int(choice.Serving), "DRAINING": int(choice.Draining),
+		"DELETED": int(choice.Removed),
+	}
 )
 
 // page reads a numbered list of nodes and keeps it for the FLEETs to come.
@@ -220,9 +227,11 @@
 		if e.verb != "ITEM" {
 			return d.fail("PAGE: expected %d ITEM lines, got %q after %d", count, e.verb, i)
 		}
-		n := choice.Node{ID: choice.NodeID(e.word("server")), Zone: int(e.integer("dc")),
+		n := choice.Node{
+			ID: choice.NodeID(e.word("server")), Zone: int(e.integer("dc")),
 			Kind: int(e.integer("shape")), Shard: choice.Shard(e.integer("pack")),
-			State: choice.NodeState(e.oneOf("health", nodeStates))}
+			State: choice.NodeState(e.oneOf("health", nodeStates)),
+		}
 		e.number("size")
 		n.Started = e.time("online_since_ms")
 		nodes = append(nodes, n)
@@ -254,9 +263,11 @@
 }
 
 func (f *fields) outcome() choice.Event {
-	o := choice.Outcome{ID: f.rid(), Concluded: f.boolean("complete"), Node: choice.NodeID(f.word("server")),
+	o := choice.Outcome{
+		ID: f.rid(), Concluded: f.boolean("complete"), Node: choice.NodeID(f.word("server")),
 		Use: f.number("volume_use"), Status: choice.Status(f.oneOf("status", statuses)), Attempt: int(f.integer("leg")),
-		Elsewhere: f.number("elsewhere"), Took: f.time("wait_time_ms")}
+		Elsewhere: f.number("elsewhere"), Took: f.time("wait_time_ms"),
+	}
 	o.Report = f.report()
 	return o
 }
@@ -363,8 +374,10 @@
 }
 
 // loads are this wire's words for the values of a load report; others stay as they are.
-var loads = map[string]string{"rif": "inflight", "q": "queue", "busy": "util", "lat_ms": "latency_ms",
-	"rate": "qps", "fail_rate": "eps"}
+var loads = map[string]string{
+	"rif": "inflight", "q": "queue", "busy": "util", "lat_ms": "latency_ms",
+	"rate": "qps", "fail_rate": "eps",
+}
 
 func (f *fields) report() choice.Report {
 	if !f.more {
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -2,12 +2,11 @@
 
 import (
 	"bufio"
+	"chalkstand/choice"
 	"io"
 	"strconv"
 	"strings"
 	"time"
-
-	"chalkstand/choice"
 )
 
 // Encoder writes replies.
--- a/internal/wire/nested.go
+++ b/internal/wire/nested.go
@@ -2,13 +2,12 @@
 
 import (
 	"bytes"
+	"chalkstand/choice"
 	"encoding/json"
 	"fmt"
 	"strconv"
 	"strings"
 	"time"
-
-	"chalkstand/choice"
 )
 
 // Settings is what the platform tells a dispatcher at its start: what the decisions use,
@@ -39,9 +38,11 @@
 	if err != nil {
 		return Settings{}, err
 	}
-	s := Settings{Choice: c, Shards: p.integer("family_info.slots_total"), ConnIdle: p.time("limits.conn_idle_ms"),
+	s := Settings{
+		Choice: c, Shards: p.integer("family_info.slots_total"), ConnIdle: p.time("limits.conn_idle_ms"),
 		Connect: p.time("limits.connect_timeout_ms"), MaxOpen: p.integer("limits.max_open"),
-		Zones: p.list("areas"), Kinds: p.list("kinds")}
+		Zones: p.list("areas"), Kinds: p.list("kinds"),
+	}
 	if w := p.list("family_info.class_writes"); len(w) == len(c.Classes) {
 		for _, x := range w {
 			s.ClassWrites = append(s.ClassWrites, x == "true")
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -2,13 +2,12 @@
 
 import (
 	"bytes"
+	"chalkstand/choice"
 	"errors"
 	"io"
 	"strings"
 	"testing"
 	"time"
-
-	"chalkstand/choice"
 )
 
 const someSettings = "peers_total=2 me=1 classes.count=1 classes.0.slo_ms=300.0 classes.0.deadline_ms=1500.0 " +
@@ -110,8 +109,13 @@
 	e.By("dispatcher_3")
 	for _, a := range []choice.Action{
 		choice.Attempt{ID: 4068207471792580, Node: "10.18.74.7:8003", Until: 8492250 * time.Microsecond},
-		choice.Attempt{ID: 1, Node: "n"}, choice.Refuse{ID: 2, After: 50 * time.Millisecond}, choice.Fail{ID: 3},
-		choice.Cancel{ID: 4, Attempt: 1}, choice.SetTimer{At: 8912250001, Token: "wake"}, choice.Watch{On: true}, choice.Watch{},
+		choice.Attempt{ID: 1, Node: "n"},
+		choice.Refuse{ID: 2, After: 50 * time.Millisecond},
+		choice.Fail{ID: 3},
+		choice.Cancel{ID: 4, Attempt: 1},
+		choice.SetTimer{At: 8912250001, Token: "wake"},
+		choice.Watch{On: true},
+		choice.Watch{},
 	} {
 		e.Action(a)
 	}
--- a/lab/badday/badday.go
+++ b/lab/badday/badday.go
@@ -1,6 +1,12 @@
 package badday
 
 import (
+	"chalkstand/choice"
+	"chalkstand/exchange"
+	"chalkstand/gateway"
+	"chalkstand/internal/settings"
+	"chalkstand/lab/rules"
+	"chalkstand/standin/storage"
 	"context"
 	"fmt"
 	"io"
@@ -10,13 +16,6 @@
 	"strings"
 	"sync"
 	"time"
-
-	"chalkstand/choice"
-	"chalkstand/exchange"
-	"chalkstand/gateway"
-	"chalkstand/internal/settings"
-	"chalkstand/lab/rules"
-	"chalkstand/standin/storage"
 )
 
 // Options says how a day is played.
@@ -150,8 +149,10 @@
 // figures are what the rules hold the day to.
 func figures(o Options) rules.Figures {
 	s := site(o, 0)
-	f := rules.Figures{Grace: grace, Settle: s.Rules.Settle.D(), BudgetFree: s.Rules.Budget.Free, BudgetRatio: s.Rules.Budget.Ratio,
-		BudgetSpan: s.Rules.Budget.Span.D(), Limits: map[string]rules.Limit{}, Slop: 60 * time.Millisecond, Late: 150 * time.Millisecond}
+	f := rules.Figures{
+		Grace: grace, Settle: s.Rules.Settle.D(), BudgetFree: s.Rules.Budget.Free, BudgetRatio: s.Rules.Budget.Ratio,
+		BudgetSpan: s.Rules.Budget.Span.D(), Limits: map[string]rules.Limit{}, Slop: 60 * time.Millisecond, Late: 150 * time.Millisecond,
+	}
 	effects := map[string]rules.Effect{"safe": rules.Safe, "keyed": rules.Keyed, "unsafe": rules.Unsafe}
 	for _, c := range s.Classes {
 		f.Classes = append(f.Classes, rules.Class{Deadline: c.Deadline.D(), Effect: effects[c.Effect], InTurn: c.InTurn})
@@ -228,8 +229,10 @@
 	}
 	stop, cancel := context.WithCancel(ctx)
 	defer cancel()
-	d := &day{o: o, epoch: time.Now(), f: figures(o), vols: volumes(o), rng: rand.New(rand.NewPCG(o.Seed, 1)), ledger: storage.NewLedger(time.Second, 300*time.Millisecond),
-		list: map[string]listed{}, seeds: map[string][]byte{}, surge: 1, floodBy: 1, busy: make(chan struct{}, 2048), stop: stop}
+	d := &day{
+		o: o, epoch: time.Now(), f: figures(o), vols: volumes(o), rng: rand.New(rand.NewPCG(o.Seed, 1)), ledger: storage.NewLedger(time.Second, 300*time.Millisecond),
+		list: map[string]listed{}, seeds: map[string][]byte{}, surge: 1, floodBy: 1, busy: make(chan struct{}, 2048), stop: stop,
+	}
 	defer d.end()
 	for i := range o.Shards {
 		data := storage.NewDataset("")
@@ -336,8 +339,10 @@
 	id := fmt.Sprintf("n%02d.%d", shard, d.next)
 	seed := d.rng.Uint64()
 	d.mu.Unlock()
-	cfg := storage.Config{ID: id, Shard: shard, Cores: cores, Queue: 40, PerUnit: perUnit, Speed: 0.8 + 0.4*d.random(), Remember: remember, Seed: seed,
-		ReportEvery: 150 * time.Millisecond, ReportNoise: 0.2, Deferred: 0.3, DeferEvery: 1500 * time.Millisecond}
+	cfg := storage.Config{
+		ID: id, Shard: shard, Cores: cores, Queue: 40, PerUnit: perUnit, Speed: 0.8 + 0.4*d.random(), Remember: remember, Seed: seed,
+		ReportEvery: 150 * time.Millisecond, ReportNoise: 0.2, Deferred: 0.3, DeferEvery: 1500 * time.Millisecond,
+	}
 	if cold {
 		cfg.ColdFrom, cfg.WarmUp, cfg.Span = coldFrom, warmUp, span
 		cfg.Multiple, cfg.YoungLimit = multiple/d.o.frail(), youngLimit/d.o.frail()
--- a/lab/badday/badday_test.go
+++ b/lab/badday/badday_test.go
@@ -2,16 +2,15 @@
 
 import (
 	"bytes"
+	"chalkstand/choice"
+	"chalkstand/lab/rules"
+	"chalkstand/trace"
 	"context"
 	"slices"
 	"strings"
 	"sync"
 	"testing"
 	"time"
-
-	"chalkstand/choice"
-	"chalkstand/lab/rules"
-	"chalkstand/trace"
 )
 
 func TestScriptsReadAndWrite(t *testing.T) {
@@ -99,8 +98,11 @@
 		"limits":  {Script{{At: 300, For: 9000, Kind: Flood, Which: 0, Times: 12}}, 3, 1},
 		"order":   {Script{{At: 300, For: 9000, Kind: HotKey, Which: 2, Times: 0.9}}, 3, 1},
 		"effects": {everyNode(LoseAnswer, 0.3), 3, 1},
-		"cold": {Script{{At: 100, For: 9000, Kind: Surge, Times: 5}, {At: 1000, For: 1500, Kind: DrainWave, Count: 4},
-			{At: 1000, For: 1500, Kind: DrainWave, Which: 4, Count: 4}}, 6, 3},
+		"cold": {Script{
+			{At: 100, For: 9000, Kind: Surge, Times: 5},
+			{At: 1000, For: 1500, Kind: DrainWave, Count: 4},
+			{At: 1000, For: 1500, Kind: DrainWave, Which: 4, Count: 4},
+		}, 6, 3},
 		"drains": {Script{{At: 100, For: 9000, Kind: Surge, Times: 2}, {At: 500, For: 4000, Kind: DrainWave, Count: 4}}, 3, 1},
 		"time":   {everyNode(Silent, 0), 3, 1},
 	} {
--- a/lab/badday/client.go
+++ b/lab/badday/client.go
@@ -3,6 +3,8 @@
 import (
 	"bufio"
 	"bytes"
+	"chalkstand/lab/rules"
+	"chalkstand/lab/sign"
 	"errors"
 	"fmt"
 	"io"
@@ -12,9 +14,6 @@
 	"strconv"
 	"sync"
 	"time"
-
-	"chalkstand/lab/rules"
-	"chalkstand/lab/sign"
 )
 
 // wish is what a client wants done.
--- a/lab/badday/report.go
+++ b/lab/badday/report.go
@@ -1,13 +1,12 @@
 package badday
 
 import (
+	"chalkstand/lab/rules"
 	"fmt"
 	"io"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
-
-	"chalkstand/lab/rules"
 )
 
 // Report is how a day went.
--- a/lab/bench/bench.go
+++ b/lab/bench/bench.go
@@ -5,6 +5,7 @@
 import (
 	"bufio"
 	"bytes"
+	"chalkstand/internal/http1"
 	"cmp"
 	"errors"
 	"fmt"
@@ -23,8 +24,6 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
-
-	"chalkstand/internal/http1"
 )
 
 // Peer is one server under test.
--- a/lab/bench/crowd.go
+++ b/lab/bench/crowd.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"chalkstand/internal/http1"
 	"io"
 	"math/rand/v2"
 	"net"
@@ -9,8 +10,6 @@
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"chalkstand/internal/http1"
 )
 
 // Crowd is many users of one target, each with a connection of their own. A user asks, and asks
--- a/lab/bench/share.go
+++ b/lab/bench/share.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"chalkstand/internal/http1"
 	"errors"
 	"fmt"
 	"io"
@@ -15,8 +16,6 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"golang.org/x/sys/unix"
-
-	"chalkstand/internal/http1"
 )
 
 // Load is one of several that run at the same time: a target's request again and again
--- a/lab/drill/drill.go
+++ b/lab/drill/drill.go
@@ -4,6 +4,14 @@
 package drill
 
 import (
+	"chalkstand/accounts"
+	"chalkstand/choice"
+	"chalkstand/exchange"
+	"chalkstand/gateway"
+	"chalkstand/internal/accountlog"
+	"chalkstand/internal/settings"
+	"chalkstand/lab/sign"
+	"chalkstand/standin/storage"
 	"context"
 	"errors"
 	"fmt"
@@ -17,15 +25,6 @@
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"chalkstand/accounts"
-	"chalkstand/choice"
-	"chalkstand/exchange"
-	"chalkstand/gateway"
-	"chalkstand/internal/accountlog"
-	"chalkstand/internal/settings"
-	"chalkstand/lab/sign"
-	"chalkstand/standin/storage"
 )
 
 // Tolerance is how far a volume's total may be from what its clients measured.
@@ -129,9 +128,11 @@
 
 // Run plays a scenario. dir holds the account log.
 func Run(s Scenario, seed uint64, dir string) (Result, error) {
-	p := &play{seed: seed, rng: rand.New(rand.NewPCG(seed, 17)), data: storage.NewDataset(""), epoch: time.Now(),
+	p := &play{
+		seed: seed, rng: rand.New(rand.NewPCG(seed, 17)), data: storage.NewDataset(""), epoch: time.Now(),
 		seen: map[string]time.Duration{}, told: map[string]time.Duration{}, over: make(chan struct{}), logPath: filepath.Join(dir, fmt.Sprintf("%s-%d.log", s.Name, seed)),
-		tr: &http.Transport{MaxIdleConnsPerHost: 256, DialContext: dial}}
+		tr: &http.Transport{MaxIdleConnsPerHost: 256, DialContext: dial},
+	}
 	defer p.tr.CloseIdleConnections()
 	for _, v := range Volumes {
 		p.data.AddBucket(v, p.epoch)
--- a/lab/drill/scenarios.go
+++ b/lab/drill/scenarios.go
@@ -1,12 +1,11 @@
 package drill
 
 import (
-	"strings"
-	"time"
-
 	"chalkstand/accounts"
 	"chalkstand/internal/accountlog"
 	"chalkstand/standin/storage"
+	"strings"
+	"time"
 )
 
 // Scenario is one small trouble, and what the accounts must tell of it.
@@ -88,15 +87,18 @@
 // Scenarios returns all scenarios.
 func Scenarios() []Scenario {
 	return []Scenario{
-		{Name: "flood", What: "one volume floods a node that a review volume and a busy one share",
+		{
+			Name: "flood", What: "one volume floods a node that a review volume and a busy one share",
 			play: func(p *play) {
 				p.clients(32, "flood", 0, p.over)
 				p.clients(1, "busy", 30*time.Millisecond, p.over)
 				p.clients(2, "review", 5*time.Millisecond, p.over)
 				<-p.during(2 * time.Second)
 			},
-			expect: func(p *play, v *verdict) { v.named("review", "flood", "busy") }},
-		{Name: "two-floods", What: "two volumes flood at once",
+			expect: func(p *play, v *verdict) { v.named("review", "flood", "busy") },
+		},
+		{
+			Name: "two-floods", What: "two volumes flood at once",
 			play: func(p *play) {
 				p.clients(20, "flood", 0, p.over)
 				p.clients(20, "flood2", 0, p.over)
@@ -111,8 +113,10 @@
 				}
 				v.named("review", "flood", "busy")
 				v.named("review", "flood2", "busy")
-			}},
-		{Name: "flood-stops", What: "a flood ends; what comes after it is not put down to it",
+			},
+		},
+		{
+			Name: "flood-stops", What: "a flood ends; what comes after it is not put down to it",
 			play: func(p *play) {
 				p.clients(32, "flood", 0, p.during(1200*time.Millisecond))
 				p.clients(2, "review", 5*time.Millisecond, p.over)
@@ -127,8 +131,10 @@
 				if b := behind(&late, "review", "flood"); b > 0 || late.All.Requests == 0 {
 					p.fault("after the flood: %d requests, %v behind it", late.All.Requests, b)
 				}
-			}},
-		{Name: "slow-node", What: "a node slows with no flood: the node is named, no volume",
+			},
+		},
+		{
+			Name: "slow-node", What: "a node slows with no flood: the node is named, no volume",
 			play: func(p *play) {
 				p.node.Inject(storage.Fault{Kind: storage.Slow, Factor: 6, For: time.Minute})
 				p.clients(1, "review", 5*time.Millisecond, p.over)
@@ -140,8 +146,10 @@
 				if b := v.Window.Behind; b > v.Window.All.Parts.Total()/20 {
 					p.fault("%v of %v behind volumes, where only the node was slow", b, v.Window.All.Parts.Total())
 				}
-			}},
-		{Name: "limit", What: "a volume asks for more than its limit: it is named itself",
+			},
+		},
+		{
+			Name: "limit", What: "a volume asks for more than its limit: it is named itself",
 			play: func(p *play) {
 				p.clients(6, "capped", 0, p.over)
 				p.clients(1, "review", 10*time.Millisecond, p.over)
@@ -152,23 +160,29 @@
 				if d := v.part("review", accounts.Limit); d > 0 {
 					p.fault("review has no limit, and %v under it", d)
 				}
-			}},
-		{Name: "lost-answers", What: "answers are lost: further attempts are named",
+			},
+		},
+		{
+			Name: "lost-answers", What: "answers are lost: further attempts are named",
 			play: func(p *play) {
 				p.node.Inject(storage.Fault{Kind: storage.Lose, Share: 0.15, For: time.Minute, Hold: 150 * time.Millisecond})
 				p.clients(2, "review", 5*time.Millisecond, p.over)
 				<-p.during(2500 * time.Millisecond)
 			},
-			expect: func(p *play, v *verdict) { v.most("review", 0.3, accounts.Lost, accounts.Pause) }},
-		{Name: "slow-client", What: "a client takes its answers in small bites",
+			expect: func(p *play, v *verdict) { v.most("review", 0.3, accounts.Lost, accounts.Pause) },
+		},
+		{
+			Name: "slow-client", What: "a client takes its answers in small bites",
 			play: func(p *play) {
 				p.clients(1, "busy", 20*time.Millisecond, p.over)
 				for range 3 {
 					p.request("GET", "review", large, 10*time.Millisecond)
 				}
 			},
-			expect: func(p *play, v *verdict) { v.most("review", 0.6, accounts.Client, accounts.BodyOut) }},
-		{Name: "late-reports", What: "nodes tell late, after the slot was closed, and not of every request",
+			expect: func(p *play, v *verdict) { v.most("review", 0.6, accounts.Client, accounts.BodyOut) },
+		},
+		{
+			Name: "late-reports", What: "nodes tell late, after the slot was closed, and not of every request",
 			node: func(c *storage.Config) { c.TimingLate, c.TimingLose = 2300*time.Millisecond, 0.3 },
 			play: func(p *play) {
 				p.clients(12, "flood", 0, p.during(1500*time.Millisecond))
@@ -186,8 +200,10 @@
 				if behind(&v.Window, "review", "flood") == 0 {
 					p.fault("late reports name nobody")
 				}
-			}},
-		{Name: "restart", What: "the gateway ends and another takes its place; late reports of the first find nobody",
+			},
+		},
+		{
+			Name: "restart", What: "the gateway ends and another takes its place; late reports of the first find nobody",
 			node: func(c *storage.Config) { c.TimingLate = 300 * time.Millisecond },
 			play: func(p *play) {
 				first := p.during(time.Second)
@@ -219,8 +235,10 @@
 				if v.Counts.Unplaced+v.Counts.ToldLate == 0 {
 					p.fault("no late report came: %+v", v.Counts)
 				}
-			}},
-		{Name: "clock-step", What: "the wall clock is set back by five minutes",
+			},
+		},
+		{
+			Name: "clock-step", What: "the wall clock is set back by five minutes",
 			play: func(p *play) {
 				p.clients(4, "review", 5*time.Millisecond, p.over)
 				<-p.during(700 * time.Millisecond)
@@ -238,7 +256,8 @@
 				if sum != p.told["review"] {
 					p.fault("the log has %v, accounts told %v", sum, p.told["review"])
 				}
-			}},
+			},
+		},
 	}
 }
 
--- a/lab/forced/forced.go
+++ b/lab/forced/forced.go
@@ -8,6 +8,12 @@
 
 import (
 	"bufio"
+	"chalkstand/choice"
+	"chalkstand/exchange"
+	"chalkstand/gateway"
+	"chalkstand/internal/explore"
+	"chalkstand/internal/settings"
+	"chalkstand/lab/sign"
 	"context"
 	"fmt"
 	"io"
@@ -17,13 +23,6 @@
 	"strings"
 	"sync"
 	"time"
-
-	"chalkstand/choice"
-	"chalkstand/exchange"
-	"chalkstand/gateway"
-	"chalkstand/internal/explore"
-	"chalkstand/internal/settings"
-	"chalkstand/lab/sign"
 )
 
 // patience bounds each wait.
@@ -113,8 +112,10 @@
 	if script.Scenario.Prepared() {
 		return nil, fmt.Errorf("scenario %s begins with a history that a replay has not in it: it cannot be forced on sockets", script.Scenario.Name)
 	}
-	p := &player{asks: script.Scenario.Asked(), got: map[attempt]net.Conn{}, seen: map[attempt]bool{}, out: map[string]int{}, ends: map[int]string{}, nodes: map[string]*node{},
-		clients: map[int]net.Conn{}, conns: map[uint32]net.Conn{}}
+	p := &player{
+		asks: script.Scenario.Asked(), got: map[attempt]net.Conn{}, seen: map[attempt]bool{}, out: map[string]int{}, ends: map[int]string{}, nodes: map[string]*node{},
+		clients: map[int]net.Conn{}, conns: map[uint32]net.Conn{},
+	}
 	p.changed = sync.NewCond(&p.mu)
 	if err := p.start(script.Scenario.Places()); err != nil {
 		return nil, err
--- a/lab/rules/rules.go
+++ b/lab/rules/rules.go
@@ -3,12 +3,11 @@
 package rules
 
 import (
+	"chalkstand/standin/storage"
 	"cmp"
 	"fmt"
 	"slices"
 	"time"
-
-	"chalkstand/standin/storage"
 )
 
 // Effect is what a class promises of its effects.
--- a/lab/rules/rules_test.go
+++ b/lab/rules/rules_test.go
@@ -1,20 +1,21 @@
 package rules
 
 import (
+	"chalkstand/standin/storage"
 	"fmt"
 	"strings"
 	"testing"
 	"time"
-
-	"chalkstand/standin/storage"
 )
 
 const ms = time.Millisecond
 
 func figures() Figures {
-	return Figures{Grace: 250 * ms, Settle: 100 * ms, BudgetFree: 1, BudgetRatio: 0.5, BudgetSpan: time.Second,
+	return Figures{
+		Grace: 250 * ms, Settle: 100 * ms, BudgetFree: 1, BudgetRatio: 0.5, BudgetSpan: time.Second,
 		Limits: map[string]Limit{"v": {Rate: 10, Store: 2}}, Slop: 10 * ms, Late: 20 * ms,
-		Classes: []Class{{Deadline: time.Second}, {Deadline: time.Second, Effect: Keyed, InTurn: true}, {Deadline: time.Second, Effect: Unsafe}}}
+		Classes: []Class{{Deadline: time.Second}, {Deadline: time.Second, Effect: Keyed, InTurn: true}, {Deadline: time.Second, Effect: Unsafe}},
+	}
 }
 
 func ok(tag string, class int, sent, ended time.Duration) Request {
@@ -35,49 +36,77 @@
 		rule      string
 		bad, good Log
 	}{
-		"no answer": {Lost,
+		"no answer": {
+			Lost,
 			Log{Requests: []Request{req(ok("a", 0, 0, 2000*ms), func(r *Request) { r.Answers, r.Status = 0, 0 })}},
-			Log{Requests: []Request{req(ok("a", 0, 0, 2000*ms), func(r *Request) { r.Answers, r.Status = 0, 0 })}, Killed: []Killed{{"g", 1900 * ms}}}},
-		"two answers": {Lost,
+			Log{Requests: []Request{req(ok("a", 0, 0, 2000*ms), func(r *Request) { r.Answers, r.Status = 0, 0 })}, Killed: []Killed{{"g", 1900 * ms}}},
+		},
+		"two answers": {
+			Lost,
 			Log{Requests: []Request{req(ok("a", 0, 0, ms), func(r *Request) { r.Answers = 2 })}},
-			Log{Requests: []Request{ok("a", 0, 0, ms)}}},
-		"late answer": {Lost,
+			Log{Requests: []Request{ok("a", 0, 0, ms)}},
+		},
+		"late answer": {
+			Lost,
 			Log{Requests: []Request{ok("a", 0, 0, 1021*ms)}},
-			Log{Requests: []Request{ok("a", 0, 0, 1019*ms)}}},
-		"refusal without a time": {Lost,
+			Log{Requests: []Request{ok("a", 0, 0, 1019*ms)}},
+		},
+		"refusal without a time": {
+			Lost,
 			Log{Requests: []Request{req(ok("a", 0, 0, ms), func(r *Request) { r.Status = 503 })}},
-			Log{Requests: []Request{req(ok("a", 0, 0, ms), func(r *Request) { r.Status, r.After = 503, true })}}},
-		"sent after the answer": {Lost,
+			Log{Requests: []Request{req(ok("a", 0, 0, ms), func(r *Request) { r.Status, r.After = 503, true })}},
+		},
+		"sent after the answer": {
+			Lost,
 			Log{Requests: []Request{ok("a", 0, 0, 20*ms)}, Entries: []storage.Entry{entry("a", 1, 0, 31*ms, 40*ms)}},
-			Log{Requests: []Request{ok("a", 0, 0, 20*ms)}, Entries: []storage.Entry{entry("a", 1, 0, 10*ms, 19*ms)}}},
-		"two attempts out": {TwoOut,
+			Log{Requests: []Request{ok("a", 0, 0, 20*ms)}, Entries: []storage.Entry{entry("a", 1, 0, 10*ms, 19*ms)}},
+		},
+		"two attempts out": {
+			TwoOut,
 			Log{Entries: []storage.Entry{entry("a", 1, 0, 0, 100*ms), entry("a", 1, 1, 50*ms, 60*ms)}},
-			Log{Entries: []storage.Entry{left(entry("a", 1, 0, 0, 100*ms), 50*ms), entry("a", 1, 1, 50*ms, 60*ms)}}},
-		"keyed twice": {Effects,
+			Log{Entries: []storage.Entry{left(entry("a", 1, 0, 0, 100*ms), 50*ms), entry("a", 1, 1, 50*ms, 60*ms)}},
+		},
+		"keyed twice": {
+			Effects,
 			Log{Requests: []Request{ok("a", 1, 0, 90*ms)}, Entries: []storage.Entry{entry("a", 1, 0, 0, 10*ms), entry("a", 1, 1, 50*ms, 60*ms)}},
-			Log{Requests: []Request{ok("a", 0, 0, 90*ms)}, Entries: []storage.Entry{entry("a", 1, 0, 0, 10*ms), entry("a", 1, 1, 50*ms, 60*ms)}}},
-		"refused after it ran": {Effects,
+			Log{Requests: []Request{ok("a", 0, 0, 90*ms)}, Entries: []storage.Entry{entry("a", 1, 0, 0, 10*ms), entry("a", 1, 1, 50*ms, 60*ms)}},
+		},
+		"refused after it ran": {
+			Effects,
 			Log{Requests: []Request{req(ok("a", 2, 0, 90*ms), func(r *Request) { r.Status, r.After = 503, true })}, Entries: []storage.Entry{entry("a", 1, 0, 0, 10*ms)}},
-			Log{Requests: []Request{req(ok("a", 2, 0, 90*ms), func(r *Request) { r.Status, r.After = 503, true })}, Entries: []storage.Entry{idle(entry("a", 1, 0, 0, 10*ms))}}},
-		"after a drain": {Drains,
+			Log{Requests: []Request{req(ok("a", 2, 0, 90*ms), func(r *Request) { r.Status, r.After = 503, true })}, Entries: []storage.Entry{idle(entry("a", 1, 0, 0, 10*ms))}},
+		},
+		"after a drain": {
+			Drains,
 			Log{Told: []Told{{"g", "n", 0}}, Entries: []storage.Entry{entry("a", 1, 0, 261*ms, 270*ms)}},
-			Log{Told: []Told{{"h", "n", 0}}, Entries: []storage.Entry{entry("a", 1, 0, 261*ms, 270*ms)}}},
+			Log{Told: []Told{{"h", "n", 0}}, Entries: []storage.Entry{entry("a", 1, 0, 261*ms, 270*ms)}},
+		},
 		"fallen": {Cold, Log{Fallen: []string{"n"}}, Log{}},
-		"out of turn": {Order,
+		"out of turn": {
+			Order,
 			Log{Requests: []Request{ok("a", 1, 0, 100*ms), ok("b", 1, 0, 100*ms)}, Entries: []storage.Entry{entry("a", 1, 0, 0, 50*ms), entry("b", 2, 0, 30*ms, 60*ms)}},
-			Log{Requests: []Request{ok("a", 1, 0, 100*ms), ok("b", 1, 0, 100*ms)}, Entries: []storage.Entry{entry("a", 1, 0, 0, 50*ms), entry("b", 2, 0, 50*ms, 60*ms)}}},
-		"no rest": {Order,
+			Log{Requests: []Request{ok("a", 1, 0, 100*ms), ok("b", 1, 0, 100*ms)}, Entries: []storage.Entry{entry("a", 1, 0, 0, 50*ms), entry("b", 2, 0, 50*ms, 60*ms)}},
+		},
+		"no rest": {
+			Order,
 			Log{Requests: []Request{ok("a", 1, 0, 30*ms), ok("b", 1, 0, 200*ms)}, Entries: []storage.Entry{left(entry("a", 1, 0, 0, 50*ms), 30*ms), entry("b", 2, 0, 60*ms, 70*ms)}},
-			Log{Requests: []Request{ok("a", 1, 0, 30*ms), ok("b", 1, 0, 200*ms)}, Entries: []storage.Entry{left(entry("a", 1, 0, 0, 50*ms), 30*ms), entry("b", 2, 0, 131*ms, 140*ms)}}},
-		"beyond the budget": {Budget,
+			Log{Requests: []Request{ok("a", 1, 0, 30*ms), ok("b", 1, 0, 200*ms)}, Entries: []storage.Entry{left(entry("a", 1, 0, 0, 50*ms), 30*ms), entry("b", 2, 0, 131*ms, 140*ms)}},
+		},
+		"beyond the budget": {
+			Budget,
 			Log{Requests: []Request{ok("a", 0, 0, 50*ms)}, Entries: []storage.Entry{entry("a", 1, 1, 10*ms, 20*ms), entry("a", 1, 2, 30*ms, 40*ms)}},
-			Log{Requests: []Request{ok("a", 0, 0, 50*ms), ok("b", 0, 0, 50*ms)}, Entries: []storage.Entry{entry("a", 1, 1, 10*ms, 20*ms), entry("a", 1, 2, 30*ms, 40*ms)}}},
-		"beyond the limit": {Limits,
+			Log{Requests: []Request{ok("a", 0, 0, 50*ms), ok("b", 0, 0, 50*ms)}, Entries: []storage.Entry{entry("a", 1, 1, 10*ms, 20*ms), entry("a", 1, 2, 30*ms, 40*ms)}},
+		},
+		"beyond the limit": {
+			Limits,
 			Log{Entries: []storage.Entry{of(entry("a", 1, 0, 0, ms), "v"), of(entry("b", 2, 0, 0, ms), "v"), of(entry("c", 3, 0, 80*ms, 90*ms), "v")}},
-			Log{Entries: []storage.Entry{of(entry("a", 1, 0, 0, ms), "v"), of(entry("b", 2, 0, 0, ms), "v"), of(entry("b", 2, 1, 20*ms, 30*ms), "v"), of(entry("c", 3, 0, 95*ms, 99*ms), "v")}}},
-		"not as stored": {Content,
+			Log{Entries: []storage.Entry{of(entry("a", 1, 0, 0, ms), "v"), of(entry("b", 2, 0, 0, ms), "v"), of(entry("b", 2, 1, 20*ms, 30*ms), "v"), of(entry("c", 3, 0, 95*ms, 99*ms), "v")}},
+		},
+		"not as stored": {
+			Content,
 			Log{Requests: []Request{req(ok("a", 0, 0, ms), func(r *Request) { r.Wrong = "short" })}},
-			Log{Requests: []Request{ok("a", 0, 0, ms)}}},
+			Log{Requests: []Request{ok("a", 0, 0, ms)}},
+		},
 	} {
 		for what, l := range map[string]*Log{"bad": &x.bad, "good": &x.good} {
 			l.End = 5 * time.Second
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -4,12 +4,11 @@
 package placement
 
 import (
+	"chalkstand/choice"
 	"cmp"
 	"slices"
 
 	"github.com/cespare/xxhash/v2"
-
-	"chalkstand/choice"
 )
 
 // Map holds the shards of one installation. Its zero value has none.
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -1,10 +1,9 @@
 package placement
 
 import (
+	"chalkstand/choice"
 	"fmt"
 	"testing"
-
-	"chalkstand/choice"
 )
 
 func TestKeysSpreadEvenly(t *testing.T) {
--- a/relayfront/client.go
+++ b/relayfront/client.go
@@ -1,15 +1,14 @@
 package relayfront
 
 import (
-	"slices"
-	"time"
-
-	"golang.org/x/sys/unix"
-
 	"chalkstand/exchange"
 	"chalkstand/internal/netloop"
 	"chalkstand/internal/objcmd"
 	"chalkstand/internal/resp"
+	"slices"
+	"time"
+
+	"golang.org/x/sys/unix"
 )
 
 // client is a connection from a client. Its commands run side by side; answers leave in
--- a/relayfront/config.go
+++ b/relayfront/config.go
@@ -1,6 +1,9 @@
 package relayfront
 
 import (
+	"chalkstand/exchange"
+	"chalkstand/internal/targets"
+	"chalkstand/internal/wire"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -8,10 +11,6 @@
 	"os"
 	"strconv"
 	"time"
-
-	"chalkstand/exchange"
-	"chalkstand/internal/targets"
-	"chalkstand/internal/wire"
 )
 
 // Config is what a dispatcher is told at its start.
@@ -149,8 +148,10 @@
 	if m := c.Settings.MaxOpen; m > 0 {
 		calls = min(calls, m)
 	}
-	return exchange.Config{Choice: c.Settings.Choice, Seed: c.Seed, ConnsPerNode: max(c.nodeConns()/2, 1), Conns: c.nodeConns(), Rest: restFor,
-		IdleFor: idle * 6 / 10, MaxAge: maxAge, Connect: connect, Margin: margin, MaxCalls: calls}
+	return exchange.Config{
+		Choice: c.Settings.Choice, Seed: c.Seed, ConnsPerNode: max(c.nodeConns()/2, 1), Conns: c.nodeConns(), Rest: restFor,
+		IdleFor: idle * 6 / 10, MaxAge: maxAge, Connect: connect, Margin: margin, MaxCalls: calls,
+	}
 }
 
 // Times of the connections to nodes and of the way to clients.
--- a/relayfront/crossing_test.go
+++ b/relayfront/crossing_test.go
@@ -1,14 +1,13 @@
 package relayfront_test
 
 import (
+	"chalkstand/standin/relay"
 	"io"
 	"net"
 	"net/netip"
 	"strings"
 	"testing"
 	"time"
-
-	"chalkstand/standin/relay"
 )
 
 // reset ends a client's connection while the loop stands still, and waits until the kernel knows.
--- a/relayfront/front.go
+++ b/relayfront/front.go
@@ -6,6 +6,14 @@
 package relayfront
 
 import (
+	"chalkstand/choice"
+	"chalkstand/exchange"
+	"chalkstand/internal/discover"
+	"chalkstand/internal/netloop"
+	"chalkstand/internal/objcmd"
+	"chalkstand/internal/resp"
+	"chalkstand/internal/targets"
+	"chalkstand/share"
 	"context"
 	"math"
 	"net"
@@ -15,15 +23,6 @@
 	"time"
 
 	"go.uber.org/zap"
-
-	"chalkstand/choice"
-	"chalkstand/exchange"
-	"chalkstand/internal/discover"
-	"chalkstand/internal/netloop"
-	"chalkstand/internal/objcmd"
-	"chalkstand/internal/resp"
-	"chalkstand/internal/targets"
-	"chalkstand/share"
 )
 
 // Front is one running dispatcher. All its fields belong to its loop.
@@ -85,9 +84,11 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Front{cfg: cfg, log: log, terms: objcmd.NewTerms(cfg.Settings), x: x, start: time.Now(), wake: math.MaxInt64,
+	f := &Front{
+		cfg: cfg, log: log, terms: objcmd.NewTerms(cfg.Settings), x: x, start: time.Now(), wake: math.MaxInt64,
 		nodes: map[exchange.ConnID]*nodeConn{}, tasks: map[choice.RequestID]*task{}, ids: map[string]*task{},
-		most: int(cfg.MemoryMB * heldPart * (1 << 20)), discovery: cfg.Discovery, version: cfg.Known.Version}
+		most: int(cfg.MemoryMB * heldPart * (1 << 20)), discovery: cfg.Discovery, version: cfg.Known.Version,
+	}
 	f.epoch = time.Duration(f.start.UnixNano())
 	o := netloop.Defaults
 	o.Now = func() time.Duration { return time.Since(f.start) }
--- a/relayfront/front_test.go
+++ b/relayfront/front_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"bufio"
+	"chalkstand/relayfront"
+	"chalkstand/standin/relay"
 	"fmt"
 	"net"
 	"os"
@@ -11,9 +13,6 @@
 	"time"
 
 	"go.uber.org/zap"
-
-	"chalkstand/relayfront"
-	"chalkstand/standin/relay"
 )
 
 const patience = 20 * time.Second // for what comes sooner unless something is broken
@@ -151,7 +150,7 @@
 	if len(seen) != 2 || len(seen[1].Words[4]) != 64<<10 || seen[1].Words[0] != "OBJ.PUT" {
 		t.Fatalf("%d commands at the node", len(seen))
 	}
-	var before, d, after = "c=read,t=gold,", 0, ",volume=00000003b4d60021,units=2,shard=0,hosts=1"
+	before, d, after := "c=read,t=gold,", 0, ",volume=00000003b4d60021,units=2,shard=0,hosts=1"
 	if _, err := fmt.Sscanf(seen[0].Words[3], before+"d=%d"+after, &d); err != nil || d < 1 || d > 2500 {
 		t.Errorf("at the node: %q", seen[0].Words[3])
 	}
@@ -216,8 +215,10 @@
 // connection ends, and what still comes is thrown away.
 func TestUnreadable(t *testing.T) {
 	w := start(t, 256)
-	for _, bad := range []string{"GET / HTTP/1.1\r\n\r\n", "*1\r\n$70000\r\n", "*-1\r\n", "*999999\r\n", "*1\r\n$-7\r\n", "*1\r\n$3\r\nabcd\r\n",
-		"*99999999999999999999999999999999", "\x00\x01\x02", "*5\r\n$7\r\nOBJ.PUT\r\n:1\r\n"} {
+	for _, bad := range []string{
+		"GET / HTTP/1.1\r\n\r\n", "*1\r\n$70000\r\n", "*-1\r\n", "*999999\r\n", "*1\r\n$-7\r\n", "*1\r\n$3\r\nabcd\r\n",
+		"*99999999999999999999999999999999", "\x00\x01\x02", "*5\r\n$7\r\nOBJ.PUT\r\n:1\r\n",
+	} {
 		c := w.client()
 		c.say(bad)
 		c.expect("-ERR Protocol error")
@@ -269,9 +270,11 @@
 // An answer that is spoilt is a failed attempt that may have run: a read goes out again, what
 // must not run twice does not, and neither is served what came.
 func TestSpoiltAnswers(t *testing.T) {
-	for name, say := range map[string]string{"noise": "\x00\x01 noise\r\n", "a wrong count": "*2\r\n%v$-1\r\n", "a huge length": "*3\r\n$3000000000\r\nxxxx",
+	for name, say := range map[string]string{
+		"noise": "\x00\x01 noise\r\n", "a wrong count": "*2\r\n%v$-1\r\n", "a huge length": "*3\r\n$3000000000\r\nxxxx",
 		"a line without end": "+" + strings.Repeat("x", 4096), "a null value": "*3\r\n$-1\r\n$-1\r\n$-1\r\n", "a length too short": "*3\r\n$2\r\nvalue\r\n$-1\r\n$-1\r\n",
-		"another kind": "+OK\r\n"} {
+		"another kind": "+OK\r\n",
+	} {
 		t.Run(name, func(t *testing.T) {
 			w := start(t, 256)
 			c := w.client()
@@ -445,9 +448,17 @@
 	if _, err := relayfront.ParseConfig([]byte(good)); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range [][3]string{{`"127.0.0.1:1"`, `"here"`, "listen"}, {`"127.0.0.1:2"`, `""`, "discovery"}, {`"8c1f30d27a5be964"`, `"x"`, "seed"},
-		{`"sockets":256`, `"sockets":3`, "limits.sockets"}, {`"memory_mb":64`, `"memory_mb":1`, "limits.memory_mb"}, {`"known":null`, `"known":{}`, "known: discovery: version"},
-		{`"slo_ms":1000.0`, `"slo_ms":"soon"`, "classes.0.slo_ms"}, {`"policies":[`, `"none":[`, "Plans"}, {`{"name"`, `["name"`, "JSON"}} {
+	for _, c := range [][3]string{
+		{`"127.0.0.1:1"`, `"here"`, "listen"},
+		{`"127.0.0.1:2"`, `""`, "discovery"},
+		{`"8c1f30d27a5be964"`, `"x"`, "seed"},
+		{`"sockets":256`, `"sockets":3`, "limits.sockets"},
+		{`"memory_mb":64`, `"memory_mb":1`, "limits.memory_mb"},
+		{`"known":null`, `"known":{}`, "known: discovery: version"},
+		{`"slo_ms":1000.0`, `"slo_ms":"soon"`, "classes.0.slo_ms"},
+		{`"policies":[`, `"none":[`, "Plans"},
+		{`{"name"`, `["name"`, "JSON"},
+	} {
 		_, err := relayfront.ParseConfig([]byte(strings.Replace(good, c[0], c[1], 1)))
 		if err == nil || !strings.Contains(err.Error(), c[2]) {
 			t.Errorf("%s in the place of %s: %v", c[1], c[0], err)
--- a/relayfront/node.go
+++ b/relayfront/node.go
@@ -1,13 +1,12 @@
 package relayfront
 
 import (
-	"net/netip"
-	"time"
-
 	"chalkstand/choice"
 	"chalkstand/exchange"
 	"chalkstand/internal/netloop"
 	"chalkstand/internal/objcmd"
+	"net/netip"
+	"time"
 )
 
 // nodeConn is a connection to a storage node. It carries one request at a time.
--- a/relayfront/node_test.go
+++ b/relayfront/node_test.go
@@ -1,13 +1,12 @@
 package relayfront_test
 
 import (
+	"chalkstand/standin/relay"
 	"fmt"
 	"runtime"
 	"strings"
 	"testing"
 	"time"
-
-	"chalkstand/standin/relay"
 )
 
 const secondCopy = "*3\r\n$3\r\nbad\r\n$-1\r\n$-1\r\n"
@@ -77,8 +76,10 @@
 // Half a line, half a value or nothing and then an end is no answer: a read goes out again, what may
 // have run and must not run twice does not. An answer that is whole counts, whatever ends its connection.
 func TestEndsOfAnswers(t *testing.T) {
-	for name, o := range map[string]relay.Order{"half a line": {Say: "*3\r\n$5", Close: true}, "half a value": {Say: "*3\r\n$5\r\nab", Close: true},
-		"a reset": {Close: true, Reset: true}, "a reset within": {Say: "*3\r\n%v", Close: true, Reset: true}} {
+	for name, o := range map[string]relay.Order{
+		"half a line": {Say: "*3\r\n$5", Close: true}, "half a value": {Say: "*3\r\n$5\r\nab", Close: true},
+		"a reset": {Close: true, Reset: true}, "a reset within": {Say: "*3\r\n%v", Close: true, Reset: true},
+	} {
 		t.Run(name, func(t *testing.T) {
 			w := start(t, 256)
 			c := w.client()
--- a/share/overload_test.go
+++ b/share/overload_test.go
@@ -154,8 +154,13 @@
 }
 
 func TestOverloadSettings(t *testing.T) {
-	for _, c := range []OverloadConfig{{Target: -1}, {Target: 2 * time.Minute, Interval: time.Hour, Back: 1, MaxBack: 1}, {Target: 20 * ms, Interval: 10 * ms, Back: 1, MaxBack: 1},
-		{Target: 20 * ms, Interval: 100 * ms}, {Target: 20 * ms, Interval: 100 * ms, Back: 2, MaxBack: 1}} {
+	for _, c := range []OverloadConfig{
+		{Target: -1},
+		{Target: 2 * time.Minute, Interval: time.Hour, Back: 1, MaxBack: 1},
+		{Target: 20 * ms, Interval: 10 * ms, Back: 1, MaxBack: 1},
+		{Target: 20 * ms, Interval: 100 * ms},
+		{Target: 20 * ms, Interval: 100 * ms, Back: 2, MaxBack: 1},
+	} {
 		if _, err := NewOverload(c); err == nil {
 			t.Errorf("%+v is taken", c)
 		}
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -331,8 +331,13 @@
 }
 
 func TestWrongSettings(t *testing.T) {
-	for _, c := range []Config{{}, {Window: time.Second}, {Window: 1, Flows: 1}, {Window: time.Second, Flows: 1, ByteTime: -1},
-		{Window: time.Second, Flows: 1, ByteTime: math.NaN()}} {
+	for _, c := range []Config{
+		{},
+		{Window: time.Second},
+		{Window: 1, Flows: 1},
+		{Window: time.Second, Flows: 1, ByteTime: -1},
+		{Window: time.Second, Flows: 1, ByteTime: math.NaN()},
+	} {
 		if _, err := New[int](c, 0); err == nil {
 			t.Errorf("%+v is taken", c)
 		}
--- a/standin/storage/api.go
+++ b/standin/storage/api.go
@@ -1,6 +1,8 @@
 package storage
 
 import (
+	"chalkstand/internal/http1"
+	"chalkstand/internal/objectapi"
 	"crypto/md5"
 	"encoding/base64"
 	"encoding/hex"
@@ -12,9 +14,6 @@
 	"strings"
 	"time"
 	"unsafe"
-
-	"chalkstand/internal/http1"
-	"chalkstand/internal/objectapi"
 )
 
 func bytesString(b []byte) string { return unsafe.String(unsafe.SliceData(b), len(b)) }
@@ -34,14 +33,18 @@
 }
 
 func failed(err *objectapi.Error, resource string) reply {
-	return reply{status: err.Status(), header: map[string]string{"Content-Type": "application/xml"},
-		body: err.Document(resource, "0")}
+	return reply{
+		status: err.Status(), header: map[string]string{"Content-Type": "application/xml"},
+		body: err.Document(resource, "0"),
+	}
 }
 
 // operation reads a request of net/http as the gateway's own parser would.
 func operation(r *http.Request) (objectapi.Operation, *objectapi.Error) {
-	h := http1.Request{Method: []byte(r.Method), Target: []byte(r.RequestURI),
-		Headers: http1.Headers{{Name: []byte("host"), Value: []byte(r.Host)}}}
+	h := http1.Request{
+		Method: []byte(r.Method), Target: []byte(r.RequestURI),
+		Headers: http1.Headers{{Name: []byte("host"), Value: []byte(r.Host)}},
+	}
 	if s := r.Header.Get("x-amz-copy-source"); s != "" {
 		h.Headers = append(h.Headers, http1.Header{Name: []byte("x-amz-copy-source"), Value: []byte(s)})
 	}
@@ -168,12 +171,16 @@
 	if err != nil {
 		return reply{}, err
 	}
-	res := objectapi.ListBucketResult{Name: o.Bucket, Prefix: enc(q.Get("prefix")), Delimiter: enc(q.Get("delimiter")),
-		MaxKeys: most, EncodingType: q.Get("encoding-type"), IsTruncated: l.more && most > 0}
+	res := objectapi.ListBucketResult{
+		Name: o.Bucket, Prefix: enc(q.Get("prefix")), Delimiter: enc(q.Get("delimiter")),
+		MaxKeys: most, EncodingType: q.Get("encoding-type"), IsTruncated: l.more && most > 0,
+	}
 	for i, k := range l.keys {
 		b := l.objects[i]
-		res.Contents = append(res.Contents, objectapi.Content{Key: enc(k), LastModified: objectapi.FormatTime(b.modified),
-			ETag: `"` + b.etag + `"`, Size: b.blob.size, StorageClass: "STANDARD"})
+		res.Contents = append(res.Contents, objectapi.Content{
+			Key: enc(k), LastModified: objectapi.FormatTime(b.modified),
+			ETag: `"` + b.etag + `"`, Size: b.blob.size, StorageClass: "STANDARD",
+		})
 	}
 	for _, p := range l.prefixes {
 		res.CommonPrefixes = append(res.CommonPrefixes, objectapi.CommonPrefix{Prefix: enc(p)})
@@ -349,8 +356,10 @@
 	if err != nil {
 		return reply{}, err
 	}
-	h := map[string]string{"ETag": `"` + ob.etag + `"`, "Last-Modified": ob.modified.UTC().Format(http.TimeFormat),
-		"Accept-Ranges": "bytes"}
+	h := map[string]string{
+		"ETag": `"` + ob.etag + `"`, "Last-Modified": ob.modified.UTC().Format(http.TimeFormat),
+		"Accept-Ranges": "bytes",
+	}
 	if err := readCondition(r.Header, "", ob); err != nil {
 		if err.Code == "NotModified" {
 			return reply{status: 304, header: h}, nil
@@ -562,8 +571,10 @@
 		return reply{}, err
 	}
 	d.upload(o, true)
-	return document(objectapi.CompleteMultipartUploadResult{Location: "/" + o.Bucket + "/" + o.Key, Bucket: o.Bucket, Key: o.Key,
-		ETag: `"` + ob.etag + `"`}), nil
+	return document(objectapi.CompleteMultipartUploadResult{
+		Location: "/" + o.Bucket + "/" + o.Key, Bucket: o.Bucket, Key: o.Key,
+		ETag: `"` + ob.etag + `"`,
+	}), nil
 }
 
 func (d *Dataset) listParts(o objectapi.Operation) (reply, *objectapi.Error) {
@@ -577,8 +588,10 @@
 	if m := o.Query.Get("part-number-marker"); m != "" {
 		after = number(m, objectapi.MaxPart)
 	}
-	res := objectapi.ListPartsResult{Bucket: o.Bucket, Key: o.Key, UploadId: o.Query.Get("uploadId"), Initiator: objectapi.TheOwner,
-		Owner: objectapi.TheOwner, StorageClass: "STANDARD", PartNumberMarker: after, MaxParts: most}
+	res := objectapi.ListPartsResult{
+		Bucket: o.Bucket, Key: o.Key, UploadId: o.Query.Get("uploadId"), Initiator: objectapi.TheOwner,
+		Owner: objectapi.TheOwner, StorageClass: "STANDARD", PartNumberMarker: after, MaxParts: most,
+	}
 	var ns []int
 	for n := range u.parts {
 		if n > after {
@@ -591,8 +604,10 @@
 	}
 	for _, n := range ns {
 		p := u.parts[n]
-		res.Part = append(res.Part, objectapi.Part{PartNumber: n, LastModified: objectapi.FormatTime(p.modified),
-			ETag: `"` + p.etag + `"`, Size: p.blob.size})
+		res.Part = append(res.Part, objectapi.Part{
+			PartNumber: n, LastModified: objectapi.FormatTime(p.modified),
+			ETag: `"` + p.etag + `"`, Size: p.blob.size,
+		})
 		res.NextPartNumberMarker = n
 	}
 	return document(res), nil
@@ -606,8 +621,10 @@
 	}
 	q, enc := o.Query, encoder(o)
 	most := number(q.Get("max-uploads"), 1000)
-	res := objectapi.ListMultipartUploadsResult{Bucket: o.Bucket, KeyMarker: enc(q.Get("key-marker")), UploadIdMarker: q.Get("upload-id-marker"),
-		Prefix: enc(q.Get("prefix")), Delimiter: enc(q.Get("delimiter")), EncodingType: q.Get("encoding-type"), MaxUploads: most}
+	res := objectapi.ListMultipartUploadsResult{
+		Bucket: o.Bucket, KeyMarker: enc(q.Get("key-marker")), UploadIdMarker: q.Get("upload-id-marker"),
+		Prefix: enc(q.Get("prefix")), Delimiter: enc(q.Get("delimiter")), EncodingType: q.Get("encoding-type"), MaxUploads: most,
+	}
 	type entry struct {
 		id string
 		u  *upload
@@ -640,8 +657,10 @@
 			res.NextUploadIdMarker = ""
 			continue
 		}
-		res.Upload = append(res.Upload, objectapi.Upload{Key: enc(e.u.key), UploadId: e.id, Initiator: objectapi.TheOwner, Owner: objectapi.TheOwner,
-			StorageClass: "STANDARD", Initiated: objectapi.FormatTime(e.u.started)})
+		res.Upload = append(res.Upload, objectapi.Upload{
+			Key: enc(e.u.key), UploadId: e.id, Initiator: objectapi.TheOwner, Owner: objectapi.TheOwner,
+			StorageClass: "STANDARD", Initiated: objectapi.FormatTime(e.u.started),
+		})
 	}
 	if !res.IsTruncated {
 		res.NextKeyMarker, res.NextUploadIdMarker = "", ""
--- a/standin/storage/dataset.go
+++ b/standin/storage/dataset.go
@@ -4,6 +4,8 @@
 package storage
 
 import (
+	"chalkstand/internal/objectapi"
+	"chalkstand/internal/payload"
 	"crypto/md5"
 	"encoding/base64"
 	"encoding/hex"
@@ -18,9 +20,6 @@
 	"strings"
 	"sync"
 	"time"
-
-	"chalkstand/internal/objectapi"
-	"chalkstand/internal/payload"
 )
 
 // Dataset is what a shard holds. A node's successor takes over the same one.
@@ -344,6 +343,8 @@
 // Store puts an object into a bucket without a request: what was there before.
 func (d *Dataset) Store(bkt, key string, b []byte) {
 	sum := md5.Sum(b)
-	d.put(bkt, key, &object{blob: blob{mem: b, size: int64(len(b))}, etag: hex.EncodeToString(sum[:]), modified: time.Now().Truncate(time.Second),
-		header: map[string]string{"Content-Type": "binary/octet-stream"}}, func(*object) *objectapi.Error { return nil })
+	d.put(bkt, key, &object{
+		blob: blob{mem: b, size: int64(len(b))}, etag: hex.EncodeToString(sum[:]), modified: time.Now().Truncate(time.Second),
+		header: map[string]string{"Content-Type": "binary/octet-stream"},
+	}, func(*object) *objectapi.Error { return nil })
 }
--- a/standin/storage/journal.go
+++ b/standin/storage/journal.go
@@ -48,8 +48,10 @@
 }
 
 func (r *record) object() *object {
-	return &object{blob: blob{files: r.Files, sizes: r.Sizes, size: r.Size}, etag: r.ETag, modified: r.Modified, header: r.Header,
-		sum: checksum{r.Sum, r.Value}, parts: r.Parts}
+	return &object{
+		blob: blob{files: r.Files, sizes: r.Sizes, size: r.Size}, etag: r.ETag, modified: r.Modified, header: r.Header,
+		sum: checksum{r.Sum, r.Value}, parts: r.Parts,
+	}
 }
 
 // OpenDataset opens the data set of a directory, which no other process may have
--- a/standin/storage/ledger.go
+++ b/standin/storage/ledger.go
@@ -69,7 +69,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(vol)
-	told := (time.Now().Add(-l.Late).UnixNano())/int64(l.Period) - 1
+	told := time.Now().Add(-l.Late).UnixNano()/int64(l.Period) - 1
 	for _, p := range a.periods {
 		if p.index == told {
 			rate = p.units / l.Period.Seconds()
--- a/standin/storage/node.go
+++ b/standin/storage/node.go
@@ -1,6 +1,7 @@
 package storage
 
 import (
+	"chalkstand/internal/objectapi"
 	"context"
 	"fmt"
 	"io"
@@ -11,8 +12,6 @@
 	"strings"
 	"sync"
 	"time"
-
-	"chalkstand/internal/objectapi"
 )
 
 // Config is what a node is like. Zero values make a node that answers at once.
@@ -160,8 +159,10 @@
 		cfg.Speed = 1
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	n := &Node{cfg: cfg, data: data, ledger: ledger, epoch: epoch, started: time.Now(), ln: ln, ctx: ctx, stop: stop,
-		rng: rand.New(rand.NewPCG(cfg.Seed, 11))}
+	n := &Node{
+		cfg: cfg, data: data, ledger: ledger, epoch: epoch, started: time.Now(), ln: ln, ctx: ctx, stop: stop,
+		rng: rand.New(rand.NewPCG(cfg.Seed, 11)),
+	}
 	if cfg.Cores > 0 {
 		n.slots = make(chan struct{}, cfg.Cores)
 	}
--- a/standin/storage/script.go
+++ b/standin/storage/script.go
@@ -12,8 +12,10 @@
 )
 
 // faultNames are the faults as a script names them.
-var faultNames = map[string]FaultKind{"stall": Stall, "within": Within, "refuse": Refuse, "broken": Broken, "reset": Reset, "lose": Lose, "half": Half,
-	"slow": Slow, "pause": Pause, "die": Die}
+var faultNames = map[string]FaultKind{
+	"stall": Stall, "within": Within, "refuse": Refuse, "broken": Broken, "reset": Reset, "lose": Lose, "half": Half,
+	"slow": Slow, "pause": Pause, "die": Die,
+}
 
 // Order is one line of a node's script of faults.
 type Order struct {
--- a/standin/storage/storage_test.go
+++ b/standin/storage/storage_test.go
@@ -111,8 +111,15 @@
 	for _, x := range []struct {
 		f    Fault
 		want int
-	}{{Fault{Kind: Refuse}, 503}, {Fault{Kind: Broken}, 500}, {Fault{Kind: Reset}, 0}, {Fault{Kind: Lose, Hold: time.Millisecond}, 0}, {Fault{Kind: Stall, Hold: time.Millisecond}, 0},
-		{Fault{Kind: Half}, -200}, {Fault{Kind: Within, Hold: time.Millisecond}, 200}} {
+	}{
+		{Fault{Kind: Refuse}, 503},
+		{Fault{Kind: Broken}, 500},
+		{Fault{Kind: Reset}, 0},
+		{Fault{Kind: Lose, Hold: time.Millisecond}, 0},
+		{Fault{Kind: Stall, Hold: time.Millisecond}, 0},
+		{Fault{Kind: Half}, -200},
+		{Fault{Kind: Within, Hold: time.Millisecond}, 200},
+	} {
 		x.f.Count = 1
 		n.Inject(x.f)
 		if s, b := ask(t, n, "GET", "/photos/k", ""); s != x.want {
--- a/tariff/tariff.go
+++ b/tariff/tariff.go
@@ -4,10 +4,9 @@
 package tariff
 
 import (
+	"chalkstand/internal/objectapi"
 	"fmt"
 	"math"
-
-	"chalkstand/internal/objectapi"
 )
 
 // Rule is one line of the tariff.
--- a/trace/fixtures_test.go
+++ b/trace/fixtures_test.go
@@ -2,14 +2,13 @@
 
 import (
 	"bytes"
+	"chalkstand/choice"
 	"encoding/json"
 	"os"
 	"path/filepath"
 	"testing"
 
 	"github.com/klauspost/compress/zstd"
-
-	"chalkstand/choice"
 )
 
 // Traces that were recorded by an earlier build stay readable: each event and each action of
--- a/trace/record.go
+++ b/trace/record.go
@@ -1,13 +1,12 @@
 package trace
 
 import (
+	"chalkstand/choice"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"strconv"
 	"time"
-
-	"chalkstand/choice"
 )
 
 // The stored form of a trace. Its names are fixed: a trace that was recorded by any build
--- a/trace/trace.go
+++ b/trace/trace.go
@@ -5,6 +5,7 @@
 
 import (
 	"bufio"
+	"chalkstand/choice"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -14,8 +15,6 @@
 	"time"
 
 	"github.com/klauspost/compress/zstd"
-
-	"chalkstand/choice"
 )
 
 // Version is that of the form written here.
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -2,19 +2,20 @@
 
 import (
 	"bytes"
+	"chalkstand/choice"
 	"fmt"
 	"math/rand/v2"
 	"strings"
 	"testing"
 	"time"
-
-	"chalkstand/choice"
 )
 
 func config() choice.Config {
-	return choice.Config{Me: 0, Peers: 2, MaxRetryAfter: time.Second, UsualUnits: 1, LargestUnits: 4,
+	return choice.Config{
+		Me: 0, Peers: 2, MaxRetryAfter: time.Second, UsualUnits: 1, LargestUnits: 4,
 		Classes: []choice.Class{{Name: "read", Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1}},
-		Plans:   []choice.Plan{{Name: "p", Reserve: 20, Weight: 1, Price: 1, Limit: 100, Burst: 50, Slack: 10}}}
+		Plans:   []choice.Plan{{Name: "p", Reserve: 20, Weight: 1, Price: 1, Limit: 100, Burst: 50, Slack: 10}},
+	}
 }
 
 // record makes a history of a dispatcher, and its record.
@@ -49,13 +50,17 @@
 		now += time.Duration(rng.IntN(5)) * time.Millisecond
 		switch {
 		case rng.IntN(2) == 0:
-			tell(choice.Request{ID: choice.RequestID(i + 1), Volume: choice.VolumeID(fmt.Sprint(rng.IntN(5))), Shard: choice.Shard(rng.IntN(2)),
-				Units: rng.Float64() * 4, Hosts: 1, Left: time.Second})
+			tell(choice.Request{
+				ID: choice.RequestID(i + 1), Volume: choice.VolumeID(fmt.Sprint(rng.IntN(5))), Shard: choice.Shard(rng.IntN(2)),
+				Units: rng.Float64() * 4, Hosts: 1, Left: time.Second,
+			})
 		case len(out1) > 0:
 			a := out1[0]
 			out1 = out1[1:]
-			tell(choice.Outcome{ID: a.ID, Node: a.Node, Status: choice.Served, Concluded: true, Took: 3 * time.Millisecond,
-				Use: 1 + 100*rng.Float64(), Report: choice.Report{"inflight": rng.Float64()}})
+			tell(choice.Outcome{
+				ID: a.ID, Node: a.Node, Status: choice.Served, Concluded: true, Took: 3 * time.Millisecond,
+				Use: 1 + 100*rng.Float64(), Report: choice.Report{"inflight": rng.Float64()},
+			})
 		default:
 			tell(choice.Fired{Token: "wake"})
 		}
