--- a/accounts/books.go
+++ b/attribution/books.go
@@ -1,4 +1,4 @@
-package accounts
+package attribution
 
 import (
 	"fmt"
@@ -39,14 +39,14 @@
 
 func (c Config) check() error {
 	if len(c.Resolutions) == 0 || c.Volumes < 1 || c.Pairs < 1 || c.Distributions < 0 || c.Settle < 0 {
-		return fmt.Errorf("accounts: want resolutions, and room for volumes and pairs")
+		return fmt.Errorf("attribution: want resolutions, and room for volumes and pairs")
 	}
 	for i, r := range c.Resolutions {
 		if r.Slot <= 0 || r.Slots < 2 {
-			return fmt.Errorf("accounts: a resolution of %d slots of %v: want 2 or more above 0", r.Slots, r.Slot)
+			return fmt.Errorf("attribution: a resolution of %d slots of %v: want 2 or more above 0", r.Slots, r.Slot)
 		}
 		if i > 0 && (r.Slot%c.Resolutions[i-1].Slot != 0 || r.Slot <= c.Resolutions[i-1].Slot) {
-			return fmt.Errorf("accounts: slots of %v after %v: want a multiple", r.Slot, c.Resolutions[i-1].Slot)
+			return fmt.Errorf("attribution: slots of %v after %v: want a multiple", r.Slot, c.Resolutions[i-1].Slot)
 		}
 	}
 	return nil
--- a/accounts/cause.go
+++ b/attribution/cause.go
@@ -1,8 +1,8 @@
-// Package accounts tells where the time of requests went and who waited behind
+// Package attribution tells where the time of requests went and who waited behind
 // whom. It is told of a request's stages and of sends and ends at nodes, with times
 // passed in; it does no I/O, reads no clock and starts no goroutine. It decides
 // nothing.
-package accounts
+package attribution
 
 import (
 	"encoding/json"
@@ -131,7 +131,7 @@
 func (c *Cause) UnmarshalText(b []byte) error {
 	got, ok := CauseNamed(string(b))
 	if !ok {
-		return fmt.Errorf("accounts: no cause is called %q", b)
+		return fmt.Errorf("attribution: no cause is called %q", b)
 	}
 	*c = got
 	return nil
--- a/accounts/keeper.go
+++ b/attribution/keeper.go
@@ -1,4 +1,4 @@
-package accounts
+package attribution
 
 import (
 	"fmt"
@@ -98,7 +98,7 @@
 // NewKeeper returns a keeper of empty books.
 func NewKeeper(cfg KeeperConfig) (*Keeper, error) {
 	if cfg.Late < 1 || cfg.Early < 1 {
-		return nil, fmt.Errorf("accounts: want room for at least 1 late and 1 early report")
+		return nil, fmt.Errorf("attribution: want room for at least 1 late and 1 early report")
 	}
 	b, err := NewBooks(cfg.Config)
 	if err != nil {
--- a/accounts/sketch.go
+++ b/attribution/sketch.go
@@ -1,4 +1,4 @@
-package accounts
+package attribution
 
 import (
 	"cmp"
--- a/cmd/chalkstand/accounts.go
+++ b/cmd/chalkstand/accounts.go
@@ -1,10 +1,10 @@
 package main
 
 import (
-	"chalkstand/accounts"
+	"chalkstand/attribution"
 	"chalkstand/gateway"
-	"chalkstand/internal/accountlog"
-	"chalkstand/internal/accountreport"
+	"chalkstand/internal/attributionlog"
+	"chalkstand/internal/attributionreport"
 	"chalkstand/internal/settings"
 	"context"
 	"encoding/json"
@@ -49,22 +49,22 @@
 	var n int
 	top := &cobra.Command{
 		Use: "top", Short: "The volumes that spent most time", Args: cobra.NoArgs,
-		RunE: f.run(func(out io.Writer, d *accountreport.Data, _ []string) error {
-			accountreport.Top(out, d, n)
+		RunE: f.run(func(out io.Writer, d *attributionreport.Data, _ []string) error {
+			attributionreport.Top(out, d, n)
 			return nil
 		}),
 	}
 	top.Flags().IntVar(&n, "n", 20, "volumes")
 	volume := &cobra.Command{
 		Use: "volume VOLUME", Short: "One volume's time by cause, with percentiles", Args: cobra.ExactArgs(1),
-		RunE: f.run(func(out io.Writer, d *accountreport.Data, args []string) error {
-			return accountreport.Volume(out, d, args[0])
+		RunE: f.run(func(out io.Writer, d *attributionreport.Data, args []string) error {
+			return attributionreport.Volume(out, d, args[0])
 		}),
 	}
 	blame := &cobra.Command{
 		Use: "blame VOLUME", Short: "Whom a volume waited behind, and who waited behind it", Args: cobra.ExactArgs(1),
-		RunE: f.run(func(out io.Writer, d *accountreport.Data, args []string) error {
-			return accountreport.Blame(out, d, args[0])
+		RunE: f.run(func(out io.Writer, d *attributionreport.Data, args []string) error {
+			return attributionreport.Blame(out, d, args[0])
 		}),
 	}
 	for _, sub := range []*cobra.Command{top, volume, blame} {
@@ -85,7 +85,7 @@
 				return err
 			}
 			var b strings.Builder
-			if err := accountreport.HTML(&b, d, volume); err != nil {
+			if err := attributionreport.HTML(&b, d, volume); err != nil {
 				return err
 			}
 			if err := os.WriteFile(file, []byte(b.String()), 0o644); err != nil {
@@ -101,7 +101,7 @@
 }
 
 // run loads the accounts and shows them.
-func (f *accountsFlags) run(show func(io.Writer, *accountreport.Data, []string) error) func(*cobra.Command, []string) error {
+func (f *accountsFlags) run(show func(io.Writer, *attributionreport.Data, []string) error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) error {
 		d, err := f.load(cmd.Context())
 		if err != nil {
@@ -117,11 +117,11 @@
 		}
 		enc := json.NewEncoder(cmd.OutOrStdout())
 		enc.SetIndent("", "  ")
-		return enc.Encode(accountreport.JSON(d, args))
+		return enc.Encode(attributionreport.JSON(d, args))
 	}
 }
 
-func (f *accountsFlags) load(ctx context.Context) (*accountreport.Data, error) {
+func (f *accountsFlags) load(ctx context.Context) (*attributionreport.Data, error) {
 	if f.since <= 0 {
 		return nil, fmt.Errorf("--since %v: want a time above 0", f.since)
 	}
@@ -132,13 +132,13 @@
 }
 
 // loadLog reads a saved log as far as it is whole.
-func (f *accountsFlags) loadLog() (*accountreport.Data, error) {
-	recs, damage, err := accountlog.Read(f.log)
+func (f *accountsFlags) loadLog() (*attributionreport.Data, error) {
+	recs, damage, err := attributionlog.Read(f.log)
 	if err != nil {
 		return nil, err
 	}
-	t := accountlog.Build(recs)
-	d := &accountreport.Data{Slots: t.Since(f.since), Notes: t.Notes}
+	t := attributionlog.Build(recs)
+	d := &attributionreport.Data{Slots: t.Since(f.since), Notes: t.Notes}
 	for _, x := range damage {
 		d.Notes = append(d.Notes, x.Error())
 	}
@@ -149,7 +149,7 @@
 const adminWait = 10 * time.Second
 
 // loadAdmin asks a running gateway.
-func (f *accountsFlags) loadAdmin(ctx context.Context) (*accountreport.Data, error) {
+func (f *accountsFlags) loadAdmin(ctx context.Context) (*attributionreport.Data, error) {
 	if ctx == nil {
 		ctx = context.Background()
 	}
@@ -169,16 +169,16 @@
 		b, _ := io.ReadAll(io.LimitReader(resp.Body, 4096))
 		return nil, fmt.Errorf("gateway at %s: %s: %s", f.admin, resp.Status, strings.TrimSpace(string(b)))
 	}
-	var doc accounts.Document
+	var doc attribution.Document
 	if err := json.NewDecoder(resp.Body).Decode(&doc); err != nil {
 		return nil, fmt.Errorf("gateway at %s: %w", f.admin, err)
 	}
-	if doc.Version != accounts.Version {
-		return nil, fmt.Errorf("gateway at %s: version %d of accounts; this program reads %d", f.admin, doc.Version, accounts.Version)
+	if doc.Version != attribution.Version {
+		return nil, fmt.Errorf("gateway at %s: version %d of accounts; this program reads %d", f.admin, doc.Version, attribution.Version)
 	}
-	d := &accountreport.Data{Counts: &doc.Counts}
+	d := &attributionreport.Data{Counts: &doc.Counts}
 	for _, w := range doc.Windows {
-		d.Slots = append(d.Slots, accountlog.Slot{Run: doc.Run, From: doc.Run.At(w.From), Window: w})
+		d.Slots = append(d.Slots, attributionlog.Slot{Run: doc.Run, From: doc.Run.At(w.From), Window: w})
 	}
 	return d, nil
 }
@@ -190,19 +190,19 @@
 	if s.Accounts.Log == "" || !s.Accounts.On {
 		return nil, func(*gateway.Gateway) {}, none, nil
 	}
-	w, err := accountlog.Open(s.Accounts.Log, s.Accounts.LogBytes, s.Accounts.LogFiles)
+	w, err := attributionlog.Open(s.Accounts.Log, s.Accounts.LogBytes, s.Accounts.LogFiles)
 	if err != nil {
 		return nil, nil, nil, err
 	}
 	var g *gateway.Gateway
 	ready := make(chan struct{})
 	failed := false
-	save := func(a accounts.Action) {
+	save := func(a attribution.Action) {
 		<-ready
 		if failed {
 			return
 		}
-		if err := w.Append(accountlog.RecordOf(g.Run(), time.Now(), g.Now(), a)); err != nil {
+		if err := w.Append(attributionlog.RecordOf(g.Run(), time.Now(), g.Now(), a)); err != nil {
 			failed = true
 			log.Error("accounts are no longer saved", zap.Error(err))
 		}
--- a/cmd/chalkstand/accounts_test.go
+++ b/cmd/chalkstand/accounts_test.go
@@ -2,8 +2,8 @@
 
 import (
 	"bytes"
-	"chalkstand/internal/accountreport"
-	"chalkstand/standin/storage"
+	"chalkstand/fake/storagenode"
+	"chalkstand/internal/attributionreport"
 	"encoding/json"
 	"net/http/httptest"
 	"os"
@@ -28,7 +28,7 @@
 
 // The account commands against a gateway: what they show, and how they fail.
 func TestAccountCommands(t *testing.T) {
-	s := kit.Start(t, kit.Settings(1), func(_ int, c *storage.Config) { c.Timing, c.Cores, c.PerUnit = true, 2, time.Millisecond })
+	s := kit.Start(t, kit.Settings(1), func(_ int, c *storagenode.Config) { c.Timing, c.Cores, c.PerUnit = true, 2, time.Millisecond })
 	s.Signed("PUT", "/photos", nil, nil).Body.Close()
 	for range 20 {
 		s.Signed("PUT", "/photos/a", nil, strings.NewReader("x")).Body.Close()
@@ -55,7 +55,7 @@
 		}
 	}
 	out, err := run("accounts", "volume", "photos", admin, "--json")
-	var a accountreport.Account
+	var a attributionreport.Account
 	if err != nil || json.Unmarshal([]byte(out), &a) != nil || a.Window.All.Requests != 41 || len(a.Window.Volumes) != 1 {
 		t.Errorf("as JSON: %v\n%s", err, out)
 	}
--- a/cmd/chalkstand/badday.go
+++ b/cmd/chalkstand/badday.go
@@ -1,8 +1,8 @@
 package main
 
 import (
-	"chalkstand/choice"
-	"chalkstand/lab/badday"
+	"chalkstand/dispatch"
+	"chalkstand/lab/faultinjection"
 	"chalkstand/trace"
 	"errors"
 	"fmt"
@@ -16,7 +16,7 @@
 )
 
 func baddayCommand() *cobra.Command {
-	o := badday.Defaults(1)
+	o := faultinjection.Defaults(1)
 	var script, record string
 	var show, quiet bool
 	var seeds int
@@ -33,7 +33,7 @@
 				if err != nil {
 					return err
 				}
-				if o.Script, err = badday.Parse(text); err != nil {
+				if o.Script, err = faultinjection.Parse(text); err != nil {
 					return err
 				}
 			}
@@ -41,7 +41,7 @@
 			if show {
 				s := o.Script
 				if s == nil {
-					s = badday.Generate(o.Seed, o.Day)
+					s = faultinjection.Generate(o.Seed, o.Day)
 				}
 				_, err := io.WriteString(out, s.Text())
 				return err
@@ -57,7 +57,7 @@
 				if record != "" {
 					day.Trace, done = recorder(record, day.Seed)
 				}
-				r, err := badday.Run(cmd.Context(), day)
+				r, err := faultinjection.Run(cmd.Context(), day)
 				if done != nil {
 					err = errors.Join(err, done())
 				}
@@ -92,12 +92,12 @@
 }
 
 // recorder writes a trace file for each gateway.
-func recorder(dir string, seed uint64) (func(string, choice.Config, uint64) func(time.Duration, choice.Event, []choice.Action), func() error) {
+func recorder(dir string, seed uint64) (func(string, dispatch.Config, uint64) func(time.Duration, dispatch.Event, []dispatch.Action), func() error) {
 	var mu sync.Mutex
 	var writers []*trace.Writer
 	var files []*os.File
 	var failed error
-	start := func(name string, cfg choice.Config, s uint64) func(time.Duration, choice.Event, []choice.Action) {
+	start := func(name string, cfg dispatch.Config, s uint64) func(time.Duration, dispatch.Event, []dispatch.Action) {
 		mu.Lock()
 		defer mu.Unlock()
 		err := os.MkdirAll(dir, 0o755)
--- a/cmd/chalkstand/bench.go
+++ b/cmd/chalkstand/bench.go
@@ -2,7 +2,7 @@
 
 import (
 	"chalkstand/lab/bench"
-	"chalkstand/lab/sign"
+	"chalkstand/lab/sigv4client"
 	"fmt"
 	"io"
 	"net"
@@ -247,7 +247,7 @@
 
 // presigned writes the head of a request that holds for as long as a run takes.
 func presigned(addr, method, path string, length int) []byte {
-	u := sign.URL(method, "http://"+addr+path, bench.KeyID, bench.Secret, time.Now(), "86400")
+	u := sigv4client.URL(method, "http://"+addr+path, bench.KeyID, bench.Secret, time.Now(), "86400")
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, strings.TrimPrefix(u, "http://"+addr), addr)
 	if method == "PUT" {
--- a/cmd/chalkstand/drill.go
+++ b/cmd/chalkstand/drill.go
@@ -1,8 +1,8 @@
 package main
 
 import (
-	"chalkstand/internal/accountreport"
-	"chalkstand/lab/drill"
+	"chalkstand/internal/attributionreport"
+	"chalkstand/lab/attributiontest"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -35,7 +35,7 @@
 			}
 			out := cmd.OutOrStdout()
 			bad, played := 0, 0
-			for _, s := range drill.Scenarios() {
+			for _, s := range attributiontest.Scenarios() {
 				if only != "" && s.Name != only {
 					continue
 				}
@@ -43,7 +43,7 @@
 				var worst float64
 				var faults []string
 				for i := range runs {
-					r, err := drill.Run(s, seed+uint64(i), dir)
+					r, err := attributiontest.Run(s, seed+uint64(i), dir)
 					if err != nil {
 						return fmt.Errorf("%s, seed %d: %w", s.Name, seed+uint64(i), err)
 					}
@@ -67,7 +67,7 @@
 				}
 			}
 			if played == 0 {
-				return fmt.Errorf("--scenario %q: want one of %s", only, strings.Join(drill.Names(), ", "))
+				return fmt.Errorf("--scenario %q: want one of %s", only, strings.Join(attributiontest.Names(), ", "))
 			}
 			if bad > 0 {
 				return fmt.Errorf("%d of %d scenarios are not as they should be", bad, played)
@@ -78,16 +78,16 @@
 	f := c.Flags()
 	f.IntVar(&runs, "runs", 1, "runs of each scenario, with seeds that follow each other")
 	f.Uint64Var(&seed, "seed", 1, "seed of the first run")
-	f.StringVar(&only, "scenario", "", "only this scenario: "+strings.Join(drill.Names(), ", "))
+	f.StringVar(&only, "scenario", "", "only this scenario: "+strings.Join(attributiontest.Names(), ", "))
 	f.StringVar(&dir, "keep", "", "directory that keeps the account logs and reports")
 	return c
 }
 
-func drillReport(file string, r drill.Result) error {
+func drillReport(file string, r attributiontest.Result) error {
 	f, err := os.Create(file)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	return accountreport.HTML(f, &accountreport.Data{Slots: r.Data, Notes: []string{fmt.Sprintf("drill %s, seed %d, %v", r.Scenario, r.Seed, r.Took.Round(time.Millisecond))}}, "")
+	return attributionreport.HTML(f, &attributionreport.Data{Slots: r.Data, Notes: []string{fmt.Sprintf("drill %s, seed %d, %v", r.Scenario, r.Seed, r.Took.Round(time.Millisecond))}}, "")
 }
--- a/cmd/chalkstand/explore.go
+++ b/cmd/chalkstand/explore.go
@@ -1,8 +1,8 @@
 package main
 
 import (
-	"chalkstand/internal/explore"
-	"chalkstand/lab/mutants"
+	"chalkstand/internal/modelcheck"
+	"chalkstand/lab/mutation"
 	"context"
 	"fmt"
 	"io"
@@ -16,7 +16,7 @@
 )
 
 func exploreCommand() *cobra.Command {
-	var o explore.Options
+	var o modelcheck.Options
 	var names []string
 	var full, cover, quiet bool
 	var limit time.Duration
@@ -33,11 +33,11 @@
 			defer cancel()
 			out := cmd.OutOrStdout()
 			if len(names) == 0 {
-				names = explore.Names()
+				names = modelcheck.Names()
 			}
 			o.Reduce, o.Cover = !full, cover
 			for _, n := range names {
-				s, err := explore.Named(n)
+				s, err := modelcheck.Named(n)
 				if err != nil {
 					return err
 				}
@@ -47,7 +47,7 @@
 						fmt.Fprintf(cmd.ErrOrStderr(), "\r%s: depth %d, %d states, %v ", n, depth, states, time.Since(begun).Round(time.Second))
 					}
 				}
-				r := explore.Search(ctx, s, o)
+				r := modelcheck.Search(ctx, s, o)
 				if !quiet {
 					fmt.Fprint(cmd.ErrOrStderr(), "\r")
 				}
@@ -56,13 +56,13 @@
 					tellCoverage(out, r.Cover)
 				}
 				if r.Breach != nil {
-					explore.Tell(s, r.Path, func(f string, a ...any) { fmt.Fprintf(out, "  "+f+"\n", a...) })
+					modelcheck.Tell(s, r.Path, func(f string, a ...any) { fmt.Fprintf(out, "  "+f+"\n", a...) })
 					fmt.Fprintln(out, "\nas a replay:")
-					if err := explore.WriteReplay(out, s, r.Path); err != nil {
+					if err := modelcheck.WriteReplay(out, s, r.Path); err != nil {
 						return err
 					}
 					fmt.Fprintln(out, "\nas a test:")
-					if err := explore.GoTest(out, s, r.Path, r.Breach); err != nil {
+					if err := modelcheck.GoTest(out, s, r.Path, r.Breach); err != nil {
 						return err
 					}
 					return fmt.Errorf("%s: %w", n, r.Breach)
@@ -93,7 +93,7 @@
 				return err
 			}
 			defer f.Close()
-			b, err := explore.Play(f, func(f string, a ...any) { fmt.Fprintf(cmd.OutOrStdout(), f+"\n", a...) })
+			b, err := modelcheck.Play(f, func(f string, a ...any) { fmt.Fprintf(cmd.OutOrStdout(), f+"\n", a...) })
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
@@ -113,12 +113,12 @@
 		Use: "walk", Short: "Walk at random through a world too large to be explored whole", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := cmd.OutOrStdout()
-			s, cover, moves := explore.Large(nodes, requests), explore.NewCoverage(), 0
+			s, cover, moves := modelcheck.Large(nodes, requests), modelcheck.NewCoverage(), 0
 			for i := range walks {
-				path, b := explore.Walk(s, seed+uint64(i), most, cover)
+				path, b := modelcheck.Walk(s, seed+uint64(i), most, cover)
 				moves += len(path)
 				if b != nil {
-					explore.Tell(s, path, func(f string, a ...any) { fmt.Fprintf(out, "  "+f+"\n", a...) })
+					modelcheck.Tell(s, path, func(f string, a ...any) { fmt.Fprintf(out, "  "+f+"\n", a...) })
 					return fmt.Errorf("seed %d, after %d moves: %w", seed+uint64(i), len(path), b)
 				}
 			}
@@ -136,7 +136,7 @@
 	return c
 }
 
-func tellCoverage(out io.Writer, c *explore.Coverage) {
+func tellCoverage(out io.Writer, c *modelcheck.Coverage) {
 	ts, n := c.Taken()
 	for _, t := range ts {
 		fmt.Fprintf(out, "  %10d  %v\n", n[t], t)
@@ -154,7 +154,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
-			if err := mutants.Check(root); err != nil {
+			if err := mutation.Check(root); err != nil {
 				return err
 			}
 			dir, err := os.MkdirTemp("", "chalkstand-mutants")
@@ -162,15 +162,15 @@
 				return err
 			}
 			defer os.RemoveAll(dir)
-			if err := mutants.Copy(root, dir); err != nil {
+			if err := mutation.Copy(root, dir); err != nil {
 				return err
 			}
 			out, missed, caught := cmd.OutOrStdout(), 0, 0
-			for _, m := range mutants.All() {
+			for _, m := range mutation.All() {
 				if only != "" && !strings.Contains(m.Name, only) {
 					continue
 				}
-				f, err := mutants.Try(ctx, dir, m)
+				f, err := mutation.Try(ctx, dir, m)
 				switch {
 				case ctx.Err() != nil:
 					return ctx.Err()
--- a/cmd/chalkstand/node.go
+++ b/cmd/chalkstand/node.go
@@ -1,7 +1,7 @@
 package main
 
 import (
-	"chalkstand/standin/storage"
+	"chalkstand/fake/storagenode"
 	"context"
 	"fmt"
 	"os"
@@ -15,7 +15,7 @@
 func nodeCommand() *cobra.Command {
 	var addr, dir, faults string
 	var linkMiB float64
-	cfg := storage.Config{Forget: true}
+	cfg := storagenode.Config{Forget: true}
 	c := &cobra.Command{
 		Use: "node", Short: "Run a stand-in storage node",
 		Long: `Run a stand-in storage node until SIGTERM or SIGINT. It speaks the object API without
@@ -26,11 +26,11 @@
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			cfg.Link = linkMiB * (1 << 20)
-			data := storage.NewDataset("")
-			var orders []storage.Order
+			data := storagenode.NewDataset("")
+			var orders []storagenode.Order
 			var err error
 			if dir != "" {
-				if data, err = storage.OpenDataset(dir); err != nil {
+				if data, err = storagenode.OpenDataset(dir); err != nil {
 					return err
 				}
 				defer data.Close()
@@ -40,11 +40,11 @@
 				if err != nil {
 					return err
 				}
-				if orders, err = storage.ParseOrders(text); err != nil {
+				if orders, err = storagenode.ParseOrders(text); err != nil {
 					return err
 				}
 			}
-			n, err := storage.Start(addr, cfg, data, nil, time.Now())
+			n, err := storagenode.Start(addr, cfg, data, nil, time.Now())
 			if err != nil {
 				return err
 			}
--- a/cmd/chalkstand/run.go
+++ b/cmd/chalkstand/run.go
@@ -1,7 +1,7 @@
 package main
 
 import (
-	"chalkstand/relayfront"
+	"chalkstand/respserver"
 	"errors"
 	"os"
 	"os/signal"
@@ -40,7 +40,7 @@
 const memoryPart = 0.6
 
 func runRelay(file, level string) error {
-	cfg, err := relayfront.LoadConfig(file)
+	cfg, err := respserver.LoadConfig(file)
 	if err != nil {
 		return err
 	}
@@ -51,7 +51,7 @@
 	defer log.Sync()
 	runtime.GOMAXPROCS(1) // one loop on one core: a second thread would only wait for the first
 	debug.SetMemoryLimit(int64(cfg.MemoryMB * memoryPart * (1 << 20)))
-	f, err := relayfront.New(cfg, log)
+	f, err := respserver.New(cfg, log)
 	if err != nil {
 		return err
 	}
@@ -64,7 +64,7 @@
 				f.Stop()
 				continue
 			}
-			next, err := relayfront.LoadConfig(file)
+			next, err := respserver.LoadConfig(file)
 			if err != nil {
 				log.Error("the configuration stays as it is", zap.Error(err))
 				continue
--- a/cmd/chalkstand/serve.go
+++ b/cmd/chalkstand/serve.go
@@ -1,11 +1,11 @@
 package main
 
 import (
-	"chalkstand/choice"
-	"chalkstand/exchange"
+	"chalkstand/dispatch"
+	"chalkstand/fake/storagenode"
+	"chalkstand/forwarder"
 	"chalkstand/gateway"
 	"chalkstand/internal/settings"
-	"chalkstand/standin/storage"
 	"chalkstand/trace"
 	"context"
 	"errors"
@@ -181,7 +181,7 @@
 	}
 	g.SetKeys(s.Keys)
 	if old.Embedded == nil && s.Embedded == nil {
-		g.SetNodes(choice.Complete, gateway.NodesOf(s.Nodes))
+		g.SetNodes(dispatch.Complete, gateway.NodesOf(s.Nodes))
 	}
 	log.Info("settings taken over", zap.Int("keys", len(s.Keys)), zap.Int("nodes", len(s.Nodes)))
 }
@@ -189,10 +189,10 @@
 // embed runs a stand-in node for each shard.
 func embed(s *settings.Settings, g *gateway.Gateway) (stop func(), err error) {
 	e := s.Embedded
-	ledger := storage.NewLedger(time.Second, 300*time.Millisecond)
-	var nodes []*storage.Node
-	var sets []*storage.Dataset
-	var list []exchange.Node
+	ledger := storagenode.NewLedger(time.Second, 300*time.Millisecond)
+	var nodes []*storagenode.Node
+	var sets []*storagenode.Dataset
+	var list []forwarder.Node
 	stop = func() {
 		for _, n := range nodes {
 			n.Stop()
@@ -203,19 +203,19 @@
 	}
 	epoch := time.Now()
 	for i := range s.Shards {
-		cfg := storage.Config{
+		cfg := storagenode.Config{
 			ID: fmt.Sprintf("embedded-%d", i), Shard: i, Cores: e.Cores, Queue: e.Queue, PerUnit: e.PerUnit.D(),
 			ReportEvery: 100 * time.Millisecond, Remember: 30 * time.Second, Forget: true, Timing: true,
 		}
-		data := storage.NewDataset("")
+		data := storagenode.NewDataset("")
 		if e.Dir != "" {
 			var err error
-			if data, err = storage.OpenDataset(filepath.Join(e.Dir, fmt.Sprintf("shard-%d", i))); err != nil {
+			if data, err = storagenode.OpenDataset(filepath.Join(e.Dir, fmt.Sprintf("shard-%d", i))); err != nil {
 				stop()
 				return nil, fmt.Errorf("embedded_nodes.dir: %w", err)
 			}
 		}
-		n, err := storage.Start("127.0.0.1:0", cfg, data, ledger, epoch)
+		n, err := storagenode.Start("127.0.0.1:0", cfg, data, ledger, epoch)
 		if err != nil {
 			data.Close()
 			stop()
@@ -223,9 +223,9 @@
 		}
 		sets = append(sets, data)
 		nodes = append(nodes, n)
-		list = append(list, exchange.Node{Addr: n.Addr(), Node: choice.Node{ID: choice.NodeID(n.ID()), Shard: choice.Shard(i)}})
+		list = append(list, forwarder.Node{Addr: n.Addr(), Node: dispatch.Node{ID: dispatch.NodeID(n.ID()), Shard: dispatch.Shard(i)}})
 	}
-	g.SetNodes(choice.Complete, list)
+	g.SetNodes(dispatch.Complete, list)
 	return stop, nil
 }
 
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -3,8 +3,8 @@
 package main
 
 import (
-	"chalkstand/choice"
-	"chalkstand/internal/wire"
+	"chalkstand/dispatch"
+	"chalkstand/internal/simwire"
 	"errors"
 	"fmt"
 	"io"
@@ -20,7 +20,7 @@
 
 // run answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	dec, enc := wire.NewDecoder(in), wire.NewEncoder(out)
+	dec, enc := simwire.NewDecoder(in), simwire.NewEncoder(out)
 	h := host{running: map[string]*instance{}}
 	for {
 		b, err := dec.Batch()
@@ -31,7 +31,7 @@
 			err = h.answer(b, enc)
 		}
 		if err != nil {
-			var bad *wire.Error
+			var bad *simwire.Error
 			if errors.As(err, &bad) && bad.Instance != "" {
 				enc.By(bad.Instance)
 				enc.Fatal(bad.Error())
@@ -46,30 +46,30 @@
 }
 
 type instance struct {
-	d   *choice.Dispatcher
-	cfg choice.Config
+	d   *dispatch.Dispatcher
+	cfg dispatch.Config
 }
 
 type host struct{ running map[string]*instance }
 
 // answer hands each event to its instance. Actions are written only when the
 // whole batch has been understood, so that a fault is the reply's only text.
-func (h *host) answer(b wire.Batch, enc *wire.Encoder) error {
+func (h *host) answer(b simwire.Batch, enc *simwire.Encoder) error {
 	type said struct {
 		inst string
-		acts []choice.Action
+		acts []dispatch.Action
 	}
 	var reply []said
 	for _, it := range b.Items {
 		bad := func(format string, args ...any) error {
-			return &wire.Error{Line: it.Line, Instance: it.Instance, Text: fmt.Sprintf(format, args...)}
+			return &simwire.Error{Line: it.Line, Instance: it.Instance, Text: fmt.Sprintf(format, args...)}
 		}
 		in := h.running[it.Instance]
 		switch {
-		case it.Kind == wire.Begin && in != nil:
+		case it.Kind == simwire.Begin && in != nil:
 			return bad("BEGIN for %s, which is running", it.Instance)
-		case it.Kind == wire.Begin:
-			d, err := choice.New(it.Config, it.Seed)
+		case it.Kind == simwire.Begin:
+			d, err := dispatch.New(it.Config, it.Seed)
 			if err != nil {
 				return bad("BEGIN: %v", err)
 			}
@@ -77,7 +77,7 @@
 			continue
 		case in == nil:
 			return bad("event for %s, which is not running", it.Instance)
-		case it.Kind == wire.Crash:
+		case it.Kind == simwire.Crash:
 			delete(h.running, it.Instance)
 			// What it said earlier in this batch died with it.
 			kept := reply[:0]
@@ -92,7 +92,7 @@
 		if it.Event == nil {
 			continue // of a kind that the decisions do not use
 		}
-		if r, ok := it.Event.(choice.Request); ok {
+		if r, ok := it.Event.(dispatch.Request); ok {
 			if r.Class < 0 || r.Class >= len(in.cfg.Classes) {
 				return bad("ASK: tier_class %d: expected 0 to %d", r.Class, len(in.cfg.Classes)-1)
 			}
--- a/tariff/tariff.go
+++ b/costmodel/costmodel.go
@@ -1,7 +1,7 @@
-// Package tariff says what a request costs: it maps operations and sizes to the
-// classes and units that choice decides by, as the settings list them. It does no
+// Package costmodel says what a request costs: it maps operations and sizes to the
+// classes and units that the dispatcher decides by, as the settings list them. It does no
 // I/O and keeps no state.
-package tariff
+package costmodel
 
 import (
 	"chalkstand/internal/objectapi"
@@ -66,5 +66,5 @@
 		}
 		return Price{r.Class, min(r.Units+r.PerMiB*float64(n)/(1<<20), t.most)}
 	}
-	panic("tariff: no rule") // New has checked
+	panic("costmodel: no rule") // New has checked
 }
--- a/choice/api.go
+++ b/dispatch/api.go
@@ -1,7 +1,7 @@
-// Package choice decides, for one dispatcher of a storage gateway, which held
+// Package dispatch decides, for one dispatcher of a storage gateway, which held
 // request leaves next, where to, and which is turned away. This file is its
-// interface: settings, events in, actions out. All decisions are in choice.go.
-package choice
+// interface: settings, events in, actions out. All decisions are in dispatcher.go.
+package dispatch
 
 import "time"
 
--- a/choice/choice.go
+++ b/dispatch/dispatcher.go
@@ -6,7 +6,7 @@
 // The ordinary path is C-SFQ(D): one start-time fair queue per node with the
 // volumes as flows, lowest start tag first while fewer than D are out.
 
-package choice
+package dispatch
 
 import (
 	"container/heap"
@@ -63,7 +63,7 @@
 // New checks the settings and returns a dispatcher that knows nothing yet.
 func New(cfg Config, seed uint64) (*Dispatcher, error) {
 	if err := check(cfg); err != nil {
-		return nil, fmt.Errorf("choice: %w", err)
+		return nil, fmt.Errorf("dispatch: %w", err)
 	}
 	d := &Dispatcher{
 		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0)),
--- a/choice/random_test.go
+++ b/dispatch/random_test.go
@@ -1,4 +1,4 @@
-package choice
+package dispatch
 
 import (
 	"container/heap"
--- a/choice/state.go
+++ b/dispatch/state.go
@@ -1,4 +1,4 @@
-package choice
+package dispatch
 
 import (
 	"container/heap"
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The state that choice.go keeps between events. Nothing is decided here.
+// The state that dispatcher.go keeps between events. Nothing is decided here.
 
 type state int
 
--- a/share/account.go
+++ b/fairshare/account.go
@@ -1,4 +1,4 @@
-package share
+package fairshare
 
 import "sync/atomic"
 
--- a/share/gate.go
+++ b/fairshare/gate.go
@@ -1,4 +1,4 @@
-package share
+package fairshare
 
 import (
 	"fmt"
@@ -46,13 +46,13 @@
 func NewGate[T any](c GateConfig) (*Gate[T], error) {
 	switch {
 	case c.Depth < 1:
-		return nil, fmt.Errorf("share: a depth of %d, want 1 or more", c.Depth)
+		return nil, fmt.Errorf("fairshare: a depth of %d, want 1 or more", c.Depth)
 	case c.Crowd < 1:
-		return nil, fmt.Errorf("share: a crowd of %d, want 1 or more", c.Crowd)
+		return nil, fmt.Errorf("fairshare: a crowd of %d, want 1 or more", c.Crowd)
 	case c.Quantum < 1:
-		return nil, fmt.Errorf("share: a quantum of %d bytes, want 1 or more", c.Quantum)
+		return nil, fmt.Errorf("fairshare: a quantum of %d bytes, want 1 or more", c.Quantum)
 	case c.Lease <= 0:
-		return nil, fmt.Errorf("share: a lease of %v, want more than nothing", c.Lease)
+		return nil, fmt.Errorf("fairshare: a lease of %v, want more than nothing", c.Lease)
 	}
 	s, err := New[T](Config{ByteTime: 1, Window: c.Window, Flows: c.Flows, Arrival: c.Arrival}, 0)
 	if err != nil {
--- a/share/queue.go
+++ b/fairshare/queue.go
@@ -1,4 +1,4 @@
-package share
+package fairshare
 
 // ring is a queue that keeps its room.
 type ring[T any] struct {
--- a/share/share.go
+++ b/fairshare/scheduler.go
@@ -1,12 +1,12 @@
-// Package share says whose turn it is on an event loop: start-time fair queuing by
-// volume, one floor below choice. What the connections of a volume have to move waits
+// Package fairshare says whose turn it is on an event loop: start-time fair queuing by
+// volume, one floor below the dispatcher. What the connections of a volume have to move waits
 // in one flow, however many connections there are; a turn is paid for afterwards, with
 // the time that it took and the bytes that it moved. It does no I/O and reads no clock.
 //
 // The plan of this repository has decisions behind Handle(now, event) []Action. Turns
 // are taken a million times a second and more, so they are methods that allocate
 // nothing; they are as deterministic (docs/design/share.md).
-package share
+package fairshare
 
 import (
 	"fmt"
@@ -40,13 +40,13 @@
 func (c Config) check() error {
 	switch {
 	case !(c.ByteTime >= 0 && c.ByteTime <= 1000):
-		return fmt.Errorf("share: byte time of %g ns, want 0 to 1000", c.ByteTime)
+		return fmt.Errorf("fairshare: byte time of %g ns, want 0 to 1000", c.ByteTime)
 	case c.Window < time.Microsecond || c.Window > time.Minute:
-		return fmt.Errorf("share: window of %v, want 1µs to 1m", c.Window)
+		return fmt.Errorf("fairshare: window of %v, want 1µs to 1m", c.Window)
 	case !(c.Finishing >= 0 && c.Finishing <= 1000):
-		return fmt.Errorf("share: a weight of %g for what is under way, want 0 to 1000", c.Finishing)
+		return fmt.Errorf("fairshare: a weight of %g for what is under way, want 0 to 1000", c.Finishing)
 	case c.Flows < 1 || c.Flows > 1<<24:
-		return fmt.Errorf("share: %d flows, want 1 to 16777216", c.Flows)
+		return fmt.Errorf("fairshare: %d flows, want 1 to 16777216", c.Flows)
 	}
 	return nil
 }
--- a/standin/relay/discovery.go
+++ b/fake/discovery/discovery.go
@@ -1,4 +1,6 @@
-package relay
+// Package discovery is a fake of the discovery service, for tests and for chalkstand
+// standins: each watch receives what the test gives it to send.
+package discovery
 
 import (
 	"fmt"
--- a/standin/relay/node.go
+++ b/fake/respnode/node.go
@@ -1,7 +1,6 @@
-// Package relay holds stand-ins for the platform's storage nodes and its discovery, on
-// loopback: they speak RESP2 and discovery's HTTP as the protocol's page has them, keep a
-// log of what crossed the sockets, and fail as they are told.
-package relay
+// Package respnode is a fake storage node that speaks RESP2 on loopback. It logs what crosses
+// its sockets and fails as it is told.
+package respnode
 
 import (
 	"bufio"
--- a/standin/storage/api.go
+++ b/fake/storagenode/api.go
@@ -1,4 +1,4 @@
-package storage
+package storagenode
 
 import (
 	"chalkstand/internal/http1"
--- a/standin/storage/dataset.go
+++ b/fake/storagenode/dataset.go
@@ -1,7 +1,7 @@
-// Package storage is a stand-in for a storage node, for tests, experiments and the
+// Package storagenode is a stand-in for a storage node, for tests, experiments and the
 // quick start: it speaks the object API over HTTP on loopback, keeps a shard's
 // objects, bears only so much work, reports its load, and fails as it is told to.
-package storage
+package storagenode
 
 import (
 	"chalkstand/internal/objectapi"
--- a/exchange/account.go
+++ b/forwarder/account.go
@@ -1,8 +1,8 @@
-package exchange
+package forwarder
 
 import (
-	"chalkstand/accounts"
-	"chalkstand/choice"
+	"chalkstand/attribution"
+	"chalkstand/dispatch"
 	"time"
 )
 
@@ -12,48 +12,48 @@
 // History reaches two minutes back at the least while the node is busy.
 const quantum = 8 * time.Millisecond
 
-func (n *node) occupancy() *accounts.Occupancy {
+func (n *node) occupancy() *attribution.Occupancy {
 	if n.out == nil {
-		n.out = accounts.NewOccupancy(quantum)
+		n.out = attribution.NewOccupancy(quantum)
 	}
 	return n.out
 }
 
 // wasHeld puts the time since the last attempt, or the start, down to its causes, as
-// choice tells them. The time in line is divided among those who had the node's
-// places; what choice does not name is the key's turn or the pause between attempts.
-func (x *Exchange) wasHeld(c *call, h choice.Held) {
+// the dispatcher tells them. The time in line is divided among those who had the node's
+// places; what the dispatcher does not name is the key's turn or the pause between attempts.
+func (x *Exchange) wasHeld(c *call, h dispatch.Held) {
 	if !x.cfg.Accounts || c.stage != asked {
 		return
 	}
-	before := c.span.Parts[accounts.Held]
-	c.span.To(x.now, accounts.Held)
-	left := c.span.Parts[accounts.Held] - before
-	part := func(to accounts.Cause, d time.Duration) time.Duration {
-		d = c.span.Move(accounts.Held, to, min(d, left))
+	before := c.span.Parts[attribution.Held]
+	c.span.To(x.now, attribution.Held)
+	left := c.span.Parts[attribution.Held] - before
+	part := func(to attribution.Cause, d time.Duration) time.Duration {
+		d = c.span.Move(attribution.Held, to, min(d, left))
 		left -= d
 		return d
 	}
-	part(accounts.Limit, h.Limit)
-	part(accounts.ColdNode, h.Cold)
-	part(accounts.Suspect, h.Suspect)
-	line := part(accounts.Others, h.Line)
+	part(attribution.Limit, h.Limit)
+	part(attribution.ColdNode, h.Cold)
+	part(attribution.Suspect, h.Suspect)
+	line := part(attribution.Others, h.Line)
 	if c.attempt < 0 {
-		part(accounts.Turn, left)
+		part(attribution.Turn, left)
 	} else {
-		part(accounts.Pause, left)
+		part(attribution.Pause, left)
 	}
 	if line <= 0 {
 		return
 	}
 	n := x.holder(c)
 	if n == nil { // its node has gone meanwhile: behind whom is not known
-		c.behind = append(c.behind, accounts.Blame{Time: line})
+		c.behind = append(c.behind, attribution.Blame{Time: line})
 		return
 	}
 	for _, b := range n.occupancy().Between(x.now-line, x.now) {
 		if b.Volume == string(c.req.Volume) {
-			c.span.Move(accounts.Others, accounts.Own, b.Time)
+			c.span.Move(attribution.Others, attribution.Own, b.Time)
 		} else {
 			c.behind = append(c.behind, b)
 		}
@@ -64,7 +64,7 @@
 func (x *Exchange) holder(c *call) *node {
 	var best *node
 	for _, n := range x.order {
-		if n.State == choice.Serving && n.Shard == c.req.Shard && (best == nil || best.Started < n.Started) {
+		if n.State == dispatch.Serving && n.Shard == c.req.Shard && (best == nil || best.Started < n.Started) {
 			best = n
 		}
 	}
@@ -73,10 +73,10 @@
 
 // lost puts an attempt's time down as lost: it brought no answer.
 func (x *Exchange) lost(c *call) {
-	c.span.To(x.now, accounts.Held)
+	c.span.To(x.now, attribution.Held)
 	d := x.now - c.begun
-	d -= c.span.Move(accounts.NodeTime, accounts.Lost, d)
-	c.span.Move(accounts.Connect, accounts.Lost, d)
+	d -= c.span.Move(attribution.NodeTime, attribution.Lost, d)
+	c.span.Move(attribution.Connect, attribution.Lost, d)
 	x.leaves(c)
 }
 
@@ -90,7 +90,7 @@
 
 // sent notes that a call is out at a node, and who was there before it.
 func (x *Exchange) sent(c *call, n *node) {
-	c.span.To(x.now, accounts.NodeTime)
+	c.span.To(x.now, attribution.NodeTime)
 	if x.cfg.Accounts {
 		c.occupies = n
 		c.ahead = n.occupancy().Sent(x.now, string(c.req.Volume), c.req.Units)
@@ -104,37 +104,37 @@
 		return
 	}
 	c.told = true
-	queue := c.span.Move(accounts.NodeTime, accounts.NodeQueue, w.Queue)
-	c.span.Move(accounts.NodeTime, accounts.NodeWork, w.Work)
-	c.behind = append(c.behind, accounts.Divide(c.ahead, queue)...)
+	queue := c.span.Move(attribution.NodeTime, attribution.NodeQueue, w.Queue)
+	c.span.Move(attribution.NodeTime, attribution.NodeWork, w.Work)
+	c.behind = append(c.behind, attribution.Divide(c.ahead, queue)...)
 }
 
 // account gives a call's account, once.
-func (x *Exchange) account(c *call, o accounts.Outcome) {
+func (x *Exchange) account(c *call, o attribution.Outcome) {
 	if !x.cfg.Accounts {
 		return
 	}
-	c.span.To(x.now, accounts.Gateway)
+	c.span.To(x.now, attribution.Gateway)
 	c.entry = c.span.Account(string(c.req.Volume), o)
 	c.entry.Behind = c.behind
-	if unknown := c.entry.Parts[accounts.NodeTime]; unknown > 0 && !c.told {
-		c.untold[0] = accounts.Untold{Call: uint64(c.req.ID), Attempt: c.attempt, Unknown: unknown, Ahead: c.ahead}
+	if unknown := c.entry.Parts[attribution.NodeTime]; unknown > 0 && !c.told {
+		c.untold[0] = attribution.Untold{Call: uint64(c.req.ID), Attempt: c.attempt, Unknown: unknown, Ahead: c.ahead}
 		c.entry.Untold = c.untold[:]
 	}
 	x.act(Accounted{ID: c.req.ID, Lane: c.lane, Entry: &c.entry})
 }
 
 // outcome tells how a final answer ends a request; nil: its client has left.
-func outcome(a Action) accounts.Outcome {
+func outcome(a Action) attribution.Outcome {
 	switch a.(type) {
 	case Deliver:
-		return accounts.Answered
+		return attribution.Answered
 	case Refuse:
-		return accounts.Refused
+		return attribution.Refused
 	case Fail:
-		return accounts.Failed
+		return attribution.Failed
 	case Cut:
-		return accounts.Cut
+		return attribution.Cut
 	}
-	return accounts.Left
+	return attribution.Left
 }
--- a/exchange/account_test.go
+++ b/forwarder/account_test.go
@@ -1,8 +1,8 @@
-package exchange
+package forwarder
 
 import (
-	"chalkstand/accounts"
-	"chalkstand/choice"
+	"chalkstand/attribution"
+	"chalkstand/dispatch"
 	"testing"
 	"time"
 )
@@ -16,8 +16,8 @@
 	cfg.Accounts = true
 	r := newRig(t, cfg)
 	got := r.accounts
-	r.node("a", 0, choice.Serving)
-	ask := func(id, class int, vol choice.VolumeID, key string) *rigCall {
+	r.node("a", 0, dispatch.Serving)
+	ask := func(id, class int, vol dispatch.VolumeID, key string) *rigCall {
 		r.volume = vol
 		return r.begin(id, class, 0, key, false)
 	}
@@ -31,11 +31,11 @@
 	r.wait(10 * ms)
 	r.tell(Answered{Conn: review.on, Word: served(), Reuse: true})
 	e := got["review"]
-	if e.Parts[accounts.Others] != 30*ms || e.Parts[accounts.NodeTime] != 10*ms || len(e.Behind) != 1 || e.Behind[0] != (accounts.Blame{Volume: "flood", Time: 30 * ms}) {
+	if e.Parts[attribution.Others] != 30*ms || e.Parts[attribution.NodeTime] != 10*ms || len(e.Behind) != 1 || e.Behind[0] != (attribution.Blame{Volume: "flood", Time: 30 * ms}) {
 		t.Fatalf("held: %+v", e)
 	}
 	for i := 2; i <= 4; i++ {
-		r.tell(Answered{Conn: r.calls[choice.RequestID(i)].on, Word: served(), Reuse: true})
+		r.tell(Answered{Conn: r.calls[dispatch.RequestID(i)].on, Word: served(), Reuse: true})
 	}
 
 	first := ask(11, 1, "first", "k")
@@ -43,7 +43,7 @@
 	r.wait(20 * ms)
 	r.tell(Answered{Conn: first.on, Word: served(), Reuse: true})
 	r.tell(Answered{Conn: second.on, Word: served(), Reuse: true})
-	if e := got["second"]; e.Parts[accounts.Turn] != 20*ms || e.Parts.Total() != 20*ms {
+	if e := got["second"]; e.Parts[attribution.Turn] != 20*ms || e.Parts.Total() != 20*ms {
 		t.Fatalf("in turn: %+v", e)
 	}
 
@@ -54,7 +54,7 @@
 	r.tell(Lost{Conn: id})
 	r.wait(40 * ms)
 	r.tell(Answered{Conn: again.on, Word: served(), Reuse: true})
-	if e := got["again"]; e.Parts[accounts.Lost] != 15*ms || e.Parts[accounts.Pause] == 0 || e.Parts.Total() != 55*ms {
+	if e := got["again"]; e.Parts[attribution.Lost] != 15*ms || e.Parts[attribution.Pause] == 0 || e.Parts.Total() != 55*ms {
 		t.Fatalf("after a lost attempt: %+v", e)
 	}
 
@@ -64,7 +64,7 @@
 	r.tell(Headed{Conn: stream.on, Word: served()})
 	r.wait(70 * ms)
 	r.tell(Answered{Conn: stream.on, Word: served(), Reuse: true})
-	if e := got["stream"]; e.Parts[accounts.NodeTime] != 5*ms || e.Parts[accounts.BodyOut] != 70*ms {
+	if e := got["stream"]; e.Parts[attribution.NodeTime] != 5*ms || e.Parts[attribution.BodyOut] != 70*ms {
 		t.Fatalf("streaming: %+v", e)
 	}
 }
--- a/exchange/api.go
+++ b/forwarder/api.go
@@ -1,13 +1,13 @@
-// Package exchange is the life of a request on its way to a storage node: of the
+// Package forwarder is the life of a request on its way to a storage node: of the
 // request, its attempts, and the connections to nodes that carry them. It asks
-// choice for every decision that choice makes and turns its word into what
+// the dispatcher for every decision that the dispatcher makes and turns its word into what
 // sockets do. It is told of events and returns actions; it does no I/O, reads no
 // clock and starts no goroutine. This file is its interface.
-package exchange
+package forwarder
 
 import (
-	"chalkstand/accounts"
-	"chalkstand/choice"
+	"chalkstand/attribution"
+	"chalkstand/dispatch"
 	"errors"
 	"fmt"
 	"time"
@@ -19,14 +19,14 @@
 // Lane is an event loop. A request and the connection that carries it share one.
 type Lane int
 
-// Config holds the settings of an exchange.
+// Config holds the settings of a forwarder.
 type Config struct {
-	Choice choice.Config
+	Choice dispatch.Config
 	Seed   uint64
 
 	ConnsPerNode int // bound on connections to one node, those being opened included
 	// Streams bounds the bodies that flow to or from one node without a place in
-	// choice's depth. It must be below ConnsPerNode: the rest is for what choice sends.
+	// the dispatcher's depth. It must be below ConnsPerNode: the rest is for what the dispatcher sends.
 	Streams int
 	Conns   int           // bound on connections to all nodes; 0: none
 	Rest    time.Duration // after an answer, before a connection carries another request; may be 0
@@ -65,16 +65,16 @@
 
 // Node is an entry of the node list, with where it is reached.
 type Node struct {
-	choice.Node
+	dispatch.Node
 	Addr string
 }
 
-// Event is something that an exchange hears.
+// Event is something that a forwarder hears.
 type Event interface{ event() }
 
 // Begin is a request for a node, to be answered once.
 type Begin struct {
-	Request choice.Request
+	Request dispatch.Request
 	Lane    Lane
 	Once    bool // its body streams through and cannot be sent a second time
 }
@@ -82,24 +82,24 @@
 // Gone tells that nobody waits for the request any more. Units, where it is over 0, is
 // what the part of its answer cost that had come.
 type Gone struct {
-	ID    choice.RequestID
+	ID    dispatch.RequestID
 	Units float64
 }
 
 // Abandon ends a request whose body proved bad or stopped coming: its client has
 // been, or is being, answered by the caller.
-type Abandon struct{ ID choice.RequestID }
+type Abandon struct{ ID dispatch.RequestID }
 
 // Flowing tells that the node takes the request's body as it comes: from here on
 // the client and the link set the pace.
-type Flowing struct{ ID choice.RequestID }
+type Flowing struct{ ID dispatch.RequestID }
 
 // BodySent tells that the whole body has gone to the node.
-type BodySent struct{ ID choice.RequestID }
+type BodySent struct{ ID dispatch.RequestID }
 
 // Nodes is news from discovery. Entries that are removed may lack an address.
 type Nodes struct {
-	Kind  choice.ListKind
+	Kind  dispatch.ListKind
 	Nodes []Node
 }
 
@@ -125,11 +125,11 @@
 
 // Word is what a node's answer says beside its content.
 type Word struct {
-	Status    choice.Status // Served, Errored or Full
-	Units     float64       // that the answer's size makes the request cost; 0: those it came with
+	Status    dispatch.Status // Served, Errored or Full
+	Units     float64         // that the answer's size makes the request cost; 0: those it came with
 	Use       float64
 	Elsewhere float64
-	Report    choice.Report
+	Report    dispatch.Report
 	Timed     bool // the node tells how the request's time there divides
 	Queue     time.Duration
 	Work      time.Duration
@@ -145,7 +145,7 @@
 	Stale bool
 }
 
-// Fired is a timer that the exchange has set.
+// Fired is a timer that the forwarder has set.
 type Fired struct{}
 
 func (Begin) event()    {}
@@ -160,7 +160,7 @@
 func (Lost) event()     {}
 func (Fired) event()    {}
 
-// Action is something that an exchange wants done, in the order given.
+// Action is something that a forwarder wants done, in the order given.
 type Action interface {
 	// On returns the lane that is to do it; false for what belongs to none.
 	On() (Lane, bool)
@@ -170,7 +170,7 @@
 type Dial struct {
 	Conn    ConnID
 	Lane    Lane
-	Node    choice.NodeID
+	Node    dispatch.NodeID
 	Addr    string
 	Timeout time.Duration
 }
@@ -179,8 +179,8 @@
 type Send struct {
 	Conn    ConnID
 	Lane    Lane
-	ID      choice.RequestID
-	Node    choice.NodeID
+	ID      dispatch.RequestID
+	Node    dispatch.NodeID
 	Attempt int
 	Until   time.Duration // then the attempt is given up
 }
@@ -193,35 +193,35 @@
 
 // Deliver is a final answer: the node's own, which the caller holds.
 type Deliver struct {
-	ID   choice.RequestID
+	ID   dispatch.RequestID
 	Lane Lane
 	Conn ConnID
 }
 
 // Drop throws away a node's answer: the request goes on.
 type Drop struct {
-	ID   choice.RequestID
+	ID   dispatch.RequestID
 	Lane Lane
 	Conn ConnID
 }
 
 // Refuse is a final answer: trying again after After is harmless.
 type Refuse struct {
-	ID    choice.RequestID
+	ID    dispatch.RequestID
 	Lane  Lane
 	After time.Duration
 }
 
 // Fail is a final answer that promises nothing. Late tells that time ran out.
 type Fail struct {
-	ID   choice.RequestID
+	ID   dispatch.RequestID
 	Lane Lane
 	Late bool
 }
 
 // Cut breaks off, visibly, an answer whose head was passed on.
 type Cut struct {
-	ID   choice.RequestID
+	ID   dispatch.RequestID
 	Lane Lane
 }
 
@@ -229,9 +229,9 @@
 // went, and behind whom it was held. It comes once for each Begin, before the final
 // answer, where the settings ask for accounts; nothing is decided by it.
 type Accounted struct {
-	ID    choice.RequestID
+	ID    dispatch.RequestID
 	Lane  Lane
-	Entry *accounts.Entry // the caller's from here on
+	Entry *attribution.Entry // the caller's from here on
 }
 
 // SetTimer asks for Fired at a time. A later one replaces it.
--- a/exchange/exchange.go
+++ b/forwarder/forwarder.go
@@ -1,8 +1,8 @@
-package exchange
+package forwarder
 
 import (
-	"chalkstand/accounts"
-	"chalkstand/choice"
+	"chalkstand/attribution"
+	"chalkstand/dispatch"
 	"container/heap"
 	"fmt"
 	"math"
@@ -15,25 +15,25 @@
 // concurrent use.
 type Exchange struct {
 	// Trace, when set, is shown each input of the dispatcher with what it answered.
-	Trace func(now time.Duration, ev choice.Event, acts []choice.Action)
-
-	cfg    Config
-	d      *choice.Dispatcher
-	now    time.Duration
-	calls  map[choice.RequestID]*call
-	conns  map[ConnID]*conn
-	nodes  map[choice.NodeID]*node
-	order  []*node // by id
-	lastID ConnID
-	timers timers
-	seq    uint64
-	wakeAt time.Duration // what SetTimer asked for
-	choice struct {      // the dispatcher's own timer
+	Trace func(now time.Duration, ev dispatch.Event, acts []dispatch.Action)
+
+	cfg           Config
+	d             *dispatch.Dispatcher
+	now           time.Duration
+	calls         map[dispatch.RequestID]*call
+	conns         map[ConnID]*conn
+	nodes         map[dispatch.NodeID]*node
+	order         []*node // by id
+	lastID        ConnID
+	timers        timers
+	seq           uint64
+	wakeAt        time.Duration // what SetTimer asked for
+	dispatchTimer struct {      // the dispatcher's own timer
 		at    time.Duration
 		token string
 		set   bool
 	}
-	inbox []choice.Event // for the dispatcher, in order
+	inbox []dispatch.Event // for the dispatcher, in order
 	acts  []Action
 }
 
@@ -41,17 +41,17 @@
 type stage int
 
 const (
-	asked    stage = iota // with choice: held, or between attempts
+	asked    stage = iota // with the dispatcher: held, or between attempts
 	opening               // an attempt waits for its connection
 	out                   // an attempt was sent
 	passing               // the head of its answer was passed on
-	released              // out, while choice has let go of it (a slow client)
+	released              // out, while the dispatcher has let go of it (a slow client)
 	done
 )
 
 type call struct {
-	req      choice.Request
-	class    *choice.Class
+	req      dispatch.Request
+	class    *dispatch.Class
 	lane     Lane
 	stage    stage
 	conn     *conn
@@ -61,23 +61,23 @@
 	bodySent bool
 	late     bool // the last attempt ended by time
 	timer    *timer
-	units    float64       // that choice charges for it
-	settled  bool          // choice has given the final word
+	units    float64       // that the dispatcher charges for it
+	settled  bool          // the dispatcher has given the final word
 	doubt    bool          // an attempt may have run
 	doubtAt  time.Duration // when the first such was decided
 	once     bool          // its body cannot be sent twice
 	streams  *node         // among whose streams it counts
-	headAt   time.Duration // when its answer's head was passed on, while choice waits for its end
+	headAt   time.Duration // when its answer's head was passed on, while the dispatcher waits for its end
 	headWord Word
 
-	span     accounts.Span
+	span     attribution.Span
 	begun    time.Duration // of the present attempt
-	behind   []accounts.Blame
-	occupies *node            // among whose requests out it counts
-	ahead    []accounts.Share // who was out there when it was sent
-	told     bool             // its node told how its time there divides
-	entry    accounts.Entry   // its account, once it has ended
-	untold   [1]accounts.Untold
+	behind   []attribution.Blame
+	occupies *node               // among whose requests out it counts
+	ahead    []attribution.Share // who was out there when it was sent
+	told     bool                // its node told how its time there divides
+	entry    attribution.Entry   // its account, once it has ended
+	untold   [1]attribution.Untold
 }
 
 type connState int
@@ -103,22 +103,22 @@
 	Node
 	conns   int
 	streams int
-	out     *accounts.Occupancy
+	out     *attribution.Occupancy
 	idle    []*conn // the last used at the end
 }
 
-// New checks the settings and returns an exchange that knows no node yet.
+// New checks the settings and returns a forwarder that knows no node yet.
 func New(cfg Config) (*Exchange, error) {
 	if err := cfg.check(); err != nil {
-		return nil, fmt.Errorf("exchange: %w", err)
+		return nil, fmt.Errorf("forwarder: %w", err)
 	}
-	d, err := choice.New(cfg.Choice, cfg.Seed)
+	d, err := dispatch.New(cfg.Choice, cfg.Seed)
 	if err != nil {
-		return nil, fmt.Errorf("exchange: %w", err)
+		return nil, fmt.Errorf("forwarder: %w", err)
 	}
 	return &Exchange{
-		cfg: cfg, d: d, calls: map[choice.RequestID]*call{}, conns: map[ConnID]*conn{},
-		nodes: map[choice.NodeID]*node{}, wakeAt: math.MaxInt64,
+		cfg: cfg, d: d, calls: map[dispatch.RequestID]*call{}, conns: map[ConnID]*conn{},
+		nodes: map[dispatch.NodeID]*node{}, wakeAt: math.MaxInt64,
 	}, nil
 }
 
@@ -185,31 +185,31 @@
 	x.inbox = nil
 }
 
-func (x *Exchange) tell(ev choice.Event) { x.inbox = append(x.inbox, ev) }
+func (x *Exchange) tell(ev dispatch.Event) { x.inbox = append(x.inbox, ev) }
 
 // follow does what the dispatcher said.
-func (x *Exchange) follow(a choice.Action) {
+func (x *Exchange) follow(a dispatch.Action) {
 	switch a := a.(type) {
-	case choice.Attempt:
+	case dispatch.Attempt:
 		x.attempt(a)
-	case choice.Refuse:
+	case dispatch.Refuse:
 		if c := x.calls[a.ID]; c != nil {
 			x.wasHeld(c, a.Held)
 			x.answer(c, Refuse{ID: a.ID, Lane: c.lane, After: a.After})
 		}
-	case choice.Fail:
+	case dispatch.Fail:
 		if c := x.calls[a.ID]; c != nil {
 			x.wasHeld(c, a.Held)
 			x.answer(c, Fail{ID: a.ID, Lane: c.lane, Late: c.late})
 		}
-	case choice.Cancel:
+	case dispatch.Cancel:
 		// A body that can't be sent twice would be lost with its attempt, and waits on.
 		if c := x.calls[a.ID]; c != nil && c.attempt == a.Attempt && !c.once {
-			x.giveUp(c, choice.Cancelled)
+			x.giveUp(c, dispatch.Cancelled)
 		}
-	case choice.SetTimer:
-		x.choice.at, x.choice.token, x.choice.set = a.At, a.Token, true
-	case choice.Watch:
+	case dispatch.SetTimer:
+		x.dispatchTimer.at, x.dispatchTimer.token, x.dispatchTimer.set = a.At, a.Token, true
+	case dispatch.Watch:
 		if a.On {
 			x.act(Ask{})
 		}
@@ -285,7 +285,7 @@
 		if x.cfg.Accounts {
 			x.act(Accounted{
 				ID: e.Request.ID, Lane: e.Lane,
-				Entry: &accounts.Entry{Volume: string(e.Request.Volume), Started: x.now, Ended: x.now, Outcome: accounts.Refused},
+				Entry: &attribution.Entry{Volume: string(e.Request.Volume), Started: x.now, Ended: x.now, Outcome: attribution.Refused},
 			})
 		}
 		x.act(Refuse{ID: e.Request.ID, Lane: e.Lane, After: x.cfg.Choice.MaxRetryAfter})
@@ -296,18 +296,18 @@
 		req: e.Request, class: class, lane: e.Lane, attempt: -1, once: e.Once, units: e.Request.Units,
 		deadline: x.now + e.Request.Left - x.cfg.Margin,
 	}
-	c.span = accounts.Begin(x.now, accounts.Held)
+	c.span = attribution.Begin(x.now, attribution.Held)
 	x.calls[c.req.ID] = c
 	x.tell(e.Request)
 }
 
-// attempt starts an attempt that choice decided. The guard of drains: choice sends
+// attempt starts an attempt that the dispatcher decided. The guard of drains: the dispatcher sends
 // nothing to a node that it was told drains, and what it decided just before is
 // stopped again where the connection is ready (ready, below).
-func (x *Exchange) attempt(a choice.Attempt) {
+func (x *Exchange) attempt(a dispatch.Attempt) {
 	c := x.calls[a.ID]
-	if c == nil { // cannot happen: who is gone was told; choice must not wait for its end
-		x.tell(choice.Outcome{ID: a.ID, Node: a.Node, Status: choice.Moot})
+	if c == nil { // cannot happen: who is gone was told; the dispatcher must not wait for its end
+		x.tell(dispatch.Outcome{ID: a.ID, Node: a.Node, Status: dispatch.Moot})
 		return
 	}
 	if c.stage != asked {
@@ -316,7 +316,7 @@
 	x.wasHeld(c, a.Held)
 	c.attempt++
 	c.begun, c.told = x.now, false
-	c.span.To(x.now, accounts.Connect)
+	c.span.To(x.now, attribution.Connect)
 	c.stage, c.bodySent, c.late = opening, false, false
 	c.sentAt = x.now
 	until := c.deadline
@@ -325,8 +325,8 @@
 	}
 	x.callTimer(c, until)
 	n := x.nodes[a.Node]
-	if n == nil || n.State != choice.Serving {
-		x.end(c, choice.Moot, Word{})
+	if n == nil || n.State != dispatch.Serving {
+		x.end(c, dispatch.Moot, Word{})
 		return
 	}
 	x.connect(c, n)
@@ -340,20 +340,20 @@
 	}
 	k := x.open(n, c.lane)
 	if k == nil { // our own shortage: not sent, and no fault of the node
-		x.end(c, choice.Moot, Word{})
+		x.end(c, dispatch.Moot, Word{})
 		return
 	}
 	c.conn, k.call = k, c
 }
 
-// end tells choice how an attempt ended without an answer for the client. A body
-// that cannot be sent twice bars a further attempt, of which choice knows nothing:
+// end tells the dispatcher how an attempt ended without an answer for the client. A body
+// that cannot be sent twice bars a further attempt, of which the dispatcher knows nothing:
 // the answer is given here, a refusal only where the node took nothing in.
-func (x *Exchange) end(c *call, s choice.Status, w Word) {
-	c.late = s == choice.TimedOut
+func (x *Exchange) end(c *call, s dispatch.Status, w Word) {
+	c.late = s == dispatch.TimedOut
 	if c.once && c.stage == out {
 		x.give(c, s, w, true)
-		if s == choice.Full {
+		if s == dispatch.Full {
 			x.answer(c, Refuse{ID: c.req.ID, Lane: c.lane, After: x.cfg.Choice.MaxRetryAfter})
 		} else {
 			x.answer(c, Fail{ID: c.req.ID, Lane: c.lane, Late: c.late})
@@ -365,20 +365,20 @@
 	x.give(c, s, w, false)
 }
 
-// give tells choice of an attempt's end, once.
-func (x *Exchange) give(c *call, s choice.Status, w Word, concluded bool) {
+// give tells the dispatcher of an attempt's end, once.
+func (x *Exchange) give(c *call, s dispatch.Status, w Word, concluded bool) {
 	if c.settled {
 		return
 	}
 	c.settled = concluded
-	if proven := s == choice.Full || s == choice.ConnectFailed || s == choice.Moot; !proven && !c.doubt {
+	if proven := s == dispatch.Full || s == dispatch.ConnectFailed || s == dispatch.Moot; !proven && !c.doubt {
 		c.doubt, c.doubtAt = true, c.sentAt
 	}
-	id := choice.NodeID("")
+	id := dispatch.NodeID("")
 	if c.conn != nil {
 		id = c.conn.node.ID
 	}
-	x.tell(choice.Outcome{
+	x.tell(dispatch.Outcome{
 		ID: c.req.ID, Attempt: c.attempt, Node: id, Status: s, Concluded: concluded,
 		Took: x.now - c.sentAt, Use: w.Use, Elsewhere: w.Elsewhere, Report: w.Report,
 	})
@@ -386,20 +386,20 @@
 
 // onGone ends a call that nobody waits for. An attempt that is out ends with it;
 // its connection is closed, so that it carries nothing else.
-func (x *Exchange) onGone(id choice.RequestID) {
+func (x *Exchange) onGone(id dispatch.RequestID) {
 	c := x.calls[id]
 	if c == nil {
 		return
 	}
 	switch c.stage {
 	case asked:
-		x.tell(choice.Gone{ID: id})
+		x.tell(dispatch.Gone{ID: id})
 	case opening: // never sent
-		x.tell(choice.Gone{ID: id})
-		x.give(c, choice.Moot, Word{}, true)
+		x.tell(dispatch.Gone{ID: id})
+		x.give(c, dispatch.Moot, Word{}, true)
 	case out:
-		x.tell(choice.Gone{ID: id})
-		x.give(c, choice.Cancelled, Word{}, true)
+		x.tell(dispatch.Gone{ID: id})
+		x.give(c, dispatch.Cancelled, Word{}, true)
 	case passing:
 		x.served(c)
 	}
@@ -407,18 +407,18 @@
 	x.conclude(c, nil)
 }
 
-// onFlowing lets choice go on without a call whose body flows through: how long
+// onFlowing lets the dispatcher go on without a call whose body flows through: how long
 // that takes is the client's and the link's doing, and must not count as the
 // node's delay, by which others are refused. A key in turn stays taken. It may do
 // harm where a slow client hides a slow node; that node then shows in its other
-// answers. Beyond the bound on streams a call keeps its place in choice's depth,
+// answers. Beyond the bound on streams a call keeps its place in the dispatcher's depth,
 // so that a node full of streams counts as busy.
-func (x *Exchange) onFlowing(id choice.RequestID) {
+func (x *Exchange) onFlowing(id dispatch.RequestID) {
 	c := x.calls[id]
 	if c == nil || c.stage != out || c.bodySent || c.class.InTurn && c.req.Key != "" || !x.stream(c) {
 		return
 	}
-	x.give(c, choice.Cancelled, Word{}, true)
+	x.give(c, dispatch.Cancelled, Word{}, true)
 	x.leaves(c) // its place in the depth is free
 	c.stage = released
 	x.stop(c)
@@ -434,8 +434,8 @@
 	return c.streams != nil
 }
 
-// onBodySent starts the node's own time for a call that choice has let go.
-func (x *Exchange) onBodySent(id choice.RequestID) {
+// onBodySent starts the node's own time for a call that the dispatcher has let go.
+func (x *Exchange) onBodySent(id dispatch.RequestID) {
 	if c := x.calls[id]; c != nil {
 		c.bodySent = true
 		if c.stage == released {
@@ -521,7 +521,7 @@
 		k.call = nil
 		x.unlist(k)
 		if c != nil {
-			x.end(c, choice.ConnectFailed, Word{})
+			x.end(c, dispatch.ConnectFailed, Word{})
 			c.conn = nil
 		}
 		return
@@ -529,30 +529,30 @@
 	switch n := k.node; {
 	case c == nil:
 		x.rest(k)
-	case n.State != choice.Serving:
+	case n.State != dispatch.Serving:
 		// The guard of drains, for what was decided before the drain was told: it has
-		// not been sent, and choice places it anew.
+		// not been sent, and the dispatcher places it anew.
 		k.call, c.conn = nil, nil
 		x.close(k)
-		x.end(c, choice.Moot, Word{})
+		x.end(c, dispatch.Moot, Word{})
 	case x.tooLate(c):
 		k.call, c.conn = nil, nil
 		x.rest(k)
-		x.end(c, choice.Moot, Word{})
+		x.end(c, dispatch.Moot, Word{})
 	default:
 		x.carry(k, c)
 	}
 }
 
 // tooLate guards the effects of a further attempt whose connection took so long that
-// nodes may no longer drop it as a repeat. It has not been sent, and choice answers.
+// nodes may no longer drop it as a repeat. It has not been sent, and the dispatcher answers.
 func (x *Exchange) tooLate(c *call) bool {
-	return c.doubt && c.class.Effect == choice.Keyed && x.now-c.doubtAt >= c.class.Window
+	return c.doubt && c.class.Effect == dispatch.Keyed && x.now-c.doubtAt >= c.class.Window
 }
 
 // rest puts a connection back for another request, where it may carry one.
 func (x *Exchange) rest(k *conn) {
-	if k.node.State != choice.Serving || x.now-k.born >= x.cfg.MaxAge || x.conns[k.id] == nil {
+	if k.node.State != dispatch.Serving || x.now-k.born >= x.cfg.MaxAge || x.conns[k.id] == nil {
 		x.close(k)
 		return
 	}
@@ -574,7 +574,7 @@
 	c := k.call
 	c.stage, c.headAt, c.headWord = passing, x.now, e.Word
 	x.measure(c, e.Word.Units)
-	c.span.To(x.now, accounts.BodyOut)
+	c.span.To(x.now, attribution.BodyOut)
 	x.timed(c, e.Word)
 	x.stop(c)
 	if x.stream(c) {
@@ -582,23 +582,23 @@
 	}
 }
 
-// measure tells choice of units that are not those that the request came with.
+// measure tells the dispatcher of units that are not those that the request came with.
 func (x *Exchange) measure(c *call, units float64) {
 	if !(units > 0) || units == c.units || c.conn == nil {
 		return
 	}
-	x.tell(choice.Measured{Volume: c.req.Volume, Node: c.conn.node.ID, Units: units - c.units})
+	x.tell(dispatch.Measured{Volume: c.req.Volume, Node: c.conn.node.ID, Units: units - c.units})
 	c.units = units
 }
 
-// served tells choice of an answer that streams: it took until its head. What
+// served tells the dispatcher of an answer that streams: it took until its head. What
 // comes after is paced by the client.
 func (x *Exchange) served(c *call) {
 	x.leaves(c)
 	if !c.settled {
 		c.settled = true
-		x.tell(choice.Outcome{
-			ID: c.req.ID, Attempt: c.attempt, Status: choice.Served, Concluded: true, Took: c.headAt - c.sentAt,
+		x.tell(dispatch.Outcome{
+			ID: c.req.ID, Attempt: c.attempt, Status: dispatch.Served, Concluded: true, Took: c.headAt - c.sentAt,
 			Use: c.headWord.Use, Elsewhere: c.headWord.Elsewhere, Report: c.headWord.Report,
 		})
 	}
@@ -618,14 +618,14 @@
 	case c.stage == passing:
 		x.served(c)
 		x.conclude(c, Deliver{ID: c.req.ID, Lane: c.lane, Conn: k.id})
-	case c.stage == released && e.Word.Status != choice.Served:
+	case c.stage == released && e.Word.Status != dispatch.Served:
 		x.act(Drop{ID: c.req.ID, Lane: c.lane, Conn: k.id})
 		x.conclude(c, Fail{ID: c.req.ID, Lane: c.lane})
-	case e.Word.Status == choice.Served:
+	case e.Word.Status == dispatch.Served:
 		x.measure(c, e.Word.Units)
-		c.span.To(x.now, accounts.Gateway)
+		c.span.To(x.now, attribution.Gateway)
 		x.timed(c, e.Word)
-		x.give(c, choice.Served, e.Word, true)
+		x.give(c, dispatch.Served, e.Word, true)
 		x.conclude(c, Deliver{ID: c.req.ID, Lane: c.lane, Conn: k.id})
 	default:
 		x.act(Drop{ID: c.req.ID, Lane: c.lane, Conn: k.id})
@@ -655,11 +655,11 @@
 	k.call, c.conn = nil, nil
 	switch c.stage {
 	case opening:
-		x.end(c, choice.ConnectFailed, Word{})
+		x.end(c, dispatch.ConnectFailed, Word{})
 	case out:
 		n := k.node
 		switch {
-		case e.Stale && n.State == choice.Serving && x.now < c.timer.at && !x.tooLate(c):
+		case e.Stale && n.State == dispatch.Serving && x.now < c.timer.at && !x.tooLate(c):
 			// An idle connection that the node had closed, or that holds what is no answer: the
 			// attempt has not begun, and goes on with another. Each takes one idle connection
 			// out, so this ends.
@@ -667,11 +667,11 @@
 			c.stage = opening
 			x.connect(c, n)
 		case e.Stale:
-			x.end(c, choice.Moot, Word{})
+			x.end(c, dispatch.Moot, Word{})
 		case e.Unsent:
-			x.end(c, choice.ConnectFailed, Word{})
+			x.end(c, dispatch.ConnectFailed, Word{})
 		default:
-			x.end(c, choice.Dropped, Word{})
+			x.end(c, dispatch.Dropped, Word{})
 		}
 	case passing:
 		x.served(c)
@@ -684,10 +684,10 @@
 // ---- The node list.
 
 func (x *Exchange) onNodes(e Nodes) {
-	list := choice.NodeList{Kind: e.Kind}
-	if e.Kind == choice.Complete || e.Kind == choice.Persisted {
+	list := dispatch.NodeList{Kind: e.Kind}
+	if e.Kind == dispatch.Complete || e.Kind == dispatch.Persisted {
 		for _, n := range x.order {
-			n.State = choice.Removed
+			n.State = dispatch.Removed
 		}
 	}
 	for _, l := range e.Nodes {
@@ -708,10 +708,10 @@
 	}
 	slices.SortFunc(x.order, func(a, b *node) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	x.order = slices.DeleteFunc(x.order, func(n *node) bool {
-		if n.State != choice.Serving {
+		if n.State != dispatch.Serving {
 			x.clear(n)
 		}
-		gone := n.State == choice.Removed && n.conns == 0
+		gone := n.State == dispatch.Removed && n.conns == 0
 		if gone {
 			delete(x.nodes, n.ID)
 		}
@@ -778,9 +778,9 @@
 func (x *Exchange) expire() {
 	for {
 		switch {
-		case x.choice.set && x.choice.at <= x.now:
-			x.choice.set = false
-			x.tell(choice.Fired{Token: x.choice.token})
+		case x.dispatchTimer.set && x.dispatchTimer.at <= x.now:
+			x.dispatchTimer.set = false
+			x.tell(dispatch.Fired{Token: x.dispatchTimer.token})
 		case len(x.timers) > 0 && x.timers[0].at <= x.now:
 			t := heap.Pop(&x.timers).(*timer)
 			if t.call != nil {
@@ -814,10 +814,10 @@
 	switch c.stage {
 	case opening: // never sent: the connection may come yet, for another
 		k := c.conn
-		x.end(c, choice.ConnectFailed, Word{})
+		x.end(c, dispatch.ConnectFailed, Word{})
 		c.conn, k.call = nil, nil
 	case out:
-		x.giveUp(c, choice.TimedOut)
+		x.giveUp(c, dispatch.TimedOut)
 	case released:
 		x.answer(c, Fail{ID: c.req.ID, Lane: c.lane, Late: true})
 	}
@@ -825,7 +825,7 @@
 
 // giveUp ends an attempt that is out. Its connection may still bring an answer, and is
 // closed with it.
-func (x *Exchange) giveUp(c *call, s choice.Status) {
+func (x *Exchange) giveUp(c *call, s dispatch.Status) {
 	if c.stage != out {
 		return
 	}
@@ -843,8 +843,8 @@
 	if len(x.timers) > 0 {
 		next = x.timers[0].at
 	}
-	if x.choice.set {
-		next = min(next, x.choice.at)
+	if x.dispatchTimer.set {
+		next = min(next, x.dispatchTimer.at)
 	}
 	if next < x.wakeAt {
 		x.wakeAt = next
--- a/exchange/exchange_test.go
+++ b/forwarder/forwarder_test.go
@@ -1,8 +1,8 @@
-package exchange
+package forwarder
 
 import (
-	"chalkstand/accounts"
-	"chalkstand/choice"
+	"chalkstand/attribution"
+	"chalkstand/dispatch"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -14,49 +14,49 @@
 	return Config{
 		Seed: 1, ConnsPerNode: 4, Streams: 2, IdleFor: 2 * time.Second, MaxAge: 20 * time.Second,
 		Connect: 200 * time.Millisecond, Margin: 5 * time.Millisecond, MaxCalls: 64,
-		Choice: choice.Config{
+		Choice: dispatch.Config{
 			Me: 0, Peers: 1, Cancel: true, MaxRetryAfter: time.Second, MaxAttempts: 3,
 			UsualUnits: 1, LargestUnits: 8, Settle: 50 * time.Millisecond, Round: time.Millisecond,
-			Budget: choice.BudgetRule{Free: 3, Ratio: 0.2, Span: 5 * time.Second},
-			Classes: []choice.Class{
+			Budget: dispatch.BudgetRule{Free: 3, Ratio: 0.2, Span: 5 * time.Second},
+			Classes: []dispatch.Class{
 				{Name: "read", Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 2},
 				{
-					Name: "write", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Worth: 2, Effect: choice.Keyed,
-					Group: choice.GroupShard, Window: 2 * time.Second, InTurn: true,
+					Name: "write", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Worth: 2, Effect: dispatch.Keyed,
+					Group: dispatch.GroupShard, Window: 2 * time.Second, InTurn: true,
 				},
-				{Name: "unsafe", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1, Effect: choice.Unsafe},
+				{Name: "unsafe", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1, Effect: dispatch.Unsafe},
 			},
-			Plans: []choice.Plan{{Name: "p", Reserve: 1000, Weight: 1, Price: 1}},
+			Plans: []dispatch.Plan{{Name: "p", Reserve: 1000, Weight: 1, Price: 1}},
 		},
 	}
 }
 
-// rig plays the world around an exchange and checks what it does.
+// rig plays the world around a forwarder and checks what it does.
 type rig struct {
 	t      *testing.T
 	x      *Exchange
 	now    time.Duration
 	conns  map[ConnID]*rigConn
-	state  map[choice.NodeID]choice.NodeState
-	calls  map[choice.RequestID]*rigCall
+	state  map[dispatch.NodeID]dispatch.NodeState
+	calls  map[dispatch.RequestID]*rigCall
 	wake   time.Duration
-	perNod map[choice.NodeID]int
+	perNod map[dispatch.NodeID]int
 	limit  int
-	volume choice.VolumeID
+	volume dispatch.VolumeID
 
-	accounts map[string]accounts.Entry // by volume; each request has its own
+	accounts map[string]attribution.Entry // by volume; each request has its own
 	entries  int
 }
 
 type rigConn struct {
 	id   ConnID
-	node choice.NodeID
+	node dispatch.NodeID
 	open bool // dialled
 	call *rigCall
 }
 
 type rigCall struct {
-	id      choice.RequestID
+	id      dispatch.RequestID
 	on      ConnID
 	out     bool
 	sends   int
@@ -74,8 +74,8 @@
 		t.Fatal(err)
 	}
 	return &rig{
-		t: t, x: x, accounts: map[string]accounts.Entry{}, conns: map[ConnID]*rigConn{}, state: map[choice.NodeID]choice.NodeState{}, volume: "v",
-		calls: map[choice.RequestID]*rigCall{}, wake: 1 << 62, perNod: map[choice.NodeID]int{}, limit: cfg.ConnsPerNode,
+		t: t, x: x, accounts: map[string]attribution.Entry{}, conns: map[ConnID]*rigConn{}, state: map[dispatch.NodeID]dispatch.NodeState{}, volume: "v",
+		calls: map[dispatch.RequestID]*rigCall{}, wake: 1 << 62, perNod: map[dispatch.NodeID]int{}, limit: cfg.ConnsPerNode,
 	}
 }
 
@@ -89,7 +89,7 @@
 }
 
 func (r *rig) follow(a Action) {
-	final := func(id choice.RequestID) {
+	final := func(id dispatch.RequestID) {
 		c := r.calls[id]
 		if c.answers++; c.answers > 1 || c.gone {
 			r.t.Fatalf("%v: request %d has %d answers, gone %v", a, id, c.answers, c.gone)
@@ -114,7 +114,7 @@
 			r.t.Fatalf("request %d: a second attempt while one is out", a.ID)
 		case c.answers > 0 || c.gone:
 			r.t.Fatalf("request %d sent after its end", a.ID)
-		case r.state[k.node] != choice.Serving:
+		case r.state[k.node] != dispatch.Serving:
 			r.t.Fatalf("request %d sent to %s, which drains", a.ID, k.node)
 		case c.once && c.sends > 0:
 			r.t.Fatalf("request %d, whose body is gone, sent twice", a.ID)
@@ -165,18 +165,18 @@
 	r.perNod[k.node]--
 }
 
-func (r *rig) node(id string, shard int, s choice.NodeState) {
-	r.state[choice.NodeID(id)] = s
-	r.tell(Nodes{Kind: choice.Changes, Nodes: []Node{{Addr: id, Node: choice.Node{ID: choice.NodeID(id), Shard: choice.Shard(shard), State: s}}}})
+func (r *rig) node(id string, shard int, s dispatch.NodeState) {
+	r.state[dispatch.NodeID(id)] = s
+	r.tell(Nodes{Kind: dispatch.Changes, Nodes: []Node{{Addr: id, Node: dispatch.Node{ID: dispatch.NodeID(id), Shard: dispatch.Shard(shard), State: s}}}})
 }
 
 func (r *rig) begin(id int, class, shard int, key string, once bool) *rigCall {
 	left := r.x.cfg.Choice.Classes[class].Deadline
-	c := &rigCall{id: choice.RequestID(id), due: r.now + left, once: once}
+	c := &rigCall{id: dispatch.RequestID(id), due: r.now + left, once: once}
 	r.calls[c.id] = c
-	r.tell(Begin{Once: once, Request: choice.Request{
+	r.tell(Begin{Once: once, Request: dispatch.Request{
 		ID: c.id, Class: class, Volume: r.volume, Key: key,
-		Shard: choice.Shard(shard), Units: 1, Hosts: 1, Left: left,
+		Shard: dispatch.Shard(shard), Units: 1, Hosts: 1, Left: left,
 	}})
 	return c
 }
@@ -205,11 +205,11 @@
 	return 0
 }
 
-func served() Word { return Word{Status: choice.Served} }
+func served() Word { return Word{Status: dispatch.Served} }
 
 func TestServedOverAConnectionUsedTwice(t *testing.T) {
 	r := newRig(t, settings())
-	r.node("a", 0, choice.Serving)
+	r.node("a", 0, dispatch.Serving)
 	for i := 1; i <= 3; i++ {
 		c := r.begin(i, 0, 0, "", false)
 		if i == 1 {
@@ -234,7 +234,7 @@
 // and the answer that comes after is nobody's.
 func TestLateAnswerIsThrownAway(t *testing.T) {
 	r := newRig(t, settings())
-	r.node("a", 0, choice.Serving)
+	r.node("a", 0, dispatch.Serving)
 	c := r.begin(1, 0, 0, "", false)
 	k := r.dialed(true)
 	r.wait(995 * time.Millisecond)
@@ -248,10 +248,10 @@
 
 func TestDrainWhileConnecting(t *testing.T) {
 	r := newRig(t, settings())
-	r.node("a", 0, choice.Serving)
+	r.node("a", 0, dispatch.Serving)
 	c := r.begin(1, 0, 0, "", false)
-	r.node("b", 0, choice.Serving)
-	r.node("a", 0, choice.Draining)
+	r.node("b", 0, dispatch.Serving)
+	r.node("a", 0, dispatch.Draining)
 	r.dialed(true) // to a: not to be used any more
 	if c.sends != 0 {
 		t.Fatal("sent to the draining node")
@@ -269,11 +269,11 @@
 func TestBodyThatIsGoneIsNotSentAgain(t *testing.T) {
 	for _, end := range []func(*rig, ConnID){
 		func(r *rig, k ConnID) { r.drop(r.conns[k]); r.tell(Lost{Conn: k}) },
-		func(r *rig, k ConnID) { r.tell(Answered{Conn: k, Word: Word{Status: choice.Errored}}) },
+		func(r *rig, k ConnID) { r.tell(Answered{Conn: k, Word: Word{Status: dispatch.Errored}}) },
 		func(r *rig, k ConnID) { r.wait(2 * time.Second) },
 	} {
 		r := newRig(t, settings())
-		r.node("a", 0, choice.Serving)
+		r.node("a", 0, dispatch.Serving)
 		c := r.begin(1, 1, 0, "k", true)
 		end(r, r.dialed(true))
 		if _, failed := c.last.(Fail); !failed || c.sends != 1 {
@@ -281,9 +281,9 @@
 		}
 	}
 	r := newRig(t, settings())
-	r.node("a", 0, choice.Serving)
+	r.node("a", 0, dispatch.Serving)
 	c := r.begin(1, 1, 0, "k", true)
-	r.tell(Answered{Conn: r.dialed(true), Word: Word{Status: choice.Full}})
+	r.tell(Answered{Conn: r.dialed(true), Word: Word{Status: dispatch.Full}})
 	if _, refused := c.last.(Refuse); !refused || r.x.Calls() != 0 {
 		t.Fatalf("a full node: %#v", c.last)
 	}
@@ -292,7 +292,7 @@
 // A client that keeps its node waiting is not held against the node.
 func TestSlowClientIsNotTheNodesDelay(t *testing.T) {
 	r := newRig(t, settings())
-	r.node("a", 0, choice.Serving)
+	r.node("a", 0, dispatch.Serving)
 	slow := r.begin(1, 2, 0, "", true)
 	k := r.dialed(true)
 	r.tell(Flowing{ID: 1})
@@ -312,10 +312,10 @@
 	}
 }
 
-// Beyond the bound a stream keeps its place in choice's depth until its end.
+// Beyond the bound a stream keeps its place in the dispatcher's depth until its end.
 func TestStreamsAreBounded(t *testing.T) {
 	r := newRig(t, settings())
-	r.node("a", 0, choice.Serving)
+	r.node("a", 0, dispatch.Serving)
 	var ks []ConnID
 	for i := range 3 {
 		c := r.begin(i+1, 0, 0, "", false)
@@ -337,7 +337,7 @@
 
 func TestAnswerCutAfterItsHead(t *testing.T) {
 	r := newRig(t, settings())
-	r.node("a", 0, choice.Serving)
+	r.node("a", 0, dispatch.Serving)
 	c := r.begin(1, 0, 0, "", false)
 	k := r.dialed(true)
 	c.headed = true
@@ -370,7 +370,7 @@
 			for _, b := range e.Behind {
 				behind += b.Time
 			}
-			if e.Parts.Total() != e.Ended-began[e.Volume] || e.Started != began[e.Volume] || behind != e.Parts[accounts.Others]+e.Parts[accounts.NodeQueue] {
+			if e.Parts.Total() != e.Ended-began[e.Volume] || e.Started != began[e.Volume] || behind != e.Parts[attribution.Others]+e.Parts[attribution.NodeQueue] {
 				t.Errorf("%s: %v accounted of %v, behind %v: %v", e.Volume, e.Parts.Total(), e.Ended-began[e.Volume], behind, e.Parts)
 			}
 		}
@@ -379,7 +379,7 @@
 		}
 	}()
 	for i := range 4 {
-		r.node(fmt.Sprint("n", i), i%2, choice.Serving)
+		r.node(fmt.Sprint("n", i), i%2, dispatch.Serving)
 	}
 	next := 0
 	pick := func(ok func(*rigConn) bool) *rigConn {
@@ -394,7 +394,7 @@
 		switch rng.IntN(12) {
 		case 0, 1, 2:
 			next++
-			r.volume = choice.VolumeID(fmt.Sprint("v", next))
+			r.volume = dispatch.VolumeID(fmt.Sprint("v", next))
 			began[string(r.volume)] = r.now
 			r.begin(next, rng.IntN(3), rng.IntN(2), fmt.Sprint(rng.IntN(3)), rng.IntN(4) == 0)
 		case 3, 4:
@@ -407,9 +407,9 @@
 			}
 		case 5, 6, 7:
 			if k := pick(func(k *rigConn) bool { return k.call != nil }); k != nil {
-				s := []choice.Status{choice.Served, choice.Served, choice.Errored, choice.Full}[rng.IntN(4)]
+				s := []dispatch.Status{dispatch.Served, dispatch.Served, dispatch.Errored, dispatch.Full}[rng.IntN(4)]
 				if k.call.headed {
-					s = choice.Served
+					s = dispatch.Served
 				}
 				r.tell(Answered{Conn: k.id, Word: Word{Status: s, Timed: rng.IntN(2) == 0, Queue: time.Duration(rng.IntN(80)) * ms, Work: 20 * ms}, Reuse: rng.IntN(4) > 0})
 			}
@@ -439,7 +439,7 @@
 			}
 		case 10:
 			id := fmt.Sprint("n", rng.IntN(4))
-			s := choice.NodeState(rng.IntN(3))
+			s := dispatch.NodeState(rng.IntN(3))
 			r.node(id, int(id[1]-'0')%2, s)
 		default:
 			r.wait(time.Duration(rng.IntN(300)) * time.Millisecond)
@@ -477,30 +477,30 @@
 	}
 }
 
-// What choice never does is stopped here all the same: a second attempt while one
+// What the dispatcher never does is stopped here all the same: a second attempt while one
 // is out, and an attempt at a node that is told to drain or is not known.
 func TestAttemptsThatMustNotBe(t *testing.T) {
 	r := newRig(t, settings())
-	r.node("a", 0, choice.Serving)
+	r.node("a", 0, dispatch.Serving)
 	c := r.begin(1, 0, 0, "", false)
 	r.dialed(true)
 	r.x.acts = nil
-	r.x.attempt(choice.Attempt{ID: 1, Node: "a"})
+	r.x.attempt(dispatch.Attempt{ID: 1, Node: "a"})
 	if len(r.x.acts) > 0 || len(r.x.inbox) > 0 || c.sends != 1 || r.x.Conns() != 1 || r.x.calls[1].stage != out {
 		t.Fatalf("a second attempt does %v", r.x.acts)
 	}
-	for _, s := range []choice.NodeState{choice.Draining, choice.Removed} {
+	for _, s := range []dispatch.NodeState{dispatch.Draining, dispatch.Removed} {
 		r := newRig(t, settings())
-		r.node("a", 0, choice.Serving)
+		r.node("a", 0, dispatch.Serving)
 		r.begin(1, 0, 0, "", false)
 		k := r.dialed(true)
 		r.tell(Answered{Conn: k, Word: served(), Reuse: true})
-		r.x.calls[2] = &call{req: choice.Request{ID: 2}, class: &r.x.cfg.Choice.Classes[0], attempt: -1, deadline: r.now + time.Second}
-		if r.x.nodes["a"].State = s; s == choice.Removed {
+		r.x.calls[2] = &call{req: dispatch.Request{ID: 2}, class: &r.x.cfg.Choice.Classes[0], attempt: -1, deadline: r.now + time.Second}
+		if r.x.nodes["a"].State = s; s == dispatch.Removed {
 			delete(r.x.nodes, "a")
 		}
 		r.x.acts = nil
-		r.x.attempt(choice.Attempt{ID: 2, Node: "a"})
+		r.x.attempt(dispatch.Attempt{ID: 2, Node: "a"})
 		if len(r.x.acts) != 0 || r.x.calls[2].stage != asked {
 			t.Fatalf("an attempt at a node of state %d does %v", s, r.x.acts)
 		}
@@ -511,7 +511,7 @@
 	cfg := settings()
 	cfg.MaxCalls = 3
 	r := newRig(t, cfg)
-	r.node("a", 0, choice.Serving)
+	r.node("a", 0, dispatch.Serving)
 	for i := range 3 {
 		r.begin(i+1, 0, 0, "", false)
 	}
@@ -523,15 +523,15 @@
 // Unused connections to a node that drains, or that is another process now, are closed.
 func TestConnectionsOfADrainedNodeAreClosed(t *testing.T) {
 	for _, next := range []Node{
-		{Addr: "a", Node: choice.Node{ID: "a", State: choice.Draining}},
-		{Addr: "a", Node: choice.Node{ID: "a", Started: time.Second}},
-		{Addr: "b", Node: choice.Node{ID: "a"}},
+		{Addr: "a", Node: dispatch.Node{ID: "a", State: dispatch.Draining}},
+		{Addr: "a", Node: dispatch.Node{ID: "a", Started: time.Second}},
+		{Addr: "b", Node: dispatch.Node{ID: "a"}},
 	} {
 		r := newRig(t, settings())
-		r.node("a", 0, choice.Serving)
+		r.node("a", 0, dispatch.Serving)
 		r.begin(1, 0, 0, "", false)
 		r.tell(Answered{Conn: r.dialed(true), Word: served(), Reuse: true})
-		r.tell(Nodes{Kind: choice.Changes, Nodes: []Node{next}})
+		r.tell(Nodes{Kind: dispatch.Changes, Nodes: []Node{next}})
 		if r.x.Conns() != 0 || len(r.conns) != 0 {
 			t.Errorf("%+v: %d connections", next, r.x.Conns())
 		}
@@ -542,7 +542,7 @@
 // next; one that comes after its place was given up is closed.
 func TestConnectionThatComesLate(t *testing.T) {
 	r := newRig(t, settings())
-	r.node("a", 0, choice.Serving)
+	r.node("a", 0, dispatch.Serving)
 	c := r.begin(1, 0, 0, "", false)
 	c.gone = true
 	r.tell(Gone{ID: 1})
@@ -555,17 +555,17 @@
 	}
 }
 
-// What an answer's size makes a request cost is told to choice, once; a client that
+// What an answer's size makes a request cost is told to the dispatcher, once; a client that
 // leaves early pays for what had come.
 func TestMeasuredUnits(t *testing.T) {
 	r := newRig(t, settings())
 	var told []float64
-	r.x.Trace = func(_ time.Duration, ev choice.Event, _ []choice.Action) {
-		if m, ok := ev.(choice.Measured); ok {
+	r.x.Trace = func(_ time.Duration, ev dispatch.Event, _ []dispatch.Action) {
+		if m, ok := ev.(dispatch.Measured); ok {
 			told = append(told, m.Units)
 		}
 	}
-	r.node("a", 0, choice.Serving)
+	r.node("a", 0, dispatch.Serving)
 	r.begin(1, 0, 0, "", false)
 	k := r.dialed(true)
 	w := served()
--- a/exchange/sockets_test.go
+++ b/forwarder/sockets_test.go
@@ -1,17 +1,17 @@
-package exchange
+package forwarder
 
 import (
-	"chalkstand/choice"
+	"chalkstand/dispatch"
 	"testing"
 	"time"
 )
 
-// An attempt that choice gives up ends with its connection, and the next one goes out on
+// An attempt that the dispatcher gives up ends with its connection, and the next one goes out on
 // another; a body that can't be sent twice waits on.
 func TestGivenUpAttemptGoesOutAgain(t *testing.T) {
 	for _, once := range []bool{false, true} {
 		r := newRig(t, settings())
-		r.node("a", 0, choice.Serving)
+		r.node("a", 0, dispatch.Serving)
 		for i := 1; i <= 4; i++ { // it is known how fast the node is
 			c := r.begin(i, 0, 0, "", false)
 			if i == 1 {
@@ -42,7 +42,7 @@
 func TestUnsentNeverRan(t *testing.T) {
 	for _, unsent := range []bool{true, false} {
 		r := newRig(t, settings())
-		r.node("a", 0, choice.Serving)
+		r.node("a", 0, dispatch.Serving)
 		c := r.begin(1, 2, 0, "", false)
 		k := r.dialed(true)
 		r.drop(r.conns[k])
@@ -60,10 +60,10 @@
 // A connection that proves of no use before anything was written on it costs no attempt.
 func TestStaleConnectionIsReplaced(t *testing.T) {
 	r := newRig(t, settings())
-	r.node("a", 0, choice.Serving)
-	var statuses []choice.Status
-	r.x.Trace = func(_ time.Duration, ev choice.Event, _ []choice.Action) {
-		if o, ok := ev.(choice.Outcome); ok {
+	r.node("a", 0, dispatch.Serving)
+	var statuses []dispatch.Status
+	r.x.Trace = func(_ time.Duration, ev dispatch.Event, _ []dispatch.Action) {
+		if o, ok := ev.(dispatch.Outcome); ok {
 			statuses = append(statuses, o.Status)
 		}
 	}
@@ -75,14 +75,14 @@
 	r.tell(Lost{Conn: k, Stale: true})
 	r.dialed(true)
 	r.tell(Answered{Conn: two.on, Word: served(), Reuse: true})
-	if one.answers != 1 || two.answers != 1 || two.on == k || len(statuses) != 2 || statuses[1] != choice.Served {
+	if one.answers != 1 || two.answers != 1 || two.on == k || len(statuses) != 2 || statuses[1] != dispatch.Served {
 		t.Fatalf("answers %d and %d, ends of attempts %v", one.answers, two.answers, statuses)
 	}
 	// A node that drains meanwhile is sent nothing.
 	three := r.begin(3, 0, 0, "", false)
 	on := three.on
 	r.drop(r.conns[on])
-	r.node("a", 0, choice.Draining)
+	r.node("a", 0, dispatch.Draining)
 	r.tell(Lost{Conn: on, Stale: true})
 	if three.sends != 1 || len(r.conns) != 0 {
 		t.Fatalf("sent %d times, %d connections", three.sends, len(r.conns))
@@ -94,7 +94,7 @@
 	cfg := settings()
 	cfg.Rest = 20 * time.Millisecond
 	r := newRig(t, cfg)
-	r.node("a", 0, choice.Serving)
+	r.node("a", 0, dispatch.Serving)
 	r.begin(1, 0, 0, "", false)
 	k := r.dialed(true)
 	r.tell(Answered{Conn: k, Word: served(), Reuse: true})
@@ -115,14 +115,14 @@
 	cfg := settings()
 	cfg.Conns = 2
 	r := newRig(t, cfg)
-	var ends []choice.Status
-	r.x.Trace = func(_ time.Duration, ev choice.Event, _ []choice.Action) {
-		if o, ok := ev.(choice.Outcome); ok {
+	var ends []dispatch.Status
+	r.x.Trace = func(_ time.Duration, ev dispatch.Event, _ []dispatch.Action) {
+		if o, ok := ev.(dispatch.Outcome); ok {
 			ends = append(ends, o.Status)
 		}
 	}
 	for i, id := range []string{"a", "b", "c"} {
-		r.node(id, i, choice.Serving)
+		r.node(id, i, dispatch.Serving)
 	}
 	var first ConnID
 	for i := range 3 {
@@ -140,7 +140,7 @@
 	r.begin(10, 0, 1, "", false)
 	r.begin(11, 0, 2, "", false)
 	r.begin(12, 0, 0, "", false)
-	if last := ends[len(ends)-1]; r.x.Conns() != 2 || last != choice.Moot {
+	if last := ends[len(ends)-1]; r.x.Conns() != 2 || last != dispatch.Moot {
 		t.Fatalf("%d connections, the attempt ended with %d", r.x.Conns(), last)
 	}
 }
--- a/gateway/accounting.go
+++ b/gateway/accounting.go
@@ -1,8 +1,8 @@
 package gateway
 
 import (
-	"chalkstand/accounts"
-	"chalkstand/exchange"
+	"chalkstand/attribution"
+	"chalkstand/forwarder"
 	"chalkstand/internal/settings"
 	"encoding/json"
 	"fmt"
@@ -21,54 +21,54 @@
 
 // bookkeeper owns the books of a gateway.
 type bookkeeper struct {
-	keeper *accounts.Keeper
+	keeper *attribution.Keeper
 	now    func() time.Duration
-	in     chan accounts.Batch // bounded: what does not fit is counted as lost
-	ask    chan func(time.Duration, *accounts.Keeper)
-	each   func(accounts.Entry)
-	save   func(accounts.Action)
+	in     chan attribution.Batch // bounded: what does not fit is counted as lost
+	ask    chan func(time.Duration, *attribution.Keeper)
+	each   func(attribution.Entry)
+	save   func(attribution.Action)
 	lost   atomic.Int64
 	ended  chan struct{}
 }
 
-func newBookkeeper(s settings.Accounts, now func() time.Duration, each func(accounts.Entry), save func(accounts.Action)) (*bookkeeper, error) {
-	cfg := accounts.DefaultKeeperConfig()
+func newBookkeeper(s settings.Accounts, now func() time.Duration, each func(attribution.Entry), save func(attribution.Action)) (*bookkeeper, error) {
+	cfg := attribution.DefaultKeeperConfig()
 	cfg.Volumes, cfg.Pairs, cfg.Distributions, cfg.Late = s.Volumes, s.Pairs, s.Distributions, s.Late
-	k, err := accounts.NewKeeper(cfg)
+	k, err := attribution.NewKeeper(cfg)
 	if err != nil {
 		return nil, err
 	}
 	return &bookkeeper{
-		keeper: k, now: now, in: make(chan accounts.Batch, s.Batches), each: each, save: save,
-		ask: make(chan func(time.Duration, *accounts.Keeper)), ended: make(chan struct{}),
+		keeper: k, now: now, in: make(chan attribution.Batch, s.Batches), each: each, save: save,
+		ask: make(chan func(time.Duration, *attribution.Keeper)), ended: make(chan struct{}),
 	}, nil
 }
 
 // run keeps the books until in is closed.
 func (b *bookkeeper) run() {
 	defer close(b.ended)
-	t := time.NewTicker(accounts.DefaultConfig().Settle)
+	t := time.NewTicker(attribution.DefaultConfig().Settle)
 	defer t.Stop()
 	for {
 		select {
 		case batch, ok := <-b.in:
 			if !ok {
-				b.handle(accounts.Finish{})
+				b.handle(attribution.Finish{})
 				return
 			}
 			batch.Lost = b.lost.Swap(0)
 			b.handle(batch)
 		case <-t.C:
-			b.handle(accounts.Tick{})
+			b.handle(attribution.Tick{})
 		case f := <-b.ask:
-			b.handle(accounts.Tick{})
+			b.handle(attribution.Tick{})
 			f(b.now(), b.keeper)
 		}
 	}
 }
 
-func (b *bookkeeper) handle(ev accounts.Event) {
-	if batch, ok := ev.(accounts.Batch); ok && b.each != nil {
+func (b *bookkeeper) handle(ev attribution.Event) {
+	if batch, ok := ev.(attribution.Batch); ok && b.each != nil {
 		for _, e := range batch.Entries {
 			b.each(e)
 		}
@@ -82,9 +82,9 @@
 }
 
 // enter puts an entry on its way to the books.
-func (l *lane) enter(e accounts.Entry) {
+func (l *lane) enter(e attribution.Entry) {
 	if l.batch.Entries == nil {
-		l.batch.Entries = make([]accounts.Entry, 0, batchEntries)
+		l.batch.Entries = make([]attribution.Entry, 0, batchEntries)
 	}
 	l.batch.Entries = append(l.batch.Entries, e)
 	if len(l.batch.Entries) >= batchEntries {
@@ -93,7 +93,7 @@
 }
 
 // late puts a report on its way to the books.
-func (l *lane) late(t accounts.Told) {
+func (l *lane) late(t attribution.Told) {
 	if l.batch.Told = append(l.batch.Told, t); len(l.batch.Told) >= batchEntries {
 		l.flushBatch()
 	}
@@ -111,7 +111,7 @@
 	default:
 		b.lost.Add(int64(len(l.batch.Entries)))
 	}
-	l.batch = accounts.Batch{}
+	l.batch = attribution.Batch{}
 }
 
 // ---- The journey of a client's request.
@@ -124,25 +124,25 @@
 	c := t.conn
 	now := t.started.Sub(c.lane.g.core.start)
 	waited := c.c.Waited()
-	t.journey = accounts.SetOut(now-waited, accounts.Limit)
+	t.journey = attribution.SetOut(now-waited, attribution.Limit)
 	waited -= c.c.Paced()
-	t.journey.To(now-waited, accounts.Loop)
-	t.journey.To(now, accounts.Gateway)
+	t.journey.To(now-waited, attribution.Loop)
+	t.journey.To(now, attribution.Gateway)
 	l := c.lane
 	if l.g.books == nil || waited < blamed {
 		return
 	}
 	l.behind = c.c.Behind(l.behind[:0])
-	blames, rest := make([]accounts.Blame, 0, len(l.behind)+1), waited
+	blames, rest := make([]attribution.Blame, 0, len(l.behind)+1), waited
 	for _, x := range l.behind {
 		d := min(x.Time, rest)
 		rest -= d
 		if x.Flow != c.vol.flow { // behind others only, as at nodes
-			blames = append(blames, accounts.Blame{Volume: x.Flow.Name(), Time: d})
+			blames = append(blames, attribution.Blame{Volume: x.Flow.Name(), Time: d})
 		}
 	}
 	if rest > 0 { // looking for events, and what is not remembered
-		blames = append(blames, accounts.Blame{Time: rest})
+		blames = append(blames, attribution.Blame{Time: rest})
 	}
 	t.journey.Waited(blames)
 }
@@ -152,14 +152,14 @@
 const blamed = time.Millisecond
 
 // turn goes on with another cause.
-func (t *transaction) turn(c accounts.Cause) {
+func (t *transaction) turn(c attribution.Cause) {
 	if t.conn.lane.g.books != nil {
 		t.journey.To(t.at(), c)
 	}
 }
 
 // accounted takes the account of a request to a node that has ended.
-func (l *lane) accounted(a exchange.Accounted) {
+func (l *lane) accounted(a forwarder.Accounted) {
 	c := l.calls[a.ID]
 	if c == nil {
 		c = l.leaving[a.ID]
@@ -173,10 +173,10 @@
 		return
 	}
 	if t.up != nil && t.up.call == c {
-		e.Move(accounts.NodeTime, accounts.BodyIn, t.up.fromClient(t.at()))
+		e.Move(attribution.NodeTime, attribution.BodyIn, t.up.fromClient(t.at()))
 	}
 	if s := t.stall.take(t.at()); s > 0 {
-		e.Move(accounts.BodyOut, accounts.Client, s)
+		e.Move(attribution.BodyOut, attribution.Client, s)
 	}
 	t.journey.Through(e)
 	if t.open--; t.parting && t.open <= 0 {
@@ -211,7 +211,7 @@
 		t.book()
 		return
 	}
-	t.turn(accounts.Client)
+	t.turn(attribution.Client)
 	c.tail = t
 	if t.heldUp {
 		c.watchTail(t, t.at())
@@ -292,13 +292,13 @@
 // Accounts calls f with the books of the gateway's latency accounts, which f may
 // read until it returns. It returns an error when accounts are not kept or the
 // gateway is closed. f must be quick: reports wait meanwhile.
-func (g *Gateway) Accounts(f func(now time.Duration, k *accounts.Keeper)) error {
+func (g *Gateway) Accounts(f func(now time.Duration, k *attribution.Keeper)) error {
 	if g.books == nil {
 		return fmt.Errorf("gateway: no accounts are kept: accounts.on is false in the settings")
 	}
 	done := make(chan struct{})
 	select {
-	case g.books.ask <- func(now time.Duration, k *accounts.Keeper) { f(now, k); close(done) }:
+	case g.books.ask <- func(now time.Duration, k *attribution.Keeper) { f(now, k); close(done) }:
 		<-done
 		return nil
 	case <-g.books.ended:
@@ -320,8 +320,8 @@
 }
 
 // Run tells which life of a gateway accounts are of.
-func (g *Gateway) Run() accounts.Run {
-	return accounts.Run{ID: g.core.nonce, Gateway: g.cfg.Name, Started: g.born}
+func (g *Gateway) Run() attribution.Run {
+	return attribution.Run{ID: g.core.nonce, Gateway: g.cfg.Name, Started: g.born}
 }
 
 // AccountsHandler serves the accounts as JSON: GET with since (such as 5m, the
@@ -333,17 +333,17 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		doc := accounts.Document{Version: accounts.Version, Run: g.Run()}
+		doc := attribution.Document{Version: attribution.Version, Run: g.Run()}
 		reached, most := false, time.Duration(0)
-		err = g.Accounts(func(now time.Duration, k *accounts.Keeper) {
+		err = g.Accounts(func(now time.Duration, k *attribution.Keeper) {
 			doc.Now, doc.Counts, most = now, k.Counts(), k.Books().Reach()
 			if slots {
 				doc.Windows, reached = k.Books().Pages(now, since)
 				return
 			}
-			var win accounts.Window
+			var win attribution.Window
 			if win, reached = k.Books().Over(now, since); reached {
-				doc.Windows = []accounts.Window{win}
+				doc.Windows = []attribution.Window{win}
 			}
 		})
 		switch {
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -1,20 +1,20 @@
 package gateway
 
 import (
-	"chalkstand/choice"
-	"chalkstand/exchange"
+	"chalkstand/dispatch"
+	"chalkstand/fairshare"
+	"chalkstand/forwarder"
+	"chalkstand/internal/eventloop"
 	"chalkstand/internal/http1"
-	"chalkstand/internal/netloop"
-	"chalkstand/internal/upstream"
-	"chalkstand/share"
+	"chalkstand/internal/upstreamhttp"
 	"strconv"
 	"time"
 )
 
-// call is one request to a node, from the exchange's Begin to its final answer.
+// call is one request to a node, from the forwarder's Begin to its final answer.
 type call struct {
 	t       *transaction // that needs it
-	id      choice.RequestID
+	id      dispatch.RequestID
 	lane    *lane
 	over    bool
 	method  string
@@ -69,23 +69,23 @@
 
 // nodeConn is a connection to a node, and the reader of its answers.
 type nodeConn struct {
-	id    exchange.ConnID
+	id    forwarder.ConnID
 	lane  *lane
-	c     *netloop.Conn
+	c     *eventloop.Conn
 	call  *call
-	r     upstream.Reader
+	r     upstreamhttp.Reader
 	res   result
 	src   source    // still sending
 	moved time.Time // when bytes of a streamed answer last came
 
-	gate   *gate                   // of its node
-	lease  *share.Lease[*nodeConn] // to draw on it
-	drawn  int                     // bytes, under the lease
-	asking bool                    // for one
+	gate   *gate                       // of its node
+	lease  *fairshare.Lease[*nodeConn] // to draw on it
+	drawn  int                         // bytes, under the lease
+	asking bool                        // for one
 }
 
 // send writes a request. The call's source, if any, goes on from here.
-func (k *nodeConn) send(c *call, a exchange.Send) {
+func (k *nodeConn) send(c *call, a forwarder.Send) {
 	k.call, k.res = c, result{}
 	k.c.Assign(k.lane.payer(c.t).flow)
 	if !k.r.Sent(c.method, c.collect) { // cannot happen: it carries nothing else
@@ -135,7 +135,7 @@
 func (k *nodeConn) resume() {
 	switch {
 	case k.c == nil:
-	case k.r.State() == upstream.Passing:
+	case k.r.State() == upstreamhttp.Passing:
 		k.draw()
 	default:
 		k.c.Resume()
@@ -143,18 +143,18 @@
 }
 
 // OnDrained lets the source of a body go on.
-func (k *nodeConn) OnDrained(*netloop.Conn) {
+func (k *nodeConn) OnDrained(*eventloop.Conn) {
 	if k.src != nil {
 		k.src.drained()
 	}
 }
 
-// OnClose tells the exchange, unless it asked for it.
-func (k *nodeConn) OnClose(_ *netloop.Conn, err error) {
+// OnClose tells the forwarder, unless it asked for it.
+func (k *nodeConn) OnClose(_ *eventloop.Conn, err error) {
 	if k.lane.conns[k.id] != k {
 		return
 	}
-	if err == netloop.ErrLeft && k.r.Ended().Kind == upstream.End {
+	if err == eventloop.ErrLeft && k.r.Ended().Kind == upstreamhttp.End {
 		k.complete(result{kind: streamed, resp: &k.r.Response}) // a body that ends with its connection
 		if k.lane.conns[k.id] != k {
 			return
@@ -162,7 +162,7 @@
 	}
 	k.giveBack()
 	delete(k.lane.conns, k.id)
-	k.lane.tell(exchange.Lost{Conn: k.id})
+	k.lane.tell(forwarder.Lost{Conn: k.id})
 }
 
 // lose gives up a connection whose bytes are no answer.
@@ -175,26 +175,26 @@
 	if c != nil {
 		c.Close()
 	}
-	k.lane.tell(exchange.Lost{Conn: k.id})
+	k.lane.tell(forwarder.Lost{Conn: k.id})
 }
 
 // OnData reads an answer.
-func (k *nodeConn) OnData(_ *netloop.Conn, b []byte) int {
+func (k *nodeConn) OnData(_ *eventloop.Conn, b []byte) int {
 	used := 0
 	for {
 		s := k.r.Next(b[used:])
 		used += s.Used
 		switch s.Kind {
-		case upstream.Need:
+		case upstreamhttp.Need:
 			return used
-		case upstream.Fault:
+		case upstreamhttp.Fault:
 			k.lose()
 			return 0
-		case upstream.Head:
+		case upstreamhttp.Head:
 			if !k.head() {
 				return used
 			}
-		case upstream.Data:
+		case upstreamhttp.Data:
 			k.moved = k.lane.now()
 			more := k.call.sink.data(s.Body)
 			if k.call == nil { // the sink's client has left
@@ -212,10 +212,10 @@
 			if k.drawn >= k.lane.g.cfg.Share.Draw && !k.giveWay() {
 				return used
 			}
-		case upstream.Whole:
+		case upstreamhttp.Whole:
 			k.complete(result{kind: answered, resp: &k.r.Response, body: s.Body})
 			return used
-		case upstream.End:
+		case upstreamhttp.End:
 			k.complete(result{kind: streamed, resp: &k.r.Response})
 			return used
 		}
@@ -227,8 +227,8 @@
 // whether reading goes on.
 func (k *nodeConn) head() bool {
 	word := k.word()
-	if k.call.sink == nil || word.Status != choice.Served {
-		if k.r.Collect().Kind == upstream.Fault {
+	if k.call.sink == nil || word.Status != dispatch.Served {
+		if k.r.Collect().Kind == upstreamhttp.Fault {
 			k.lose()
 			return false
 		}
@@ -237,7 +237,7 @@
 	k.r.Stream()
 	k.moved = k.lane.now()
 	sink := k.call.sink
-	k.lane.tell(exchange.Headed{Conn: k.id, Word: word})
+	k.lane.tell(forwarder.Headed{Conn: k.id, Word: word})
 	if k.call == nil {
 		return false
 	}
@@ -257,25 +257,25 @@
 	if k.c != nil && k.c.Waits() {
 		k.moved = now // it is this gateway that makes it wait
 	}
-	if k.r.State() == upstream.Passing && (!k.c.Paused() || k.c.Awaits()) && now.Sub(k.moved) > k.lane.g.cfg.Limits.ClientBody.D() {
+	if k.r.State() == upstreamhttp.Passing && (!k.c.Paused() || k.c.Awaits()) && now.Sub(k.moved) > k.lane.g.cfg.Limits.ClientBody.D() {
 		k.lose()
 	}
 }
 
-// complete tells the exchange that the whole answer is there. Its word, which may
+// complete tells the forwarder that the whole answer is there. Its word, which may
 // come at once, hands the result over or throws it away.
 func (k *nodeConn) complete(r result) {
 	k.res = r
 	reuse := k.r.Reusable() && k.src == nil && k.c.Pending() == 0
 	k.lane.lateTimings(k.r.Response.Headers)
-	k.lane.tell(exchange.Answered{Conn: k.id, Word: k.word(), Reuse: reuse})
+	k.lane.tell(forwarder.Answered{Conn: k.id, Word: k.word(), Reuse: reuse})
 }
 
 // sent tells that the source has sent all.
 func (k *nodeConn) sent() {
 	k.src = nil
 	if k.call != nil {
-		k.lane.tell(exchange.BodySent{ID: k.call.id})
+		k.lane.tell(forwarder.BodySent{ID: k.call.id})
 	}
 }
 
--- a/gateway/client.go
+++ b/gateway/client.go
@@ -1,9 +1,9 @@
 package gateway
 
 import (
-	"chalkstand/accounts"
+	"chalkstand/attribution"
+	"chalkstand/internal/eventloop"
 	"chalkstand/internal/http1"
-	"chalkstand/internal/netloop"
 	"chalkstand/internal/objectapi"
 	"chalkstand/internal/payload"
 	"strconv"
@@ -28,7 +28,7 @@
 // clientConn is a client's connection. It has one request in hand at a time.
 type clientConn struct {
 	lane  *lane
-	c     *netloop.Conn
+	c     *eventloop.Conn
 	state clientState
 	since time.Time // of the state, or of the last byte that moved in it
 	scan  http1.Head
@@ -71,10 +71,10 @@
 	status   int
 	then     func(t *transaction) // goes on once the body is held
 
-	journey accounts.Journey
+	journey attribution.Journey
 	stall   stall // of the answer, by the client
 	heldUp  bool  // it was, at least once
-	outcome accounts.Outcome
+	outcome attribution.Outcome
 	open    int  // calls begun and not yet accounted for
 	asked   bool // a node was needed
 	parting bool // the client has left
@@ -91,7 +91,7 @@
 func (l *lane) now() time.Time { return l.swept }
 
 // OnData takes what a client sends.
-func (c *clientConn) OnData(_ *netloop.Conn, b []byte) int {
+func (c *clientConn) OnData(_ *eventloop.Conn, b []byte) int {
 	c.since = c.lane.now()
 	switch c.state {
 	case reading:
@@ -110,7 +110,7 @@
 }
 
 // OnDrained goes on with what waited for the client to read.
-func (c *clientConn) OnDrained(*netloop.Conn) {
+func (c *clientConn) OnDrained(*eventloop.Conn) {
 	c.since = c.lane.now()
 	c.tailTaken()
 	if c.ex != nil {
@@ -126,7 +126,7 @@
 }
 
 // OnClose tells all whose answer nobody waits for any more.
-func (c *clientConn) OnClose(_ *netloop.Conn, err error) {
+func (c *clientConn) OnClose(_ *eventloop.Conn, err error) {
 	delete(c.lane.clients, c)
 	c.lane.resting.remove(c)
 	c.lane.g.open.Add(-1)
@@ -136,7 +136,7 @@
 		if !t.ended {
 			c.lane.g.metrics.gone.Inc()
 			t.ended = true
-			t.outcome = accounts.Left
+			t.outcome = attribution.Left
 			c.lane.g.busy.Add(-1)
 			t.abandon()
 			t.part()
@@ -232,7 +232,7 @@
 	case done:
 		t.whole = true
 		c.set(asking)
-		t.turn(accounts.Gateway)
+		t.turn(attribution.Gateway)
 		t.then(t)
 	}
 	return used
@@ -320,13 +320,13 @@
 	h := http1.AppendHeader([]byte("Content-Type: application/xml\r\n"), "Retry-After", strconv.FormatInt(max(secs, 1), 10))
 	h = http1.AppendHeader(h, "x-chalkstand-retry-after-ms", strconv.FormatInt(after.Milliseconds(), 10))
 	e := objectapi.Errorf("SlowDown", "Please reduce your request rate.")
-	t.outcome = accounts.Refused
+	t.outcome = attribution.Refused
 	t.reply(503, h, e.Document(t.resource, t.id))
 }
 
 // giveUp gives an answer that promises nothing.
 func (t *transaction) giveUp(late bool) {
-	t.outcome = accounts.Failed
+	t.outcome = attribution.Failed
 	if late {
 		t.fail(objectapi.Errorf("GatewayTimeout", "The storage node did not answer in time; whether the request was done is not known."), 504)
 		return
@@ -460,7 +460,7 @@
 		return
 	}
 	if cut {
-		t.status, t.outcome = 0, accounts.Cut
+		t.status, t.outcome = 0, attribution.Cut
 		t.settle()
 		t.book()
 		t.conn.c.Reset()
--- a/gateway/core.go
+++ b/gateway/core.go
@@ -1,19 +1,19 @@
 package gateway
 
 import (
-	"chalkstand/exchange"
+	"chalkstand/forwarder"
 	"math/rand/v2"
 	"sync"
 	"time"
 )
 
-// core owns the exchange, and through it the dispatcher. Loops hand events to it
+// core owns the forwarder, and through it the dispatcher. Loops hand events to it
 // under a lock, which is held for a few microseconds (docs/design/running-gateway.md has the
 // measurement beside a goroutine of its own); actions go to the loop that owns the
 // connection, in the order in which they were decided.
 type core struct {
 	mu    sync.Mutex
-	x     *exchange.Exchange
+	x     *forwarder.Exchange
 	start time.Time
 	lanes []*lane
 	timer *time.Timer
@@ -22,7 +22,7 @@
 	nonce string // begins the keys of writes: no other process's are the same
 }
 
-func newCore(x *exchange.Exchange) *core {
+func newCore(x *forwarder.Exchange) *core {
 	c := &core{
 		x: x, start: time.Now(), timer: time.NewTimer(time.Hour), done: make(chan struct{}),
 		nonce: requestID(rand.Uint64()),
@@ -33,14 +33,14 @@
 
 func (c *core) now() time.Duration { return time.Since(c.start) }
 
-// run fires the exchange's timer until stop.
+// run fires the forwarder's timer until stop.
 func (c *core) run() {
 	for {
 		select {
 		case <-c.done:
 			return
 		case <-c.timer.C:
-			c.tell(nil, exchange.Fired{})
+			c.tell(nil, forwarder.Fired{})
 		}
 	}
 }
@@ -50,7 +50,7 @@
 // tell hands an event over and has the actions followed: those of the lane on
 // which the caller runs before it returns, those of others soon. from is nil off
 // the loops.
-func (c *core) tell(from *lane, ev exchange.Event) {
+func (c *core) tell(from *lane, ev forwarder.Event) {
 	c.mu.Lock()
 	for _, a := range c.x.Handle(c.now(), ev) {
 		c.route(a)
@@ -68,10 +68,10 @@
 }
 
 // route puts an action into its lane's queue.
-func (c *core) route(a exchange.Action) {
+func (c *core) route(a forwarder.Action) {
 	lane, ok := a.On()
 	if !ok {
-		if t, timer := a.(exchange.SetTimer); timer {
+		if t, timer := a.(forwarder.SetTimer); timer {
 			c.timer.Reset(max(t.At-c.now(), 0))
 		}
 		return // lists are told here, not asked for
--- a/gateway/core_test.go
+++ b/gateway/core_test.go
@@ -1,8 +1,8 @@
 package gateway
 
 import (
-	"chalkstand/choice"
-	"chalkstand/exchange"
+	"chalkstand/dispatch"
+	"chalkstand/forwarder"
 	"testing"
 	"time"
 )
@@ -10,8 +10,8 @@
 // BenchmarkHandOver compares the ways of handing an event to the one owner of the
 // decisions: the lock that is used, and a goroutine with a channel, its peer.
 func BenchmarkHandOver(b *testing.B) {
-	cfg := choice.Config{Peers: 1, Classes: []choice.Class{{Aim: time.Second, Deadline: 2 * time.Second}}, Plans: []choice.Plan{{Weight: 1}}}
-	x, err := exchange.New(exchange.Config{
+	cfg := dispatch.Config{Peers: 1, Classes: []dispatch.Class{{Aim: time.Second, Deadline: 2 * time.Second}}, Plans: []dispatch.Plan{{Weight: 1}}}
+	x, err := forwarder.New(forwarder.Config{
 		Choice: cfg, Seed: 1, ConnsPerNode: 8,
 		Streams: 4, IdleFor: time.Second, MaxAge: time.Minute, Connect: time.Second, MaxCalls: 8,
 	})
@@ -23,13 +23,13 @@
 		b.ReportAllocs()
 		b.RunParallel(func(pb *testing.PB) {
 			for pb.Next() {
-				c.tell(nil, exchange.Gone{ID: 1})
+				c.tell(nil, forwarder.Gone{ID: 1})
 			}
 		})
 	})
 	b.Run("goroutine", func(b *testing.B) {
 		type ask struct {
-			ev   exchange.Event
+			ev   forwarder.Event
 			done chan struct{}
 		}
 		in := make(chan ask, 256)
@@ -43,7 +43,7 @@
 		b.RunParallel(func(pb *testing.PB) {
 			done := make(chan struct{}, 1)
 			for pb.Next() {
-				in <- ask{exchange.Gone{ID: 1}, done}
+				in <- ask{forwarder.Gone{ID: 1}, done}
 				<-done
 			}
 		})
--- a/gateway/draw.go
+++ b/gateway/draw.go
@@ -1,29 +1,29 @@
 package gateway
 
 import (
-	"chalkstand/choice"
-	"chalkstand/internal/netloop"
-	"chalkstand/internal/upstream"
-	"chalkstand/share"
+	"chalkstand/dispatch"
+	"chalkstand/fairshare"
+	"chalkstand/internal/eventloop"
+	"chalkstand/internal/upstreamhttp"
 	"time"
 )
 
 // gate is the way to one node for the answers that stream on a lane.
 type gate struct {
-	*share.Gate[*nodeConn]
+	*fairshare.Gate[*nodeConn]
 	used    time.Time
 	crowded bool // in the lane's list
 }
 
 // gateOf finds or makes a node's gate. Those of nodes that are gone are forgotten when
 // there are many.
-func (l *lane) gateOf(id choice.NodeID) *gate {
+func (l *lane) gateOf(id dispatch.NodeID) *gate {
 	if g := l.gates[id]; g != nil {
 		g.used = l.now()
 		return g
 	}
 	x := l.g.cfg.Share
-	s, err := share.NewGate[*nodeConn](share.GateConfig{
+	s, err := fairshare.NewGate[*nodeConn](fairshare.GateConfig{
 		Depth: x.Depth, Crowd: x.Crowd, Quantum: x.Draw, Lease: x.Lease.D(), Window: x.Window.D(), Flows: x.Flows,
 		Arrival: x.Order == "arrival",
 	})
@@ -31,7 +31,7 @@
 		panic("gateway: " + err.Error()) // cannot happen: the settings were checked, and loops have the same
 	}
 	if l.gates == nil {
-		l.gates = map[choice.NodeID]*gate{}
+		l.gates = map[dispatch.NodeID]*gate{}
 	}
 	if len(l.gates) >= maxGates {
 		for id, g := range l.gates {
@@ -73,8 +73,8 @@
 }
 
 // OnReadable lets a stream ask whose next bytes are there.
-func (k *nodeConn) OnReadable(*netloop.Conn) {
-	if k.call != nil && k.r.State() == upstream.Passing && k.lease == nil {
+func (k *nodeConn) OnReadable(*eventloop.Conn) {
+	if k.call != nil && k.r.State() == upstreamhttp.Passing && k.lease == nil {
 		k.draw()
 	}
 }
@@ -108,7 +108,7 @@
 		}
 		k := lease.Item
 		k.asking = false
-		if k.lease != nil || k.call == nil || k.c == nil || k.r.State() != upstream.Passing { // it has ended meanwhile
+		if k.lease != nil || k.call == nil || k.c == nil || k.r.State() != upstreamhttp.Passing { // it has ended meanwhile
 			g.Done(now, lease, 0)
 			continue
 		}
--- a/gateway/fanout.go
+++ b/gateway/fanout.go
@@ -1,7 +1,7 @@
 package gateway
 
 import (
-	"chalkstand/choice"
+	"chalkstand/dispatch"
 	"chalkstand/internal/http1"
 	"chalkstand/internal/objectapi"
 	"encoding/base64"
@@ -17,7 +17,7 @@
 
 // part is what one shard answered.
 type part struct {
-	shard choice.Shard
+	shard dispatch.Shard
 	result
 	status int
 	doc    []byte
@@ -25,7 +25,7 @@
 
 // fan sends one request for each shard, a few at a time, and goes on when all have
 // their answers.
-func (t *transaction) fan(shards []choice.Shard, ask func(i int, s choice.Shard) (*call, choice.Request), done func([]part)) {
+func (t *transaction) fan(shards []dispatch.Shard, ask func(i int, s dispatch.Shard) (*call, dispatch.Request), done func([]part)) {
 	parts := make([]part, len(shards))
 	next, open, inside := 0, 0, false
 	var more func()
@@ -104,7 +104,7 @@
 }
 
 // shardCall makes a call without a body to one shard.
-func (t *transaction) shardCall(kind objectapi.Kind, method, bucket string, q objectapi.Query, s choice.Shard, body []byte) (*call, choice.Request) {
+func (t *transaction) shardCall(kind objectapi.Kind, method, bucket string, q objectapi.Query, s dispatch.Shard, body []byte) (*call, dispatch.Request) {
 	r := t.price(kind, t.vol, s, "", int64(len(body)))
 	b := t.nodeHead(make([]byte, 0, 512), method, bucket, "", q, r, kind.Writes(), "-"+strconv.Itoa(int(s)))
 	if method == "PUT" || method == "POST" {
@@ -116,7 +116,7 @@
 func (t *transaction) listBuckets() {
 	l := t.conn.lane
 	all := l.g.shards.Volume("", 0).Shards()
-	t.fan(all, func(_ int, s choice.Shard) (*call, choice.Request) {
+	t.fan(all, func(_ int, s dispatch.Shard) (*call, dispatch.Request) {
 		return t.shardCall(objectapi.ListBuckets, "GET", "", nil, s, nil)
 	}, func(parts []part) {
 		if !t.wholeParts(parts, 200) {
@@ -145,7 +145,7 @@
 }
 
 func (t *transaction) createBucket() {
-	t.fan(t.vol.place.Shards(), func(_ int, s choice.Shard) (*call, choice.Request) {
+	t.fan(t.vol.place.Shards(), func(_ int, s dispatch.Shard) (*call, dispatch.Request) {
 		return t.shardCall(objectapi.CreateBucket, "PUT", t.op.Bucket, nil, s, nil)
 	}, func(parts []part) {
 		if !t.wholeParts(parts, 200, 409) {
@@ -165,16 +165,16 @@
 	shards := t.vol.place.Shards()
 	look := objectapi.Query{{Name: "list-type", Value: "2"}, {Name: "max-keys", Value: "1"}}
 	notEmpty := objectapi.Errorf("BucketNotEmpty", "The bucket you tried to delete is not empty.")
-	remake := func(gone []choice.Shard) {
-		t.fan(gone, func(_ int, s choice.Shard) (*call, choice.Request) {
+	remake := func(gone []dispatch.Shard) {
+		t.fan(gone, func(_ int, s dispatch.Shard) (*call, dispatch.Request) {
 			return t.shardCall(objectapi.CreateBucket, "PUT", t.op.Bucket, nil, s, nil)
 		}, func([]part) { t.deny(notEmpty) })
 	}
 	remove := func() {
-		t.fan(shards, func(_ int, s choice.Shard) (*call, choice.Request) {
+		t.fan(shards, func(_ int, s dispatch.Shard) (*call, dispatch.Request) {
 			return t.shardCall(objectapi.DeleteBucket, "DELETE", t.op.Bucket, nil, s, nil)
 		}, func(parts []part) {
-			var gone []choice.Shard
+			var gone []dispatch.Shard
 			for _, p := range parts {
 				if p.status == 204 {
 					gone = append(gone, p.shard)
@@ -189,7 +189,7 @@
 			}
 		})
 	}
-	t.fan(shards, func(_ int, s choice.Shard) (*call, choice.Request) {
+	t.fan(shards, func(_ int, s dispatch.Shard) (*call, dispatch.Request) {
 		return t.shardCall(objectapi.ListObjectsV2, "GET", t.op.Bucket, look, s, nil)
 	}, func(parts []part) {
 		if !slices.ContainsFunc(parts, func(p part) bool { return p.status == 200 }) && !t.wholeParts(parts, 200) {
@@ -210,7 +210,7 @@
 
 func (t *transaction) location() {
 	first := t.vol.place.Shards()[:1]
-	t.fan(first, func(_ int, s choice.Shard) (*call, choice.Request) {
+	t.fan(first, func(_ int, s dispatch.Shard) (*call, dispatch.Request) {
 		return t.shardCall(objectapi.GetBucketLocation, "GET", t.op.Bucket, objectapi.Query{{Name: "location"}}, s, nil)
 	}, func(parts []part) {
 		if !t.wholeParts(parts, 200) {
@@ -253,7 +253,7 @@
 	if name := map[bool]string{false: "marker", true: "start-after"}[v2]; after != "" {
 		q = append(q, objectapi.Param{Name: name, Value: after})
 	}
-	t.fan(t.vol.place.Shards(), func(_ int, s choice.Shard) (*call, choice.Request) {
+	t.fan(t.vol.place.Shards(), func(_ int, s dispatch.Shard) (*call, dispatch.Request) {
 		return t.shardCall(t.op.Kind, "GET", t.op.Bucket, q, s, nil)
 	}, func(parts []part) {
 		if !t.wholeParts(parts, 200) {
@@ -323,7 +323,7 @@
 			q = append(q, objectapi.Param{Name: n, Value: v})
 		}
 	}
-	t.fan(t.vol.place.Shards(), func(_ int, s choice.Shard) (*call, choice.Request) {
+	t.fan(t.vol.place.Shards(), func(_ int, s dispatch.Shard) (*call, dispatch.Request) {
 		return t.shardCall(objectapi.ListMultipartUploads, "GET", t.op.Bucket, q, s, nil)
 	}, func(parts []part) {
 		if !t.wholeParts(parts, 200) {
@@ -405,8 +405,8 @@
 		t.deny(err)
 		return
 	}
-	byShard := map[choice.Shard][]objectapi.ObjectIdentifier{}
-	var shards []choice.Shard
+	byShard := map[dispatch.Shard][]objectapi.ObjectIdentifier{}
+	var shards []dispatch.Shard
 	for _, o := range req.Objects {
 		s := t.vol.place.Shard(o.Key)
 		if byShard[s] == nil {
@@ -414,7 +414,7 @@
 		}
 		byShard[s] = append(byShard[s], o)
 	}
-	t.fan(shards, func(_ int, s choice.Shard) (*call, choice.Request) {
+	t.fan(shards, func(_ int, s dispatch.Shard) (*call, dispatch.Request) {
 		doc := objectapi.Marshal(objectapi.DeleteRequest{Objects: byShard[s]})
 		return t.shardCall(objectapi.DeleteObjects, "POST", t.op.Bucket, objectapi.Query{{Name: "delete"}}, s, doc)
 	}, func(parts []part) {
--- a/gateway/front.go
+++ b/gateway/front.go
@@ -1,15 +1,16 @@
 package gateway
 
 import (
-	"chalkstand/accounts"
-	"chalkstand/choice"
+	"chalkstand/attribution"
+	"chalkstand/dispatch"
+	"chalkstand/fairshare"
+	"chalkstand/internal/eventloop"
 	"chalkstand/internal/http1"
-	"chalkstand/internal/netloop"
 	"chalkstand/internal/objectapi"
 	"chalkstand/internal/payload"
 	"chalkstand/internal/sigv4"
+	"chalkstand/overload"
 	"chalkstand/placement"
-	"chalkstand/share"
 	"math"
 	"path"
 	"slices"
@@ -27,9 +28,9 @@
 	rate  float64
 	hosts int
 	place *placement.Volume
-	flow  *netloop.Flow // its share of the lane's loop
-	terms share.Terms
-	over  *share.Overload // of the lane's loop, by what it has to do for this volume
+	flow  *eventloop.Flow // its share of the lane's loop
+	terms fairshare.Terms
+	over  *overload.Controller // of the lane's loop, by what it has to do for this volume
 }
 
 // maxVolumes bounds a lane's memory of volumes; it is made anew when it is full.
@@ -179,7 +180,7 @@
 	}
 	t.continueBody()
 	c.set(gathering)
-	t.turn(accounts.BodyIn)
+	t.turn(attribution.BodyIn)
 	if r.None() {
 		c.gather(nil)
 	}
@@ -216,7 +217,7 @@
 }
 
 // shard is that of the operation's object.
-func (t *transaction) shard() choice.Shard { return t.vol.place.Shard(t.op.Key) }
+func (t *transaction) shard() dispatch.Shard { return t.vol.place.Shard(t.op.Key) }
 
 // rangeSize returns how many bytes a range asks for, -1 where its head does not say.
 func rangeSize(v []byte) int64 {
@@ -239,14 +240,14 @@
 	return z - a + 1
 }
 
-// price makes the request that choice is asked about.
-func (t *transaction) price(kind objectapi.Kind, v *volume, shard choice.Shard, key string, size int64) choice.Request {
+// price makes the request that the dispatcher is asked about.
+func (t *transaction) price(kind objectapi.Kind, v *volume, shard dispatch.Shard, key string, size int64) dispatch.Request {
 	s := t.conn.lane.g
 	p := s.tariff.Of(kind, size)
 	class := &s.cfg.Classes[p.Class]
-	r := choice.Request{Class: p.Class, Shard: shard, Units: p.Units, Left: class.Deadline.D()}
+	r := dispatch.Request{Class: p.Class, Shard: shard, Units: p.Units, Left: class.Deadline.D()}
 	if v != nil {
-		r.Plan, r.Volume, r.Hosts = v.plan, choice.VolumeID(v.name), v.hosts
+		r.Plan, r.Volume, r.Hosts = v.plan, dispatch.VolumeID(v.name), v.hosts
 	} else {
 		r.Volume, r.Hosts = "/", s.cfg.Peers // what belongs to no bucket
 	}
@@ -257,7 +258,7 @@
 }
 
 // nodeHead writes the head of a request to a node, without the attempt's line.
-func (t *transaction) nodeHead(b []byte, method, bucket, key string, q objectapi.Query, r choice.Request, writes bool, part string) []byte {
+func (t *transaction) nodeHead(b []byte, method, bucket, key string, q objectapi.Query, r dispatch.Request, writes bool, part string) []byte {
 	b = append(append(b, method...), " /"...)
 	b = sigv4.AppendEscape(b, bucket, false)
 	if key != "" {
@@ -329,7 +330,7 @@
 }
 
 // forward sends an operation to the node of one shard and serves its answer.
-func (t *transaction) forward(r *http1.Request, shard choice.Shard, size int64) {
+func (t *transaction) forward(r *http1.Request, shard dispatch.Shard, size int64) {
 	kind := t.op.Kind
 	req := t.price(kind, t.vol, shard, t.op.Key, size)
 	b := make([]byte, 0, 512+len(t.held)/64)
@@ -376,7 +377,7 @@
 }
 
 // call begins a request of this transaction to a node.
-func (t *transaction) call(k *call, r choice.Request) {
+func (t *transaction) call(k *call, r dispatch.Request) {
 	if t.vol != nil {
 		k.rate = t.vol.rate
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -4,14 +4,14 @@
 package gateway
 
 import (
-	"chalkstand/accounts"
-	"chalkstand/choice"
-	"chalkstand/exchange"
-	"chalkstand/internal/netloop"
+	"chalkstand/attribution"
+	"chalkstand/costmodel"
+	"chalkstand/dispatch"
+	"chalkstand/forwarder"
+	"chalkstand/internal/eventloop"
 	"chalkstand/internal/settings"
 	"chalkstand/internal/sigv4"
 	"chalkstand/placement"
-	"chalkstand/tariff"
 	"context"
 	"fmt"
 	"math/rand/v2"
@@ -45,20 +45,22 @@
 
 // WithTrace has f called with each input of the dispatcher and what it answered,
 // in order, one at a time. f must not block.
-func WithTrace(f func(now time.Duration, ev choice.Event, acts []choice.Action)) Option {
+func WithTrace(f func(now time.Duration, ev dispatch.Event, acts []dispatch.Action)) Option {
 	return func(g *Gateway) { g.trace = f }
 }
 
 // WithAccounts has f given the account of each client request that needed a node,
 // one at a time, soon after its end; accounts are kept whatever the settings say.
 // f must not block.
-func WithAccounts(f func(accounts.Entry)) Option {
+func WithAccounts(f func(attribution.Entry)) Option {
 	return func(g *Gateway) { g.eachAccount, g.cfg.Accounts.On = f, true }
 }
 
 // WithAccountsLog has f given the slots of the accounts as they close (Closed) and
 // later corrections of these (Fixed), in order, one at a time.
-func WithAccountsLog(f func(accounts.Action)) Option { return func(g *Gateway) { g.saveAccount = f } }
+func WithAccountsLog(f func(attribution.Action)) Option {
+	return func(g *Gateway) { g.saveAccount = f }
+}
 
 // Gateway is one running gateway.
 type Gateway struct {
@@ -67,14 +69,14 @@
 	registry prometheus.Registerer
 	wall     func() time.Time
 	seed     uint64
-	trace    func(time.Duration, choice.Event, []choice.Action)
+	trace    func(time.Duration, dispatch.Event, []dispatch.Action)
 	born     time.Time // by the wall clock
 
-	eachAccount func(accounts.Entry)
-	saveAccount func(accounts.Action)
+	eachAccount func(attribution.Entry)
+	saveAccount func(attribution.Action)
 	books       *bookkeeper // nil: no accounts are kept
 
-	tariff   *tariff.Tariff
+	tariff   *costmodel.Tariff
 	shards   *placement.Map
 	verify   *sigv4.Verifier
 	keys     atomic.Pointer[map[string]*accessKey]
@@ -110,7 +112,7 @@
 	g.SetKeys(cfg.Keys)
 	g.verify = &sigv4.Verifier{Region: cfg.Region, Skew: cfg.Limits.Skew.D(), Secret: g.secret}
 	l := cfg.Limits
-	x, err := exchange.New(exchange.Config{
+	x, err := forwarder.New(forwarder.Config{
 		Choice: cfg.Choice(), Seed: g.seed, ConnsPerNode: l.ConnsPerNode, Streams: l.Streams, IdleFor: l.NodeIdle.D(),
 		MaxAge: l.NodeAge.D(), Connect: l.Connect.D(), Margin: l.Margin.D(), MaxCalls: l.Calls, Accounts: cfg.Accounts.On,
 	})
@@ -133,7 +135,7 @@
 		}
 	}
 	for i := range cfg.LoopCount() {
-		loop, err := netloop.NewLoopWith(i, loopOptions(g.cfg, g.core.now))
+		loop, err := eventloop.NewLoopWith(i, loopOptions(g.cfg, g.core.now))
 		if err != nil {
 			return nil, fmt.Errorf("gateway: %w", err)
 		}
@@ -153,18 +155,18 @@
 		go g.books.run()
 	}
 	if len(cfg.Nodes) > 0 {
-		g.SetNodes(choice.Complete, NodesOf(cfg.Nodes))
+		g.SetNodes(dispatch.Complete, NodesOf(cfg.Nodes))
 	}
 	return g, nil
 }
 
 // NodesOf turns the settings' nodes into a list for SetNodes.
-func NodesOf(ns []settings.Node) []exchange.Node {
-	var list []exchange.Node
+func NodesOf(ns []settings.Node) []forwarder.Node {
+	var list []forwarder.Node
 	for _, n := range ns {
-		e := exchange.Node{Addr: n.Addr, Node: choice.Node{ID: choice.NodeID(n.ID), Shard: choice.Shard(n.Shard), Zone: n.Zone, Kind: n.Kind}}
+		e := forwarder.Node{Addr: n.Addr, Node: dispatch.Node{ID: dispatch.NodeID(n.ID), Shard: dispatch.Shard(n.Shard), Zone: n.Zone, Kind: n.Kind}}
 		if n.State == "draining" {
-			e.State = choice.Draining
+			e.State = dispatch.Draining
 		}
 		list = append(list, e)
 	}
@@ -175,8 +177,8 @@
 func (g *Gateway) Now() time.Duration { return g.core.now() }
 
 // SetNodes tells the gateway of its storage nodes. Times in it are on Now's scale.
-func (g *Gateway) SetNodes(kind choice.ListKind, nodes []exchange.Node) {
-	g.core.tell(nil, exchange.Nodes{Kind: kind, Nodes: nodes})
+func (g *Gateway) SetNodes(kind dispatch.ListKind, nodes []forwarder.Node) {
+	g.core.tell(nil, forwarder.Nodes{Kind: kind, Nodes: nodes})
 }
 
 // SetKeys replaces the access keys. Requests already taken keep theirs.
@@ -199,7 +201,7 @@
 // the gateway is closed. It returns at once when a listener cannot be used.
 func (g *Gateway) Serve(ctx context.Context, listeners ...*net.TCPListener) error {
 	for _, ln := range listeners {
-		fd, err := netloop.Detach(ln)
+		fd, err := eventloop.Detach(ln)
 		if err != nil {
 			return fmt.Errorf("gateway: listener %v: %w", ln.Addr(), err)
 		}
@@ -322,7 +324,7 @@
 	for _, l := range g.lanes {
 		l.loop.Do(func() {
 			sum := 0
-			l.loop.Each(func(c *netloop.Conn) { sum += c.Pending() + c.Kept() })
+			l.loop.Each(func(c *eventloop.Conn) { sum += c.Pending() + c.Kept() })
 			n <- sum
 		})
 	}
--- a/gateway/lane.go
+++ b/gateway/lane.go
@@ -1,13 +1,13 @@
 package gateway
 
 import (
-	"chalkstand/accounts"
-	"chalkstand/choice"
-	"chalkstand/exchange"
-	"chalkstand/internal/netloop"
+	"chalkstand/attribution"
+	"chalkstand/dispatch"
+	"chalkstand/fairshare"
+	"chalkstand/forwarder"
+	"chalkstand/internal/eventloop"
 	"chalkstand/internal/objectapi"
-	"chalkstand/internal/upstream"
-	"chalkstand/share"
+	"chalkstand/internal/upstreamhttp"
 	"time"
 
 	"golang.org/x/sys/unix"
@@ -17,48 +17,48 @@
 // connections to nodes. Everything but acts and woken is touched on the loop only.
 type lane struct {
 	g     *Gateway
-	index exchange.Lane
-	loop  *netloop.Loop
+	index forwarder.Lane
+	loop  *eventloop.Loop
 
-	calls   map[choice.RequestID]*call
-	conns   map[exchange.ConnID]*nodeConn
+	calls   map[dispatch.RequestID]*call
+	conns   map[forwarder.ConnID]*nodeConn
 	clients map[*clientConn]struct{}
 	volumes map[string]*volume
-	gates   map[choice.NodeID]*gate
+	gates   map[dispatch.NodeID]*gate
 	crowded []*gate // where somebody waits, or did a moment ago
 	strange *volume // stands for that of connections that have not spoken for one yet
 	house   *volume // stands for what belongs to none
 	resting restingClients
-	leaving map[choice.RequestID]*call // dropped here, not yet accounted for
-	batch   accounts.Batch             // on its way to the books
-	behind  []netloop.Turns            // scratch
+	leaving map[dispatch.RequestID]*call // dropped here, not yet accounted for
+	batch   attribution.Batch            // on its way to the books
+	behind  []eventloop.Turns            // scratch
 	scratch []byte
 	swept   time.Time // of the last sweep: the coarse clock of connections
 	date    string    // for answers
 	dateAt  int64
 
-	acts      []exchange.Action // under core.mu
-	woken     bool              // under core.mu
-	spare     []exchange.Action
+	acts      []forwarder.Action // under core.mu
+	woken     bool               // under core.mu
+	spare     []forwarder.Action
 	following bool
 }
 
-func newLane(g *Gateway, loop *netloop.Loop) *lane {
+func newLane(g *Gateway, loop *eventloop.Loop) *lane {
 	l := &lane{
-		g: g, index: exchange.Lane(loop.Index), loop: loop, calls: map[choice.RequestID]*call{},
-		conns: map[exchange.ConnID]*nodeConn{}, clients: map[*clientConn]struct{}{}, volumes: map[string]*volume{}, leaving: map[choice.RequestID]*call{}, swept: time.Now(),
+		g: g, index: forwarder.Lane(loop.Index), loop: loop, calls: map[dispatch.RequestID]*call{},
+		conns: map[forwarder.ConnID]*nodeConn{}, clients: map[*clientConn]struct{}{}, volumes: map[string]*volume{}, leaving: map[dispatch.RequestID]*call{}, swept: time.Now(),
 	}
-	l.strange = &volume{name: "(newcomers)", terms: share.Terms{Weight: g.cfg.Share.Newcomers}, over: l.newOverload()}
+	l.strange = &volume{name: "(newcomers)", terms: fairshare.Terms{Weight: g.cfg.Share.Newcomers}, over: l.newOverload()}
 	l.strange.flow = loop.Flow(l.strange.name, l.strange.terms, g.shares.account(l.strange.name, g.cfg))
 	loop.Alarm(l.nextAlarm, l.ring)
-	l.house = &volume{name: "(gateway)", terms: share.Terms{Weight: 1}}
+	l.house = &volume{name: "(gateway)", terms: fairshare.Terms{Weight: 1}}
 	l.house.flow = loop.Flow(l.house.name, l.house.terms, nil)
 	return l
 }
 
-func (l *lane) tell(ev exchange.Event) { l.g.core.tell(l, ev) }
+func (l *lane) tell(ev forwarder.Event) { l.g.core.tell(l, ev) }
 
-// follow does what the exchange decided for this lane, in order. Called again from
+// follow does what the forwarder decided for this lane, in order. Called again from
 // within, it leaves the rest to the first.
 func (l *lane) follow() {
 	if l.following {
@@ -83,20 +83,20 @@
 	l.following = false
 }
 
-func (l *lane) do(a exchange.Action) {
+func (l *lane) do(a forwarder.Action) {
 	switch a := a.(type) {
-	case exchange.Dial:
+	case forwarder.Dial:
 		l.dial(a)
-	case exchange.Send:
+	case forwarder.Send:
 		if k, c := l.conns[a.Conn], l.calls[a.ID]; k != nil && c != nil {
 			k.send(c, a)
 		}
-	case exchange.Close:
+	case forwarder.Close:
 		if k := l.conns[a.Conn]; k != nil {
 			delete(l.conns, a.Conn)
 			k.shut()
 		}
-	case exchange.Deliver:
+	case forwarder.Deliver:
 		if c := l.take(a.ID); c != nil {
 			r := result{kind: failed}
 			if k := l.conns[a.Conn]; k != nil {
@@ -104,23 +104,23 @@
 			}
 			c.done(r)
 		}
-	case exchange.Accounted:
+	case forwarder.Accounted:
 		l.accounted(a)
-	case exchange.Drop:
+	case forwarder.Drop:
 		if k := l.conns[a.Conn]; k != nil {
 			k.handOver()
 		}
-	case exchange.Refuse:
+	case forwarder.Refuse:
 		l.g.metrics.refused.Inc()
 		if c := l.take(a.ID); c != nil {
 			c.done(result{kind: refused, after: a.After})
 		}
-	case exchange.Fail:
+	case forwarder.Fail:
 		l.g.metrics.failed.Inc()
 		if c := l.take(a.ID); c != nil {
 			c.done(result{kind: failed, late: a.Late})
 		}
-	case exchange.Cut:
+	case forwarder.Cut:
 		l.g.metrics.cut.Inc()
 		if c := l.take(a.ID); c != nil {
 			c.done(result{kind: cut})
@@ -129,7 +129,7 @@
 }
 
 // take removes a call that has its end.
-func (l *lane) take(id choice.RequestID) *call {
+func (l *lane) take(id dispatch.RequestID) *call {
 	c := l.calls[id]
 	if c != nil {
 		delete(l.calls, id)
@@ -138,13 +138,13 @@
 	return c
 }
 
-// begin hands a call to the exchange. Its answer may come before begin returns.
-func (l *lane) begin(c *call, r choice.Request) {
-	c.id = choice.RequestID(l.g.nextID.Add(1))
+// begin hands a call to the forwarder. Its answer may come before begin returns.
+func (l *lane) begin(c *call, r dispatch.Request) {
+	c.id = dispatch.RequestID(l.g.nextID.Add(1))
 	r.ID = c.id
 	c.lane = l
 	l.calls[c.id] = c
-	l.tell(exchange.Begin{Request: r, Lane: l.index, Once: c.source != nil})
+	l.tell(forwarder.Begin{Request: r, Lane: l.index, Once: c.source != nil})
 }
 
 // drop ends a call that nobody waits for.
@@ -153,14 +153,14 @@
 		return
 	}
 	l.leave(c)
-	e := exchange.Gone{ID: c.id}
+	e := forwarder.Gone{ID: c.id}
 	if c.reads { // it pays for what it used
 		e.Units = l.g.tariff.Of(objectapi.GetObject, c.passed).Units
 	}
 	l.tell(e)
 }
 
-// leave removes a call whose answer nobody waits for. The exchange has yet to hear
+// leave removes a call whose answer nobody waits for. The forwarder has yet to hear
 // of it, and to account for it.
 func (l *lane) leave(c *call) {
 	if l.take(c.id) != nil && l.g.books != nil {
@@ -168,8 +168,8 @@
 	}
 }
 
-func (l *lane) dial(a exchange.Dial) {
-	k := &nodeConn{id: a.Conn, lane: l, gate: l.gateOf(a.Node), r: upstream.Reader{Limits: l.nodeLimits()}}
+func (l *lane) dial(a forwarder.Dial) {
+	k := &nodeConn{id: a.Conn, lane: l, gate: l.gateOf(a.Node), r: upstreamhttp.Reader{Limits: l.nodeLimits()}}
 	l.conns[a.Conn] = k
 	l.loop.Dial(a.Addr, a.Timeout, func(fd int, err error) {
 		if l.conns[a.Conn] != k { // given up meanwhile
@@ -187,7 +187,7 @@
 		if err != nil {
 			delete(l.conns, a.Conn)
 		}
-		l.tell(exchange.Dialed{Conn: a.Conn, OK: err == nil})
+		l.tell(forwarder.Dialed{Conn: a.Conn, OK: err == nil})
 	})
 }
 
--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"bufio"
-	"chalkstand/accounts"
+	"chalkstand/attribution"
 	"chalkstand/gateway"
 	"chalkstand/internal/settings"
 	"net"
@@ -124,8 +124,8 @@
 // their accounts say so, name the other volume, and sum to what they took.
 func TestWaitForTheLoopIsAccountedFor(t *testing.T) {
 	const clients = 100
-	entries := make(chan accounts.Entry, 4*clients)
-	e, all := overloaded(t, clients, 0, kit.Secret, gateway.WithAccounts(func(e accounts.Entry) { entries <- e }))
+	entries := make(chan attribution.Entry, 4*clients)
+	e, all := overloaded(t, clients, 0, kit.Secret, gateway.WithAccounts(func(e attribution.Entry) { entries <- e }))
 	for _, c := range all {
 		if resp := c.answer(t); resp.StatusCode != 200 {
 			t.Error(resp.Status)
@@ -148,9 +148,9 @@
 				behind += b.Time
 			}
 		}
-		if d := x.Parts[accounts.Loop]; d > 0 {
+		if d := x.Parts[attribution.Loop]; d > 0 {
 			waited += d
-			if line := d + x.Parts[accounts.Others] + x.Parts[accounts.NodeQueue]; sum > line {
+			if line := d + x.Parts[attribution.Others] + x.Parts[attribution.NodeQueue]; sum > line {
 				t.Errorf("waited %v behind others, of %v in line", sum, line)
 			}
 		}
--- a/gateway/report.go
+++ b/gateway/report.go
@@ -2,8 +2,8 @@
 
 import (
 	"bytes"
-	"chalkstand/choice"
-	"chalkstand/exchange"
+	"chalkstand/dispatch"
+	"chalkstand/forwarder"
 	"chalkstand/internal/objectapi"
 	"strconv"
 )
@@ -12,16 +12,16 @@
 // Cost Aggregation format.
 const loadHeader = "endpoint-load-metrics"
 
-// word turns a node's answer into what the exchange hears of it.
-func (k *nodeConn) word() exchange.Word {
-	w := exchange.Word{Status: choice.Served}
+// word turns a node's answer into what the forwarder hears of it.
+func (k *nodeConn) word() forwarder.Word {
+	w := forwarder.Word{Status: dispatch.Served}
 	switch s := k.r.Response.Status; {
 	case s == 503 || s == 429:
-		w.Status = choice.Full
+		w.Status = dispatch.Full
 	case s >= 500 && s != 501:
-		w.Status = choice.Errored
+		w.Status = dispatch.Errored
 	}
-	if r := &k.r.Response; w.Status == choice.Served && k.call != nil && k.call.guess && !r.Chunked && !r.UntilClose {
+	if r := &k.r.Response; w.Status == dispatch.Served && k.call != nil && k.call.guess && !r.Chunked && !r.UntilClose {
 		w.Units = k.lane.g.tariff.Of(objectapi.GetObject, r.Length).Units
 	}
 	if v := k.r.Response.Headers.Get(loadHeader); v != nil {
@@ -33,7 +33,7 @@
 
 // readReport reads "TEXT name=value, …". Names that are not known are left out;
 // a value that is no number is as good as absent.
-func (l *lane) readReport(v []byte, c *call, w *exchange.Word) {
+func (l *lane) readReport(v []byte, c *call, w *forwarder.Word) {
 	rest, ok := bytes.CutPrefix(v, []byte("TEXT "))
 	if !ok {
 		return
@@ -48,7 +48,7 @@
 		}
 		switch string(name) {
 		case "named_metrics.inflight":
-			w.Report = choice.Report{"inflight": x}
+			w.Report = dispatch.Report{"inflight": x}
 		case "named_metrics.volume_rate":
 			if c != nil && c.rate > 0 {
 				w.Use = 1 + 100*x/c.rate
--- a/gateway/shares.go
+++ b/gateway/shares.go
@@ -1,9 +1,10 @@
 package gateway
 
 import (
-	"chalkstand/internal/netloop"
+	"chalkstand/fairshare"
+	"chalkstand/internal/eventloop"
 	"chalkstand/internal/settings"
-	"chalkstand/share"
+	"chalkstand/overload"
 	"cmp"
 	"encoding/json"
 	"net/http"
@@ -13,18 +14,18 @@
 )
 
 // loopOptions are a loop's settings.
-func loopOptions(s *settings.Settings, now func() time.Duration) netloop.Options {
+func loopOptions(s *settings.Settings, now func() time.Duration) eventloop.Options {
 	x := s.Share
-	return netloop.Options{Quantum: x.Quantum, Slice: x.Slice.D(), Now: now, Share: share.Config{
+	return eventloop.Options{Quantum: x.Quantum, Slice: x.Slice.D(), Now: now, Share: fairshare.Config{
 		ByteTime: x.ByteTime, Window: x.Window.D(),
 		Flows: x.Flows, Finishing: x.Finishing, Arrival: x.Order == "arrival",
 	}}
 }
 
 // newOverload returns the state of one flow's refusals.
-func (l *lane) newOverload() *share.Overload {
+func (l *lane) newOverload() *overload.Controller {
 	x := l.g.cfg.Share.Overload
-	o, err := share.NewOverload(share.OverloadConfig{Target: x.Target.D(), Interval: x.Interval.D(), Back: x.Back.D(), MaxBack: x.MaxBack.D()})
+	o, err := overload.New(overload.Config{Target: x.Target.D(), Interval: x.Interval.D(), Back: x.Back.D(), MaxBack: x.MaxBack.D()})
 	if err != nil {
 		panic("gateway: " + err.Error()) // cannot happen: the settings were checked
 	}
@@ -35,12 +36,12 @@
 // and loop; turns do not come here.
 type shares struct {
 	mu  sync.Mutex
-	all map[string]*share.Account
+	all map[string]*fairshare.Account
 }
 
 // account finds or makes the account of a volume. Beyond the bound there is none: such
 // a volume has its share of each loop by itself.
-func (s *shares) account(name string, cfg *settings.Settings) *share.Account {
+func (s *shares) account(name string, cfg *settings.Settings) *fairshare.Account {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if a := s.all[name]; a != nil {
@@ -50,9 +51,9 @@
 		return nil
 	}
 	if s.all == nil {
-		s.all = map[string]*share.Account{}
+		s.all = map[string]*fairshare.Account{}
 	}
-	a := share.NewAccount(cfg.LoopCount())
+	a := fairshare.NewAccount(cfg.LoopCount())
 	s.all[name] = a
 	return a
 }
@@ -116,13 +117,13 @@
 
 func (l *lane) shares() map[string]Share {
 	out := map[string]Share{}
-	l.loop.Flows(func(f *netloop.Flow) {
+	l.loop.Flows(func(f *eventloop.Flow) {
 		had := f.Had()
 		_, paced := f.Paced()
 		out[f.Name()] = Share{Volume: f.Name(), Weight: f.Weight(), Loops: time.Duration(had.Cost), Bytes: had.Bytes, Waits: f.Waits(), Paced: paced}
 	})
 	for _, g := range l.gates {
-		g.Flows(func(f *share.Flow[*nodeConn]) {
+		g.Flows(func(f *fairshare.Flow[*nodeConn]) {
 			if s, ok := out[f.Name()]; ok {
 				s.Streams += f.Waits()
 				out[f.Name()] = s
--- a/gateway/upload.go
+++ b/gateway/upload.go
@@ -1,7 +1,7 @@
 package gateway
 
 import (
-	"chalkstand/exchange"
+	"chalkstand/forwarder"
 	"chalkstand/internal/http1"
 	"chalkstand/internal/objectapi"
 	"time"
@@ -13,11 +13,11 @@
 type upload struct {
 	t       *transaction
 	call    *call
-	k       *nodeConn // nil until the exchange has sent the request, and after its end
+	k       *nodeConn // nil until the forwarder has sent the request, and after its end
 	chunked bool      // towards the node: the length or a checksum comes at the end
 	trailer string    // the checksum's name, with chunked
 	last    []byte    // held back
-	flowing bool      // the exchange was told that the body flows
+	flowing bool      // the forwarder was told that the body flows
 	began   time.Duration
 	taken   time.Duration // when the client had sent all; 0: not yet
 	stall   stall         // by the node
@@ -62,7 +62,7 @@
 	}
 	if !u.flowing {
 		u.flowing = true
-		c.lane.tell(exchange.Flowing{ID: u.call.id})
+		c.lane.tell(forwarder.Flowing{ID: u.call.id})
 	}
 	if u.k != nil && u.k.call == u.call && u.k.c.Pending() > 0 {
 		u.stall.begin(t.at())
@@ -87,7 +87,7 @@
 func (u *upload) abandon() {
 	l := u.t.conn.lane
 	l.leave(u.call)
-	l.tell(exchange.Abandon{ID: u.call.id})
+	l.tell(forwarder.Abandon{ID: u.call.id})
 }
 
 func (u *upload) pass(p []byte) {
--- a/internal/accountlog/log.go
+++ b/internal/attributionlog/log.go
@@ -1,13 +1,13 @@
-// Package accountlog saves latency accounts in files and reads them again. A file
+// Package attributionlog saves latency accounts in files and reads them again. A file
 // begins with a line that names its form and version; records follow, each with its
 // length and a checksum, compressed with zstd. A record that was cut short by a
 // crash, or damaged, ends what is read of its file, and is cut off before the file
 // is written on. Files are bounded in size and number.
-package accountlog
+package attributionlog
 
 import (
 	"bytes"
-	"chalkstand/accounts"
+	"chalkstand/attribution"
 	"encoding/binary"
 	"encoding/json"
 	"errors"
@@ -32,20 +32,20 @@
 
 // Record is one entry of the log: a closed slot, or a correction to one.
 type Record struct {
-	Run   accounts.Run         `json:"run"`
-	Saved time.Time            `json:"saved"` // by the wall clock then, which may have been set meanwhile
-	At    time.Duration        `json:"at_ns"` // the same moment in the run's own time
-	Slot  *accounts.Window     `json:"slot,omitempty"`
-	Fix   *accounts.Correction `json:"fix,omitempty"`
+	Run   attribution.Run         `json:"run"`
+	Saved time.Time               `json:"saved"` // by the wall clock then, which may have been set meanwhile
+	At    time.Duration           `json:"at_ns"` // the same moment in the run's own time
+	Slot  *attribution.Window     `json:"slot,omitempty"`
+	Fix   *attribution.Correction `json:"fix,omitempty"`
 }
 
 // RecordOf returns the record of what a keeper wants saved.
-func RecordOf(run accounts.Run, saved time.Time, at time.Duration, a accounts.Action) Record {
+func RecordOf(run attribution.Run, saved time.Time, at time.Duration, a attribution.Action) Record {
 	r := Record{Run: run, Saved: saved, At: at}
 	switch a := a.(type) {
-	case accounts.Closed:
+	case attribution.Closed:
 		r.Slot = &a.Window
-	case accounts.Fixed:
+	case attribution.Fixed:
 		r.Fix = &a.Correction
 	}
 	return r
@@ -71,7 +71,7 @@
 func Open(path string, bytes int64, files int) (*Writer, error) {
 	enc, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
 	if err != nil {
-		return nil, fmt.Errorf("account log: %w", err)
+		return nil, fmt.Errorf("attribution log: %w", err)
 	}
 	w := &Writer{path: path, bytes: bytes, files: max(files, 1), enc: enc}
 	if err := w.open(); err != nil {
@@ -83,7 +83,7 @@
 func (w *Writer) open() error {
 	f, err := os.OpenFile(w.path, os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
-		return fmt.Errorf("account log: %w", err)
+		return fmt.Errorf("attribution log: %w", err)
 	}
 	size, err := w.recover(f)
 	if err != nil {
@@ -99,29 +99,29 @@
 func (w *Writer) recover(f *os.File) (int64, error) {
 	info, err := f.Stat()
 	if err != nil {
-		return 0, fmt.Errorf("account log: %w", err)
+		return 0, fmt.Errorf("attribution log: %w", err)
 	}
 	head := header()
 	start := make([]byte, min(info.Size(), int64(len(head))))
 	if _, err := io.ReadFull(f, start); err != nil {
-		return 0, fmt.Errorf("account log: %w", err)
+		return 0, fmt.Errorf("attribution log: %w", err)
 	}
 	if len(start) < len(head) && bytes.HasPrefix(head, start) {
 		if err := errors.Join(f.Truncate(0), writeAt(f, head, 0)); err != nil {
-			return 0, fmt.Errorf("account log: %w", err)
+			return 0, fmt.Errorf("attribution log: %w", err)
 		}
 		return int64(len(head)), nil
 	}
 	if _, err := f.Seek(0, io.SeekStart); err != nil {
-		return 0, fmt.Errorf("account log: %w", err)
+		return 0, fmt.Errorf("attribution log: %w", err)
 	}
 	end, err := scan(f, info.Size(), nil)
 	var d *Damage
 	if err != nil && !errors.As(err, &d) {
-		return 0, fmt.Errorf("account log %s: %w", w.path, err)
+		return 0, fmt.Errorf("attribution log %s: %w", w.path, err)
 	}
 	if err := f.Truncate(end); err != nil {
-		return 0, fmt.Errorf("account log: %w", err)
+		return 0, fmt.Errorf("attribution log: %w", err)
 	}
 	return end, nil
 }
@@ -131,14 +131,14 @@
 	return err
 }
 
-func header() []byte { return fmt.Appendf(nil, "%s%d\n", magic, accounts.Version) }
+func header() []byte { return fmt.Appendf(nil, "%s%d\n", magic, attribution.Version) }
 
 // Append writes a record, in one write. It begins another file where this one is
 // full.
 func (w *Writer) Append(r Record) error {
 	plain, err := json.Marshal(r)
 	if err != nil {
-		return fmt.Errorf("account log: %w", err)
+		return fmt.Errorf("attribution log: %w", err)
 	}
 	w.buf = append(w.buf[:0], make([]byte, frame)...)
 	w.buf = w.enc.EncodeAll(plain, w.buf)
@@ -151,7 +151,7 @@
 		}
 	}
 	if err := writeAt(w.f, w.buf, w.size); err != nil {
-		return fmt.Errorf("account log: %w", err)
+		return fmt.Errorf("attribution log: %w", err)
 	}
 	w.size += int64(len(w.buf))
 	return nil
@@ -160,16 +160,16 @@
 // rotate begins another file. The oldest goes.
 func (w *Writer) rotate() error {
 	if err := w.f.Close(); err != nil {
-		return fmt.Errorf("account log: %w", err)
+		return fmt.Errorf("attribution log: %w", err)
 	}
 	for i := w.files - 1; i >= 1; i-- {
 		if err := os.Rename(name(w.path, i-1), name(w.path, i)); err != nil && !errors.Is(err, os.ErrNotExist) {
-			return fmt.Errorf("account log: %w", err)
+			return fmt.Errorf("attribution log: %w", err)
 		}
 	}
 	if w.files == 1 {
 		if err := os.Remove(w.path); err != nil {
-			return fmt.Errorf("account log: %w", err)
+			return fmt.Errorf("attribution log: %w", err)
 		}
 	}
 	return w.open()
@@ -187,7 +187,7 @@
 func (w *Writer) Close() error {
 	w.enc.Close()
 	if err := w.f.Close(); err != nil {
-		return fmt.Errorf("account log: %w", err)
+		return fmt.Errorf("attribution log: %w", err)
 	}
 	return nil
 }
@@ -209,7 +209,7 @@
 // version.
 func Read(path string) (recs []Record, damage []*Damage, err error) {
 	if _, err := os.Stat(path); err != nil {
-		return nil, nil, fmt.Errorf("account log: %w", err)
+		return nil, nil, fmt.Errorf("attribution log: %w", err)
 	}
 	last := 0
 	for {
@@ -221,7 +221,7 @@
 	for i := last; i >= 0; i-- {
 		f, err := os.Open(name(path, i))
 		if err != nil {
-			return nil, nil, fmt.Errorf("account log: %w", err)
+			return nil, nil, fmt.Errorf("attribution log: %w", err)
 		}
 		info, err := f.Stat()
 		if err == nil {
@@ -234,7 +234,7 @@
 			d.File = name(path, i)
 			damage = append(damage, d)
 		case err != nil:
-			return nil, nil, fmt.Errorf("account log %s: %w", name(path, i), err)
+			return nil, nil, fmt.Errorf("attribution log %s: %w", name(path, i), err)
 		}
 	}
 	return recs, damage, nil
@@ -277,7 +277,7 @@
 	if !ok {
 		return errors.New("this is no log of accounts")
 	}
-	return fmt.Errorf("version %q; this program reads version %d", bytes.TrimRight(v, "\n"), accounts.Version)
+	return fmt.Errorf("version %q; this program reads version %d", bytes.TrimRight(v, "\n"), attribution.Version)
 }
 
 func readRecord(r io.Reader, left int64, dec *zstd.Decoder) (rec Record, n int64, err error) {
--- a/internal/accountlog/log_test.go
+++ b/internal/attributionlog/log_test.go
@@ -1,8 +1,8 @@
-package accountlog
+package attributionlog
 
 import (
 	"bytes"
-	"chalkstand/accounts"
+	"chalkstand/attribution"
 	"errors"
 	"fmt"
 	"os"
@@ -17,11 +17,11 @@
 // slot is a record of a slot of ten seconds with one volume.
 func slot(run string, i int) Record {
 	at := time.Duration(i) * 10 * time.Second
-	w := accounts.Window{From: at, To: at + 10*time.Second, Slot: 10 * time.Second}
+	w := attribution.Window{From: at, To: at + 10*time.Second, Slot: 10 * time.Second}
 	w.All.Requests = int64(i + 1)
-	w.All.Parts[accounts.NodeTime] = time.Duration(i+1) * time.Millisecond
-	w.Volumes = []accounts.Line{{Volume: "v", Requests: w.All.Requests, Parts: w.All.Parts}}
-	r := accounts.Run{ID: run, Gateway: "gw", Started: epoch}
+	w.All.Parts[attribution.NodeTime] = time.Duration(i+1) * time.Millisecond
+	w.Volumes = []attribution.Line{{Volume: "v", Requests: w.All.Requests, Parts: w.All.Parts}}
+	r := attribution.Run{ID: run, Gateway: "gw", Started: epoch}
 	return Record{Run: r, Saved: r.At(w.To + time.Second), At: w.To + time.Second, Slot: &w}
 }
 
@@ -158,19 +158,19 @@
 
 // Corrections find their slots; a second life and a step of the wall clock are told.
 func TestTimeline(t *testing.T) {
-	fix := Record{Run: slot("a", 0).Run, Saved: epoch.Add(25 * time.Second), At: 25 * time.Second, Fix: &accounts.Correction{
+	fix := Record{Run: slot("a", 0).Run, Saved: epoch.Add(25 * time.Second), At: 25 * time.Second, Fix: &attribution.Correction{
 		Volume: "v", Ended: 15 * time.Second,
-		From: accounts.NodeTime, Had: 2 * time.Millisecond, To: []accounts.Moved{{Cause: accounts.NodeQueue, Time: time.Millisecond}},
+		From: attribution.NodeTime, Had: 2 * time.Millisecond, To: []attribution.Moved{{Cause: attribution.NodeQueue, Time: time.Millisecond}},
 	}}
 	lost := fix
-	lost.Fix = &accounts.Correction{Volume: "v", Ended: time.Hour}
+	lost.Fix = &attribution.Correction{Volume: "v", Ended: time.Hour}
 	stepped := slot("a", 2)
 	stepped.Saved = stepped.Saved.Add(-time.Hour)
 	second := slot("b", 0)
 	second.Run.Started = epoch.Add(time.Minute)
 	second.Saved = second.Run.At(second.At)
 	l := Build([]Record{slot("a", 0), slot("a", 1), fix, lost, stepped, second})
-	if len(l.Slots) != 4 || l.Slots[1].All.Parts[accounts.NodeQueue] != time.Millisecond || !l.Slots[1].Corrected || l.Slots[0].Corrected {
+	if len(l.Slots) != 4 || l.Slots[1].All.Parts[attribution.NodeQueue] != time.Millisecond || !l.Slots[1].Corrected || l.Slots[0].Corrected {
 		t.Fatalf("%+v", l.Slots)
 	}
 	notes := fmt.Sprint(l.Notes)
--- a/internal/accountlog/timeline.go
+++ b/internal/attributionlog/timeline.go
@@ -1,7 +1,7 @@
-package accountlog
+package attributionlog
 
 import (
-	"chalkstand/accounts"
+	"chalkstand/attribution"
 	"fmt"
 	"slices"
 	"time"
@@ -16,9 +16,9 @@
 
 // Slot is one slot at its time by the wall clock of its run's start.
 type Slot struct {
-	Run  accounts.Run
+	Run  attribution.Run
 	From time.Time
-	accounts.Window
+	attribution.Window
 }
 
 // stepShown is how far the wall clock must have been set to be told of.
@@ -62,7 +62,7 @@
 }
 
 // fix applies a correction to its slot.
-func (t *Timeline) fix(slots map[time.Duration]int, c *accounts.Correction) bool {
+func (t *Timeline) fix(slots map[time.Duration]int, c *attribution.Correction) bool {
 	for from, i := range slots {
 		if w := &t.Slots[i].Window; from <= c.Ended && c.Ended < w.To {
 			*w = w.Apply(*c)
--- a/internal/accountreport/html.go
+++ b/internal/attributionreport/html.go
@@ -1,8 +1,8 @@
-package accountreport
+package attributionreport
 
 import (
 	"bytes"
-	"chalkstand/accounts"
+	"chalkstand/attribution"
 	"encoding/base64"
 	"fmt"
 	"html/template"
@@ -62,7 +62,7 @@
 	return pageTemplate.Execute(out, pg)
 }
 
-func (pg *page) pictures(d *Data, w *accounts.Window, volumes []string) error {
+func (pg *page) pictures(d *Data, w *attribution.Window, volumes []string) error {
 	add := func(title, text string, p *plot.Plot, err error, width, height vg.Length) error {
 		if err != nil || p == nil {
 			return err
@@ -80,7 +80,7 @@
 		return err
 	}
 	p, err = Percentiles(w, volumes)
-	if err := add("Percentiles", fmt.Sprintf("Each at most %.0f %% off.", 100*accounts.PercentileError), p, err, square, square*3/4); err != nil {
+	if err := add("Percentiles", fmt.Sprintf("Each at most %.0f %% off.", 100*attribution.PercentileError), p, err, square, square*3/4); err != nil {
 		return err
 	}
 	for _, v := range volumes {
--- a/internal/accountreport/pictures.go
+++ b/internal/attributionreport/pictures.go
@@ -1,8 +1,8 @@
-package accountreport
+package attributionreport
 
 import (
 	"bytes"
-	"chalkstand/accounts"
+	"chalkstand/attribution"
 	"cmp"
 	"fmt"
 	"image/color"
@@ -18,20 +18,20 @@
 
 // colours of the causes: waiting in reds, the node in blues, the gateway's own and
 // the client's in greys and greens.
-var colours = [accounts.Causes]color.RGBA{
-	accounts.Gateway: {140, 140, 140, 255}, accounts.BodyIn: {120, 180, 120, 255}, accounts.Held: {235, 200, 200, 255},
-	accounts.Others: {200, 30, 40, 255}, accounts.Own: {240, 140, 90, 255}, accounts.Limit: {230, 170, 40, 255},
-	accounts.ColdNode: {120, 90, 160, 255}, accounts.Suspect: {170, 120, 200, 255}, accounts.Turn: {250, 215, 120, 255},
-	accounts.Pause: {190, 150, 110, 255}, accounts.Lost: {90, 50, 30, 255}, accounts.Connect: {90, 200, 200, 255},
-	accounts.NodeQueue: {30, 60, 140, 255}, accounts.NodeWork: {80, 140, 220, 255}, accounts.NodeTime: {175, 205, 240, 255},
-	accounts.BodyOut: {150, 210, 150, 255}, accounts.Client: {60, 130, 60, 255}, accounts.Loop: {150, 30, 90, 255},
+var colours = [attribution.Causes]color.RGBA{
+	attribution.Gateway: {140, 140, 140, 255}, attribution.BodyIn: {120, 180, 120, 255}, attribution.Held: {235, 200, 200, 255},
+	attribution.Others: {200, 30, 40, 255}, attribution.Own: {240, 140, 90, 255}, attribution.Limit: {230, 170, 40, 255},
+	attribution.ColdNode: {120, 90, 160, 255}, attribution.Suspect: {170, 120, 200, 255}, attribution.Turn: {250, 215, 120, 255},
+	attribution.Pause: {190, 150, 110, 255}, attribution.Lost: {90, 50, 30, 255}, attribution.Connect: {90, 200, 200, 255},
+	attribution.NodeQueue: {30, 60, 140, 255}, attribution.NodeWork: {80, 140, 220, 255}, attribution.NodeTime: {175, 205, 240, 255},
+	attribution.BodyOut: {150, 210, 150, 255}, attribution.Client: {60, 130, 60, 255}, attribution.Loop: {150, 30, 90, 255},
 }
 
 // point is one slot of a picture over time.
 type point struct {
 	at    time.Time
 	width time.Duration
-	line  accounts.Line
+	line  attribution.Line
 }
 
 // over returns a volume's line in each slot; "" for all volumes.
@@ -53,7 +53,7 @@
 	if len(ps) == 0 {
 		return nil, fmt.Errorf("no slots to draw")
 	}
-	var sum accounts.Split
+	var sum attribution.Split
 	for _, p := range ps {
 		sum.Add(&p.line.Parts)
 	}
@@ -81,7 +81,7 @@
 }
 
 // band is one cause's area, as steps on top of base, which it raises.
-func band(ps []point, c accounts.Cause, base []float64) (*plotter.Polygon, error) {
+func band(ps []point, c attribution.Cause, base []float64) (*plotter.Polygon, error) {
 	var up, down plotter.XYs
 	for i, p := range ps {
 		y := 0.0
@@ -129,7 +129,7 @@
 }
 
 // blame collects the pairs of the volumes that have most.
-func blame(w *accounts.Window, n int) *matrix {
+func blame(w *attribution.Window, n int) *matrix {
 	weight := map[string]time.Duration{}
 	for _, p := range w.Pairs {
 		weight["v"+p.Key.Victim] += time.Duration(p.Count)
@@ -163,7 +163,7 @@
 }
 
 // Matrix draws who waited behind whom; nil where nobody did.
-func Matrix(w *accounts.Window, n int) (*plot.Plot, error) {
+func Matrix(w *attribution.Window, n int) (*plot.Plot, error) {
 	m := blame(w, n)
 	if len(m.victims) == 0 {
 		return nil, nil
@@ -225,7 +225,7 @@
 
 // Percentiles draws the distribution of a volume's times: the time that a share of
 // the requests did not pass, on a scale that widens towards the last ones.
-func Percentiles(w *accounts.Window, volumes []string) (*plot.Plot, error) {
+func Percentiles(w *attribution.Window, volumes []string) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = "Time that a share of the requests did not pass"
 	p.X.Label.Text, p.Y.Label.Text = "share of requests", "ms"
--- a/internal/accountreport/text.go
+++ b/internal/attributionreport/text.go
@@ -1,10 +1,10 @@
-// Package accountreport shows latency accounts to people: as tables, and as one
+// Package attributionreport shows latency accounts to people: as tables, and as one
 // HTML file with pictures.
-package accountreport
+package attributionreport
 
 import (
-	"chalkstand/accounts"
-	"chalkstand/internal/accountlog"
+	"chalkstand/attribution"
+	"chalkstand/internal/attributionlog"
 	"cmp"
 	"fmt"
 	"io"
@@ -16,21 +16,21 @@
 
 // Data is what is shown: slots of a time in order, and what must be known of them.
 type Data struct {
-	Slots  []accountlog.Slot
+	Slots  []attributionlog.Slot
 	Notes  []string
-	Counts *accounts.Counts // nil: from a log, which has none
+	Counts *attribution.Counts // nil: from a log, which has none
 }
 
 // room bounds what sums of slots keep.
 const room = 1024
 
 // Sum returns the account over all slots.
-func (d *Data) Sum() accounts.Window {
-	ws := make([]accounts.Window, len(d.Slots))
+func (d *Data) Sum() attribution.Window {
+	ws := make([]attribution.Window, len(d.Slots))
 	for i, s := range d.Slots {
 		ws[i] = s.Window
 	}
-	return accounts.Sum(ws, room, room, room)
+	return attribution.Sum(ws, room, room, room)
 }
 
 // span tells from when to when the slots reach.
@@ -56,7 +56,7 @@
 	return fmt.Sprintf("volume %q has no line of its own in that time; the heaviest that have: %s", e.Volume, strings.Join(e.Known, ", "))
 }
 
-func find(w *accounts.Window, volume string) (accounts.Line, error) {
+func find(w *attribution.Window, volume string) (attribution.Line, error) {
 	if l, ok := w.Of(volume); ok {
 		return l, nil
 	}
@@ -64,7 +64,7 @@
 	for _, l := range w.Volumes[:min(5, len(w.Volumes))] {
 		e.Known = append(e.Known, l.Volume)
 	}
-	return accounts.Line{}, e
+	return attribution.Line{}, e
 }
 
 func round(d time.Duration) string {
@@ -85,20 +85,20 @@
 }
 
 // heaviest returns a line's causes, the longest first.
-func heaviest(s accounts.Split) []accounts.Cause {
-	var cs []accounts.Cause
-	for c := range accounts.Cause(accounts.Causes) {
+func heaviest(s attribution.Split) []attribution.Cause {
+	var cs []attribution.Cause
+	for c := range attribution.Cause(attribution.Causes) {
 		if s[c] > 0 {
 			cs = append(cs, c)
 		}
 	}
-	slices.SortStableFunc(cs, func(a, b accounts.Cause) int { return cmp.Compare(s[b], s[a]) })
+	slices.SortStableFunc(cs, func(a, b attribution.Cause) int { return cmp.Compare(s[b], s[a]) })
 	return cs
 }
 
 // behind returns the pairs of a volume, as victim or as culprit, the longest first.
-func behind(w *accounts.Window, volume string, victim bool) []accounts.Item[accounts.Pair] {
-	var out []accounts.Item[accounts.Pair]
+func behind(w *attribution.Window, volume string, victim bool) []attribution.Item[attribution.Pair] {
+	var out []attribution.Item[attribution.Pair]
 	for _, p := range w.Pairs {
 		if victim && p.Key.Victim == volume || !victim && p.Key.Culprit == volume {
 			out = append(out, p)
@@ -113,7 +113,7 @@
 	d.head(out)
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "volume\trequests\trefused\ttime\teach\tmost of it\twaited behind")
-	line := func(name string, l accounts.Line) {
+	line := func(name string, l attribution.Line) {
 		if l.Requests == 0 {
 			return
 		}
@@ -127,7 +127,7 @@
 				blame = append(blame, fmt.Sprintf("%s %s", p.Key.Culprit, round(time.Duration(p.Count))))
 			}
 		}
-		fmt.Fprintf(t, "%s\t%d\t%d\t%s\t%s\t%s\t%s\n", name, l.Requests, l.Outcomes[accounts.Refused], round(total), round(total/time.Duration(l.Requests)),
+		fmt.Fprintf(t, "%s\t%d\t%d\t%s\t%s\t%s\t%s\n", name, l.Requests, l.Outcomes[attribution.Refused], round(total), round(total/time.Duration(l.Requests)),
 			strings.Join(most, ", "), strings.Join(blame, ", "))
 	}
 	for _, l := range w.Volumes[:min(n, len(w.Volumes))] {
@@ -158,7 +158,7 @@
 	fmt.Fprintf(out, "volume %s: %d requests", volume, l.Requests)
 	for o, n := range l.Outcomes {
 		if n > 0 {
-			fmt.Fprintf(out, ", %d %s", n, accounts.Outcome(o))
+			fmt.Fprintf(out, ", %d %s", n, attribution.Outcome(o))
 		}
 	}
 	total := l.Parts.Total()
@@ -187,7 +187,7 @@
 	row("(all)", total, dist.Percentile)
 	t.Flush()
 	if known {
-		fmt.Fprintf(out, "percentiles are of %d of its requests, each at most %.0f %% off\n", dist.Whole.Count(), 100*accounts.PercentileError)
+		fmt.Fprintf(out, "percentiles are of %d of its requests, each at most %.0f %% off\n", dist.Whole.Count(), 100*attribution.PercentileError)
 	}
 	pairs(out, &w, volume)
 	d.foot(out, &w)
@@ -207,7 +207,7 @@
 	return nil
 }
 
-func pairs(out io.Writer, w *accounts.Window, volume string) {
+func pairs(out io.Writer, w *attribution.Window, volume string) {
 	for _, x := range []struct {
 		title  string
 		victim bool
@@ -242,7 +242,7 @@
 	fmt.Fprintln(out)
 }
 
-func (d *Data) foot(out io.Writer, w *accounts.Window) {
+func (d *Data) foot(out io.Writer, w *attribution.Window) {
 	fmt.Fprintln(out)
 	if w.PairError > 0 {
 		fmt.Fprintf(out, "no pair that is not named has more than %s\n", round(w.PairError))
@@ -261,12 +261,12 @@
 
 // Account is what is told as JSON.
 type Account struct {
-	Notes   []string         `json:"notes,omitempty"`
-	Counts  *accounts.Counts `json:"counts,omitempty"`
-	From    time.Time        `json:"from"`
-	To      time.Time        `json:"to"`
-	Window  accounts.Window  `json:"window"`
-	Volumes []string         `json:"asked,omitempty"`
+	Notes   []string            `json:"notes,omitempty"`
+	Counts  *attribution.Counts `json:"counts,omitempty"`
+	From    time.Time           `json:"from"`
+	To      time.Time           `json:"to"`
+	Window  attribution.Window  `json:"window"`
+	Volumes []string            `json:"asked,omitempty"`
 }
 
 // JSON returns what the tables show: the whole sum, or only what concerns the
@@ -282,8 +282,8 @@
 	}
 	asked := func(v string) bool { return slices.Contains(volumes, v) }
 	w := &a.Window
-	w.Volumes = slices.DeleteFunc(w.Volumes, func(l accounts.Line) bool { return !asked(l.Volume) })
-	w.Pairs = slices.DeleteFunc(w.Pairs, func(p accounts.Item[accounts.Pair]) bool { return !asked(p.Key.Victim) && !asked(p.Key.Culprit) })
-	w.Dists = slices.DeleteFunc(w.Dists, func(x accounts.Distribution) bool { return !asked(x.Volume) })
+	w.Volumes = slices.DeleteFunc(w.Volumes, func(l attribution.Line) bool { return !asked(l.Volume) })
+	w.Pairs = slices.DeleteFunc(w.Pairs, func(p attribution.Item[attribution.Pair]) bool { return !asked(p.Key.Victim) && !asked(p.Key.Culprit) })
+	w.Dists = slices.DeleteFunc(w.Dists, func(x attribution.Distribution) bool { return !asked(x.Volume) })
 	return a
 }
--- a/internal/discover/discover.go
+++ b/internal/discovery/discovery.go
@@ -1,11 +1,11 @@
-// Package discover follows the list of storage nodes of the platform's discovery. A
+// Package discovery follows the list of storage nodes of the platform's discovery. A
 // watch is one call: it tells each list and each change as it comes, and its end once.
 // When to ask again is not for it to say.
-package discover
+package discovery
 
 import (
 	"bytes"
-	"chalkstand/internal/targets"
+	"chalkstand/internal/endpoints"
 	"context"
 	"encoding/json"
 	"errors"
@@ -18,7 +18,7 @@
 
 // Options bound a watch.
 type Options struct {
-	Names   targets.Names
+	Names   endpoints.Names
 	Answer  time.Duration // until the answer's head is there
 	Silence time.Duration // without a byte, or from a document's first to its last
 }
@@ -26,7 +26,7 @@
 // Watch follows discovery at an address from a version on; below 0: from the whole list.
 // tell is called from another goroutine for every document, and end once, unless the
 // context ended before.
-func Watch(ctx context.Context, addr string, since int64, o Options, tell func(targets.Document), end func(error)) {
+func Watch(ctx context.Context, addr string, since int64, o Options, tell func(endpoints.Document), end func(error)) {
 	go func() {
 		err := follow(ctx, addr, since, o, tell)
 		if ctx.Err() == nil {
@@ -38,7 +38,7 @@
 // ErrSilent ends a watch on which nothing came for too long: its machine may be gone.
 var ErrSilent = errors.New("the watch fell silent")
 
-func follow(ctx context.Context, addr string, since int64, o Options, tell func(targets.Document)) error {
+func follow(ctx context.Context, addr string, since int64, o Options, tell func(endpoints.Document)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	alarm := time.AfterFunc(o.Answer, func() { cancel(ErrSilent) })
@@ -75,7 +75,7 @@
 			return cause(ctx, err)
 		}
 		in.ended()
-		d, err := targets.Parse(text, o.Names)
+		d, err := endpoints.Parse(text, o.Names)
 		if err != nil {
 			return err
 		}
@@ -103,8 +103,8 @@
 	if b.size += n; !b.within {
 		b.size = 0
 	}
-	if b.size > targets.MaxDocument {
-		return n, fmt.Errorf("discovery: a document of over %d bytes", targets.MaxDocument)
+	if b.size > endpoints.MaxDocument {
+		return n, fmt.Errorf("discovery: a document of over %d bytes", endpoints.MaxDocument)
 	}
 	return n, err
 }
--- a/internal/discover/discover_test.go
+++ b/internal/discovery/discovery_test.go
@@ -1,8 +1,8 @@
-package discover
+package discovery
 
 import (
-	"chalkstand/internal/targets"
-	"chalkstand/standin/relay"
+	fakediscovery "chalkstand/fake/discovery"
+	"chalkstand/internal/endpoints"
 	"context"
 	"errors"
 	"fmt"
@@ -15,7 +15,7 @@
 const patience = 20 * time.Second
 
 // watched is what one watch told of a scripted discovery, and how it ended.
-func watched(t *testing.T, o Options, script func(c net.Conn)) (docs []targets.Document, err error) {
+func watched(t *testing.T, o Options, script func(c net.Conn)) (docs []endpoints.Document, err error) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -31,8 +31,8 @@
 		c.Read(make([]byte, 4096)) // the call
 		script(c)
 	}()
-	told, ended := make(chan targets.Document, 64), make(chan error, 1)
-	Watch(t.Context(), ln.Addr().String(), -1, o, func(d targets.Document) { told <- d }, func(err error) { ended <- err })
+	told, ended := make(chan endpoints.Document, 64), make(chan error, 1)
+	Watch(t.Context(), ln.Addr().String(), -1, o, func(d endpoints.Document) { told <- d }, func(err error) { ended <- err })
 	select {
 	case err = <-ended:
 	case <-time.After(patience):
@@ -55,7 +55,7 @@
 func chunk(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 
 func list(version int) string {
-	return relay.List(version, true, relay.Entry{ID: "s1", Addr: "127.0.0.1:1", State: "Ready"}, relay.Entry{ID: "s2", Addr: "127.0.0.1:2", State: "Terminating", Cell: 1})
+	return fakediscovery.List(version, true, fakediscovery.Entry{ID: "s1", Addr: "127.0.0.1:1", State: "Ready"}, fakediscovery.Entry{ID: "s2", Addr: "127.0.0.1:2", State: "Terminating", Cell: 1})
 }
 
 // indented puts white space wherever JSON allows it.
@@ -128,7 +128,7 @@
 		"no state": func(c net.Conn) { fmt.Fprint(c, head, strings.Replace(list(1), "Ready", "Steady", 1), "\n") },
 		"endless": func(c net.Conn) {
 			fmt.Fprint(c, head, `{"version":1,"x":"`)
-			for range targets.MaxDocument/(64<<10) + 2 {
+			for range endpoints.MaxDocument/(64<<10) + 2 {
 				c.Write([]byte(strings.Repeat("x", 64<<10)))
 			}
 		},
@@ -179,5 +179,5 @@
 func TestEndedByUs(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	Watch(ctx, "127.0.0.1:1", 1, usual, func(targets.Document) { t.Error("told") }, func(error) { t.Error("its end was told") })
+	Watch(ctx, "127.0.0.1:1", 1, usual, func(endpoints.Document) { t.Error("told") }, func(error) { t.Error("its end was told") })
 }
--- a/internal/e2e/hard_test.go
+++ b/internal/e2e/hard_test.go
@@ -2,9 +2,9 @@
 
 import (
 	"bytes"
-	"chalkstand/choice"
+	"chalkstand/dispatch"
+	"chalkstand/fake/storagenode"
 	"chalkstand/internal/settings"
-	"chalkstand/standin/storage"
 	"context"
 	"fmt"
 	"io"
@@ -36,9 +36,9 @@
 }
 
 // oneAtATime checks that no request had two attempts at nodes at once.
-func oneAtATime(t *testing.T, log []storage.Entry) {
+func oneAtATime(t *testing.T, log []storagenode.Entry) {
 	t.Helper()
-	byRequest := map[uint64][]storage.Entry{}
+	byRequest := map[uint64][]storagenode.Entry{}
 	for _, e := range log {
 		byRequest[e.Request] = append(byRequest[e.Request], e)
 	}
@@ -59,7 +59,7 @@
 	c := bucket(t, e, "photos")
 	kit.Must(c.PutObject(ctx, &s3.PutObjectInput{Bucket: aws.String("photos"), Key: aws.String("k"), Body: strings.NewReader("0123456789")}))(t)
 	before := len(e.Nodes[0].Log())
-	e.Nodes[0].Inject(storage.Fault{Kind: storage.Stall, Count: 1, For: 5 * time.Second})
+	e.Nodes[0].Inject(storagenode.Fault{Kind: storagenode.Stall, Count: 1, For: 5 * time.Second})
 	start := time.Now()
 	resp := e.Signed("GET", "/photos/k", http.Header{"Range": {"bytes=2-4"}}, nil)
 	body := kit.ReadAll(t, resp.Body)
@@ -90,7 +90,7 @@
 	for i := range 6 {
 		if i == 3 {
 			e.AddNode("successor", 0, nil)
-			e.List(old, 0, choice.Draining)
+			e.List(old, 0, dispatch.Draining)
 			drained = time.Since(e.Epoch)
 		}
 		b := kit.Bytes(uint64(i), 5<<20)
@@ -124,8 +124,8 @@
 	c := bucket(t, e, "photos")
 	want := kit.Bytes(1, 1<<20)
 	kit.Must(c.PutObject(ctx, &s3.PutObjectInput{Bucket: aws.String("photos"), Key: aws.String("k"), Body: bytes.NewReader(want)}))(t)
-	for _, kind := range []storage.FaultKind{storage.Half, storage.Within} {
-		e.Nodes[0].Inject(storage.Fault{Kind: kind, Count: 1, For: 20 * time.Second})
+	for _, kind := range []storagenode.FaultKind{storagenode.Half, storagenode.Within} {
+		e.Nodes[0].Inject(storagenode.Fault{Kind: kind, Count: 1, For: 20 * time.Second})
 		before := len(e.Nodes[0].Log())
 		resp := e.Signed("GET", "/photos/k", nil, nil)
 		b, err := io.ReadAll(resp.Body)
@@ -138,7 +138,7 @@
 	}
 	// A small answer is held until it is whole: its first attempt's end is not seen.
 	kit.Must(c.PutObject(ctx, &s3.PutObjectInput{Bucket: aws.String("photos"), Key: aws.String("small"), Body: bytes.NewReader(want[:5000])}))(t)
-	e.Nodes[0].Inject(storage.Fault{Kind: storage.Half, Count: 1})
+	e.Nodes[0].Inject(storagenode.Fault{Kind: storagenode.Half, Count: 1})
 	resp := e.Signed("GET", "/photos/small", nil, nil)
 	kit.Same(t, "a small answer", kit.ReadAll(t, resp.Body), want[:5000])
 	oneAtATime(t, e.Log())
@@ -147,10 +147,10 @@
 // Clients that leave while their request is held, out, or half sent leave nothing
 // behind, and what they half sent is not stored.
 func TestClientsThatLeave(t *testing.T) {
-	e := kit.Start(t, kit.Settings(1), func(_ int, c *storage.Config) { c.Cores, c.Queue, c.PerUnit = 1, 100, 20*time.Millisecond })
+	e := kit.Start(t, kit.Settings(1), func(_ int, c *storagenode.Config) { c.Cores, c.Queue, c.PerUnit = 1, 100, 20*time.Millisecond })
 	bucket(t, e, "photos")
-	arrived := make(chan storage.Entry, 1000)
-	e.Nodes[0].Arrivals(func(x storage.Entry) { arrived <- x })
+	arrived := make(chan storagenode.Entry, 1000)
+	e.Nodes[0].Arrivals(func(x storagenode.Entry) { arrived <- x })
 	var conns []net.Conn
 	for i := range 40 { // more than may be out at once: some are held
 		r, _ := http.NewRequest("GET", fmt.Sprintf("http://%s/photos/k%d", e.Addr, i), nil)
@@ -200,7 +200,7 @@
 
 // Two clients write one key at once: each write is whole, one after the other.
 func TestSameKeyTwoWriters(t *testing.T) {
-	e := kit.Start(t, kit.Settings(1), func(_ int, c *storage.Config) { c.PerUnit, c.Cores, c.Queue = 2*time.Millisecond, 8, 100 })
+	e := kit.Start(t, kit.Settings(1), func(_ int, c *storagenode.Config) { c.PerUnit, c.Cores, c.Queue = 2*time.Millisecond, 8, 100 })
 	bucket(t, e, "photos")
 	var wg sync.WaitGroup
 	for w := range 2 {
@@ -238,8 +238,8 @@
 	s.Classes[1].Aim, s.Classes[1].Deadline = settings.Duration(300*time.Millisecond), settings.Duration(500*time.Millisecond)
 	e := kit.Start(t, s, nil)
 	bucket(t, e, "photos")
-	for _, f := range []storage.FaultKind{storage.Lose, storage.Stall} {
-		e.Nodes[0].Inject(storage.Fault{Kind: f, Count: 1})
+	for _, f := range []storagenode.FaultKind{storagenode.Lose, storagenode.Stall} {
+		e.Nodes[0].Inject(storagenode.Fault{Kind: f, Count: 1})
 		resp := e.Signed("PUT", "/photos/k", nil, strings.NewReader("x"))
 		if kit.ReadAll(t, resp.Body); resp.StatusCode != 504 {
 			t.Fatalf("fault %d: %d", f, resp.StatusCode)
@@ -247,7 +247,7 @@
 		time.Sleep(60 * time.Millisecond) // the key rests: settle of the test settings
 	}
 	// A reset before the work: sent again, once, and dropped there if it had run.
-	e.Nodes[0].Inject(storage.Fault{Kind: storage.Reset, Count: 1})
+	e.Nodes[0].Inject(storagenode.Fault{Kind: storagenode.Reset, Count: 1})
 	resp := e.Signed("PUT", "/photos/k2", nil, strings.NewReader("x"))
 	if kit.ReadAll(t, resp.Body); resp.StatusCode != 200 {
 		t.Fatalf("after a reset: %d", resp.StatusCode)
@@ -279,10 +279,10 @@
 }
 
 func TestDrainFinishesWhatWasTaken(t *testing.T) {
-	e := kit.Start(t, kit.Settings(1), func(_ int, c *storage.Config) { c.Cores, c.Queue, c.PerUnit = 2, 100, 30*time.Millisecond })
+	e := kit.Start(t, kit.Settings(1), func(_ int, c *storagenode.Config) { c.Cores, c.Queue, c.PerUnit = 2, 100, 30*time.Millisecond })
 	bucket(t, e, "photos")
-	arrived := make(chan storage.Entry, 100)
-	e.Nodes[0].Arrivals(func(x storage.Entry) { arrived <- x })
+	arrived := make(chan storagenode.Entry, 100)
+	e.Nodes[0].Arrivals(func(x storagenode.Entry) { arrived <- x })
 	codes := make(chan int, 8)
 	for i := range 8 {
 		go func() {
@@ -316,7 +316,7 @@
 	e := kit.Start(t, kit.Settings(1), nil)
 	bucket(t, e, "photos")
 	before := len(e.Log())
-	e.Nodes[0].Inject(storage.Fault{Kind: storage.Lose, Count: 1, Hold: time.Millisecond})
+	e.Nodes[0].Inject(storagenode.Fault{Kind: storagenode.Lose, Count: 1, Hold: time.Millisecond})
 	resp := e.Signed("PUT", "/photos/k", nil, strings.NewReader("x"))
 	if kit.ReadAll(t, resp.Body); resp.StatusCode != 200 {
 		t.Fatal(resp.Status)
--- a/internal/e2e/share_test.go
+++ b/internal/e2e/share_test.go
@@ -2,10 +2,10 @@
 
 import (
 	"bytes"
-	"chalkstand/choice"
+	"chalkstand/dispatch"
+	"chalkstand/fake/storagenode"
 	"chalkstand/gateway"
 	"chalkstand/internal/settings"
-	"chalkstand/standin/storage"
 	"io"
 	"net"
 	"net/http"
@@ -70,7 +70,7 @@
 // others go on meanwhile.
 func TestStandingStreamIsCut(t *testing.T) {
 	e := crowded(t, func(s *settings.Settings) { s.Limits.ClientBody = settings.Duration(500 * time.Millisecond) })
-	e.Nodes[0].Inject(storage.Fault{Kind: storage.Within, Count: 1, For: 20 * time.Second})
+	e.Nodes[0].Inject(storagenode.Fault{Kind: storagenode.Within, Count: 1, For: 20 * time.Second})
 	resp := e.Signed("GET", "/photos/large", nil, nil)
 	for range 3 {
 		kit.Same(t, "beside one that stands", kit.ReadAll(t, e.Signed("GET", "/loans/large", nil, nil).Body), pattern("loans", 2<<20))
@@ -203,8 +203,8 @@
 // what had come where its client leaves before the end.
 func TestTrueSizeIsCharged(t *testing.T) {
 	told := make(chan float64, 16)
-	e := crowded(t, nil, gateway.WithTrace(func(_ time.Duration, ev choice.Event, _ []choice.Action) {
-		if m, ok := ev.(choice.Measured); ok {
+	e := crowded(t, nil, gateway.WithTrace(func(_ time.Duration, ev dispatch.Event, _ []dispatch.Action) {
+		if m, ok := ev.(dispatch.Measured); ok {
 			told <- m.Units
 		}
 	}))
--- a/internal/e2e/slow_test.go
+++ b/internal/e2e/slow_test.go
@@ -2,8 +2,8 @@
 
 import (
 	"bufio"
+	"chalkstand/fake/storagenode"
 	"chalkstand/internal/settings"
-	"chalkstand/standin/storage"
 	"fmt"
 	"io"
 	"net"
@@ -105,7 +105,7 @@
 	s.Limits.ClientBody = settings.Duration(time.Second)
 	e := kit.Start(t, s, nil)
 	bucket(t, e, "photos")
-	e.Nodes[0].Inject(storage.Fault{Kind: storage.Stall, Count: 1, For: 20 * time.Second})
+	e.Nodes[0].Inject(storagenode.Fault{Kind: storagenode.Stall, Count: 1, For: 20 * time.Second})
 	done := make(chan int, 1)
 	go func() {
 		r, _ := http.NewRequest("PUT", "http://"+e.Addr+"/photos/k", strings.NewReader(strings.Repeat("x", 64<<20)))
@@ -207,8 +207,8 @@
 		resp := e.Signed("PUT", fmt.Sprint("/photos/k", i), nil, strings.NewReader("x"))
 		kit.ReadAll(t, resp.Body)
 	}
-	for _, f := range []storage.FaultKind{storage.Refuse, storage.Broken} {
-		e.Nodes[1].Inject(storage.Fault{Kind: f})
+	for _, f := range []storagenode.FaultKind{storagenode.Refuse, storagenode.Broken} {
+		e.Nodes[1].Inject(storagenode.Fault{Kind: f})
 		for _, q := range []string{"", "?list-type=2", "?uploads"} {
 			resp := e.Signed("GET", "/photos"+q, nil, nil)
 			if b := kit.ReadAll(t, resp.Body); resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || strings.Contains(string(b), "<Key>") {
--- a/internal/targets/targets.go
+++ b/internal/endpoints/endpoints.go
@@ -1,10 +1,10 @@
-// Package targets reads the documents of the platform's discovery: lists of storage
+// Package endpoints reads the documents of the platform's discovery: lists of storage
 // nodes and their changes. It does no I/O.
-package targets
+package endpoints
 
 import (
-	"chalkstand/choice"
-	"chalkstand/exchange"
+	"chalkstand/dispatch"
+	"chalkstand/forwarder"
 	"encoding/json"
 	"fmt"
 	"hash/fnv"
@@ -27,7 +27,7 @@
 type Document struct {
 	Version int64
 	Full    bool
-	Nodes   []exchange.Node
+	Nodes   []forwarder.Node
 }
 
 type document struct {
@@ -46,7 +46,7 @@
 	Started float64 `json:"started_ms"`
 }
 
-var states = map[string]choice.NodeState{"Ready": choice.Serving, "Terminating": choice.Draining, "Gone": choice.Removed}
+var states = map[string]dispatch.NodeState{"Ready": dispatch.Serving, "Terminating": dispatch.Draining, "Gone": dispatch.Removed}
 
 // Parse reads a document. A bad entry makes the whole of it bad: a list with a part
 // missing would be another list. Times of start are since the Unix epoch.
@@ -75,24 +75,24 @@
 	return out, nil
 }
 
-func (s *server) node(names Names) (exchange.Node, error) {
+func (s *server) node(names Names) (forwarder.Node, error) {
 	state, known := states[s.State]
 	switch {
 	case s.ID == "" || len(s.ID) > maxID:
-		return exchange.Node{}, fmt.Errorf("id: expected 1 to %d bytes, got %d", maxID, len(s.ID))
+		return forwarder.Node{}, fmt.Errorf("id: expected 1 to %d bytes, got %d", maxID, len(s.ID))
 	case !known:
-		return exchange.Node{}, fmt.Errorf("state: expected Ready, Terminating or Gone, got %q", s.State)
+		return forwarder.Node{}, fmt.Errorf("state: expected Ready, Terminating or Gone, got %q", s.State)
 	case s.Started < 0 || s.Started > 1e15:
-		return exchange.Node{}, fmt.Errorf("started_ms: expected Unix time in milliseconds, got %g", s.Started)
+		return forwarder.Node{}, fmt.Errorf("started_ms: expected Unix time in milliseconds, got %g", s.Started)
 	case s.Cell < -1 || s.Cell > 1<<24:
-		return exchange.Node{}, fmt.Errorf("cell: expected a shard, got %d", s.Cell)
+		return forwarder.Node{}, fmt.Errorf("cell: expected a shard, got %d", s.Cell)
 	}
-	if _, err := netip.ParseAddrPort(s.Addr); err != nil && state != choice.Removed {
-		return exchange.Node{}, fmt.Errorf("addr: %w", err)
+	if _, err := netip.ParseAddrPort(s.Addr); err != nil && state != dispatch.Removed {
+		return forwarder.Node{}, fmt.Errorf("addr: %w", err)
 	}
-	return exchange.Node{Addr: s.Addr, Node: choice.Node{
-		ID: choice.NodeID(s.ID), Zone: zone(names.Zones, s.Zone),
-		Kind: place(names.Kinds, s.Kind), Shard: choice.Shard(s.Cell), State: state,
+	return forwarder.Node{Addr: s.Addr, Node: dispatch.Node{
+		ID: dispatch.NodeID(s.ID), Zone: zone(names.Zones, s.Zone),
+		Kind: place(names.Kinds, s.Kind), Shard: dispatch.Shard(s.Cell), State: state,
 		Started: time.Duration(s.Started * float64(time.Millisecond)),
 	}}, nil
 }
--- a/internal/targets/targets_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -1,7 +1,7 @@
-package targets
+package endpoints
 
 import (
-	"chalkstand/choice"
+	"chalkstand/dispatch"
 	"testing"
 	"time"
 )
@@ -13,7 +13,7 @@
 		t.Fatalf("%+v, %v", d, err)
 	}
 	n := d.Nodes[0]
-	if n.ID != "s-1" || n.Addr != "10.1.0.18:6379" || n.Zone != 1 || n.Kind != 1 || n.Shard != 3 || n.State != choice.Draining || n.Started != 1700000000*time.Second {
+	if n.ID != "s-1" || n.Addr != "10.1.0.18:6379" || n.Zone != 1 || n.Kind != 1 || n.Shard != 3 || n.State != dispatch.Draining || n.Started != 1700000000*time.Second {
 		t.Errorf("%+v", n)
 	}
 	for _, bad := range []string{
@@ -54,7 +54,7 @@
 			t.Errorf("%v, and yet %+v", err, d)
 		}
 		for _, n := range d.Nodes {
-			if n.ID == "" || len(n.ID) > maxID || n.Shard < choice.AnyShard || n.Started < 0 || n.State != choice.Removed && n.Addr == "" {
+			if n.ID == "" || len(n.ID) > maxID || n.Shard < dispatch.AnyShard || n.Started < 0 || n.State != dispatch.Removed && n.Addr == "" {
 				t.Errorf("%+v", n)
 			}
 		}
--- a/internal/netloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -1,4 +1,4 @@
-package netloop
+package eventloop
 
 import (
 	"net/netip"
--- a/internal/netloop/history_test.go
+++ b/internal/eventloop/history_test.go
@@ -1,7 +1,7 @@
-package netloop
+package eventloop
 
 import (
-	"chalkstand/share"
+	"chalkstand/fairshare"
 	"testing"
 	"time"
 )
@@ -15,7 +15,7 @@
 	}
 	go l.Run()
 	defer l.Stop()
-	a, b := l.sched.Flow(0, "a", share.Terms{}, nil), l.sched.Flow(0, "b", share.Terms{}, nil)
+	a, b := l.sched.Flow(0, "a", fairshare.Terms{}, nil), l.sched.Flow(0, "b", fairshare.Terms{}, nil)
 	const us = time.Microsecond
 	var h history
 	h.add(a, 0, 40*us)
@@ -31,7 +31,7 @@
 		t.Errorf("without a wait: %v", got)
 	}
 	for i := range 2 * remembered { // more turns than are remembered, of more flows than are told apart
-		f := l.sched.Flow(0, string(rune('c'+i%20)), share.Terms{}, nil)
+		f := l.sched.Flow(0, string(rune('c'+i%20)), fairshare.Terms{}, nil)
 		loop.past.add(f, time.Duration(200+i)*us, time.Duration(201+i)*us)
 		loop.t = time.Duration(201+i) * us
 	}
--- a/internal/netloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,11 +1,11 @@
-// Package netloop runs sockets on event loops. Reading can be paused, what waits to be
+// Package eventloop runs sockets on event loops. Reading can be paused, what waits to be
 // written is known, a handler hears when it has left, and whose turn it is to move
-// bytes is said by package share (docs/design/share.md). Each loop is one goroutine;
+// bytes is said by package fairshare (docs/design/share.md). Each loop is one goroutine;
 // all methods of its connections are called on it.
-package netloop
+package eventloop
 
 import (
-	"chalkstand/share"
+	"chalkstand/fairshare"
 	"encoding/binary"
 	"errors"
 	"fmt"
@@ -53,18 +53,18 @@
 }
 
 // Flow is a volume's share of a loop.
-type Flow = share.Flow[*Conn]
+type Flow = fairshare.Flow[*Conn]
 
 // Options are a loop's settings.
 type Options struct {
-	Share   share.Config
+	Share   fairshare.Config
 	Quantum int                  // bytes that one turn reads at most, in whole reads
 	Slice   time.Duration        // turns go on for so long before new events are looked for
 	Now     func() time.Duration // nil: since the loop was made
 }
 
 // Defaults are the options of NewLoop.
-var Defaults = Options{Share: share.Config{Window: 20 * time.Millisecond, Flows: 4096}, Quantum: 64 << 10, Slice: 200 * time.Microsecond}
+var Defaults = Options{Share: fairshare.Config{Window: 20 * time.Millisecond, Flows: 4096}, Quantum: 64 << 10, Slice: 200 * time.Microsecond}
 
 // Loop is one event loop.
 type Loop struct {
@@ -79,7 +79,7 @@
 	listen map[int]*Conn
 	tasks  map[*task]struct{}
 	buf    [ReadSize]byte
-	sched  *share.Scheduler[*Conn]
+	sched  *fairshare.Scheduler[*Conn]
 	first  *Flow // of connections that belong to none
 	synced time.Duration
 	past   history
@@ -103,7 +103,7 @@
 
 // NewLoopWith opens a loop.
 func NewLoopWith(index int, o Options) (*Loop, error) {
-	sched, err := share.New[*Conn](o.Share, index)
+	sched, err := fairshare.New[*Conn](o.Share, index)
 	if err != nil {
 		return nil, err
 	}
@@ -130,7 +130,7 @@
 		Index: index, o: o, now: o.Now, epoll: ep, wakeFD: wake, conns: map[int]*Conn{}, listen: map[int]*Conn{}, tasks: map[*task]struct{}{},
 		sched: sched, done: make(chan struct{}),
 	}
-	l.first = sched.Flow(l.now(), "(none)", share.Terms{Weight: 1}, nil)
+	l.first = sched.Flow(l.now(), "(none)", fairshare.Terms{Weight: 1}, nil)
 	return l, nil
 }
 
@@ -275,7 +275,7 @@
 		l.settle()
 		before := l.t
 		l.t = l.now()
-		l.sched.Done(l.t, f, share.Cost{Work: l.t - before, Bytes: n})
+		l.sched.Done(l.t, f, fairshare.Cost{Work: l.t - before, Bytes: n})
 		l.past.add(f, before, l.t)
 		l.want(c)
 	}
@@ -299,7 +299,7 @@
 
 // Flow finds or makes the flow of a name; account, which may be nil, joins it with
 // those of other loops. On the loop only, as all of the scheduler.
-func (l *Loop) Flow(name string, t share.Terms, a *share.Account) *Flow {
+func (l *Loop) Flow(name string, t fairshare.Terms, a *fairshare.Account) *Flow {
 	return l.sched.Flow(l.now(), name, t, a)
 }
 
--- a/internal/netloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -1,8 +1,8 @@
-package netloop
+package eventloop
 
 import (
 	"bytes"
-	"chalkstand/share"
+	"chalkstand/fairshare"
 	"io"
 	"net"
 	"os"
@@ -48,7 +48,7 @@
 	go l.Run()
 	t.Cleanup(l.Stop)
 	l.Do(func() {
-		if err := l.Listen(fd, l.Flow("(new)", share.Terms{}, nil), func(fd int, _ unix.Sockaddr) { l.Add(fd, h) }); err != nil {
+		if err := l.Listen(fd, l.Flow("(new)", fairshare.Terms{}, nil), func(fd int, _ unix.Sockaddr) { l.Add(fd, h) }); err != nil {
 			t.Error(err)
 		}
 	})
@@ -157,7 +157,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Assign(l.Flow(name, share.Terms{Weight: 1}, nil))
+		c.Assign(l.Flow(name, fairshare.Terms{Weight: 1}, nil))
 	}
 	for range crowd {
 		add("crowd")
--- a/internal/netloop/work_test.go
+++ b/internal/eventloop/work_test.go
@@ -1,7 +1,7 @@
-package netloop
+package eventloop
 
 import (
-	"chalkstand/share"
+	"chalkstand/fairshare"
 	"testing"
 	"time"
 
@@ -34,8 +34,8 @@
 				l.ending = true
 			}
 		}
-		l.Work(l.Flow("heavy", share.Terms{Weight: 4}, nil), slices(&heavy, 400))
-		l.Work(l.Flow("light", share.Terms{Weight: 1}, nil), slices(&light, 1000))
+		l.Work(l.Flow("heavy", fairshare.Terms{Weight: 4}, nil), slices(&heavy, 400))
+		l.Work(l.Flow("light", fairshare.Terms{Weight: 1}, nil), slices(&light, 1000))
 	})
 	if err := l.Run(); err != nil {
 		t.Fatal(err)
--- a/internal/explore/coverage.go
+++ b/internal/modelcheck/coverage.go
@@ -1,8 +1,8 @@
-package explore
+package modelcheck
 
 import (
-	"chalkstand/choice"
-	"chalkstand/exchange"
+	"chalkstand/dispatch"
+	"chalkstand/forwarder"
 	"fmt"
 	"reflect"
 	"slices"
@@ -10,7 +10,7 @@
 	"sync"
 )
 
-// Coverage counts which transitions of requests in the exchange were taken: the kind
+// Coverage counts which transitions of requests in the forwarder were taken: the kind
 // of event, the stage before and the stage after.
 type Coverage struct {
 	mu    sync.Mutex
@@ -32,57 +32,57 @@
 	return s
 }
 
-// stageNames are those of the exchange's stages, in their order.
+// stageNames are those of the forwarder's stages, in their order.
 var stageNames = []string{"asked", "opening", "out", "passing", "released", "done"}
 
 const none = "-"
 
-// stages reads where the exchange has each request, by reflection: what decides has
+// stages reads where the forwarder has each request, by reflection: what decides has
 // no need to tell.
-func stages(x *exchange.Exchange) map[choice.RequestID]string {
-	out := map[choice.RequestID]string{}
+func stages(x *forwarder.Exchange) map[dispatch.RequestID]string {
+	out := map[dispatch.RequestID]string{}
 	calls := reflect.ValueOf(x).Elem().FieldByName("calls")
 	for it := calls.MapRange(); it.Next(); {
-		out[choice.RequestID(it.Key().Uint())] = stageNames[it.Value().Elem().FieldByName("stage").Int()]
+		out[dispatch.RequestID(it.Key().Uint())] = stageNames[it.Value().Elem().FieldByName("stage").Int()]
 	}
 	return out
 }
 
 type observed struct {
 	event string
-	of    choice.RequestID
-	from  map[choice.RequestID]string
+	of    dispatch.RequestID
+	from  map[dispatch.RequestID]string
 }
 
-func (c *Coverage) before(w *World, ev exchange.Event) *observed {
+func (c *Coverage) before(w *World, ev forwarder.Event) *observed {
 	if c == nil {
 		return nil
 	}
-	o := &observed{event: strings.TrimPrefix(fmt.Sprintf("%T", ev), "exchange."), from: stages(w.x)}
-	onConn := func(id exchange.ConnID) {
+	o := &observed{event: strings.TrimPrefix(fmt.Sprintf("%T", ev), "forwarder."), from: stages(w.x)}
+	onConn := func(id forwarder.ConnID) {
 		conns := reflect.ValueOf(w.x).Elem().FieldByName("conns")
 		if k := conns.MapIndex(reflect.ValueOf(id)); k.IsValid() {
 			if call := k.Elem().FieldByName("call"); !call.IsNil() {
-				o.of = choice.RequestID(call.Elem().FieldByName("req").FieldByName("ID").Uint())
+				o.of = dispatch.RequestID(call.Elem().FieldByName("req").FieldByName("ID").Uint())
 			}
 		}
 	}
 	switch e := ev.(type) {
-	case exchange.Begin:
+	case forwarder.Begin:
 		o.of = e.Request.ID
-	case exchange.Gone:
+	case forwarder.Gone:
 		o.of = e.ID
-	case exchange.Flowing:
+	case forwarder.Flowing:
 		o.of = e.ID
-	case exchange.BodySent:
+	case forwarder.BodySent:
 		o.of = e.ID
-	case exchange.Dialed:
+	case forwarder.Dialed:
 		onConn(e.Conn)
-	case exchange.Headed:
+	case forwarder.Headed:
 		onConn(e.Conn)
-	case exchange.Answered:
+	case forwarder.Answered:
 		onConn(e.Conn)
-	case exchange.Lost:
+	case forwarder.Lost:
 		onConn(e.Conn)
 	}
 	return o
@@ -93,7 +93,7 @@
 		return
 	}
 	now := stages(w.x)
-	ids := map[choice.RequestID]bool{}
+	ids := map[dispatch.RequestID]bool{}
 	for id := range now {
 		ids[id] = true
 	}
--- a/internal/explore/fingerprint.go
+++ b/internal/modelcheck/fingerprint.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"cmp"
@@ -38,46 +38,46 @@
 // fields says how durations, and what else needs it, are taken. A duration that is
 // not here stops the walk with a panic: it has to be decided on.
 var fields = map[string]treat{
-	"explore.World.spec": skip, "explore.World.cfg": skip, "explore.World.now": skip, "explore.World.wake": near, "explore.World.seen": skip,
-	"explore.World.first": skip, "explore.World.log": skip,
-	"explore.World.told": mark, "explore.call.due": due, "explore.call.doubt": moment, "explore.call.rest": due,
-	"explore.listed.started": moment, "explore.listed.place": skip, "explore.call.ask": skip, "explore.call.end": skip, "explore.conn.id": rank,
-	"explore.rules.took": moment, "explore.rules.extra": moment,
+	"modelcheck.World.spec": skip, "modelcheck.World.cfg": skip, "modelcheck.World.now": skip, "modelcheck.World.wake": near, "modelcheck.World.seen": skip,
+	"modelcheck.World.first": skip, "modelcheck.World.log": skip,
+	"modelcheck.World.told": mark, "modelcheck.call.due": due, "modelcheck.call.doubt": moment, "modelcheck.call.rest": due,
+	"modelcheck.listed.started": moment, "modelcheck.listed.place": skip, "modelcheck.call.ask": skip, "modelcheck.call.end": skip, "modelcheck.conn.id": rank,
+	"modelcheck.rules.took": moment, "modelcheck.rules.extra": moment,
 
-	"upstream.Reader.Limits": skip, "upstream.Reader.Response": skip, // its parts that matter follow from state and scan
+	"upstreamhttp.Reader.Limits": skip, "upstreamhttp.Reader.Response": skip, // its parts that matter follow from state and scan
 
-	"exchange.Exchange.cfg": skip, "exchange.Exchange.now": skip, "exchange.Exchange.lastID": skip, "exchange.Exchange.seq": skip, "exchange.Exchange.acts": skip,
-	"exchange.Exchange.wakeAt": near, "exchange.Exchange.choice.at": near, "exchange.Exchange.order": skip, // follows from nodes
-	"exchange.call.class": skip, "exchange.call.deadline": due, "exchange.call.sentAt": moment, "exchange.call.headAt": moment, "exchange.call.doubtAt": moment,
+	"forwarder.Exchange.cfg": skip, "forwarder.Exchange.now": skip, "forwarder.Exchange.lastID": skip, "forwarder.Exchange.seq": skip, "forwarder.Exchange.acts": skip,
+	"forwarder.Exchange.wakeAt": near, "forwarder.Exchange.dispatchTimer.at": near, "forwarder.Exchange.order": skip, // follows from nodes
+	"forwarder.call.class": skip, "forwarder.call.deadline": due, "forwarder.call.sentAt": moment, "forwarder.call.headAt": moment, "forwarder.call.doubtAt": moment,
 	// Accounts: told, decided on by nothing.
-	"exchange.call.span": skip, "exchange.call.begun": skip, "exchange.call.behind": skip, "exchange.call.occupies": skip, "exchange.call.ahead": skip,
-	"exchange.call.told": skip, "exchange.call.entry": skip, "exchange.call.untold": skip, "exchange.node.out": skip, "exchange.Word.Timed": skip, "exchange.Word.Queue": skip, "exchange.Word.Work": skip,
-	"exchange.conn.id": rank, "exchange.conn.born": moment, "exchange.conn.since": moment,
-	"exchange.timer.at": near, "exchange.timer.seq": skip, "exchange.timer.pos": skip,
-	"exchange.Accounted.Entry": skip, "exchange.Dial.Conn": rank, "exchange.Send.Conn": rank, "exchange.Send.Until": due, "exchange.Close.Conn": rank, "exchange.Deliver.Conn": rank,
-	"exchange.Drop.Conn": rank, "exchange.Dial.Timeout": span, "exchange.Refuse.After": span, "exchange.SetTimer.At": moment,
-
-	"choice.Node.Started": moment, "choice.Request.Left": skip, // only on arrival
-	"choice.request.class": skip, "choice.request.seq": rank, "choice.request.sentAt": moment, "choice.request.deadline": due, "choice.request.aimAt": due,
-	"choice.request.doubtAt": moment, "choice.request.held": skip, "choice.request.queued": skip, // accounts
-	"choice.volume.plan": skip, "choice.volume.tokensAt": moment, "choice.volume.reserveAt": moment, "choice.volume.seen": skip, // forgotten after 30 s
-	"choice.node.lat": skip, "choice.node.base": skip, // taken as they have faded: learned
-	"choice.node.done": skip, // it raises depth from 20 answers a second on
-
-	"choice.node.sentAt": moment, "choice.node.missedAt": moment, "choice.node.heardAt": moment, "choice.node.latAt": skip, "choice.node.until": due, "choice.node.wake": due,
-	"choice.node.debtAt": moment, "choice.node.blocked": skip, "choice.node.blockedAt": skip, "choice.node.pausing": skip, "choice.node.coldSum": skip,
-	"choice.node.suspectSum": skip, // accounts
-	"choice.meter.at":        moment, "choice.turn.rest": due,
-	"choice.Dispatcher.cfg": skip, "choice.Dispatcher.now": skip, "choice.Dispatcher.born": moment, "choice.Dispatcher.tightest": skip, "choice.Dispatcher.maxLeft": span,
-	"choice.Dispatcher.wakeAt": near, "choice.Dispatcher.seq": skip, "choice.Dispatcher.taken": moment, "choice.Dispatcher.extra": moment,
-	"choice.Dispatcher.acts": skip, "choice.Dispatcher.bestValue": skip, "choice.Dispatcher.order": skip, "choice.Dispatcher.volOrder": skip,
-	"choice.flow.parkedAt": skip, "choice.flow.parkedSum": skip, "choice.flow.pos": skip, // accounts, and a place in the heap that follows from its order
-	"choice.task.at": near, "choice.task.seq": skip, "choice.task.pos": skip,
+	"forwarder.call.span": skip, "forwarder.call.begun": skip, "forwarder.call.behind": skip, "forwarder.call.occupies": skip, "forwarder.call.ahead": skip,
+	"forwarder.call.told": skip, "forwarder.call.entry": skip, "forwarder.call.untold": skip, "forwarder.node.out": skip, "forwarder.Word.Timed": skip, "forwarder.Word.Queue": skip, "forwarder.Word.Work": skip,
+	"forwarder.conn.id": rank, "forwarder.conn.born": moment, "forwarder.conn.since": moment,
+	"forwarder.timer.at": near, "forwarder.timer.seq": skip, "forwarder.timer.pos": skip,
+	"forwarder.Accounted.Entry": skip, "forwarder.Dial.Conn": rank, "forwarder.Send.Conn": rank, "forwarder.Send.Until": due, "forwarder.Close.Conn": rank, "forwarder.Deliver.Conn": rank,
+	"forwarder.Drop.Conn": rank, "forwarder.Dial.Timeout": span, "forwarder.Refuse.After": span, "forwarder.SetTimer.At": moment,
+
+	"dispatch.Node.Started": moment, "dispatch.Request.Left": skip, // only on arrival
+	"dispatch.request.class": skip, "dispatch.request.seq": rank, "dispatch.request.sentAt": moment, "dispatch.request.deadline": due, "dispatch.request.aimAt": due,
+	"dispatch.request.doubtAt": moment, "dispatch.request.held": skip, "dispatch.request.queued": skip, // accounts
+	"dispatch.volume.plan": skip, "dispatch.volume.tokensAt": moment, "dispatch.volume.reserveAt": moment, "dispatch.volume.seen": skip, // forgotten after 30 s
+	"dispatch.node.lat": skip, "dispatch.node.base": skip, // taken as they have faded: learned
+	"dispatch.node.done": skip, // it raises depth from 20 answers a second on
+
+	"dispatch.node.sentAt": moment, "dispatch.node.missedAt": moment, "dispatch.node.heardAt": moment, "dispatch.node.latAt": skip, "dispatch.node.until": due, "dispatch.node.wake": due,
+	"dispatch.node.debtAt": moment, "dispatch.node.blocked": skip, "dispatch.node.blockedAt": skip, "dispatch.node.pausing": skip, "dispatch.node.coldSum": skip,
+	"dispatch.node.suspectSum": skip, // accounts
+	"dispatch.meter.at":        moment, "dispatch.turn.rest": due,
+	"dispatch.Dispatcher.cfg": skip, "dispatch.Dispatcher.now": skip, "dispatch.Dispatcher.born": moment, "dispatch.Dispatcher.tightest": skip, "dispatch.Dispatcher.maxLeft": span,
+	"dispatch.Dispatcher.wakeAt": near, "dispatch.Dispatcher.seq": skip, "dispatch.Dispatcher.taken": moment, "dispatch.Dispatcher.extra": moment,
+	"dispatch.Dispatcher.acts": skip, "dispatch.Dispatcher.bestValue": skip, "dispatch.Dispatcher.order": skip, "dispatch.Dispatcher.volOrder": skip,
+	"dispatch.flow.parkedAt": skip, "dispatch.flow.parkedSum": skip, "dispatch.flow.pos": skip, // accounts, and a place in the heap that follows from its order
+	"dispatch.task.at": near, "dispatch.task.seq": skip, "dispatch.task.pos": skip,
 }
 
 // sorted are the heaps: what they hold matters, in the order in which it comes out.
 var heaps = map[string][]string{
-	"exchange.timers": {"at", "seq"}, "choice.agenda": {"at", "seq"}, "choice.flowHeap": {"start"},
+	"forwarder.timers": {"at", "seq"}, "dispatch.agenda": {"at", "seq"}, "dispatch.flowHeap": {"start"},
 }
 
 var durationType = reflect.TypeFor[time.Duration]()
@@ -130,25 +130,25 @@
 		limits, reserve = limits || p.Limit > 0, reserve || p.Reserve > 0
 	}
 	if !cold {
-		skipAll("choice.node.debt", "choice.node.debtAt", "choice.node.use", "choice.Dispatcher.usages")
+		skipAll("dispatch.node.debt", "dispatch.node.debtAt", "dispatch.node.use", "dispatch.Dispatcher.usages")
 	}
 	if !limits {
-		skipAll("choice.volume.tokens", "choice.volume.tokensAt")
+		skipAll("dispatch.volume.tokens", "dispatch.volume.tokensAt")
 	}
 	if !cold && !limits {
-		skipAll("choice.Dispatcher.born")
+		skipAll("dispatch.Dispatcher.born")
 	}
 	if !reserve {
-		skipAll("choice.volume.reserveAt")
+		skipAll("dispatch.volume.reserveAt")
 	}
 	if volumes == 1 { // one flow at each node: its tags order nothing
-		skipAll("choice.node.v", "choice.request.vArr", "choice.flow.lastS", "choice.flow.lastC", "choice.flow.lastF", "choice.flow.floor", "choice.flow.start")
+		skipAll("dispatch.node.v", "dispatch.request.vArr", "dispatch.flow.lastS", "dispatch.flow.lastC", "dispatch.flow.lastF", "dispatch.flow.floor", "dispatch.flow.start")
 	}
 	if c.Budget.Ratio == 0 {
-		skipAll("choice.Dispatcher.taken", "explore.rules.took")
+		skipAll("dispatch.Dispatcher.taken", "modelcheck.rules.took")
 	}
 	if w.cfg.IdleFor > far && w.cfg.MaxAge > far {
-		skipAll("exchange.conn.born", "exchange.conn.since")
+		skipAll("forwarder.conn.born", "forwarder.conn.since")
 	}
 	return off
 }
@@ -212,10 +212,10 @@
 }
 
 // typeName is a type's name with its package's; of a struct without a name, the one
-// that stands in the exchange is the only one.
+// that stands in the forwarder is the only one.
 func typeName(t reflect.Type) string {
 	if t.Name() == "" && t.Kind() == reflect.Struct {
-		return "exchange.Exchange.choice"
+		return "forwarder.Exchange.dispatchTimer"
 	}
 	path := t.PkgPath()
 	return path[strings.LastIndexByte(path, '/')+1:] + "." + t.Name()
@@ -269,7 +269,7 @@
 		p.fields(v)
 	case reflect.Func:
 	default:
-		panic(fmt.Sprintf("explore: a %v cannot be told apart", v.Type()))
+		panic(fmt.Sprintf("modelcheck: a %v cannot be told apart", v.Type()))
 	}
 }
 
@@ -291,11 +291,11 @@
 func (p *printer) fields(v reflect.Value) {
 	info := p.info(v.Type())
 	switch info.name {
-	case "explore.call":
+	case "modelcheck.call":
 		if p.over(v) {
 			return
 		}
-	case "choice.node":
+	case "dispatch.node":
 		p.learned(v)
 	}
 	for i := range info.fields {
@@ -306,14 +306,14 @@
 		case f.heap != nil:
 			p.heap(fv, f.heap)
 		case fv.Type() == durationType && f.treat == 0:
-			panic("explore: of the duration " + f.name + " it is not said whether it is a length, a moment, or without influence")
+			panic("modelcheck: of the duration " + f.name + " it is not said whether it is a length, a moment, or without influence")
 		default:
 			p.walk(fv, f.treat)
 		}
 	}
 }
 
-// doControl is the first of choice's kinds of task; a test holds it to that.
+// doControl is the first of the dispatcher's kinds of task; a test holds it to that.
 const doControl = 0
 
 // heap takes what a heap holds, in order.
@@ -373,7 +373,7 @@
 	case how == span:
 		p.u64(uint64(d))
 	case how == rank:
-		panic("explore: a duration by rank")
+		panic("modelcheck: a duration by rank")
 	case d == 0: // never set
 		p.u64(1)
 	case d == math.MaxInt64: // not set
--- a/internal/explore/explore_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -1,8 +1,8 @@
-package explore
+package modelcheck
 
 import (
-	"chalkstand/choice"
-	"chalkstand/exchange"
+	"chalkstand/dispatch"
+	"chalkstand/forwarder"
 	"context"
 	"math"
 	"math/rand/v2"
@@ -207,17 +207,17 @@
 	}
 	for _, x := range []any{
 		World{},
-		exchange.Exchange{},
-		exchange.Accounted{},
-		exchange.Dial{},
-		exchange.Send{},
-		exchange.Close{},
-		exchange.Deliver{},
-		exchange.Drop{},
-		exchange.Refuse{},
-		exchange.SetTimer{},
-		choice.Dispatcher{},
-		choice.Request{},
+		forwarder.Exchange{},
+		forwarder.Accounted{},
+		forwarder.Dial{},
+		forwarder.Send{},
+		forwarder.Close{},
+		forwarder.Deliver{},
+		forwarder.Drop{},
+		forwarder.Refuse{},
+		forwarder.SetTimer{},
+		dispatch.Dispatcher{},
+		dispatch.Request{},
 	} {
 		visit(reflect.TypeOf(x))
 	}
