--- a/internal/explore/moves.go
+++ b/internal/modelcheck/moves.go
@@ -1,8 +1,8 @@
-package explore
+package modelcheck
 
 import (
-	"chalkstand/choice"
-	"chalkstand/exchange"
+	"chalkstand/dispatch"
+	"chalkstand/forwarder"
 	"cmp"
 	"fmt"
 	"maps"
@@ -20,7 +20,7 @@
 	Arrive   Kind = iota // a client's request comes
 	Follow               // the loop comes to what was decided elsewhere
 	Follow2              // the second loop does
-	Fire                 // the exchange's timer
+	Fire                 // the forwarder's timer
 	DialOK               // a connection is there
 	DialFail             // it is not
 	Served               // a node answers
@@ -131,7 +131,7 @@
 			if u.lists < s.lists {
 				add(List, i)
 			}
-		case n.state == choice.Serving:
+		case n.state == dispatch.Serving:
 			if u.renews < s.renews {
 				add(Renew, i)
 			}
@@ -139,7 +139,7 @@
 				add(Drain, i)
 			}
 			fallthrough
-		case n.state == choice.Draining:
+		case n.state == dispatch.Draining:
 			if n.first && u.removes < s.removes {
 				add(Remove, i)
 			}
@@ -224,10 +224,10 @@
 // which no connection is part. Doing it at once commutes with all else: nothing
 // that can happen before it looks at what it changes, but that a client may leave
 // whose answer is on its way, which is an answer all the same.
-func onlyAnswers(queue []exchange.Action) bool {
+func onlyAnswers(queue []forwarder.Action) bool {
 	for _, a := range queue {
 		switch a.(type) {
-		case exchange.Refuse, exchange.Fail:
+		case forwarder.Refuse, forwarder.Fail:
 		default:
 			return false
 		}
@@ -246,7 +246,7 @@
 	return slices.ContainsFunc(w.calls, (*call).owed)
 }
 
-// next is the next moment at which something is due: the exchange's timer, the end
+// next is the next moment at which something is due: the forwarder's timer, the end
 // of a window in which repeats are dropped, of the grace after a drain, or of the
 // time for an answer.
 func (w *World) next() time.Duration {
@@ -263,7 +263,7 @@
 		if !c.begun || c.over() {
 			continue
 		}
-		if c.mayRun && w.class(c).Effect == choice.Keyed {
+		if c.mayRun && w.class(c).Effect == dispatch.Keyed {
 			take(c.doubt + w.class(c).Window)
 		}
 		take(c.due)
@@ -274,7 +274,7 @@
 // before is the last moment of the grid before one.
 func (w *World) before(t time.Duration) time.Duration { return (t - 1) / grid * grid }
 
-func (w *World) class(c *call) *choice.Class { return &w.cfg.Choice.Classes[c.class] }
+func (w *World) class(c *call) *dispatch.Class { return &w.cfg.Choice.Classes[c.class] }
 
 // apply does a move. It must be one that moves returned.
 func (w *World) apply(m Move) {
@@ -291,18 +291,18 @@
 		w.follow(1)
 	case Fire:
 		w.wake = math.MaxInt64
-		w.tell(exchange.Fired{}, elsewhere)
+		w.tell(forwarder.Fired{}, elsewhere)
 	case DialOK, DialFail:
-		k := w.conns[exchange.ConnID(m.On)]
+		k := w.conns[forwarder.ConnID(m.On)]
 		if k.open = m.Kind == DialOK; !k.open {
 			u.dialFails++
 			delete(w.conns, k.id)
 		}
-		w.tell(exchange.Dialed{Conn: k.id, OK: k.open}, k.lane)
+		w.tell(forwarder.Dialed{Conn: k.id, OK: k.open}, k.lane)
 	case Served, Closing, Errored, Full, Headed, Rest, Garbage, Twice:
-		w.answered(w.conns[exchange.ConnID(m.On)], m.Kind)
+		w.answered(w.conns[forwarder.ConnID(m.On)], m.Kind)
 	case Reset:
-		k := w.conns[exchange.ConnID(m.On)]
+		k := w.conns[forwarder.ConnID(m.On)]
 		if k.has {
 			u.resets++
 		} else {
@@ -316,21 +316,21 @@
 		c := w.calls[m.On-1]
 		u.flows++
 		c.flowing = true
-		w.tell(exchange.Flowing{ID: c.id}, c.lane)
+		w.tell(forwarder.Flowing{ID: c.id}, c.lane)
 	case BodySent:
 		c := w.calls[m.On-1]
 		c.sent = true
 		if c.flowing {
 			c.due = max(c.due, w.now+w.class(c).Deadline)
 		}
-		w.tell(exchange.BodySent{ID: c.id}, c.lane)
+		w.tell(forwarder.BodySent{ID: c.id}, c.lane)
 	case Drain, Remove, List, Renew:
 		w.listing(m)
 	case Crash:
 		w.crash()
 	case Truth:
 		w.stale = false
-		w.tell(w.list(choice.Complete), elsewhere)
+		w.tell(w.list(dispatch.Complete), elsewhere)
 	case Before:
 		w.now = w.before(w.next())
 	case Reach:
@@ -347,7 +347,7 @@
 	k := w.class(c)
 	c.begun, c.inLane, c.due = true, true, w.now+k.Deadline
 	w.rules.taken(w, c)
-	w.tell(exchange.Begin{Once: c.once, Lane: c.lane, Request: choice.Request{
+	w.tell(forwarder.Begin{Once: c.once, Lane: c.lane, Request: dispatch.Request{
 		ID: c.id, Class: c.class, Volume: "v", Key: c.key,
 		Shard: c.shard, Units: 1, Hosts: 1, Left: k.Deadline,
 	}}, c.lane)
@@ -383,7 +383,7 @@
 // leave lets a client go.
 func (w *World) leave(c *call) {
 	c.left, c.inLane, c.end = true, false, "left"
-	w.tell(exchange.Gone{ID: c.id}, c.lane)
+	w.tell(forwarder.Gone{ID: c.id}, c.lane)
 }
 
 // listing tells the gateway of a node.
@@ -392,10 +392,10 @@
 	switch m.Kind {
 	case Drain:
 		u.drains++
-		n.state = choice.Draining
+		n.state = dispatch.Draining
 	case Remove:
 		u.removes++
-		n.state = choice.Removed
+		n.state = dispatch.Removed
 	case List:
 		u.lists++
 		n.on, n.started = true, w.now
@@ -409,7 +409,7 @@
 	if m.Kind == Renew {
 		w.renewed(n.id)
 	}
-	e := exchange.Nodes{Kind: choice.Changes, Nodes: []exchange.Node{node(*n, n.state)}}
+	e := forwarder.Nodes{Kind: dispatch.Changes, Nodes: []forwarder.Node{node(*n, n.state)}}
 	w.hear(e)
 	w.tell(e, elsewhere)
 }
@@ -418,7 +418,7 @@
 // begins again with the list that it had at the start.
 func (w *World) crash() {
 	w.spent.crashes++
-	w.queue = [loops][]exchange.Action{}
+	w.queue = [loops][]forwarder.Action{}
 	for _, k := range w.sorted() {
 		w.doubted(k)
 		w.free(k)
@@ -431,5 +431,5 @@
 	}
 	clear(w.told)
 	w.stale = true
-	w.begin(choice.Persisted)
+	w.begin(dispatch.Persisted)
 }
--- a/internal/explore/race_test.go
+++ b/internal/modelcheck/race_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package explore
+package modelcheck
 
 // slower is how much less is explored under the race detector.
 const slower = 12
--- a/internal/explore/replay.go
+++ b/internal/modelcheck/replay.go
@@ -1,8 +1,8 @@
-package explore
+package modelcheck
 
 import (
 	"bufio"
-	"chalkstand/exchange"
+	"chalkstand/forwarder"
 	"fmt"
 	"io"
 	"slices"
@@ -202,7 +202,7 @@
 		case "request":
 			s.Call = int(m.On)
 		case "connection":
-			k := p.w.conns[exchange.ConnID(m.On)]
+			k := p.w.conns[forwarder.ConnID(m.On)]
 			s.Node = string(k.node)
 			if c := k.call; c != nil {
 				s.Call, s.Attempt = int(c.id), c.sends-1
--- a/internal/explore/rules.go
+++ b/internal/modelcheck/rules.go
@@ -1,8 +1,8 @@
-package explore
+package modelcheck
 
 import (
-	"chalkstand/choice"
-	"chalkstand/exchange"
+	"chalkstand/dispatch"
+	"chalkstand/forwarder"
 	"fmt"
 	"reflect"
 	"slices"
@@ -56,10 +56,10 @@
 	}
 }
 
-// decided checks what holds when the exchange decides: no request is sent to a node
+// decided checks what holds when the forwarder decides: no request is sent to a node
 // that it was told not to use.
-func (w *World) decided(a exchange.Action) {
-	if s, ok := a.(exchange.Send); ok {
+func (w *World) decided(a forwarder.Action) {
+	if s, ok := a.(forwarder.Send); ok {
 		if at, told := w.told[s.Node]; told {
 			w.broke("drain", "request %d is sent to %s, of which was told %v before that it drains or is gone", s.ID, s.Node, w.now-at)
 		}
@@ -67,11 +67,11 @@
 }
 
 // dialing checks the bound on connections to a node. Those that a loop has yet to
-// close do not count: the exchange asked for it before.
-func (w *World) dialing(a exchange.Dial) {
+// close do not count: the forwarder asked for it before.
+func (w *World) dialing(a forwarder.Dial) {
 	n := 1
 	for _, k := range w.conns {
-		closing := slices.ContainsFunc(w.queue[k.lane], func(x exchange.Action) bool { c, ok := x.(exchange.Close); return ok && c.Conn == k.id })
+		closing := slices.ContainsFunc(w.queue[k.lane], func(x forwarder.Action) bool { c, ok := x.(forwarder.Close); return ok && c.Conn == k.id })
 		if k.node == a.Node && !closing {
 			n++
 		}
@@ -82,10 +82,10 @@
 }
 
 // renewed notes that connections which wait unused are to a process that is gone.
-// What was decided to go out on one before cannot be held against the exchange.
-func (w *World) renewed(id choice.NodeID) {
+// What was decided to go out on one before cannot be held against the forwarder.
+func (w *World) renewed(id dispatch.NodeID) {
 	for _, k := range w.conns {
-		decided := slices.ContainsFunc(w.queue[k.lane], func(a exchange.Action) bool { s, ok := a.(exchange.Send); return ok && s.Conn == k.id })
+		decided := slices.ContainsFunc(w.queue[k.lane], func(a forwarder.Action) bool { s, ok := a.(forwarder.Send); return ok && s.Conn == k.id })
 		if k.node == id && k.open && k.call == nil && !decided {
 			k.dead = true
 		}
@@ -93,7 +93,7 @@
 }
 
 // sending checks a request that goes out.
-func (w *World) sending(k *conn, c *call, a exchange.Send) {
+func (w *World) sending(k *conn, c *call, a forwarder.Send) {
 	cl := w.class(c)
 	switch {
 	case c.answers > 0 || c.left:
@@ -110,9 +110,9 @@
 		w.broke("effects", "request %d of shard %d is sent to %s", c.id, c.shard, k.node)
 	case c.once && c.sends > 0:
 		w.broke("effects", "request %d, whose body is gone, is sent again", c.id)
-	case c.mayRun && cl.Effect == choice.Unsafe:
+	case c.mayRun && cl.Effect == dispatch.Unsafe:
 		w.broke("effects", "unsafe request %d is sent again though it may have run", c.id)
-	case c.mayRun && cl.Effect == choice.Keyed && w.now-c.doubt >= cl.Window:
+	case c.mayRun && cl.Effect == dispatch.Keyed && w.now-c.doubt >= cl.Window:
 		w.broke("effects", "keyed request %d is sent again %v after it may have run, beyond its window", c.id, w.now-c.doubt)
 	case a.Attempt != c.sends && a.Attempt < c.sends:
 		w.broke("attempts", "request %d: attempt %d is sent after %d others", c.id, a.Attempt, c.sends)
@@ -142,13 +142,13 @@
 	}
 }
 
-func (w *World) shardOf(id choice.NodeID) choice.Shard {
+func (w *World) shardOf(id dispatch.NodeID) dispatch.Shard {
 	i := slices.IndexFunc(w.nodes, func(n listed) bool { return n.id == id })
 	return w.nodes[i].shard
 }
 
 // inOrder checks the turns of a key.
-func (w *World) inOrder(c *call, cl *choice.Class) {
+func (w *World) inOrder(c *call, cl *dispatch.Class) {
 	if !cl.InTurn || c.key == "" {
 		return
 	}
@@ -167,15 +167,15 @@
 // ending tells whether a request's end was decided and waits for its loop: another
 // loop may act on what follows from it first.
 func (w *World) ending(c *call) bool {
-	return slices.ContainsFunc(w.queue[c.lane], func(a exchange.Action) bool {
+	return slices.ContainsFunc(w.queue[c.lane], func(a forwarder.Action) bool {
 		switch a := a.(type) {
-		case exchange.Deliver:
+		case forwarder.Deliver:
 			return a.ID == c.id
-		case exchange.Refuse:
+		case forwarder.Refuse:
 			return a.ID == c.id
-		case exchange.Fail:
+		case forwarder.Fail:
 			return a.ID == c.id
-		case exchange.Cut:
+		case forwarder.Cut:
 			return a.ID == c.id
 		}
 		return false
@@ -207,7 +207,7 @@
 }
 
 // delivered checks that an answer belongs to its request.
-func (w *World) delivered(a exchange.Deliver, c *call, k *conn) {
+func (w *World) delivered(a forwarder.Deliver, c *call, k *conn) {
 	switch {
 	case k == nil:
 		w.broke("connection", "request %d is given the answer of connection %d, which is gone", a.ID, a.Conn)
@@ -228,7 +228,7 @@
 }
 
 // answer gives a client its final answer.
-func (w *World) answer(c *call, a exchange.Action) {
+func (w *World) answer(c *call, a forwarder.Action) {
 	if c == nil {
 		w.broke("answer", "%T for a request that was never taken", a)
 		return
@@ -237,13 +237,13 @@
 		return // nobody is there to see it
 	}
 	c.inLane = false
-	c.end = strings.ToLower(strings.TrimPrefix(fmt.Sprintf("%T", a), "exchange."))
+	c.end = strings.ToLower(strings.TrimPrefix(fmt.Sprintf("%T", a), "forwarder."))
 	if c.answers++; c.answers > 1 {
 		w.broke("answer", "request %d has %d final answers", c.id, c.answers)
 	}
-	_, refused := a.(exchange.Refuse)
-	_, cut := a.(exchange.Cut)
-	_, whole := a.(exchange.Deliver)
+	_, refused := a.(forwarder.Refuse)
+	_, cut := a.(forwarder.Cut)
+	_, whole := a.(forwarder.Deliver)
 	k := w.class(c)
 	switch {
 	case c.headed && !cut && !whole:
@@ -252,9 +252,9 @@
 		w.broke("answer", "request %d: cut before its answer has begun", c.id)
 	case w.now > c.due && !c.headed && !c.flowing:
 		w.broke("answer", "request %d is answered %v after its time", c.id, w.now-c.due)
-	case refused && c.mayRun && k.Effect != choice.Safe && !(k.Effect == choice.Keyed && k.Group == choice.GroupAll):
+	case refused && c.mayRun && k.Effect != dispatch.Safe && !(k.Effect == dispatch.Keyed && k.Group == dispatch.GroupAll):
 		w.broke("effects", "request %d is refused as harmless to try again, though it may have run", c.id)
-	case refused && a.(exchange.Refuse).After <= 0:
+	case refused && a.(forwarder.Refuse).After <= 0:
 		w.broke("answer", "request %d is refused without a time to come back", c.id)
 	}
 }
@@ -290,7 +290,7 @@
 		return // a body that flows, and stands still
 	}
 	if n := w.x.Calls(); n > 0 {
-		w.broke("stuck", "the exchange still has %d requests", n)
+		w.broke("stuck", "the forwarder still has %d requests", n)
 	}
 	if n := dispatched(w.x); n > 0 {
 		w.broke("stuck", "the dispatcher still counts %d requests", n)
@@ -300,7 +300,7 @@
 
 // dispatched is how many requests the dispatcher has, by reflection: it has no need
 // to tell.
-func dispatched(x *exchange.Exchange) int {
+func dispatched(x *forwarder.Exchange) int {
 	return reflect.ValueOf(x).Elem().FieldByName("d").Elem().FieldByName("reqs").Len()
 }
 
@@ -315,14 +315,14 @@
 		for _, k := range w.sorted() {
 			if !k.open {
 				k.open = true
-				w.tell(exchange.Dialed{Conn: k.id, OK: true}, k.lane)
+				w.tell(forwarder.Dialed{Conn: k.id, OK: true}, k.lane)
 			}
 		}
 		w.now = max(w.now, w.wake)
 		w.wake = 1<<63 - 1
-		w.tell(exchange.Fired{}, elsewhere)
+		w.tell(forwarder.Fired{}, elsewhere)
 	}
 	if len(w.conns) > 0 || w.x.Conns() > 0 {
-		w.broke("connection", "%d connections are left on the loop, %d in the exchange, that nothing will close", len(w.conns), w.x.Conns())
+		w.broke("connection", "%d connections are left on the loop, %d in the forwarder, that nothing will close", len(w.conns), w.x.Conns())
 	}
 }
--- a/internal/explore/scenario.go
+++ b/internal/modelcheck/scenario.go
@@ -1,12 +1,12 @@
-// Package explore drives the real exchange, dispatcher and connection readers
+// Package modelcheck drives the real exchange, dispatcher and connection readers
 // through every ordering of events in small worlds, and through long random ones,
 // and checks the rules from what crosses the wire. It owns time and every source of
 // events; it does no I/O.
-package explore
+package modelcheck
 
 import (
-	"chalkstand/choice"
-	"chalkstand/exchange"
+	"chalkstand/dispatch"
+	"chalkstand/forwarder"
 	"fmt"
 	"slices"
 	"time"
@@ -26,16 +26,16 @@
 type ask struct {
 	class int
 	key   string
-	shard choice.Shard
+	shard dispatch.Shard
 	once  bool // its body streams through and cannot be sent twice
 	big   bool // its answer streams through
-	lane  exchange.Lane
+	lane  forwarder.Lane
 }
 
 // place is a node that may be listed.
 type place struct {
-	id    choice.NodeID
-	shard choice.Shard
+	id    dispatch.NodeID
+	shard dispatch.Shard
 	first bool // listed from the start
 }
 
@@ -53,7 +53,7 @@
 	// spread is how long after the first the last request may come.
 	spread time.Duration
 
-	change func(*exchange.Config)
+	change func(*forwarder.Config)
 
 	// prepare brings the world to where the exploring begins: what a gateway has
 	// learned by then takes more moves than a search goes deep. nil: it begins fresh.
@@ -80,7 +80,7 @@
 		{
 			Name: "window", What: "a keyed write whose answer is lost, its window ending between decision and send",
 			asks: []ask{{class: keyed}}, nodes: successor, resets: 2, dialFails: 2, lists: 1, drains: 1, errors: 1,
-			change: func(c *exchange.Config) { c.Choice.Classes[keyed].Window = 40 * ms },
+			change: func(c *forwarder.Config) { c.Choice.Classes[keyed].Window = 40 * ms },
 		},
 		{
 			Name: "stream", What: "bodies that flow, both ways, and break",
@@ -93,7 +93,7 @@
 		{
 			Name: "renew", What: "a node is announced as a new process; connections grow old and are closed unused",
 			asks: []ask{{class: safe}, {class: safe}}, nodes: successor, renews: 1, drains: 1, resets: 1, closes: 1, spread: 100 * ms,
-			change: func(c *exchange.Config) { c.IdleFor, c.MaxAge = 60*ms, 100*ms },
+			change: func(c *forwarder.Config) { c.IdleFor, c.MaxAge = 60*ms, 100*ms },
 		},
 		{
 			Name: "silent", What: "answers that do not come, so that attempts are given up early",
@@ -105,11 +105,11 @@
 		},
 		{
 			Name: "tries", What: "one request whose attempts break again and again, with a budget for more than it may have", asks: []ask{{class: safe}}, nodes: successor,
-			resets: 4, errors: 2, dialFails: 1, change: func(c *exchange.Config) { c.Choice.Budget.Free = 8 },
+			resets: 4, errors: 2, dialFails: 1, change: func(c *forwarder.Config) { c.Choice.Budget.Free = 8 },
 		},
 		{
 			Name: "thrift", What: "the same with a budget for one further attempt", asks: []ask{{class: safe}}, nodes: successor,
-			resets: 3, errors: 1, change: func(c *exchange.Config) { c.Choice.Budget.Free = 1 },
+			resets: 3, errors: 1, change: func(c *forwarder.Config) { c.Choice.Budget.Free = 1 },
 		},
 		{
 			Name: "lossy", What: "a node that is known to lose answers, so that attempts end early and are made again",
@@ -127,15 +127,15 @@
 		{
 			Name: "loops", What: "two event loops that share one connection to a node",
 			asks: []ask{{class: safe}, {class: keyed, lane: 1}}, nodes: successor, leaves: 1, resets: 1, drains: 1, lists: 1, spread: 60 * ms,
-			change: func(c *exchange.Config) { c.ConnsPerNode, c.Streams = 1, 0 },
+			change: func(c *forwarder.Config) { c.ConnsPerNode, c.Streams = 1, 0 },
 		},
 		{
 			Name: "limits", What: "few connections, a small budget, two shards",
 			asks: []ask{{class: safe}, {class: safe, shard: 1}, {class: unsafe}}, nodes: []place{{id: "a", first: true}, {id: "c", shard: 1, first: true}},
 			resets: 2, errors: 1, dialFails: 1,
-			change: func(c *exchange.Config) {
+			change: func(c *forwarder.Config) {
 				c.ConnsPerNode, c.Streams = 1, 0
-				c.Choice.Budget = choice.BudgetRule{Free: 1, Ratio: 0, Span: 5 * time.Second}
+				c.Choice.Budget = dispatch.BudgetRule{Free: 1, Ratio: 0, Span: 5 * time.Second}
 			},
 		},
 		{
@@ -214,21 +214,21 @@
 const grid = 10 * ms
 
 // config returns the settings of a scenario's gateway.
-func (s *Scenario) config() exchange.Config {
-	c := exchange.Config{
+func (s *Scenario) config() forwarder.Config {
+	c := forwarder.Config{
 		Seed: 1, ConnsPerNode: 4, Streams: 2, IdleFor: 5 * time.Second, MaxAge: 20 * time.Second,
 		Connect: 100 * ms, MaxCalls: 64,
-		Choice: choice.Config{
+		Choice: dispatch.Config{
 			Peers: 1, Cancel: true, MaxRetryAfter: time.Second, MaxAttempts: 3,
 			UsualUnits: 1, LargestUnits: 8, Settle: 60 * ms, Round: ms,
-			Budget: choice.BudgetRule{Free: 2, Ratio: 0, Span: 5 * time.Second},
-			Classes: []choice.Class{
+			Budget: dispatch.BudgetRule{Free: 2, Ratio: 0, Span: 5 * time.Second},
+			Classes: []dispatch.Class{
 				{Name: "safe", Aim: 200 * ms, Deadline: 400 * ms, Worth: 1},
-				{Name: "keyed", Aim: 300 * ms, Deadline: 500 * ms, Worth: 1, Effect: choice.Keyed, Group: choice.GroupShard, Window: 160 * ms},
-				{Name: "in turn", Aim: 300 * ms, Deadline: 500 * ms, Worth: 1, Effect: choice.Keyed, Group: choice.GroupShard, Window: 2 * time.Second, InTurn: true},
-				{Name: "unsafe", Aim: 300 * ms, Deadline: 500 * ms, Worth: 1, Effect: choice.Unsafe},
+				{Name: "keyed", Aim: 300 * ms, Deadline: 500 * ms, Worth: 1, Effect: dispatch.Keyed, Group: dispatch.GroupShard, Window: 160 * ms},
+				{Name: "in turn", Aim: 300 * ms, Deadline: 500 * ms, Worth: 1, Effect: dispatch.Keyed, Group: dispatch.GroupShard, Window: 2 * time.Second, InTurn: true},
+				{Name: "unsafe", Aim: 300 * ms, Deadline: 500 * ms, Worth: 1, Effect: dispatch.Unsafe},
 			},
-			Plans: []choice.Plan{{Name: "p", Weight: 1, Price: 1}},
+			Plans: []dispatch.Plan{{Name: "p", Weight: 1, Price: 1}},
 		},
 	}
 	if s.change != nil {
--- a/internal/explore/search.go
+++ b/internal/modelcheck/search.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"context"
--- a/internal/explore/walk.go
+++ b/internal/modelcheck/walk.go
@@ -1,8 +1,8 @@
-package explore
+package modelcheck
 
 import (
-	"chalkstand/choice"
-	"chalkstand/exchange"
+	"chalkstand/dispatch"
+	"chalkstand/forwarder"
 	"fmt"
 	"math/rand/v2"
 )
@@ -13,10 +13,10 @@
 	s := Scenario{Name: "large", What: "many nodes and requests, at random"}
 	shards := max(1, nodes*2/3)
 	for i := range nodes {
-		s.nodes = append(s.nodes, place{id: choice.NodeID(fmt.Sprint("n", i)), shard: choice.Shard(i % shards), first: i < shards})
+		s.nodes = append(s.nodes, place{id: dispatch.NodeID(fmt.Sprint("n", i)), shard: dispatch.Shard(i % shards), first: i < shards})
 	}
 	for i := range requests {
-		a := ask{class: i % 4, shard: choice.Shard(i * 7 % shards), lane: exchange.Lane(i / 5 % loops)}
+		a := ask{class: i % 4, shard: dispatch.Shard(i * 7 % shards), lane: forwarder.Lane(i / 5 % loops)}
 		switch {
 		case a.class == inTurn:
 			a.key = fmt.Sprint("k", i%3, "/", a.shard)
@@ -31,10 +31,10 @@
 	s.drains, s.removes, s.lists, s.leaves, s.crashes = shards/2, shards/2, nodes, n/4, 1
 	s.resets, s.garbage, s.fulls, s.errors, s.heads, s.dialFails, s.closes, s.flows, s.renews = n/4, n/10, n/6, n/6, n/4, n/6, n/6, n/4, shards/2
 	s.spread = 1 << 40
-	s.change = func(c *exchange.Config) {
+	s.change = func(c *forwarder.Config) {
 		c.ConnsPerNode = 3
 		c.IdleFor = 60 * ms
-		c.Choice.Budget = choice.BudgetRule{Free: 2, Ratio: 0.3, Span: 5000 * ms}
+		c.Choice.Budget = dispatch.BudgetRule{Free: 2, Ratio: 0.3, Span: 5000 * ms}
 	}
 	return s
 }
--- a/internal/explore/world.go
+++ b/internal/modelcheck/world.go
@@ -1,10 +1,10 @@
-package explore
+package modelcheck
 
 import (
-	"chalkstand/choice"
-	"chalkstand/exchange"
+	"chalkstand/dispatch"
+	"chalkstand/forwarder"
 	"chalkstand/internal/http1"
-	"chalkstand/internal/upstream"
+	"chalkstand/internal/upstreamhttp"
 	"fmt"
 	"math"
 	"strings"
@@ -15,14 +15,14 @@
 // connections, nodes, discovery and time.
 type World struct {
 	spec  *Scenario
-	cfg   exchange.Config
+	cfg   forwarder.Config
 	now   time.Duration
-	x     *exchange.Exchange
-	wake  time.Duration            // of the exchange's timer
-	queue [loops][]exchange.Action // what each event loop has yet to do
+	x     *forwarder.Exchange
+	wake  time.Duration             // of the forwarder's timer
+	queue [loops][]forwarder.Action // what each event loop has yet to do
 	calls []*call
-	conns map[exchange.ConnID]*conn
-	told  map[choice.NodeID]time.Duration // nodes that the gateway was told not to use, since when
+	conns map[forwarder.ConnID]*conn
+	told  map[dispatch.NodeID]time.Duration // nodes that the gateway was told not to use, since when
 	nodes []listed
 	spent Spent
 	rules rules
@@ -39,7 +39,7 @@
 
 type listed struct {
 	place
-	state   choice.NodeState
+	state   dispatch.NodeState
 	on      bool
 	started time.Duration
 }
@@ -47,7 +47,7 @@
 // call is a client's request.
 type call struct {
 	ask
-	id      choice.RequestID
+	id      dispatch.RequestID
 	begun   bool
 	due     time.Duration // an answer must have been given
 	inLane  bool          // the loop knows it
@@ -67,11 +67,11 @@
 
 // conn is a connection as the loop has it.
 type conn struct {
-	id   exchange.ConnID
-	lane exchange.Lane
-	node choice.NodeID
+	id   forwarder.ConnID
+	lane forwarder.Lane
+	node dispatch.NodeID
 	open bool
-	r    upstream.Reader
+	r    upstreamhttp.Reader
 	call *call // that it carries, until its answer is taken
 	has  bool  // a request is at the node, unanswered
 	half bool  // the head of its answer was sent
@@ -80,14 +80,14 @@
 
 // start returns the world at its beginning.
 func start(s *Scenario) *World {
-	w := &World{spec: s, cfg: s.config(), conns: map[exchange.ConnID]*conn{}, told: map[choice.NodeID]time.Duration{}, now: time.Second}
+	w := &World{spec: s, cfg: s.config(), conns: map[forwarder.ConnID]*conn{}, told: map[dispatch.NodeID]time.Duration{}, now: time.Second}
 	for i, a := range s.asks {
-		w.calls = append(w.calls, &call{ask: a, id: choice.RequestID(i + 1)})
+		w.calls = append(w.calls, &call{ask: a, id: dispatch.RequestID(i + 1)})
 	}
 	for _, p := range s.nodes {
 		w.nodes = append(w.nodes, listed{place: p, on: p.first})
 	}
-	w.begin(choice.Complete)
+	w.begin(dispatch.Complete)
 	if s.prepare != nil {
 		s.prepare(w)
 	}
@@ -95,10 +95,10 @@
 }
 
 // begin starts a gateway and tells it a list.
-func (w *World) begin(kind choice.ListKind) {
-	x, err := exchange.New(w.cfg)
+func (w *World) begin(kind dispatch.ListKind) {
+	x, err := forwarder.New(w.cfg)
 	if err != nil {
-		panic("explore: " + err.Error()) // the scenarios' own settings
+		panic("modelcheck: " + err.Error()) // the scenarios' own settings
 	}
 	w.x, w.wake = x, math.MaxInt64
 	w.rules.reset()
@@ -107,14 +107,14 @@
 }
 
 // list is the node list of a kind: complete as it is, or as it was at the start.
-func (w *World) list(kind choice.ListKind) exchange.Nodes {
-	e := exchange.Nodes{Kind: kind}
+func (w *World) list(kind dispatch.ListKind) forwarder.Nodes {
+	e := forwarder.Nodes{Kind: kind}
 	for _, n := range w.nodes {
-		if kind == choice.Persisted {
+		if kind == dispatch.Persisted {
 			if n.first {
-				e.Nodes = append(e.Nodes, node(n, choice.Serving))
+				e.Nodes = append(e.Nodes, node(n, dispatch.Serving))
 			}
-		} else if n.on && n.state != choice.Removed {
+		} else if n.on && n.state != dispatch.Removed {
 			e.Nodes = append(e.Nodes, node(n, n.state))
 		}
 	}
@@ -123,8 +123,8 @@
 }
 
 // hear notes what the gateway is told of nodes.
-func (w *World) hear(e exchange.Nodes) {
-	if e.Kind != choice.Changes {
+func (w *World) hear(e forwarder.Nodes) {
+	if e.Kind != dispatch.Changes {
 		for _, n := range w.nodes {
 			if _, ok := w.told[n.id]; !ok {
 				w.told[n.id] = w.now
@@ -132,7 +132,7 @@
 		}
 	}
 	for _, n := range e.Nodes {
-		if n.State == choice.Serving {
+		if n.State == dispatch.Serving {
 			delete(w.told, n.ID)
 		} else if _, ok := w.told[n.ID]; !ok {
 			w.told[n.ID] = w.now
@@ -140,8 +140,8 @@
 	}
 }
 
-func node(n listed, s choice.NodeState) exchange.Node {
-	return exchange.Node{Addr: string(n.id), Node: choice.Node{ID: n.id, Shard: n.shard, State: s, Started: n.started}}
+func node(n listed, s dispatch.NodeState) forwarder.Node {
+	return forwarder.Node{Addr: string(n.id), Node: dispatch.Node{ID: n.id, Shard: n.shard, State: s, Started: n.started}}
 }
 
 // loops is how many event loops the gateway has. Requests of most worlds are on the
@@ -149,16 +149,16 @@
 const loops = 2
 
 // elsewhere is where the timer and the node list come from: no loop.
-const elsewhere exchange.Lane = -1
+const elsewhere forwarder.Lane = -1
 
-// tell hands the exchange an event. From a loop, the actions for that loop are
+// tell hands the forwarder an event. From a loop, the actions for that loop are
 // followed before anything else happens there; all others wait until their loop
 // comes to them.
-func (w *World) tell(ev exchange.Event, from exchange.Lane) {
+func (w *World) tell(ev forwarder.Event, from forwarder.Lane) {
 	before := w.seen.before(w, ev)
 	for _, a := range w.x.Handle(w.now, ev) {
 		w.decided(a)
-		if t, ok := a.(exchange.SetTimer); ok {
+		if t, ok := a.(forwarder.SetTimer); ok {
 			w.wake = t.At
 			continue
 		}
@@ -172,8 +172,8 @@
 	}
 }
 
-// follow does what the exchange decided for a loop, as the loop does.
-func (w *World) follow(lane exchange.Lane) {
+// follow does what the forwarder decided for a loop, as the loop does.
+func (w *World) follow(lane forwarder.Lane) {
 	for len(w.queue[lane]) > 0 {
 		a := w.queue[lane][0]
 		w.queue[lane] = w.queue[lane][1:]
@@ -183,7 +183,7 @@
 }
 
 func (w *World) followAll() {
-	for lane := range exchange.Lane(loops) {
+	for lane := range forwarder.Lane(loops) {
 		w.follow(lane)
 	}
 }
@@ -192,43 +192,43 @@
 func (w *World) waiting() bool { return len(w.queue[0])+len(w.queue[1]) > 0 }
 
 // do is the loop's part: the same as gateway/lane.go does with sockets.
-func (w *World) do(a exchange.Action) {
+func (w *World) do(a forwarder.Action) {
 	if w.log != nil {
-		w.log("    %s", strings.TrimPrefix(fmt.Sprintf("%T %+v", a, a), "exchange."))
+		w.log("    %s", strings.TrimPrefix(fmt.Sprintf("%T %+v", a, a), "forwarder."))
 	}
 	switch a := a.(type) {
-	case exchange.Dial:
+	case forwarder.Dial:
 		w.dialing(a)
-		w.conns[a.Conn] = &conn{id: a.Conn, lane: a.Lane, node: a.Node, r: upstream.Reader{Limits: http1.DefaultLimits}}
-	case exchange.Send:
+		w.conns[a.Conn] = &conn{id: a.Conn, lane: a.Lane, node: a.Node, r: upstreamhttp.Reader{Limits: http1.DefaultLimits}}
+	case forwarder.Send:
 		if k, c := w.conns[a.Conn], w.byID(a.ID); k != nil && c != nil && c.inLane {
 			w.send(k, c, a)
 		}
-	case exchange.Close:
+	case forwarder.Close:
 		if k := w.conns[a.Conn]; k != nil {
 			w.shut(k)
 		}
-	case exchange.Deliver:
+	case forwarder.Deliver:
 		c, k := w.byID(a.ID), w.conns[a.Conn]
 		w.delivered(a, c, k)
 		if k != nil {
 			w.handOver(k)
 		}
 		w.answer(c, a)
-	case exchange.Drop:
+	case forwarder.Drop:
 		if k := w.conns[a.Conn]; k != nil {
 			w.handOver(k)
 		}
-	case exchange.Refuse:
+	case forwarder.Refuse:
 		w.answer(w.byID(a.ID), a)
-	case exchange.Fail:
+	case forwarder.Fail:
 		w.answer(w.byID(a.ID), a)
-	case exchange.Cut:
+	case forwarder.Cut:
 		w.answer(w.byID(a.ID), a)
 	}
 }
 
-func (w *World) byID(id choice.RequestID) *call {
+func (w *World) byID(id dispatch.RequestID) *call {
 	for _, c := range w.calls {
 		if c.id == id {
 			return c
@@ -238,7 +238,7 @@
 }
 
 // send puts a request on a connection.
-func (w *World) send(k *conn, c *call, a exchange.Send) {
+func (w *World) send(k *conn, c *call, a forwarder.Send) {
 	w.sending(k, c, a)
 	if !k.r.Sent("GET", small) {
 		w.broke("connection", "request %d is sent on connection %d, which is %v", c.id, k.id, k.r.State())
@@ -278,7 +278,7 @@
 	k.r.Break()
 	w.free(k)
 	delete(w.conns, k.id)
-	w.tell(exchange.Lost{Conn: k.id}, k.lane)
+	w.tell(forwarder.Lost{Conn: k.id}, k.lane)
 }
 
 // The bodies that nodes answer with: a small one is collected, a large one passed on.
@@ -305,34 +305,34 @@
 		s := k.r.Next(b)
 		b = b[s.Used:]
 		switch s.Kind {
-		case upstream.Need:
+		case upstreamhttp.Need:
 			return
-		case upstream.Fault:
+		case upstreamhttp.Fault:
 			k.dead = true
 			if w.conns[k.id] == k {
 				w.lost(k)
 			}
 			return
-		case upstream.Head:
-			if word(k).Status != choice.Served {
-				if k.r.Collect().Kind == upstream.Fault {
+		case upstreamhttp.Head:
+			if word(k).Status != dispatch.Served {
+				if k.r.Collect().Kind == upstreamhttp.Fault {
 					w.lost(k)
 					return
 				}
 				continue
 			}
 			k.r.Stream()
-			w.tell(exchange.Headed{Conn: k.id, Word: word(k)}, k.lane)
+			w.tell(forwarder.Headed{Conn: k.id, Word: word(k)}, k.lane)
 			if k.call == nil {
 				return
 			}
 			w.headed(k)
-		case upstream.Data:
+		case upstreamhttp.Data:
 			if k.call == nil {
 				return
 			}
-		case upstream.Whole, upstream.End:
-			w.tell(exchange.Answered{Conn: k.id, Word: word(k), Reuse: k.r.Reusable() && !k.sending()}, k.lane)
+		case upstreamhttp.Whole, upstreamhttp.End:
+			w.tell(forwarder.Answered{Conn: k.id, Word: word(k), Reuse: k.r.Reusable() && !k.sending()}, k.lane)
 			if w.conns[k.id] != k {
 				return
 			}
@@ -347,14 +347,14 @@
 // sending tells whether a body is still going out.
 func (k *conn) sending() bool { return k.call != nil && k.call.source && !k.call.sent }
 
-func word(k *conn) exchange.Word {
+func word(k *conn) forwarder.Word {
 	switch s := k.r.Response.Status; {
 	case s == 503:
-		return exchange.Word{Status: choice.Full}
+		return forwarder.Word{Status: dispatch.Full}
 	case s >= 500:
-		return exchange.Word{Status: choice.Errored}
+		return forwarder.Word{Status: dispatch.Errored}
 	}
-	return exchange.Word{Status: choice.Served}
+	return forwarder.Word{Status: dispatch.Served}
 }
 
 // owed tells whether an answer is due by a time: none has begun, and no body flows, which
--- a/internal/objcmd/objcmd.go
+++ b/internal/objectcommand/objectcommand.go
@@ -1,15 +1,15 @@
-// Package objcmd is the object commands of the platform's protocol: OBJ.GET and OBJ.PUT
+// Package objectcommand is the object commands of the platform's protocol: OBJ.GET and OBJ.PUT
 // with their list of names and values, and what storage nodes answer. It turns words
-// into requests of package choice, and answers into the words of package exchange. It
+// into requests of package dispatch, and answers into the words of package forwarder. It
 // decides nothing and does no I/O.
-package objcmd
+package objectcommand
 
 import (
 	"bytes"
-	"chalkstand/choice"
-	"chalkstand/exchange"
+	"chalkstand/dispatch"
+	"chalkstand/forwarder"
 	"chalkstand/internal/resp"
-	"chalkstand/internal/wire"
+	"chalkstand/internal/simwire"
 	"errors"
 	"fmt"
 	"strconv"
@@ -42,7 +42,7 @@
 }
 
 // NewTerms takes the terms from the settings.
-func NewTerms(s wire.Settings) *Terms {
+func NewTerms(s simwire.Settings) *Terms {
 	t := &Terms{Classes: map[string]int{}, Plans: map[string]int{}, Writes: s.ClassWrites, Shards: s.Shards, Largest: s.Choice.LargestUnits}
 	for i, c := range s.Choice.Classes {
 		t.Classes[c.Name] = i
@@ -58,7 +58,7 @@
 	Put               bool
 	Piece, ID, Fields []byte
 	Body              []byte
-	Request           choice.Request // without an ID
+	Request           dispatch.Request // without an ID
 }
 
 // Is tells whether a word names one of the object commands.
@@ -92,7 +92,7 @@
 		return c, fmt.Errorf("names and values: expected at most %d bytes", maxList)
 	}
 	r := &c.Request
-	r.Class, r.Plan, r.Shard, r.Hosts = -1, -1, choice.AnyShard-1, 0
+	r.Class, r.Plan, r.Shard, r.Hosts = -1, -1, dispatch.AnyShard-1, 0
 	if err := t.fields(string(c.Fields), r); err != nil {
 		return c, err
 	}
@@ -104,7 +104,7 @@
 }
 
 // fields reads the list of names and values. Unknown names are left alone.
-func (t *Terms) fields(list string, r *choice.Request) error {
+func (t *Terms) fields(list string, r *dispatch.Request) error {
 	seen := 0
 	for pair := range strings.SplitSeq(list, ",") {
 		name, v, ok := strings.Cut(pair, "=")
@@ -131,7 +131,7 @@
 // needed are the names that a request must have; their places are bits in fields.
 var needed = []string{"c", "t", "d", "volume", "units", "shard", "hosts"}
 
-func (t *Terms) field(name, v string, r *choice.Request) (bit int, err error) {
+func (t *Terms) field(name, v string, r *dispatch.Request) (bit int, err error) {
 	ok := true
 	switch name {
 	case "c":
@@ -141,23 +141,23 @@
 		r.Plan, ok = t.Plans[v]
 		return 2, want(ok, name, "a plan of the settings", v)
 	case "d":
-		ms, ok := wire.Finite(v)
+		ms, ok := simwire.Finite(v)
 		ok = ok && ms > 0 && ms <= float64(longest/time.Millisecond)
 		if ok {
 			r.Left = time.Duration(ms * float64(time.Millisecond))
 		}
 		return 4, want(ok, name, "milliseconds above 0, an hour at most", v)
 	case "volume":
-		r.Volume = choice.VolumeID(v)
+		r.Volume = dispatch.VolumeID(v)
 		return 8, want(hex16([]byte(v)), name, "16 hex digits", v)
 	case "units":
-		r.Units, ok = wire.Finite(v)
+		r.Units, ok = simwire.Finite(v)
 		ok = ok && r.Units > 0 && (t.Largest <= 0 || r.Units <= t.Largest)
 		return 16, want(ok, name, fmt.Sprintf("above 0, %g at most", t.Largest), v)
 	case "shard":
 		s, err := strconv.Atoi(v)
-		r.Shard = choice.Shard(s)
-		ok = err == nil && s >= int(choice.AnyShard) && s < 1<<24 && (t.Shards <= 0 || s < t.Shards)
+		r.Shard = dispatch.Shard(s)
+		ok = err == nil && s >= int(dispatch.AnyShard) && s < 1<<24 && (t.Shards <= 0 || s < t.Shards)
 		return 32, want(ok, name, fmt.Sprintf("-1 to %d", t.Shards-1), v)
 	case "hosts":
 		r.Hosts, err = strconv.Atoi(v)
@@ -228,7 +228,7 @@
 // Word reads what a node answered. value is what the client is owed where the word is
 // Served. It tells false of what is no answer to an object command: the request may have
 // run, and the connection is of no further use.
-func Word(a *resp.Answer) (value []byte, w exchange.Word, ok bool) {
+func Word(a *resp.Answer) (value []byte, w forwarder.Word, ok bool) {
 	switch a.Kind {
 	case resp.Failure:
 		return nil, failure(string(a.Text)), true
@@ -236,26 +236,26 @@
 		if len(a.Items) != 3 || a.Items[0].Null {
 			return nil, w, false
 		}
-		w.Status = choice.Served
+		w.Status = dispatch.Served
 		figures(&w, string(a.Items[1].Text))
-		w.Report = wire.Report(string(a.Items[2].Text), "=")
+		w.Report = simwire.Report(string(a.Items[2].Text), "=")
 		return a.Items[0].Text, w, true
 	}
 	return nil, w, false
 }
 
 // failure reads an error line. Only what is turned away is known not to have run.
-func failure(text string) exchange.Word {
+func failure(text string) forwarder.Word {
 	word, rest, _ := strings.Cut(text, " ")
 	if word == "BUSY" {
-		return exchange.Word{Status: choice.Full}
+		return forwarder.Word{Status: dispatch.Full}
 	}
-	w := exchange.Word{Status: choice.Errored}
+	w := forwarder.Word{Status: dispatch.Errored}
 	for f := range strings.FieldsSeq(rest) {
 		if strings.Contains(f, "used=") || strings.Contains(f, "cost=") {
 			figures(&w, f)
 		} else if strings.Contains(f, "=") {
-			w.Report = wire.Report(f, "=")
+			w.Report = simwire.Report(f, "=")
 		}
 	}
 	return w
@@ -263,11 +263,11 @@
 
 // figures reads the figures on use. What can't be read is left out; the answer is good
 // all the same. The simulator's figure is one more than the one told here, and so is
-// that of choice.
-func figures(w *exchange.Word, s string) {
+// that of the dispatcher.
+func figures(w *forwarder.Word, s string) {
 	for pair := range strings.SplitSeq(s, ",") {
 		name, v, _ := strings.Cut(pair, "=")
-		x, ok := wire.Finite(v)
+		x, ok := simwire.Finite(v)
 		if !ok || x < 0 || x > 1e9 {
 			continue
 		}
--- a/internal/objcmd/objcmd_test.go
+++ b/internal/objectcommand/objectcommand_test.go
@@ -1,7 +1,7 @@
-package objcmd
+package objectcommand
 
 import (
-	"chalkstand/choice"
+	"chalkstand/dispatch"
 	"chalkstand/internal/resp"
 	"testing"
 	"time"
@@ -34,19 +34,19 @@
 	for _, c := range []struct {
 		text   string
 		ok     bool
-		status choice.Status
+		status dispatch.Status
 		use    float64
 		cost   float64
 		hand   float64
 	}{
-		{"*3\r\n$1\r\nv\r\n$14\r\nused=37,cost=4\r\n$12\r\nrif=7,lat_ms\r\n", true, choice.Served, 38, 4, 0},
-		{"*3\r\n$1\r\nv\r\n$6\r\nused=0\r\n$14\r\nrif=7,lat_ms=3\r\n", true, choice.Served, 1, 0, 7},
-		{"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", true, choice.Served, 0, 0, 0},
-		{"*3\r\n$1\r\nv\r\n$13\r\nused=-1,cost=\r\n$-1\r\n", true, choice.Served, 0, 0, 0},
-		{"-ERR failed used=9,cost=2 inflight=5,queue=0\r\n", true, choice.Errored, 10, 2, 5},
-		{"-ERR failed inflight=5,queue=0\r\n", true, choice.Errored, 0, 0, 5},
-		{"-BUSY\r\n", true, choice.Full, 0, 0, 0},
-		{"-SYNTAX\r\n", true, choice.Errored, 0, 0, 0},
+		{"*3\r\n$1\r\nv\r\n$14\r\nused=37,cost=4\r\n$12\r\nrif=7,lat_ms\r\n", true, dispatch.Served, 38, 4, 0},
+		{"*3\r\n$1\r\nv\r\n$6\r\nused=0\r\n$14\r\nrif=7,lat_ms=3\r\n", true, dispatch.Served, 1, 0, 7},
+		{"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", true, dispatch.Served, 0, 0, 0},
+		{"*3\r\n$1\r\nv\r\n$13\r\nused=-1,cost=\r\n$-1\r\n", true, dispatch.Served, 0, 0, 0},
+		{"-ERR failed used=9,cost=2 inflight=5,queue=0\r\n", true, dispatch.Errored, 10, 2, 5},
+		{"-ERR failed inflight=5,queue=0\r\n", true, dispatch.Errored, 0, 0, 5},
+		{"-BUSY\r\n", true, dispatch.Full, 0, 0, 0},
+		{"-SYNTAX\r\n", true, dispatch.Errored, 0, 0, 0},
 		{"*3\r\n$-1\r\n$-1\r\n$-1\r\n", false, 0, 0, 0, 0},
 		{"*2\r\n$1\r\nv\r\n$-1\r\n", false, 0, 0, 0, 0},
 		{"$1\r\nv\r\n", false, 0, 0, 0, 0},
@@ -60,7 +60,7 @@
 		if ok != c.ok || ok && (w.Status != c.status || w.Use != c.use || w.Elsewhere != c.cost || w.Report["inflight"] != c.hand) {
 			t.Errorf("%q: %+v, %v", c.text, w, ok)
 		}
-		if ok && c.status == choice.Served && string(value) != "v" {
+		if ok && c.status == dispatch.Served && string(value) != "v" {
 			t.Errorf("%q: value %q", c.text, value)
 		}
 	}
@@ -87,7 +87,7 @@
 			return
 		}
 		r := c.Request
-		if r.Left <= 0 || r.Left > longest || !(r.Units > 0 && r.Units <= tt.Largest) || r.Shard < choice.AnyShard || int(r.Shard) >= tt.Shards || r.Hosts < 1 || tt.Writes[r.Class] != c.Put {
+		if r.Left <= 0 || r.Left > longest || !(r.Units > 0 && r.Units <= tt.Largest) || r.Shard < dispatch.AnyShard || int(r.Shard) >= tt.Shards || r.Hosts < 1 || tt.Writes[r.Class] != c.Put {
 			t.Fatalf("%q: %+v", list, r)
 		}
 		sent, n, err := resp.Command(c.AppendTo(nil, time.Second), nil)
@@ -122,7 +122,7 @@
 		if !(w.Use == 0 || w.Use >= 1 && w.Use <= 1e9+1) || !(w.Elsewhere >= 0 && w.Elsewhere <= 1e9) {
 			t.Errorf("%q: %+v", text, w)
 		}
-		if served := ok && w.Status == choice.Served; served && value == nil && len(a.Items) == 0 {
+		if served := ok && w.Status == dispatch.Served; served && value == nil && len(a.Items) == 0 {
 			t.Errorf("%q: served with nothing", text)
 		}
 	})
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -1,10 +1,10 @@
 package settings
 
 import (
-	"chalkstand/choice"
+	"chalkstand/costmodel"
+	"chalkstand/dispatch"
+	"chalkstand/fairshare"
 	"chalkstand/internal/objectapi"
-	"chalkstand/share"
-	"chalkstand/tariff"
 	"fmt"
 	"net"
 	"path"
@@ -111,8 +111,8 @@
 }
 
 var (
-	effects = map[string]choice.Effect{"safe": choice.Safe, "keyed": choice.Keyed, "unsafe": choice.Unsafe}
-	groups  = map[string]choice.Group{"": choice.GroupAll, "all": choice.GroupAll, "zone": choice.GroupZone, "shard": choice.GroupShard}
+	effects = map[string]dispatch.Effect{"safe": dispatch.Safe, "keyed": dispatch.Keyed, "unsafe": dispatch.Unsafe}
+	groups  = map[string]dispatch.Group{"": dispatch.GroupAll, "all": dispatch.GroupAll, "zone": dispatch.GroupZone, "shard": dispatch.GroupShard}
 )
 
 func (s *Settings) checkClasses() (string, string) {
@@ -379,10 +379,10 @@
 }
 
 // Tariff returns the tariff of the operations' lines.
-func (s *Settings) Tariff() (*tariff.Tariff, error) {
-	var rules []tariff.Rule
+func (s *Settings) Tariff() (*costmodel.Tariff, error) {
+	var rules []costmodel.Rule
 	for _, o := range s.Operations {
-		r := tariff.Rule{MaxBytes: o.MaxBytes, Class: s.classIndex(o.Class), Units: o.Units, PerMiB: o.PerMiB, Assume: o.Assume}
+		r := costmodel.Rule{MaxBytes: o.MaxBytes, Class: s.classIndex(o.Class), Units: o.Units, PerMiB: o.PerMiB, Assume: o.Assume}
 		for _, n := range o.Operations {
 			if n == "*" {
 				for k := range objectapi.Kinds() {
@@ -394,29 +394,29 @@
 		}
 		rules = append(rules, r)
 	}
-	return tariff.New(rules, len(s.Classes), s.Rules.LargestUnits)
+	return costmodel.New(rules, len(s.Classes), s.Rules.LargestUnits)
 }
 
 // Choice returns the dispatcher's settings.
-func (s *Settings) Choice() choice.Config {
+func (s *Settings) Choice() dispatch.Config {
 	r := s.Rules
-	c := choice.Config{
+	c := dispatch.Config{
 		Me: s.Me, Peers: s.Peers, Cancel: true, MaxRetryAfter: r.MaxRetryAfter.D(), MaxAttempts: r.MaxAttempts,
 		Round: r.Round.D(), UsualUnits: r.UsualUnits, LargestUnits: r.LargestUnits, Settle: r.Settle.D(),
-		Budget: choice.BudgetRule{Free: r.Budget.Free, Ratio: r.Budget.Ratio, Span: r.Budget.Span.D()},
-		Cold: choice.ColdRule{
+		Budget: dispatch.BudgetRule{Free: r.Budget.Free, Ratio: r.Budget.Ratio, Span: r.Budget.Span.D()},
+		Cold: dispatch.ColdRule{
 			From: r.Cold.From, WarmUp: r.Cold.WarmUp.D(), Multiple: r.Cold.Multiple, Span: r.Cold.Span.D(),
 			YoungLimit: r.Cold.YoungLimit,
 		},
 	}
 	for _, k := range s.Classes {
-		c.Classes = append(c.Classes, choice.Class{
+		c.Classes = append(c.Classes, dispatch.Class{
 			Name: k.Name, Aim: k.Aim.D(), Deadline: k.Deadline.D(), Worth: k.Worth,
 			Effect: effects[k.Effect], Group: groups[k.Group], Window: k.Window.D(), InTurn: k.InTurn,
 		})
 	}
 	for _, p := range s.Plans {
-		c.Plans = append(c.Plans, choice.Plan{
+		c.Plans = append(c.Plans, dispatch.Plan{
 			Name: p.Name, Reserve: p.Reserve, Weight: p.Weight, Price: p.Price,
 			Limit: p.Limit, Burst: p.Burst, Slack: p.Slack,
 		})
@@ -429,14 +429,14 @@
 
 // Terms is the share of the loops, and the limit in bytes, that a bucket which fits a
 // rule has at this gateway: its volume's limit divided by the gateways that serve it.
-func (s *Settings) Terms(rule int) share.Terms {
+func (s *Settings) Terms(rule int) fairshare.Terms {
 	p := s.Plans[s.Plan(rule)]
 	burst := p.MiBBurst
 	if burst == 0 {
 		burst = p.MiBPerSecond
 	}
 	n := float64(max(s.Hosts(rule), 1))
-	return share.Terms{Weight: p.Weight, Rate: p.MiBPerSecond * (1 << 20) / n, Burst: burst * (1 << 20) / n}
+	return fairshare.Terms{Weight: p.Weight, Rate: p.MiBPerSecond * (1 << 20) / n, Burst: burst * (1 << 20) / n}
 }
 
 // Hosts returns through how many gateways the requests of a bucket rule come.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -90,7 +90,7 @@
 	PerUnit Duration `json:"per_unit"`
 }
 
-// Class is a kind of request; see choice.Class.
+// Class is a kind of request; see dispatch.Class.
 type Class struct {
 	Name     string   `json:"name"`
 	Aim      Duration `json:"aim"`
@@ -102,7 +102,7 @@
 	InTurn   bool     `json:"in_turn"`
 }
 
-// Plan is what a volume may have; see choice.Plan. Figures are units a second.
+// Plan is what a volume may have; see dispatch.Plan. Figures are units a second.
 type Plan struct {
 	Name    string  `json:"name"`
 	Rate    float64 `json:"rate"` // that the use of a volume is measured by
@@ -149,14 +149,14 @@
 	Cold          Cold     `json:"cold"`
 }
 
-// Budget bounds further attempts; see choice.BudgetRule.
+// Budget bounds further attempts; see dispatch.BudgetRule.
 type Budget struct {
 	Free  float64  `json:"free"`
 	Ratio float64  `json:"ratio"`
 	Span  Duration `json:"span"`
 }
 
-// Cold bounds what a node just started is sent; see choice.ColdRule.
+// Cold bounds what a node just started is sent; see dispatch.ColdRule.
 type Cold struct {
 	From       float64  `json:"from"`
 	WarmUp     Duration `json:"warm_up"`
--- a/internal/wire/config.go
+++ b/internal/simwire/config.go
@@ -1,7 +1,7 @@
-package wire
+package simwire
 
 import (
-	"chalkstand/choice"
+	"chalkstand/dispatch"
 	"fmt"
 	"math"
 	"strconv"
@@ -16,21 +16,21 @@
 }
 
 // config reads the settings as the simulator writes them: path=value pairs.
-func config(s string) (choice.Config, error) {
+func config(s string) (dispatch.Config, error) {
 	p := settings{m: map[string]string{}}
 	for _, kv := range strings.Fields(s) {
 		k, v, ok := strings.Cut(kv, "=")
 		if !ok {
-			return choice.Config{}, fmt.Errorf("config: expected path=value, got %q", kv)
+			return dispatch.Config{}, fmt.Errorf("config: expected path=value, got %q", kv)
 		}
 		p.m[k] = v
 	}
-	return p.choice()
+	return p.dispatchConfig()
 }
 
-// choice reads what the decisions use.
-func (p *settings) choice() (choice.Config, error) {
-	c := choice.Config{
+// the dispatcher reads what the decisions use.
+func (p *settings) dispatchConfig() (dispatch.Config, error) {
+	c := dispatch.Config{
 		Me: p.integer("me"), Peers: p.integer("peers_total"),
 		Cancel:        p.boolean("limits.cancel"),
 		AskDiscovery:  p.m["discovery"] == "on_request",
@@ -38,36 +38,36 @@
 		Round: p.time("round_ms"), UsualUnits: p.number("family_info.usual_units"),
 		LargestUnits: p.number("family_info.largest"),
 		Settle:       p.time("rules.settle_after_doubt_ms"),
-		Cold: choice.ColdRule{
+		Cold: dispatch.ColdRule{
 			From: p.number("rules.cold_from"), WarmUp: p.time("rules.warm_up_ms"),
 			Multiple: p.number("rules.overload_factor"), Span: p.time("rules.overload_for_ms"),
 			YoungLimit: p.number("family_info.young_limit"),
 		},
-		Budget: choice.BudgetRule{
+		Budget: dispatch.BudgetRule{
 			Free: p.number("rules.free_resends"), Ratio: p.number("rules.resend_ratio"),
 			Span: p.time("rules.resend_span_ms"),
 		},
 	}
 	for i := range p.count("classes.count") {
 		at := fmt.Sprintf("classes.%d.", i)
-		k := choice.Class{
+		k := dispatch.Class{
 			Name: p.m[at+"name"], Aim: p.time(at + "slo_ms"), Deadline: p.time(at + "deadline_ms"),
 			Worth: p.number(at + "credit"), Window: p.time(at + "window_ms"),
 			InTurn: p.boolean(at + "in_turn"),
 		}
-		k.Effect = choice.Effect(p.oneOf(at+"effect", map[string]int{
-			"":           int(choice.Unsafe),
-			"idempotent": int(choice.Safe), "deduplicated": int(choice.Keyed), "at_most_once": int(choice.Unsafe),
+		k.Effect = dispatch.Effect(p.oneOf(at+"effect", map[string]int{
+			"":           int(dispatch.Unsafe),
+			"idempotent": int(dispatch.Safe), "deduplicated": int(dispatch.Keyed), "at_most_once": int(dispatch.Unsafe),
 		}))
-		k.Group = choice.Group(p.oneOf(at+"group", map[string]int{
-			"":    int(choice.GroupShard),
-			"all": int(choice.GroupAll), "zone": int(choice.GroupZone), "cell": int(choice.GroupShard),
+		k.Group = dispatch.Group(p.oneOf(at+"group", map[string]int{
+			"":    int(dispatch.GroupShard),
+			"all": int(dispatch.GroupAll), "zone": int(dispatch.GroupZone), "cell": int(dispatch.GroupShard),
 		}))
 		c.Classes = append(c.Classes, k)
 	}
 	for i := range p.count("policies.count") {
 		at := fmt.Sprintf("policies.%d.", i)
-		c.Plans = append(c.Plans, choice.Plan{
+		c.Plans = append(c.Plans, dispatch.Plan{
 			Name:    p.m[at+"name"],
 			Reserve: p.number(at + "guaranteed"), Weight: p.number(at + "weight"), Price: p.number(at + "value_factor"),
 			Limit: p.number(at + "limit"), Burst: p.number(at + "limit_burst"), Slack: p.number(at + "cap_slack"),
--- a/internal/wire/decode.go
+++ b/internal/simwire/decode.go
@@ -1,10 +1,10 @@
-// Package wire translates between the simulator's line protocol and the terms
-// of package choice. It decides nothing.
-package wire
+// Package simwire translates between the simulator's line protocol and the terms
+// of package dispatch. It decides nothing.
+package simwire
 
 import (
 	"bufio"
-	"chalkstand/choice"
+	"chalkstand/dispatch"
 	"encoding/base64"
 	"errors"
 	"fmt"
@@ -31,8 +31,8 @@
 	Instance string
 	Kind     Kind
 	Seed     uint64
-	Config   choice.Config
-	Event    choice.Event
+	Config   dispatch.Config
+	Event    dispatch.Event
 }
 
 // Batch is what happened at one moment.
@@ -55,12 +55,12 @@
 	in    *bufio.Reader
 	line  int
 	inst  string
-	pages map[int64][]choice.Node
+	pages map[int64][]dispatch.Node
 }
 
 // NewDecoder returns a decoder of r.
 func NewDecoder(r io.Reader) *Decoder {
-	return &Decoder{in: bufio.NewReaderSize(r, 1<<20), pages: map[int64][]choice.Node{}}
+	return &Decoder{in: bufio.NewReaderSize(r, 1<<20), pages: map[int64][]dispatch.Node{}}
 }
 
 // next returns a line without its end; io.EOF only where no text is left.
@@ -146,10 +146,10 @@
 		it.Kind = Crash
 	case "FLEET":
 		f.integer("index")
-		ev := choice.NodeList{}
-		ev.Kind = choice.ListKind(f.oneOf("kind", listKinds))
+		ev := dispatch.NodeList{}
+		ev.Kind = dispatch.ListKind(f.oneOf("kind", listKinds))
 		bank := f.word("bank")
-		if ev.Kind != choice.Failed && f.err == nil {
+		if ev.Kind != dispatch.Failed && f.err == nil {
 			n, err := strconv.ParseInt(bank, 10, 64)
 			nodes, ok := d.pages[n]
 			if err != nil || !ok {
@@ -168,9 +168,9 @@
 		f.word("server")
 		f.time("wait_time_ms")
 	case "ABANDONED":
-		it.Event = choice.Gone{ID: f.rid()}
+		it.Event = dispatch.Gone{ID: f.rid()}
 	case "TIMEOUT_FIRED":
-		it.Event = choice.Fired{Token: f.word("label")}
+		it.Event = dispatch.Fired{Token: f.word("label")}
 	case "SAMPLED":
 		f.word("server")
 		f.oneOf("status", statuses)
@@ -194,17 +194,17 @@
 
 var (
 	listKinds = map[string]int{
-		"Partial": int(choice.Changes), "Complete": int(choice.Complete),
-		"Persisted": int(choice.Persisted), "Error": int(choice.Failed),
+		"Partial": int(dispatch.Changes), "Complete": int(dispatch.Complete),
+		"Persisted": int(dispatch.Persisted), "Error": int(dispatch.Failed),
 	}
 	statuses = map[string]int{
-		"delivered": int(choice.Served), "app_error": int(choice.Errored), "shed": int(choice.Full),
-		"expired": int(choice.TimedOut), "dial_failed": int(choice.ConnectFailed), "dropped": int(choice.Dropped),
-		"revoked": int(choice.Cancelled), "unused": int(choice.Moot),
+		"delivered": int(dispatch.Served), "app_error": int(dispatch.Errored), "shed": int(dispatch.Full),
+		"expired": int(dispatch.TimedOut), "dial_failed": int(dispatch.ConnectFailed), "dropped": int(dispatch.Dropped),
+		"revoked": int(dispatch.Cancelled), "unused": int(dispatch.Moot),
 	}
 	nodeStates = map[string]int{
-		"SERVING": int(choice.Serving), "DRAINING": int(choice.Draining),
-		"DELETED": int(choice.Removed),
+		"SERVING": int(dispatch.Serving), "DRAINING": int(dispatch.Draining),
+		"DELETED": int(dispatch.Removed),
 	}
 )
 
@@ -217,7 +217,7 @@
 	if bank < 0 || count < 0 {
 		return d.fail("PAGE: bank and elements: expected 0 or more")
 	}
-	var nodes []choice.Node
+	var nodes []dispatch.Node
 	for i := int64(0); i < count; i++ {
 		s, err := d.next()
 		if err != nil {
@@ -227,10 +227,10 @@
 		if e.verb != "ITEM" {
 			return d.fail("PAGE: expected %d ITEM lines, got %q after %d", count, e.verb, i)
 		}
-		n := choice.Node{
-			ID: choice.NodeID(e.word("server")), Zone: int(e.integer("dc")),
-			Kind: int(e.integer("shape")), Shard: choice.Shard(e.integer("pack")),
-			State: choice.NodeState(e.oneOf("health", nodeStates)),
+		n := dispatch.Node{
+			ID: dispatch.NodeID(e.word("server")), Zone: int(e.integer("dc")),
+			Kind: int(e.integer("shape")), Shard: dispatch.Shard(e.integer("pack")),
+			State: dispatch.NodeState(e.oneOf("health", nodeStates)),
 		}
 		e.number("size")
 		n.Started = e.time("online_since_ms")
@@ -243,8 +243,8 @@
 	return nil
 }
 
-func (f *fields) ask() choice.Event {
-	r := choice.Request{ID: f.rid(), Hosts: int(f.number("attached")), Plan: int(f.integer("plan"))}
+func (f *fields) ask() dispatch.Event {
+	r := dispatch.Request{ID: f.rid(), Hosts: int(f.number("attached")), Plan: int(f.integer("plan"))}
 	f.integer("state_bits")
 	r.Units = f.number("quota_units")
 	r.Class = int(f.integer("tier_class"))
@@ -252,20 +252,20 @@
 		r.Key = ""
 	}
 	r.Left = f.time("grace_ms")
-	r.Volume = choice.VolumeID(f.word("owner"))
-	r.Shard = choice.AnyShard
+	r.Volume = dispatch.VolumeID(f.word("owner"))
+	r.Shard = dispatch.AnyShard
 	if f.next() != "-" {
-		r.Shard = choice.Shard(f.number("placement"))
+		r.Shard = dispatch.Shard(f.number("placement"))
 	} else {
 		f.word("placement")
 	}
 	return r
 }
 
-func (f *fields) outcome() choice.Event {
-	o := choice.Outcome{
-		ID: f.rid(), Concluded: f.boolean("complete"), Node: choice.NodeID(f.word("server")),
-		Use: f.number("volume_use"), Status: choice.Status(f.oneOf("status", statuses)), Attempt: int(f.integer("leg")),
+func (f *fields) outcome() dispatch.Event {
+	o := dispatch.Outcome{
+		ID: f.rid(), Concluded: f.boolean("complete"), Node: dispatch.NodeID(f.word("server")),
+		Use: f.number("volume_use"), Status: dispatch.Status(f.oneOf("status", statuses)), Attempt: int(f.integer("leg")),
 		Elsewhere: f.number("elsewhere"), Took: f.time("wait_time_ms"),
 	}
 	o.Report = f.report()
@@ -325,13 +325,13 @@
 	return n
 }
 
-func (f *fields) rid() choice.RequestID {
+func (f *fields) rid() dispatch.RequestID {
 	s := f.word("rid")
 	n, err := strconv.ParseUint(s, 10, 52)
 	if err != nil {
 		f.bad("rid", "a number below 2^52", s)
 	}
-	return choice.RequestID(n)
+	return dispatch.RequestID(n)
 }
 
 func (f *fields) number(name string) float64 {
@@ -379,7 +379,7 @@
 	"rate": "qps", "fail_rate": "eps",
 }
 
-func (f *fields) report() choice.Report {
+func (f *fields) report() dispatch.Report {
 	if !f.more {
 		return nil
 	}
@@ -396,8 +396,8 @@
 
 // Report reads a load report: names and values with a mark between them, set apart by
 // commas. It returns nil where it can't be read.
-func Report(s, mark string) choice.Report {
-	r := choice.Report{}
+func Report(s, mark string) dispatch.Report {
+	r := dispatch.Report{}
 	for _, p := range strings.Split(s, ",") {
 		k, v, ok := strings.Cut(p, mark)
 		x, err := strconv.ParseFloat(v, 64)
--- a/internal/wire/encode.go
+++ b/internal/simwire/encode.go
@@ -1,8 +1,8 @@
-package wire
+package simwire
 
 import (
 	"bufio"
-	"chalkstand/choice"
+	"chalkstand/dispatch"
 	"io"
 	"strconv"
 	"strings"
@@ -38,19 +38,19 @@
 }
 
 // Action writes one action of the instance named last.
-func (e *Encoder) Action(a choice.Action) {
+func (e *Encoder) Action(a dispatch.Action) {
 	switch a := a.(type) {
-	case choice.Attempt:
+	case dispatch.Attempt:
 		e.line("FORWARD", id(a.ID), string(a.Node), ms(a.Until))
-	case choice.Refuse:
+	case dispatch.Refuse:
 		e.line("TURN_AWAY", id(a.ID), ms(a.After))
-	case choice.Fail:
+	case dispatch.Fail:
 		e.line("RESPOND_ERROR", id(a.ID))
-	case choice.Cancel:
+	case dispatch.Cancel:
 		e.line("REVOKE", id(a.ID), strconv.Itoa(a.Attempt))
-	case choice.SetTimer:
+	case dispatch.SetTimer:
 		e.line("DEFER", ms(a.At), a.Token)
-	case choice.Watch:
+	case dispatch.Watch:
 		on := "0"
 		if a.On {
 			on = "1"
@@ -59,7 +59,7 @@
 	}
 }
 
-func id(r choice.RequestID) string { return strconv.FormatUint(uint64(r), 10) }
+func id(r dispatch.RequestID) string { return strconv.FormatUint(uint64(r), 10) }
 
 // ms writes milliseconds, rounded up to the simulator's microseconds.
 func ms(t time.Duration) string {
--- a/internal/wire/nested.go
+++ b/internal/simwire/nested.go
@@ -1,8 +1,8 @@
-package wire
+package simwire
 
 import (
 	"bytes"
-	"chalkstand/choice"
+	"chalkstand/dispatch"
 	"encoding/json"
 	"fmt"
 	"strconv"
@@ -13,7 +13,7 @@
 // Settings is what the platform tells a dispatcher at its start: what the decisions use,
 // and what those use who move the bytes.
 type Settings struct {
-	Choice      choice.Config
+	Choice      dispatch.Config
 	ClassWrites []bool // by class; nil: not told
 	Shards      int
 	Zones       []string
@@ -34,7 +34,7 @@
 	}
 	p := &settings{m: map[string]string{}}
 	p.flatten("", v)
-	c, err := p.choice()
+	c, err := p.dispatchConfig()
 	if err != nil {
 		return Settings{}, err
 	}
--- a/internal/wire/nested_test.go
+++ b/internal/simwire/nested_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"reflect"
--- a/internal/testkit/sign.go
+++ b/internal/testkit/sign.go
@@ -1,10 +1,10 @@
 package testkit
 
-import "chalkstand/lab/sign"
+import "chalkstand/lab/sigv4client"
 
 // The ways to sign a request.
 var (
-	SignRequest = sign.Request
-	SignPayload = sign.Payload
-	PresignURL  = sign.URL
+	SignRequest = sigv4client.Request
+	SignPayload = sigv4client.Payload
+	PresignURL  = sigv4client.URL
 )
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -3,11 +3,11 @@
 
 import (
 	"bytes"
-	"chalkstand/choice"
-	"chalkstand/exchange"
+	"chalkstand/dispatch"
+	"chalkstand/fake/storagenode"
+	"chalkstand/forwarder"
 	"chalkstand/gateway"
 	"chalkstand/internal/settings"
-	"chalkstand/standin/storage"
 	"context"
 	"fmt"
 	"io"
@@ -68,14 +68,14 @@
 	G        *gateway.Gateway
 	Addr     string
 	Settings settings.Settings
-	Data     []*storage.Dataset
-	Nodes    []*storage.Node
+	Data     []*storagenode.Dataset
+	Nodes    []*storagenode.Node
 	Epoch    time.Time
 }
 
 // Start runs a site; the test's end stops it. node, if it is there, changes what
 // the nodes are like.
-func Start(t testing.TB, s settings.Settings, node func(i int, c *storage.Config), opts ...gateway.Option) *Site {
+func Start(t testing.TB, s settings.Settings, node func(i int, c *storagenode.Config), opts ...gateway.Option) *Site {
 	t.Helper()
 	g, err := gateway.New(s, append(opts, gateway.WithSeed(1))...)
 	if err != nil {
@@ -84,7 +84,7 @@
 	t.Cleanup(func() { g.Close() })
 	e := &Site{T: t, G: g, Settings: s, Epoch: time.Now()}
 	for i := range s.Shards {
-		e.Data = append(e.Data, storage.NewDataset(""))
+		e.Data = append(e.Data, storagenode.NewDataset(""))
 		e.AddNode(fmt.Sprintf("node-%d", i), i, node)
 	}
 	ln, err := gateway.Listen("127.0.0.1:0")
@@ -99,30 +99,30 @@
 }
 
 // AddNode starts a node for a shard and lists it.
-func (e *Site) AddNode(id string, shard int, change func(int, *storage.Config)) *storage.Node {
+func (e *Site) AddNode(id string, shard int, change func(int, *storagenode.Config)) *storagenode.Node {
 	e.T.Helper()
-	cfg := storage.Config{ID: id, Shard: shard, Remember: 30 * time.Second, Seed: uint64(shard)}
+	cfg := storagenode.Config{ID: id, Shard: shard, Remember: 30 * time.Second, Seed: uint64(shard)}
 	if change != nil {
 		change(shard, &cfg)
 	}
-	n, err := storage.Start("127.0.0.1:0", cfg, e.Data[shard], nil, e.Epoch)
+	n, err := storagenode.Start("127.0.0.1:0", cfg, e.Data[shard], nil, e.Epoch)
 	if err != nil {
 		e.T.Fatal(err)
 	}
 	e.T.Cleanup(n.Stop)
 	e.Nodes = append(e.Nodes, n)
-	e.List(n, shard, choice.Serving)
+	e.List(n, shard, dispatch.Serving)
 	return n
 }
 
 // List tells the gateway of a node's state.
-func (e *Site) List(n *storage.Node, shard int, s choice.NodeState) {
-	e.G.SetNodes(choice.Changes, []exchange.Node{{Addr: n.Addr(), Node: choice.Node{ID: choice.NodeID(n.ID()), Shard: choice.Shard(shard), State: s}}})
+func (e *Site) List(n *storagenode.Node, shard int, s dispatch.NodeState) {
+	e.G.SetNodes(dispatch.Changes, []forwarder.Node{{Addr: n.Addr(), Node: dispatch.Node{ID: dispatch.NodeID(n.ID()), Shard: dispatch.Shard(shard), State: s}}})
 }
 
 // Log returns what reached all nodes.
-func (e *Site) Log() []storage.Entry {
-	var all []storage.Entry
+func (e *Site) Log() []storagenode.Entry {
+	var all []storagenode.Entry
 	for _, n := range e.Nodes {
 		all = append(all, n.Log()...)
 	}
--- a/internal/upstream/reader.go
+++ b/internal/upstreamhttp/reader.go
@@ -1,8 +1,8 @@
-// Package upstream reads the answers that come on one connection to a storage node.
+// Package upstreamhttp reads the answers that come on one connection to a storage node.
 // It is a state machine without I/O: its owner tells what was sent and what came,
 // and hears what that means. A connection of whose framing there is any doubt is
 // broken and stays so.
-package upstream
+package upstreamhttp
 
 import (
 	"chalkstand/internal/http1"
--- a/internal/upstream/reader_test.go
+++ b/internal/upstreamhttp/reader_test.go
@@ -1,4 +1,4 @@
-package upstream
+package upstreamhttp
 
 import (
 	"chalkstand/internal/http1"
--- a/lab/drill/drill.go
+++ b/lab/attributiontest/attributiontest.go
@@ -1,17 +1,17 @@
-// Package drill plays small troubles on loopback through a real gateway and compares
+// Package attributiontest plays small troubles on loopback through a real gateway and compares
 // its latency accounts with what the clients measured: the totals of each volume,
 // and whether the cause that was made is the cause that is named.
-package drill
+package attributiontest
 
 import (
-	"chalkstand/accounts"
-	"chalkstand/choice"
-	"chalkstand/exchange"
+	"chalkstand/attribution"
+	"chalkstand/dispatch"
+	"chalkstand/fake/storagenode"
+	"chalkstand/forwarder"
 	"chalkstand/gateway"
-	"chalkstand/internal/accountlog"
+	"chalkstand/internal/attributionlog"
 	"chalkstand/internal/settings"
-	"chalkstand/lab/sign"
-	"chalkstand/standin/storage"
+	"chalkstand/lab/sigv4client"
 	"context"
 	"errors"
 	"fmt"
@@ -38,8 +38,8 @@
 	Volumes  []Compared
 	Worst    float64 // the largest difference of a volume
 	Faults   []string
-	Window   accounts.Window // over the whole drill
-	Data     []accountlog.Slot
+	Window   attribution.Window // over the whole drill
+	Data     []attributionlog.Slot
 }
 
 // Compared is a volume's time as its clients and as the accounts have it.
@@ -86,8 +86,8 @@
 type play struct {
 	seed  uint64
 	rng   *rand.Rand
-	node  *storage.Node
-	data  *storage.Dataset
+	node  *storagenode.Node
+	data  *storagenode.Dataset
 	epoch time.Time
 	step  atomic.Int64 // of the wall clock, by drills that set it
 
@@ -99,8 +99,8 @@
 	told   map[string]time.Duration // by accounts
 	faults []string
 
-	afterFlood accounts.Window
-	log        *accountlog.Writer
+	afterFlood attribution.Window
+	log        *attributionlog.Writer
 	logPath    string
 
 	work sync.WaitGroup
@@ -129,7 +129,7 @@
 // Run plays a scenario. dir holds the account log.
 func Run(s Scenario, seed uint64, dir string) (Result, error) {
 	p := &play{
-		seed: seed, rng: rand.New(rand.NewPCG(seed, 17)), data: storage.NewDataset(""), epoch: time.Now(),
+		seed: seed, rng: rand.New(rand.NewPCG(seed, 17)), data: storagenode.NewDataset(""), epoch: time.Now(),
 		seen: map[string]time.Duration{}, told: map[string]time.Duration{}, over: make(chan struct{}), logPath: filepath.Join(dir, fmt.Sprintf("%s-%d.log", s.Name, seed)),
 		tr: &http.Transport{MaxIdleConnsPerHost: 256, DialContext: dial},
 	}
@@ -139,19 +139,19 @@
 		p.data.Store(v, small, make([]byte, smallLen))
 	}
 	p.data.Store("review", large, make([]byte, largeLen))
-	cfg := storage.Config{ID: "node", Cores: 2, Queue: 400, PerUnit: 20 * time.Millisecond, Timing: true, Seed: seed, Remember: 30 * time.Second}
+	cfg := storagenode.Config{ID: "node", Cores: 2, Queue: 400, PerUnit: 20 * time.Millisecond, Timing: true, Seed: seed, Remember: 30 * time.Second}
 	if s.node != nil {
 		s.node(&cfg)
 	}
 	var err error
-	if p.node, err = storage.Start("127.0.0.1:0", cfg, p.data, nil, p.epoch); err != nil {
+	if p.node, err = storagenode.Start("127.0.0.1:0", cfg, p.data, nil, p.epoch); err != nil {
 		return Result{}, err
 	}
 	defer p.node.Stop()
 	if err := os.Remove(p.logPath); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return Result{}, err
 	}
-	if p.log, err = accountlog.Open(p.logPath, 16<<20, 2); err != nil {
+	if p.log, err = attributionlog.Open(p.logPath, 16<<20, 2); err != nil {
 		return Result{}, err
 	}
 	defer p.log.Close()
@@ -186,12 +186,12 @@
 	var g *gateway.Gateway
 	ready := make(chan struct{})
 	g, err = gateway.New(*cfg, gateway.WithSeed(p.seed), gateway.WithClock(p.wall), gateway.WithAccounts(p.account),
-		gateway.WithAccountsLog(func(a accounts.Action) { <-ready; p.save(g, a) }))
+		gateway.WithAccountsLog(func(a attribution.Action) { <-ready; p.save(g, a) }))
 	if err != nil {
 		return err
 	}
 	close(ready)
-	g.SetNodes(choice.Complete, []exchange.Node{{Addr: p.node.Addr(), Node: choice.Node{ID: "node"}}})
+	g.SetNodes(dispatch.Complete, []forwarder.Node{{Addr: p.node.Addr(), Node: dispatch.Node{ID: "node"}}})
 	ln, err := gateway.Listen("127.0.0.1:0")
 	if err != nil {
 		g.Close()
@@ -211,14 +211,14 @@
 	p.g.Close()
 }
 
-func (p *play) save(g *gateway.Gateway, a accounts.Action) {
-	if err := p.log.Append(accountlog.RecordOf(g.Run(), p.wall(), g.Now(), a)); err != nil {
+func (p *play) save(g *gateway.Gateway, a attribution.Action) {
+	if err := p.log.Append(attributionlog.RecordOf(g.Run(), p.wall(), g.Now(), a)); err != nil {
 		p.fault("%v", err)
 	}
 }
 
 // account checks that an account sums exactly, and adds it up.
-func (p *play) account(e accounts.Entry) {
+func (p *play) account(e attribution.Entry) {
 	var behind time.Duration
 	for _, b := range e.Behind {
 		behind += b.Time
@@ -226,12 +226,12 @@
 	if e.Parts.Total() != e.Ended-e.Started {
 		p.fault("%s: causes sum to %v of %v", e.Volume, e.Parts.Total(), e.Ended-e.Started)
 	}
-	if line := e.Parts[accounts.Others] + e.Parts[accounts.NodeQueue] + e.Parts[accounts.Loop]; behind > line {
+	if line := e.Parts[attribution.Others] + e.Parts[attribution.NodeQueue] + e.Parts[attribution.Loop]; behind > line {
 		p.fault("%s: waited %v behind others, of %v in line", e.Volume, behind, line)
 	}
 	for c, d := range e.Parts {
 		if d < 0 {
-			p.fault("%s: %v of %v", e.Volume, d, accounts.Cause(c))
+			p.fault("%s: %v of %v", e.Volume, d, attribution.Cause(c))
 		}
 	}
 	p.mu.Lock()
@@ -250,7 +250,7 @@
 		p.fault("%v", err)
 		return
 	}
-	sign.Request(r, keyID, secret, p.wall())
+	sigv4client.Request(r, keyID, secret, p.wall())
 	start := time.Now()
 	resp, err := p.tr.RoundTrip(r)
 	if err != nil {
@@ -315,9 +315,9 @@
 }
 
 // since reads the books from the first whole second after a time on.
-func (p *play) since(at time.Duration) (w accounts.Window) {
+func (p *play) since(at time.Duration) (w attribution.Window) {
 	p.g.FlushAccounts()
-	if err := p.g.Accounts(func(now time.Duration, k *accounts.Keeper) {
+	if err := p.g.Accounts(func(now time.Duration, k *attribution.Keeper) {
 		from := (at + time.Second - 1) / time.Second * time.Second
 		w, _ = k.Books().Over(now, max(now-from, time.Millisecond))
 	}); err != nil {
@@ -327,8 +327,8 @@
 }
 
 // window reads the books.
-func (p *play) window(span time.Duration) (w accounts.Window) {
-	if err := p.g.Accounts(func(now time.Duration, k *accounts.Keeper) { w, _ = k.Books().Over(now, span) }); err != nil {
+func (p *play) window(span time.Duration) (w attribution.Window) {
+	if err := p.g.Accounts(func(now time.Duration, k *attribution.Keeper) { w, _ = k.Books().Over(now, span) }); err != nil {
 		p.fault("%v", err)
 	}
 	return w
@@ -336,22 +336,22 @@
 
 func (p *play) result(s Scenario) (Result, error) {
 	r := Result{Scenario: s.Name, Seed: p.seed, Took: time.Since(p.epoch), Window: p.window(time.Minute)}
-	var counts accounts.Counts
-	if err := p.g.Accounts(func(_ time.Duration, k *accounts.Keeper) { counts = k.Counts() }); err != nil {
+	var counts attribution.Counts
+	if err := p.g.Accounts(func(_ time.Duration, k *attribution.Keeper) { counts = k.Counts() }); err != nil {
 		return r, err
 	}
 	if counts.Lost > 0 {
 		p.fault("%d accounts were thrown away", counts.Lost)
 	}
 	p.end() // closes the slots, which go to the log
-	recs, damage, err := accountlog.Read(p.logPath)
+	recs, damage, err := attributionlog.Read(p.logPath)
 	if err != nil {
 		return r, err
 	}
 	for _, d := range damage {
 		p.fault("%v", d)
 	}
-	line := accountlog.Build(recs)
+	line := attributionlog.Build(recs)
 	r.Data = line.Slots
 	if s.expect != nil {
 		s.expect(p, &verdict{p: p, Window: r.Window, Counts: counts, Timeline: line})
--- a/lab/drill/drill_test.go
+++ b/lab/attributiontest/attributiontest_test.go
@@ -1,4 +1,4 @@
-package drill
+package attributiontest
 
 import "testing"
 
--- a/lab/drill/scenarios.go
+++ b/lab/attributiontest/scenarios.go
@@ -1,9 +1,9 @@
-package drill
+package attributiontest
 
 import (
-	"chalkstand/accounts"
-	"chalkstand/internal/accountlog"
-	"chalkstand/standin/storage"
+	"chalkstand/attribution"
+	"chalkstand/fake/storagenode"
+	"chalkstand/internal/attributionlog"
 	"strings"
 	"time"
 )
@@ -15,7 +15,7 @@
 
 	tolerance float64 // 0: Tolerance
 
-	node   func(*storage.Config)
+	node   func(*storagenode.Config)
 	play   func(*play)
 	expect func(*play, *verdict)
 }
@@ -27,15 +27,15 @@
 // verdict is what is judged.
 type verdict struct {
 	p        *play
-	Window   accounts.Window
-	Counts   accounts.Counts
-	Timeline accountlog.Timeline
+	Window   attribution.Window
+	Counts   attribution.Counts
+	Timeline attributionlog.Timeline
 }
 
 // behind is how long a volume waited behind another.
-func behind(w *accounts.Window, victim, culprit string) time.Duration {
+func behind(w *attribution.Window, victim, culprit string) time.Duration {
 	for _, p := range w.Pairs {
-		if p.Key == (accounts.Pair{Victim: victim, Culprit: culprit}) {
+		if p.Key == (attribution.Pair{Victim: victim, Culprit: culprit}) {
 			return time.Duration(p.Count)
 		}
 	}
@@ -43,13 +43,13 @@
 }
 
 // part is a volume's time under one cause.
-func (v *verdict) part(volume string, c accounts.Cause) time.Duration {
+func (v *verdict) part(volume string, c attribution.Cause) time.Duration {
 	l, _ := v.Window.Of(volume)
 	return l.Parts[c]
 }
 
 // most wants a cause to have at least a share of a volume's time.
-func (v *verdict) most(volume string, share float64, cs ...accounts.Cause) {
+func (v *verdict) most(volume string, share float64, cs ...attribution.Cause) {
 	l, ok := v.Window.Of(volume)
 	if !ok {
 		v.p.fault("%s has no account", volume)
@@ -136,13 +136,13 @@
 		{
 			Name: "slow-node", What: "a node slows with no flood: the node is named, no volume",
 			play: func(p *play) {
-				p.node.Inject(storage.Fault{Kind: storage.Slow, Factor: 6, For: time.Minute})
+				p.node.Inject(storagenode.Fault{Kind: storagenode.Slow, Factor: 6, For: time.Minute})
 				p.clients(1, "review", 5*time.Millisecond, p.over)
 				p.clients(1, "busy", 40*time.Millisecond, p.over)
 				<-p.during(2 * time.Second)
 			},
 			expect: func(p *play, v *verdict) {
-				v.most("review", 0.8, accounts.NodeWork)
+				v.most("review", 0.8, attribution.NodeWork)
 				if b := v.Window.Behind; b > v.Window.All.Parts.Total()/20 {
 					p.fault("%v of %v behind volumes, where only the node was slow", b, v.Window.All.Parts.Total())
 				}
@@ -156,8 +156,8 @@
 				<-p.during(2500 * time.Millisecond)
 			},
 			expect: func(p *play, v *verdict) {
-				v.most("capped", 0.7, accounts.Limit)
-				if d := v.part("review", accounts.Limit); d > 0 {
+				v.most("capped", 0.7, attribution.Limit)
+				if d := v.part("review", attribution.Limit); d > 0 {
 					p.fault("review has no limit, and %v under it", d)
 				}
 			},
@@ -165,11 +165,11 @@
 		{
 			Name: "lost-answers", What: "answers are lost: further attempts are named",
 			play: func(p *play) {
-				p.node.Inject(storage.Fault{Kind: storage.Lose, Share: 0.15, For: time.Minute, Hold: 150 * time.Millisecond})
+				p.node.Inject(storagenode.Fault{Kind: storagenode.Lose, Share: 0.15, For: time.Minute, Hold: 150 * time.Millisecond})
 				p.clients(2, "review", 5*time.Millisecond, p.over)
 				<-p.during(2500 * time.Millisecond)
 			},
-			expect: func(p *play, v *verdict) { v.most("review", 0.3, accounts.Lost, accounts.Pause) },
+			expect: func(p *play, v *verdict) { v.most("review", 0.3, attribution.Lost, attribution.Pause) },
 		},
 		{
 			Name: "slow-client", What: "a client takes its answers in small bites",
@@ -179,11 +179,11 @@
 					p.request("GET", "review", large, 10*time.Millisecond)
 				}
 			},
-			expect: func(p *play, v *verdict) { v.most("review", 0.6, accounts.Client, accounts.BodyOut) },
+			expect: func(p *play, v *verdict) { v.most("review", 0.6, attribution.Client, attribution.BodyOut) },
 		},
 		{
 			Name: "late-reports", What: "nodes tell late, after the slot was closed, and not of every request",
-			node: func(c *storage.Config) { c.TimingLate, c.TimingLose = 2300*time.Millisecond, 0.3 },
+			node: func(c *storagenode.Config) { c.TimingLate, c.TimingLose = 2300*time.Millisecond, 0.3 },
 			play: func(p *play) {
 				p.clients(12, "flood", 0, p.during(1500*time.Millisecond))
 				p.clients(2, "review", 5*time.Millisecond, p.over)
@@ -193,7 +193,7 @@
 				if v.Counts.ToldLate == 0 || v.Counts.Corrected == 0 || !v.Window.Corrected {
 					p.fault("no slot was corrected: %+v", v.Counts)
 				}
-				unknown, told := v.part("flood", accounts.NodeTime), v.part("flood", accounts.NodeQueue)+v.part("flood", accounts.NodeWork)
+				unknown, told := v.part("flood", attribution.NodeTime), v.part("flood", attribution.NodeQueue)+v.part("flood", attribution.NodeWork)
 				if told < unknown || unknown < told/20 {
 					p.fault("of three in ten nothing is told; %v is unknown beside %v told", unknown, told)
 				}
@@ -204,7 +204,7 @@
 		},
 		{
 			Name: "restart", What: "the gateway ends and another takes its place; late reports of the first find nobody",
-			node: func(c *storage.Config) { c.TimingLate = 300 * time.Millisecond },
+			node: func(c *storagenode.Config) { c.TimingLate = 300 * time.Millisecond },
 			play: func(p *play) {
 				first := p.during(time.Second)
 				p.clients(4, "review", 5*time.Millisecond, first)
--- a/lab/badday/client.go
+++ b/lab/faultinjection/client.go
@@ -1,10 +1,10 @@
-package badday
+package faultinjection
 
 import (
 	"bufio"
 	"bytes"
-	"chalkstand/lab/rules"
-	"chalkstand/lab/sign"
+	"chalkstand/lab/invariants"
+	"chalkstand/lab/sigv4client"
 	"errors"
 	"fmt"
 	"io"
@@ -39,13 +39,13 @@
 type wire struct {
 	c  net.Conn
 	r  *bufio.Reader
-	of *rules.Request // whose answer came last
+	of *invariants.Request // whose answer came last
 }
 
 const maxIdle = 64
 
 // take returns a connection, an unused one where that is quiet.
-func (p *pool) take(late func(*rules.Request)) (*wire, error) {
+func (p *pool) take(late func(*invariants.Request)) (*wire, error) {
 	for {
 		p.mu.Lock()
 		n := len(p.idle)
@@ -105,7 +105,7 @@
 	if w.rng != "" {
 		r.Header.Set("Range", w.rng)
 	}
-	sign.Request(r, keyID, secret, time.Now())
+	sigv4client.Request(r, keyID, secret, time.Now())
 	var b bytes.Buffer
 	if err := r.Write(&b); err != nil {
 		return nil, err
@@ -115,7 +115,7 @@
 
 // ask sends a wish once and logs what came of it. It returns the time to come back
 // after a refusal.
-func (w wish) ask(p *pool, log *rules.Request, since func() time.Duration, patience time.Duration, late func(*rules.Request)) (again time.Duration) {
+func (w wish) ask(p *pool, log *invariants.Request, since func() time.Duration, patience time.Duration, late func(*invariants.Request)) (again time.Duration) {
 	defer func() { log.Ended = since() }()
 	text, err := w.request(p.addr)
 	if err != nil {
@@ -144,7 +144,7 @@
 	return w.read(c, p, log)
 }
 
-func (w wish) read(c *wire, p *pool, log *rules.Request) time.Duration {
+func (w wish) read(c *wire, p *pool, log *invariants.Request) time.Duration {
 	resp, err := http.ReadResponse(c.r, &http.Request{Method: w.method})
 	if err != nil {
 		log.Left = errors.Is(err, os.ErrDeadlineExceeded) && w.leave > 0
--- a/lab/badday/badday.go
+++ b/lab/faultinjection/faultinjection.go
@@ -1,12 +1,12 @@
-package badday
+package faultinjection
 
 import (
-	"chalkstand/choice"
-	"chalkstand/exchange"
+	"chalkstand/dispatch"
+	"chalkstand/fake/storagenode"
+	"chalkstand/forwarder"
 	"chalkstand/gateway"
 	"chalkstand/internal/settings"
-	"chalkstand/lab/rules"
-	"chalkstand/standin/storage"
+	"chalkstand/lab/invariants"
 	"context"
 	"fmt"
 	"io"
@@ -33,7 +33,7 @@
 	// Frail divides what a young node bears, at the nodes and in what the gateways
 	// are told of them alike. 0: 1.
 	Frail    float64
-	Trace    func(gateway string, cfg choice.Config, seed uint64) func(time.Duration, choice.Event, []choice.Action)
+	Trace    func(gateway string, cfg dispatch.Config, seed uint64) func(time.Duration, dispatch.Event, []dispatch.Action)
 	Progress io.Writer
 }
 
@@ -114,13 +114,13 @@
 
 // Guards are what Withhold can take away, with the rule that must then break.
 var Guards = map[string]string{
-	"budget":  rules.Budget,
-	"limits":  rules.Limits,
-	"order":   rules.Order,
-	"effects": rules.Effects,
-	"cold":    rules.Cold,
-	"drains":  rules.Drains,
-	"time":    rules.Lost,
+	"budget":  invariants.Budget,
+	"limits":  invariants.Limits,
+	"order":   invariants.Order,
+	"effects": invariants.Effects,
+	"cold":    invariants.Cold,
+	"drains":  invariants.Drains,
+	"time":    invariants.Lost,
 }
 
 // withhold takes a guard out of a gateway's settings.
@@ -147,19 +147,19 @@
 }
 
 // figures are what the rules hold the day to.
-func figures(o Options) rules.Figures {
+func figures(o Options) invariants.Figures {
 	s := site(o, 0)
-	f := rules.Figures{
+	f := invariants.Figures{
 		Grace: grace, Settle: s.Rules.Settle.D(), BudgetFree: s.Rules.Budget.Free, BudgetRatio: s.Rules.Budget.Ratio,
-		BudgetSpan: s.Rules.Budget.Span.D(), Limits: map[string]rules.Limit{}, Slop: 60 * time.Millisecond, Late: 150 * time.Millisecond,
+		BudgetSpan: s.Rules.Budget.Span.D(), Limits: map[string]invariants.Limit{}, Slop: 60 * time.Millisecond, Late: 150 * time.Millisecond,
 	}
-	effects := map[string]rules.Effect{"safe": rules.Safe, "keyed": rules.Keyed, "unsafe": rules.Unsafe}
+	effects := map[string]invariants.Effect{"safe": invariants.Safe, "keyed": invariants.Keyed, "unsafe": invariants.Unsafe}
 	for _, c := range s.Classes {
-		f.Classes = append(f.Classes, rules.Class{Deadline: c.Deadline.D(), Effect: effects[c.Effect], InTurn: c.InTurn})
+		f.Classes = append(f.Classes, invariants.Class{Deadline: c.Deadline.D(), Effect: effects[c.Effect], InTurn: c.InTurn})
 	}
 	for _, v := range volumes(o) {
 		if strings.HasPrefix(v, "basic-") {
-			f.Limits[v] = rules.Limit{Rate: limitRate, Store: limitBurst + limitSlack}
+			f.Limits[v] = invariants.Limit{Rate: limitRate, Store: limitBurst + limitSlack}
 		}
 	}
 	return f
@@ -177,18 +177,18 @@
 type day struct {
 	o     Options
 	epoch time.Time
-	f     rules.Figures
+	f     invariants.Figures
 	vols  []string
 	seeds map[string][]byte // large objects that are never written again
 
 	mu       sync.Mutex
 	rng      *rand.Rand
-	log      rules.Log
-	requests []*rules.Request
-	shards   []*storage.Dataset
-	ledger   *storage.Ledger
-	nodes    []*storage.Node // present one of each shard
-	all      []*storage.Node
+	log      invariants.Log
+	requests []*invariants.Request
+	shards   []*storagenode.Dataset
+	ledger   *storagenode.Ledger
+	nodes    []*storagenode.Node // present one of each shard
+	all      []*storagenode.Node
 	list     map[string]listed // as the truth is
 	old      map[string]listed // as it was a while ago
 	lives    []*life
@@ -206,7 +206,7 @@
 type listed struct {
 	addr    string
 	shard   int
-	state   choice.NodeState
+	state   dispatch.NodeState
 	started time.Duration // since the epoch; 0: long ago
 }
 
@@ -230,12 +230,12 @@
 	stop, cancel := context.WithCancel(ctx)
 	defer cancel()
 	d := &day{
-		o: o, epoch: time.Now(), f: figures(o), vols: volumes(o), rng: rand.New(rand.NewPCG(o.Seed, 1)), ledger: storage.NewLedger(time.Second, 300*time.Millisecond),
+		o: o, epoch: time.Now(), f: figures(o), vols: volumes(o), rng: rand.New(rand.NewPCG(o.Seed, 1)), ledger: storagenode.NewLedger(time.Second, 300*time.Millisecond),
 		list: map[string]listed{}, seeds: map[string][]byte{}, surge: 1, floodBy: 1, busy: make(chan struct{}, 2048), stop: stop,
 	}
 	defer d.end()
 	for i := range o.Shards {
-		data := storage.NewDataset("")
+		data := storagenode.NewDataset("")
 		for _, v := range d.vols {
 			data.AddBucket(v, time.Now())
 		}
@@ -247,7 +247,7 @@
 	}
 	d.old = clone(d.list)
 	for i := range o.Gateways {
-		l, err := d.startGateway(i, 1, choice.Complete, d.list)
+		l, err := d.startGateway(i, 1, dispatch.Complete, d.list)
 		if err != nil {
 			return nil, err
 		}
@@ -339,7 +339,7 @@
 	id := fmt.Sprintf("n%02d.%d", shard, d.next)
 	seed := d.rng.Uint64()
 	d.mu.Unlock()
-	cfg := storage.Config{
+	cfg := storagenode.Config{
 		ID: id, Shard: shard, Cores: cores, Queue: 40, PerUnit: perUnit, Speed: 0.8 + 0.4*d.random(), Remember: remember, Seed: seed,
 		ReportEvery: 150 * time.Millisecond, ReportNoise: 0.2, Deferred: 0.3, DeferEvery: 1500 * time.Millisecond,
 	}
@@ -347,7 +347,7 @@
 		cfg.ColdFrom, cfg.WarmUp, cfg.Span = coldFrom, warmUp, span
 		cfg.Multiple, cfg.YoungLimit = multiple/d.o.frail(), youngLimit/d.o.frail()
 	}
-	n, err := storage.Start("127.0.0.1:0", cfg, d.shards[shard], d.ledger, d.epoch)
+	n, err := storagenode.Start("127.0.0.1:0", cfg, d.shards[shard], d.ledger, d.epoch)
 	if err != nil {
 		return err
 	}
@@ -363,8 +363,8 @@
 	return nil
 }
 
-func (l *life) node(id string, n listed) exchange.Node {
-	e := exchange.Node{Addr: n.addr, Node: choice.Node{ID: choice.NodeID(id), Shard: choice.Shard(n.shard), State: n.state}}
+func (l *life) node(id string, n listed) forwarder.Node {
+	e := forwarder.Node{Addr: n.addr, Node: dispatch.Node{ID: dispatch.NodeID(id), Shard: dispatch.Shard(n.shard), State: n.state}}
 	if n.started > 0 {
 		e.Started = n.started - l.off
 	}
@@ -372,8 +372,8 @@
 }
 
 // tell tells a gateway of nodes and notes when. The guard of drains can be withheld.
-func (l *life) tell(kind choice.ListKind, list map[string]listed) {
-	var nodes []exchange.Node
+func (l *life) tell(kind dispatch.ListKind, list map[string]listed) {
+	var nodes []forwarder.Node
 	var told []string
 	ids := make([]string, 0, len(list))
 	for id := range list {
@@ -382,8 +382,8 @@
 	slices.Sort(ids)
 	for _, id := range ids {
 		n := list[id]
-		if n.state != choice.Serving {
-			if kind == choice.Changes {
+		if n.state != dispatch.Serving {
+			if kind == dispatch.Changes {
 				told = append(told, id)
 			}
 			if l.d.o.Withhold == "drains" {
@@ -395,12 +395,12 @@
 	l.g.SetNodes(kind, nodes)
 	l.d.mu.Lock()
 	for _, id := range told {
-		l.d.log.Told = append(l.d.log.Told, rules.Told{Gateway: l.name, Node: id, At: l.d.since()})
+		l.d.log.Told = append(l.d.log.Told, invariants.Told{Gateway: l.name, Node: id, At: l.d.since()})
 	}
 	l.d.mu.Unlock()
 }
 
-func (d *day) startGateway(i, n int, kind choice.ListKind, list map[string]listed) (*life, error) {
+func (d *day) startGateway(i, n int, kind dispatch.ListKind, list map[string]listed) (*life, error) {
 	s := site(d.o, i)
 	s.Name = fmt.Sprintf("g%d.%d", i, n)
 	withhold(&s, d.o.Withhold)
@@ -437,7 +437,7 @@
 		wait := time.Duration((20 + 180*d.random()) * float64(time.Millisecond))
 		d.wg.Go(func() {
 			if d.sleep(wait) {
-				l.tell(choice.Changes, changes)
+				l.tell(dispatch.Changes, changes)
 			}
 		})
 	}
@@ -459,7 +459,7 @@
 	d.mu.Lock()
 	node := d.nodes[t.Which%len(d.nodes)]
 	d.mu.Unlock()
-	share := func(k storage.FaultKind) { node.Inject(storage.Fault{Kind: k, For: t.For.D(), Share: t.Times}) }
+	share := func(k storagenode.FaultKind) { node.Inject(storagenode.Fault{Kind: k, For: t.For.D(), Share: t.Times}) }
 	switch t.Kind {
 	case Surge:
 		d.set(func() { d.surge = t.Times })
@@ -500,15 +500,15 @@
 			n.Freeze(t.For.D())
 		}
 	case Silent:
-		node.Inject(storage.Fault{Kind: storage.Stall, For: t.For.D()})
+		node.Inject(storagenode.Fault{Kind: storagenode.Stall, For: t.For.D()})
 	case SlowNode:
-		node.Inject(storage.Fault{Kind: storage.Slow, For: t.For.D(), Factor: t.Times})
+		node.Inject(storagenode.Fault{Kind: storagenode.Slow, For: t.For.D(), Factor: t.Times})
 	case LoseAnswer:
-		share(storage.Lose)
+		share(storagenode.Lose)
 	case HalfAnswer:
-		share(storage.Half)
+		share(storagenode.Half)
 	case Resets:
-		share(storage.Reset)
+		share(storagenode.Reset)
 	}
 }
 
@@ -525,7 +525,7 @@
 	was := d.nodes[shard]
 	entry := d.list[was.ID()]
 	d.mu.Unlock()
-	entry.state = choice.Draining
+	entry.state = dispatch.Draining
 	if gap > 0 {
 		d.announce(map[string]listed{was.ID(): entry})
 		d.sleep(gap)
@@ -540,7 +540,7 @@
 	d.announce(map[string]listed{was.ID(): entry, now.ID(): successor})
 	d.wg.Go(func() {
 		d.sleep(max(linger, time.Second))
-		entry.state = choice.Removed
+		entry.state = dispatch.Removed
 		d.announce(map[string]listed{was.ID(): entry})
 	})
 }
@@ -559,7 +559,7 @@
 	now := d.nodes[shard]
 	successor := d.list[now.ID()]
 	d.mu.Unlock()
-	entry.state = choice.Removed
+	entry.state = dispatch.Removed
 	d.announce(map[string]listed{was.ID(): entry, now.ID(): successor})
 }
 
@@ -568,7 +568,7 @@
 func (d *day) crash(i int, after time.Duration) {
 	d.mu.Lock()
 	l := d.lives[i]
-	d.log.Killed = append(d.log.Killed, rules.Killed{Gateway: l.name, At: d.since()})
+	d.log.Killed = append(d.log.Killed, invariants.Killed{Gateway: l.name, At: d.since()})
 	d.mu.Unlock()
 	l.g.Close()
 	l.pool.close()
@@ -578,7 +578,7 @@
 	d.mu.Lock()
 	old := clone(d.old)
 	d.mu.Unlock()
-	n, err := d.startGateway(i, 2+int(d.random()*1e6), choice.Persisted, old)
+	n, err := d.startGateway(i, 2+int(d.random()*1e6), dispatch.Persisted, old)
 	if err != nil {
 		return
 	}
@@ -587,7 +587,7 @@
 		d.mu.Lock()
 		list := clone(d.list)
 		d.mu.Unlock()
-		n.tell(choice.Complete, list)
+		n.tell(dispatch.Complete, list)
 	}
 }
 
@@ -693,11 +693,11 @@
 	for try := range 2 {
 		d.mu.Lock()
 		l := d.lives[gw]
-		r := &rules.Request{Tag: w.tag, Gateway: l.name, Class: w.class, Key: w.key, Sent: d.since()}
+		r := &invariants.Request{Tag: w.tag, Gateway: l.name, Class: w.class, Key: w.key, Sent: d.since()}
 		d.requests = append(d.requests, r)
 		d.mu.Unlock()
 		patience := d.f.Classes[w.class].Deadline + d.f.Late + time.Second
-		again := w.ask(l.pool, r, d.since, patience, func(r *rules.Request) { d.set(func() { r.Answers++ }) })
+		again := w.ask(l.pool, r, d.since, patience, func(r *invariants.Request) { d.set(func() { r.Answers++ }) })
 		if again == 0 || try > 0 || !d.sleep(again) {
 			return
 		}
--- a/lab/badday/badday_test.go
+++ b/lab/faultinjection/faultinjection_test.go
@@ -1,9 +1,9 @@
-package badday
+package faultinjection
 
 import (
 	"bytes"
-	"chalkstand/choice"
-	"chalkstand/lab/rules"
+	"chalkstand/dispatch"
+	"chalkstand/lab/invariants"
 	"chalkstand/trace"
 	"context"
 	"slices"
@@ -48,7 +48,7 @@
 	var mu sync.Mutex
 	var records []*bytes.Buffer
 	var writers []*trace.Writer
-	o.Trace = func(_ string, cfg choice.Config, seed uint64) func(time.Duration, choice.Event, []choice.Action) {
+	o.Trace = func(_ string, cfg dispatch.Config, seed uint64) func(time.Duration, dispatch.Event, []dispatch.Action) {
 		b := new(bytes.Buffer)
 		w, err := trace.NewWriter(b, cfg, seed, 1<<17)
 		if err != nil {
@@ -111,7 +111,7 @@
 			o.Day, o.Script, o.Withhold, o.Gateways = 4500*time.Millisecond, x.script, guard, x.gateways
 			o.Frail = x.frail
 			broken := func() bool {
-				return slices.ContainsFunc(play(t, o).Breaches, func(b rules.Breach) bool { return b.Rule == Guards[guard] })
+				return slices.ContainsFunc(play(t, o).Breaches, func(b invariants.Breach) bool { return b.Rule == Guards[guard] })
 			}
 			if !broken() {
 				t.Errorf("without the guard of %q the rule %q is still kept", guard, Guards[guard])
--- a/lab/badday/report.go
+++ b/lab/faultinjection/report.go
@@ -1,7 +1,7 @@
-package badday
+package faultinjection
 
 import (
-	"chalkstand/lab/rules"
+	"chalkstand/lab/invariants"
 	"fmt"
 	"io"
 	"time"
@@ -19,7 +19,7 @@
 	Further  int
 	Repeats  int // dropped by nodes
 	Late     int // answers at nodes that came after their attempt's end
-	Breaches []rules.Breach
+	Breaches []invariants.Breach
 }
 
 // ClassReport is how one class fared.
@@ -32,7 +32,7 @@
 
 func report(d *day) *Report {
 	s := site(d.o, 0)
-	r := &Report{Seed: d.o.Seed, Day: d.o.Day, Script: d.o.Script, Breaches: rules.Check(d.f, &d.log)}
+	r := &Report{Seed: d.o.Seed, Day: d.o.Day, Script: d.o.Script, Breaches: invariants.Check(d.f, &d.log)}
 	for _, c := range s.Classes {
 		r.Classes = append(r.Classes, ClassReport{Name: c.Name, Latency: hdrhistogram.New(1, 60_000_000, 3)})
 	}
@@ -85,7 +85,7 @@
 			c.Unanswered, q(50), q(99))
 	}
 	fmt.Fprintf(w, "\nat nodes: %d attempts, %d of them further ones, %d repeats dropped, %d that ran on after their attempt's end\n\n", r.Attempts, r.Further, r.Repeats, r.Late)
-	for _, rule := range rules.All {
+	for _, rule := range invariants.All {
 		n := 0
 		for _, b := range r.Breaches {
 			if b.Rule == rule {
--- a/lab/badday/script.go
+++ b/lab/faultinjection/script.go
@@ -1,8 +1,8 @@
-// Package badday plays a scripted bad day through real gateways on loopback
+// Package faultinjection plays a scripted bad day through real gateways on loopback
 // sockets: several gateways before many stand-in nodes, clients with deadlines,
 // and the kinds of trouble that operators meet. The rules are checked from the
 // clients' and the nodes' logs.
-package badday
+package faultinjection
 
 import (
 	"encoding/json"
--- a/lab/badday/stored_test.go
+++ b/lab/faultinjection/stored_test.go
@@ -1,4 +1,4 @@
-package badday
+package faultinjection
 
 import (
 	"os"
--- a/lab/rules/rules.go
+++ b/lab/invariants/invariants.go
@@ -1,9 +1,9 @@
-// Package rules checks the seven rules from what crossed the sockets: the logs of
+// Package invariants checks the seven rules from what crossed the sockets: the logs of
 // clients and nodes, and when each gateway was told what. It asks no gateway.
-package rules
+package invariants
 
 import (
-	"chalkstand/standin/storage"
+	"chalkstand/fake/storagenode"
 	"cmp"
 	"fmt"
 	"slices"
@@ -75,7 +75,7 @@
 // Log is all that was seen.
 type Log struct {
 	Requests []Request
-	Entries  []storage.Entry
+	Entries  []storagenode.Entry
 	Told     []Told
 	Killed   []Killed
 	Fallen   []string // nodes pushed over while cold
@@ -109,14 +109,14 @@
 	f   Figures
 	l   *Log
 	out []Breach
-	by  map[string][]storage.Entry // entries by tag, by arrival
+	by  map[string][]storagenode.Entry // entries by tag, by arrival
 	req map[string]*Request
 }
 
 // Check returns every breach that the log shows.
 func Check(f Figures, l *Log) []Breach {
-	c := &checker{f: f, l: l, by: map[string][]storage.Entry{}, req: map[string]*Request{}}
-	slices.SortFunc(l.Entries, func(a, b storage.Entry) int { return cmp.Compare(a.Arrived, b.Arrived) })
+	c := &checker{f: f, l: l, by: map[string][]storagenode.Entry{}, req: map[string]*Request{}}
+	slices.SortFunc(l.Entries, func(a, b storagenode.Entry) int { return cmp.Compare(a.Arrived, b.Arrived) })
 	for i := range l.Requests {
 		c.req[l.Requests[i].Tag] = &l.Requests[i]
 	}
@@ -175,7 +175,7 @@
 }
 
 // end is when an entry was over for the gateway that sent it.
-func (c *checker) end(e storage.Entry) time.Duration {
+func (c *checker) end(e storagenode.Entry) time.Duration {
 	switch {
 	case e.Left > 0 && (e.Ended == 0 || e.Left < e.Ended):
 		return e.Left
@@ -243,7 +243,7 @@
 // an attempt that may still run.
 func (c *checker) order() {
 	type line struct{ gateway, key string }
-	last := map[line]storage.Entry{}
+	last := map[line]storagenode.Entry{}
 	for _, e := range c.l.Entries {
 		r := c.req[e.Tag]
 		if r == nil || !c.f.Classes[r.Class].InTurn {
--- a/lab/mutants/list.go
+++ b/lab/mutation/list.go
@@ -1,44 +1,44 @@
-package mutants
+package mutation
 
 const (
-	exchangeFile = "exchange/exchange.go"
-	readerFile   = "internal/upstream/reader.go"
-	choiceFile   = "choice/choice.go"
+	exchangeFile = "forwarder/forwarder.go"
+	readerFile   = "internal/upstreamhttp/reader.go"
+	choiceFile   = "dispatch/dispatcher.go"
 )
 
 // All returns the faults.
 func All() []Mutant {
 	return []Mutant{
-		// The exchange.
+		// The forwarder.
 		{
 			Name: "a second attempt while one is out", File: exchangeFile, From: "	if c.stage != asked {\n		return // cannot happen", To: "	if false {\n		return // cannot happen",
-			Equal: "choice never decides a second attempt before it heard of the first one's end: the guard stands behind another",
+			Equal: "the dispatcher never decides a second attempt before it heard of the first one's end: the guard stands behind another",
 		},
 		{
-			Name: "an attempt at a node that drains", File: exchangeFile, From: "if n == nil || n.State != choice.Serving {", To: "if n == nil {",
-			Equal: "choice and the exchange hear of a drain in one event: the guard stands behind choice's",
+			Name: "an attempt at a node that drains", File: exchangeFile, From: "if n == nil || n.State != dispatch.Serving {", To: "if n == nil {",
+			Equal: "the dispatcher and the forwarder hear of a drain in one event: the guard stands behind the dispatcher's",
 		},
-		{Name: "a drain while connecting", File: exchangeFile, From: "	case n.State != choice.Serving:", To: "	case false && n.State != choice.Serving:"},
+		{Name: "a drain while connecting", File: exchangeFile, From: "	case n.State != dispatch.Serving:", To: "	case false && n.State != dispatch.Serving:"},
 		{Name: "a window that ends while connecting", File: exchangeFile, From: "	case x.tooLate(c):", To: "	case false && x.tooLate(c):"},
 		{Name: "a connection in doubt is kept", File: exchangeFile, From: "	if k.state == busy {\n		x.close(k)\n	}", To: "	if false {\n		x.close(k)\n	}"},
 		{Name: "a body that is gone is sent again", File: exchangeFile, From: "	if c.once && c.stage == out {", To: "	if false {"},
 		{
-			Name: "choice hears of an end twice", File: exchangeFile, From: "	if c.settled {\n		return\n	}\n	c.settled = concluded", To: "	c.settled = concluded",
-			Equal: "choice takes one end of an attempt and leaves out the rest",
+			Name: "the dispatcher hears of an end twice", File: exchangeFile, From: "	if c.settled {\n		return\n	}\n	c.settled = concluded", To: "	c.settled = concluded",
+			Equal: "the dispatcher takes one end of an attempt and leaves out the rest",
 		},
-		{Name: "a client that leaves while connecting is not told", File: exchangeFile, From: "		x.give(c, choice.Moot, Word{}, true)", To: "		_ = c"},
-		{Name: "a client that leaves while out is not told", File: exchangeFile, From: "		x.tell(choice.Gone{ID: id})\n		x.give(c, choice.Cancelled, Word{}, true)", To: "		x.tell(choice.Gone{ID: id})"},
+		{Name: "a client that leaves while connecting is not told", File: exchangeFile, From: "		x.give(c, dispatch.Moot, Word{}, true)", To: "		_ = c"},
+		{Name: "a client that leaves while out is not told", File: exchangeFile, From: "		x.tell(dispatch.Gone{ID: id})\n		x.give(c, dispatch.Cancelled, Word{}, true)", To: "		x.tell(dispatch.Gone{ID: id})"},
 		{
-			Name: "a connection to a drained node rests", File: exchangeFile, From: "if k.node.State != choice.Serving || x.now-k.born >= x.cfg.MaxAge || x.conns[k.id] == nil {", To: "if x.now-k.born >= x.cfg.MaxAge || x.conns[k.id] == nil {",
+			Name: "a connection to a drained node rests", File: exchangeFile, From: "if k.node.State != dispatch.Serving || x.now-k.born >= x.cfg.MaxAge || x.conns[k.id] == nil {", To: "if x.now-k.born >= x.cfg.MaxAge || x.conns[k.id] == nil {",
 			Equal: "nothing is sent to a drained node; its connections go when they are old",
 		},
 		{Name: "a connection that the node closes is used again", File: exchangeFile, From: "	if e.Reuse {", To: "	if true {"},
 		{Name: "connections to a former process are kept", File: exchangeFile, From: "if n.Addr != l.Addr || n.Started != l.Started {", To: "if n.Addr != l.Addr {"},
 		{Name: "no bound on connections", File: exchangeFile, From: "	if n.conns >= x.cfg.ConnsPerNode {", To: "	if false {"},
 		{Name: "an unused connection gives way and is not closed", File: exchangeFile, From: "		x.close(n.idle[0])", To: "		x.unlist(n.idle[0])"},
-		{Name: "a connection that comes late is left with its call", File: exchangeFile, From: "		x.end(c, choice.ConnectFailed, Word{})\n		c.conn, k.call = nil, nil", To: "		x.end(c, choice.ConnectFailed, Word{})\n		c.conn = nil\n		_ = k"},
+		{Name: "a connection that comes late is left with its call", File: exchangeFile, From: "		x.end(c, dispatch.ConnectFailed, Word{})\n		c.conn, k.call = nil, nil", To: "		x.end(c, dispatch.ConnectFailed, Word{})\n		c.conn = nil\n		_ = k"},
 		{Name: "an attempt that ran out of time keeps its connection", File: exchangeFile, From: "	if c.conn == k {\n		x.detach(c)\n	}", To: "	_ = k"},
-		{Name: "a broken connection is not told", File: exchangeFile, From: "		x.end(c, choice.Dropped, Word{})", To: "		_ = c"},
+		{Name: "a broken connection is not told", File: exchangeFile, From: "		x.end(c, dispatch.Dropped, Word{})", To: "		_ = c"},
 		{Name: "an answer that breaks off is not cut", File: exchangeFile, From: "		x.conclude(c, Cut{ID: c.req.ID, Lane: c.lane})", To: "		x.conclude(c, nil)"},
 		{Name: "a connection that failed is not forgotten", File: exchangeFile, From: "	if !e.OK {\n		k.call = nil\n		x.unlist(k)", To: "	if !e.OK {\n		k.call = nil"},
 		{Name: "an attempt outlasts its client", File: exchangeFile, From: "	until := c.deadline\n", To: "	until := c.deadline + time.Second\n"},
@@ -46,10 +46,10 @@
 			Name: "an answer begins twice", File: exchangeFile, From: "k.call.stage != out && k.call.stage != released {", To: "k.call.stage == done {",
 			Equal: "the loop tells of one head for each answer",
 		},
-		{Name: "a refusal to a body that flowed goes to choice", File: exchangeFile, From: "	case c.stage == released && e.Word.Status != choice.Served:", To: "	case false:"},
+		{Name: "a refusal to a body that flowed goes to the dispatcher", File: exchangeFile, From: "	case c.stage == released && e.Word.Status != dispatch.Served:", To: "	case false:"},
 		{Name: "a write in its turn lets go of its key", File: exchangeFile, From: `c.bodySent || c.class.InTurn && c.req.Key != "" || !x.stream(c)`, To: "c.bodySent || !x.stream(c)"},
 		{Name: "a node that took the body has no time limit", File: exchangeFile, From: "			x.callTimer(c, x.now+c.class.Deadline)", To: "			_ = c.class"},
-		{Name: "a late answer is delivered as lost", File: exchangeFile, From: "	case e.Word.Status == choice.Served:\n", To: "	case false:\n"},
+		{Name: "a late answer is delivered as lost", File: exchangeFile, From: "	case e.Word.Status == dispatch.Served:\n", To: "	case false:\n"},
 		{Name: "a call is forgotten before its answer", File: exchangeFile, From: "	if a != nil {\n		x.act(a)\n	}", To: "	if a != nil && c.attempt < 1 {\n		x.act(a)\n	}"},
 		{
 			Name: "old connections are used", File: exchangeFile, From: "if x.now-k.born >= x.cfg.MaxAge || x.now-k.since >= x.cfg.IdleFor {", To: "if false {",
@@ -60,14 +60,14 @@
 		// The reader of connections.
 		{
 			Name: "a second request on a connection", File: readerFile, From: "	if r.state != Resting {\n		return false\n	}", To: "	if r.state == Broken {\n		return false\n	}",
-			Equal: "the exchange sends one at a time: the guard stands behind it",
+			Equal: "the forwarder sends one at a time: the guard stands behind it",
 		},
 		{Name: "an answer without a request is taken", File: readerFile, From: `	return r.fault("an answer came without a request")`, To: "	return Step{Kind: Need, Used: len(b)}"},
 		{Name: "more than the answer does not end the connection", File: readerFile, From: "!r.Response.Close && !r.more", To: "!r.Response.Close"},
 		{Name: "the node's word to close is not heard", File: readerFile, From: "r.state == Complete && !r.Response.Close && !r.more", To: "r.state == Complete && !r.more"},
 		{
 			Name: "half an answer leaves the connection good", File: readerFile, From: "		r.state = Broken\n	}\n}\n\n// Break", To: "		r.state = Resting\n	}\n}\n\n// Break",
-			Equal: "the exchange closes the connection of a call that ends before its answer",
+			Equal: "the forwarder closes the connection of a call that ends before its answer",
 		},
 		{Name: "a body ends short", File: readerFile, From: "		case r.left == 0:", To: "		case r.left <= 8:"},
 
@@ -84,11 +84,11 @@
 		{Name: "a key does not rest", File: choiceFile, From: "		t.rest = max(t.rest, d.now+d.cfg.Settle)", To: "		t.rest = max(t.rest, d.now)"},
 		{
 			Name: "the next of a key before the last has left its node", File: choiceFile, From: "t.line[0].state == over && !t.line[0].out {", To: "t.line[0].state == over {",
-			Equal: "the exchange tells of an attempt's end in the event in which it tells of its request's; the guard counts where attempts outlast requests, as on the bench",
+			Equal: "the forwarder tells of an attempt's end in the event in which it tells of its request's; the guard counts where attempts outlast requests, as on the bench",
 		},
 		{
 			Name: "a key's turn is not passed on", File: choiceFile, From: "		d.place(t.line[0])\n	default:", To: "	default:",
-			Equal: "no rule is broken: the next request is refused at its aim; choice's TestRuleOrder finds it",
+			Equal: "no rule is broken: the next request is refused at its aim; the dispatcher's TestRuleOrder finds it",
 		},
 		{
 			Name: "a further attempt forgets its queue", File: choiceFile, From: "				if n := r.node; n.listed && n.State == Serving && d.mayRepeat(r, n) {", To: "				if n := r.node; n.listed && n.State == Serving {",
@@ -96,7 +96,7 @@
 		},
 		{
 			Name: "what a drained node holds stays", File: choiceFile, From: "		if n.State != Serving {\n			d.evict(n)\n		}", To: "",
-			Equal: "no rule is broken: nothing is sent to the node, and what it holds is refused at its aim; choice's TestRuleDrain finds it",
+			Equal: "no rule is broken: nothing is sent to the node, and what it holds is refused at its aim; the dispatcher's TestRuleDrain finds it",
 		},
 		{Name: "no end by the aim", File: choiceFile, From: "if r := t.req; r.state == held || r.state == waiting {", To: "if r := t.req; r.state == held {"},
 	}
--- a/lab/mutants/mutants.go
+++ b/lab/mutation/mutation.go
@@ -1,7 +1,7 @@
-// Package mutants puts one-line faults into the guards of the exchange, the
+// Package mutation puts one-line faults into the guards of the forwarder, the
 // connection reader and the dispatcher, one at a time in a copy of the sources, and
 // has the explorer's own tests find them.
-package mutants
+package mutation
 
 import (
 	"context"
@@ -89,7 +89,7 @@
 	return errors.Join(all...)
 }
 
-var breach = regexp.MustCompile(`(?m)^\s+explore_test\.go:\d+: (.*(?:answer|attempts|drain|effects|order|budget|connection|bounds|stuck): .*)$`)
+var breach = regexp.MustCompile(`(?m)^\s+modelcheck_test\.go:\d+: (.*(?:answer|attempts|drain|effects|order|budget|connection|bounds|stuck): .*)$`)
 
 // Try puts one fault into the copy in dir, runs the explorer's tests, and takes it
 // out again.
@@ -98,7 +98,7 @@
 	if err != nil {
 		return Found{}, err
 	}
-	cmd := exec.CommandContext(ctx, "go", "test", "-count=1", "-run", "TestEveryOrdering|TestRandomWalks|TestReplays$", "./internal/explore")
+	cmd := exec.CommandContext(ctx, "go", "test", "-count=1", "-run", "TestEveryOrdering|TestRandomWalks|TestReplays$", "./internal/modelcheck")
 	cmd.Dir = dir
 	out, rerr := cmd.CombinedOutput()
 	if err := undo(); err != nil {
--- a/lab/mutants/mutants_test.go
+++ b/lab/mutation/mutation_test.go
@@ -1,4 +1,4 @@
-package mutants
+package mutation
 
 import "testing"
 
--- a/lab/forced/forced.go
+++ b/lab/schedulereplay/schedulereplay.go
@@ -1,19 +1,19 @@
-// Package forced plays the explorer's replays through a real gateway on loopback
+// Package schedulereplay plays the explorer's replays through a real gateway on loopback
 // sockets, with clients and nodes that do what the replay says when it says it. The
 // replay is played in the explorer beside, which tells what each move is about and
 // how each request must end. Nothing waits for a length of time: what the gateway
 // does by itself (connections that open, its timers) is waited for where a later
 // move needs it. What cannot be forced on sockets is refused.
-package forced
+package schedulereplay
 
 import (
 	"bufio"
-	"chalkstand/choice"
-	"chalkstand/exchange"
+	"chalkstand/dispatch"
+	"chalkstand/forwarder"
 	"chalkstand/gateway"
-	"chalkstand/internal/explore"
+	"chalkstand/internal/modelcheck"
 	"chalkstand/internal/settings"
-	"chalkstand/lab/sign"
+	"chalkstand/lab/sigv4client"
 	"context"
 	"fmt"
 	"io"
@@ -55,15 +55,15 @@
 var large = strings.Repeat("x", 256<<10)
 
 // answers are what nodes send, by the names of the moves.
-var answers = map[explore.Kind]string{
-	explore.Served:  "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
-	explore.Closing: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok",
-	explore.Errored: "HTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\nno",
-	explore.Full:    "HTTP/1.1 503 Full\r\nContent-Length: 2\r\n\r\nno",
-	explore.Headed:  fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(large), large[:len(large)/2]),
-	explore.Rest:    large[len(large)/2:],
-	explore.Garbage: "what?\r\n\r\n",
-	explore.Twice:   "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad",
+var answers = map[modelcheck.Kind]string{
+	modelcheck.Served:  "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
+	modelcheck.Closing: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok",
+	modelcheck.Errored: "HTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\nno",
+	modelcheck.Full:    "HTTP/1.1 503 Full\r\nContent-Length: 2\r\n\r\nno",
+	modelcheck.Headed:  fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(large), large[:len(large)/2]),
+	modelcheck.Rest:    large[len(large)/2:],
+	modelcheck.Garbage: "what?\r\n\r\n",
+	modelcheck.Twice:   "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad",
 }
 
 // Report is what a play showed.
@@ -77,7 +77,7 @@
 type player struct {
 	g    *gateway.Gateway
 	addr string
-	asks []explore.Asked
+	asks []modelcheck.Asked
 
 	mu      sync.Mutex
 	changed *sync.Cond
@@ -105,7 +105,7 @@
 
 // Play plays a replay.
 func Play(in io.Reader) (*Report, error) {
-	script, err := explore.ReadScript(in)
+	script, err := modelcheck.ReadScript(in)
 	if err != nil {
 		return nil, err
 	}
@@ -160,7 +160,7 @@
 	if p.g, err = gateway.New(*cfg, gateway.WithSeed(1)); err != nil {
 		return err
 	}
-	var list []exchange.Node
+	var list []forwarder.Node
 	for name, first := range places {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -170,10 +170,10 @@
 		p.nodes[name] = n
 		p.work.Go(func() { p.accept(n) })
 		if first {
-			list = append(list, p.entry(name, choice.Serving))
+			list = append(list, p.entry(name, dispatch.Serving))
 		}
 	}
-	p.g.SetNodes(choice.Complete, list)
+	p.g.SetNodes(dispatch.Complete, list)
 	ln, err := gateway.Listen("127.0.0.1:0")
 	if err != nil {
 		return err
@@ -183,8 +183,8 @@
 	return nil
 }
 
-func (p *player) entry(name string, s choice.NodeState) exchange.Node {
-	return exchange.Node{Addr: p.nodes[name].ln.Addr().String(), Node: choice.Node{ID: choice.NodeID(name), State: s}}
+func (p *player) entry(name string, s dispatch.NodeState) forwarder.Node {
+	return forwarder.Node{Addr: p.nodes[name].ln.Addr().String(), Node: dispatch.Node{ID: dispatch.NodeID(name), State: s}}
 }
 
 func (p *player) stop() {
@@ -267,38 +267,38 @@
 }
 
 // step does a move.
-func (p *player) step(s explore.Step) error {
+func (p *player) step(s modelcheck.Step) error {
 	switch s.Move.Kind {
-	case explore.Arrive:
+	case modelcheck.Arrive:
 		return p.ask(s.Call)
-	case explore.Leave:
+	case modelcheck.Leave:
 		p.mu.Lock()
 		c := p.clients[s.Call]
 		p.ends[s.Call] = "left"
 		p.mu.Unlock()
 		c.Close()
 		return p.until(func() bool { return p.g.InHand() == p.inHand() })
-	case explore.DialOK, explore.Follow, explore.Follow2, explore.Fire, explore.Before, explore.Reach:
+	case modelcheck.DialOK, modelcheck.Follow, modelcheck.Follow2, modelcheck.Fire, modelcheck.Before, modelcheck.Reach:
 		return nil // by itself; waited for where it matters
-	case explore.Drain:
-		p.g.SetNodes(choice.Changes, []exchange.Node{p.entry(s.Node, choice.Draining)})
+	case modelcheck.Drain:
+		p.g.SetNodes(dispatch.Changes, []forwarder.Node{p.entry(s.Node, dispatch.Draining)})
 		return nil
-	case explore.Remove:
-		p.g.SetNodes(choice.Changes, []exchange.Node{p.entry(s.Node, choice.Removed)})
+	case modelcheck.Remove:
+		p.g.SetNodes(dispatch.Changes, []forwarder.Node{p.entry(s.Node, dispatch.Removed)})
 		return nil
-	case explore.List:
-		p.g.SetNodes(choice.Changes, []exchange.Node{p.entry(s.Node, choice.Serving)})
+	case modelcheck.List:
+		p.g.SetNodes(dispatch.Changes, []forwarder.Node{p.entry(s.Node, dispatch.Serving)})
 		return nil
 	}
 	text, isAnswer := answers[s.Move.Kind]
-	if !isAnswer && s.Move.Kind != explore.Reset {
+	if !isAnswer && s.Move.Kind != modelcheck.Reset {
 		return fmt.Errorf("cannot be forced on sockets")
 	}
 	c, err := p.conn(s)
 	if err != nil {
 		return err
 	}
-	if s.Move.Kind == explore.Reset {
+	if s.Move.Kind == modelcheck.Reset {
 		if t, ok := c.(*net.TCPConn); ok {
 			t.SetLinger(0)
 		}
@@ -310,7 +310,7 @@
 
 // conn finds the connection that a move is about: by the request that it carries,
 // or as the one that was found for its number before.
-func (p *player) conn(s explore.Step) (net.Conn, error) {
+func (p *player) conn(s modelcheck.Step) (net.Conn, error) {
 	if s.Call > 0 {
 		a := attempt{strconv.Itoa(s.Call), s.Attempt}
 		if err := p.wait(func() bool { return p.got[a] != nil }); err != nil {
@@ -367,7 +367,7 @@
 	if method == "PUT" {
 		req.Body, req.ContentLength = io.NopCloser(strings.NewReader("x")), 1
 	}
-	sign.Request(req, keyID, secret, time.Now())
+	sigv4client.Request(req, keyID, secret, time.Now())
 	c, err := net.Dial("tcp", p.addr)
 	if err != nil {
 		return err
--- a/lab/forced/forced_test.go
+++ b/lab/schedulereplay/schedulereplay_test.go
@@ -1,4 +1,4 @@
-package forced
+package schedulereplay
 
 import (
 	"os"
--- a/lab/sign/sign.go
+++ b/lab/sigv4client/sigv4client.go
@@ -1,6 +1,6 @@
-// Package sign signs requests of the object API with the SDK's own signer, for
+// Package sigv4client signs requests of the object API with the SDK's own signer, for
 // drills, benchmarks and tests.
-package sign
+package sigv4client
 
 import (
 	"context"
--- a/lab/sign/sign_test.go
+++ b/lab/sigv4client/sigv4client_test.go
@@ -1,4 +1,4 @@
-package sign
+package sigv4client
 
 import (
 	"testing"
--- a/floors_test.go
+++ b/layering_test.go
@@ -12,24 +12,24 @@
 	"testing"
 )
 
-// floors lists the packages that decide or translate and touch no world, with the
-// floor of each. Imports go downward or stay on the floor.
-var floors = map[string]int{
-	"choice": 1, "exchange": 1, "placement": 1, "tariff": 1, "accounts": 1, "share": 1,
-	"internal/http1": 2, "internal/sigv4": 2, "internal/objectapi": 2, "internal/payload": 2, "internal/upstream": 2,
-	"internal/wire": 2, "internal/resp": 2, "internal/objcmd": 2, "internal/targets": 2,
+// layers lists the packages that decide or translate and touch no I/O, with the
+// layer of each. Imports go downward or stay on the layer.
+var layers = map[string]int{
+	"dispatch": 1, "forwarder": 1, "placement": 1, "costmodel": 1, "attribution": 1, "fairshare": 1,
+	"internal/http1": 2, "internal/sigv4": 2, "internal/objectapi": 2, "internal/payload": 2, "internal/upstreamhttp": 2,
+	"overload": 1, "internal/simwire": 2, "internal/resp": 2, "internal/objectcommand": 2, "internal/endpoints": 2,
 }
 
-// upward are imports against the order of the floors that stand for a reason.
+// upward are imports against the order of the layers that stand for a reason.
 var upward = map[string]string{
-	"tariff internal/objectapi": "a tariff is a list of the object API's operations",
+	"costmodel internal/objectapi": "a cost model is a list of the object API's operations",
 }
 
 // worldly are the standard packages that reach the world.
 var worldly = []string{"net", "net/http", "os", "os/exec", "os/signal", "syscall", "log", "io/fs"}
 
-func TestFloors(t *testing.T) {
-	for dir, floor := range floors {
+func TestLayers(t *testing.T) {
+	for dir, layer := range layers {
 		files, err := filepath.Glob(dir + "/*.go")
 		if err != nil || len(files) == 0 {
 			t.Errorf("%s: no files", dir)
@@ -38,12 +38,12 @@
 			if strings.HasSuffix(f, "_test.go") {
 				continue
 			}
-			checkFile(t, f, dir, floor)
+			checkFile(t, f, dir, layer)
 		}
 	}
 }
 
-func checkFile(t *testing.T, file, dir string, floor int) {
+func checkFile(t *testing.T, file, dir string, layer int) {
 	src, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
@@ -59,8 +59,8 @@
 		if slices.Contains(worldly, p) || strings.Contains(p, "gnet") || strings.Contains(p, "golang.org/x/sys") {
 			t.Errorf("%s imports %s", file, p)
 		}
-		if f := floors[own]; ours && (f == 0 || f > floor) && upward[dir+" "+own] == "" {
-			t.Errorf("%s, on floor %d, imports %s", file, floor, p)
+		if f := layers[own]; ours && (f == 0 || f > layer) && upward[dir+" "+own] == "" {
+			t.Errorf("%s, on layer %d, imports %s", file, layer, p)
 		}
 	}
 	ast.Inspect(tree, func(n ast.Node) bool {
--- a/limits_test.go
+++ b/limits_test.go
@@ -12,7 +12,7 @@
 
 // The module stays short enough to be read at night.
 func TestModuleStaysReadable(t *testing.T) {
-	text, err := os.ReadFile("choice/choice.go")
+	text, err := os.ReadFile("dispatch/dispatcher.go")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,10 +22,10 @@
 			lines++
 		}
 		if w := utf8.RuneCountInString(strings.ReplaceAll(l, "\t", "    ")); w > maxColumns {
-			t.Errorf("choice/choice.go:%d: %d columns, at most %d", i+1, w, maxColumns)
+			t.Errorf("dispatch/dispatcher.go:%d: %d columns, at most %d", i+1, w, maxColumns)
 		}
 	}
 	if lines > maxLines || lines == 0 {
-		t.Errorf("choice/choice.go: %d lines, at most %d", lines, maxLines)
+		t.Errorf("dispatch/dispatcher.go: %d lines, at most %d", lines, maxLines)
 	}
 }
--- a/share/overload.go
+++ b/overload/overload.go
@@ -1,4 +1,6 @@
-package share
+// Package overload detects a standing queue of requests before an event loop and rejects those
+// that would wait too long, after controlled delay (CoDel). It does no I/O and reads no clock.
+package overload
 
 import (
 	"fmt"
@@ -6,8 +8,8 @@
 	"time"
 )
 
-// OverloadConfig holds the settings of Overload.
-type OverloadConfig struct {
+// Config holds the settings of a Controller.
+type Config struct {
 	// Target is what a request may wait for its first turn while its flow is overloaded.
 	// 0: nothing is refused.
 	Target time.Duration
@@ -18,21 +20,21 @@
 	Back, MaxBack time.Duration
 }
 
-func (c OverloadConfig) check() error {
+func (c Config) check() error {
 	switch {
 	case c.Target < 0 || c.Target > time.Minute:
-		return fmt.Errorf("share: a target of %v, want 0 to 1m", c.Target)
+		return fmt.Errorf("overload: a target of %v, want 0 to 1m", c.Target)
 	case c.Target == 0:
 		return nil
 	case c.Interval < c.Target:
-		return fmt.Errorf("share: an interval of %v, want the target, %v, or more", c.Interval, c.Target)
+		return fmt.Errorf("overload: an interval of %v, want the target, %v, or more", c.Interval, c.Target)
 	case c.Back <= 0 || c.MaxBack < c.Back:
-		return fmt.Errorf("share: times to come back from %v to %v, want the first above 0 and the second no less", c.Back, c.MaxBack)
+		return fmt.Errorf("overload: times to come back from %v to %v, want the first above 0 and the second no less", c.Back, c.MaxBack)
 	}
 	return nil
 }
 
-// Overload decides which requests of a flow on a loop are refused before they cost what a
+// Controller decides which requests of a flow on a loop are refused before they cost what a
 // request costs. It guards against a queue that stands: where more comes than the
 // flow's share of the loop can do, each request waits until its client has given up, all are
 // late, and the work is for nobody. A flow with its turns in order waits long only when
@@ -47,8 +49,8 @@
 // It may do harm where one burst is longer than the interval and all of its clients would
 // have waited for it. The time to come back grows while many are refused, so that refusals stay
 // a small part of what the flow costs.
-type Overload struct {
-	c      OverloadConfig
+type Controller struct {
+	c      Config
 	over   bool
 	turned time.Duration // since then waits were all on the side that would change over
 	last   time.Duration // the last request
@@ -59,21 +61,21 @@
 	n      uint64
 }
 
-// NewOverload returns the state of one flow.
-func NewOverload(c OverloadConfig) (*Overload, error) {
+// New returns the state of one flow.
+func New(c Config) (*Controller, error) {
 	if err := c.check(); err != nil {
 		return nil, err
 	}
-	return &Overload{c: c, back: c.Back}, nil
+	return &Controller{c: c, back: c.Back}, nil
 }
 
 // Over tells whether the flow is overloaded.
-func (o *Overload) Over() bool { return o.over }
+func (o *Controller) Over() bool { return o.over }
 
 // Head decides on a request whose head was read now, and that had waited for its turn. It
 // returns true for one that is to be refused, and the time after which its client may come
 // back.
-func (o *Overload) Head(now, waited time.Duration) (after time.Duration, refuse bool) {
+func (o *Controller) Head(now, waited time.Duration) (after time.Duration, refuse bool) {
 	if o.c.Target == 0 {
 		return 0, false
 	}
@@ -87,7 +89,7 @@
 }
 
 // see follows the waits from one side of the target to the other.
-func (o *Overload) see(now, waited time.Duration) {
+func (o *Controller) see(now, waited time.Duration) {
 	long := waited >= o.c.Target
 	if now-o.last > o.c.Interval { // nothing came meanwhile: no queue has stood
 		o.over = false
@@ -105,7 +107,7 @@
 }
 
 // count moves the time to come back with what is refused of what comes.
-func (o *Overload) count(now time.Duration, refused bool) {
+func (o *Controller) count(now time.Duration, refused bool) {
 	if now-o.begun >= o.c.Interval {
 		switch {
 		case now-o.begun >= 2*o.c.Interval+o.back: // as long as this nobody was seen
@@ -134,7 +136,7 @@
 // spread draws the time to come back from half to one and a half of the present one, so
 // that those who were refused together do not come back together. Multiples of the golden ratio
 // cover the range evenly from the first on.
-func (o *Overload) spread() time.Duration {
+func (o *Controller) spread() time.Duration {
 	o.n++
 	_, frac := math.Modf(float64(o.n%(1<<20)) * math.Phi)
 	return min(time.Duration((0.5+frac)*float64(o.back)), o.c.MaxBack)
--- a/share/overload_test.go
+++ b/overload/overload_test.go
@@ -1,4 +1,4 @@
-package share
+package overload
 
 import (
 	"testing"
@@ -9,15 +9,15 @@
 
 const ms = time.Millisecond
 
-func overload(t interface{ Fatal(...any) }, c OverloadConfig) *Overload {
-	o, err := NewOverload(c)
+func overload(t interface{ Fatal(...any) }, c Config) *Controller {
+	o, err := New(c)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return o
 }
 
-var overloadConfig = OverloadConfig{Target: 20 * ms, Interval: 100 * ms, Back: 100 * ms, MaxBack: 2 * time.Second}
+var overloadConfig = Config{Target: 20 * ms, Interval: 100 * ms, Back: 100 * ms, MaxBack: 2 * time.Second}
 
 func TestBurstIsServed(t *testing.T) {
 	o := overload(t, overloadConfig)
@@ -89,7 +89,7 @@
 // it falls to nothing. Here refusing costs a twentieth of serving.
 func TestGoodputStaysUnderOverload(t *testing.T) {
 	const cost, cheap, patience = 100 * time.Microsecond, 5 * time.Microsecond, 250 * ms
-	play := func(times float64, c OverloadConfig) (good int) {
+	play := func(times float64, c Config) (good int) {
 		o := overload(t, c)
 		var queue []time.Duration // when each came
 		now, next := time.Duration(0), 0.0
@@ -116,7 +116,7 @@
 	}
 	can := int(4 * time.Second / cost)
 	for _, times := range []float64{1.5, 2, 5, 10} {
-		with, without := play(times, overloadConfig), play(times, OverloadConfig{})
+		with, without := play(times, overloadConfig), play(times, Config{})
 		// What is not served costs a twentieth: at 10 times, nearly half of the time.
 		if least := float64(can) * (1 - 0.06*times); float64(with) < least || without > can/20 {
 			t.Errorf("%g times: %d of %d in time, without refusals %d", times, with, can, without)
@@ -154,14 +154,14 @@
 }
 
 func TestOverloadSettings(t *testing.T) {
-	for _, c := range []OverloadConfig{
+	for _, c := range []Config{
 		{Target: -1},
 		{Target: 2 * time.Minute, Interval: time.Hour, Back: 1, MaxBack: 1},
 		{Target: 20 * ms, Interval: 10 * ms, Back: 1, MaxBack: 1},
 		{Target: 20 * ms, Interval: 100 * ms},
 		{Target: 20 * ms, Interval: 100 * ms, Back: 2, MaxBack: 1},
 	} {
-		if _, err := NewOverload(c); err == nil {
+		if _, err := New(c); err == nil {
 			t.Errorf("%+v is taken", c)
 		}
 	}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -4,7 +4,7 @@
 package placement
 
 import (
-	"chalkstand/choice"
+	"chalkstand/dispatch"
 	"cmp"
 	"slices"
 
@@ -13,15 +13,15 @@
 
 // Map holds the shards of one installation. Its zero value has none.
 type Map struct {
-	shards []choice.Shard
+	shards []dispatch.Shard
 	seeds  []uint64
 }
 
 // New returns the map over shards 0 to n-1.
 func New(n int) *Map {
-	m := &Map{shards: make([]choice.Shard, n), seeds: make([]uint64, n)}
+	m := &Map{shards: make([]dispatch.Shard, n), seeds: make([]uint64, n)}
 	for i := range n {
-		m.shards[i] = choice.Shard(i)
+		m.shards[i] = dispatch.Shard(i)
 		m.seeds[i] = mix(uint64(i) + 0x9e3779b97f4a7c15)
 	}
 	return m
@@ -39,7 +39,7 @@
 // Volume is a volume's part of the map.
 type Volume struct {
 	hash   uint64
-	shards []choice.Shard // in ascending order
+	shards []dispatch.Shard // in ascending order
 	seeds  []uint64
 }
 
@@ -67,10 +67,10 @@
 }
 
 // Shards returns all shards of the volume in ascending order; not to be changed.
-func (v *Volume) Shards() []choice.Shard { return v.shards }
+func (v *Volume) Shards() []dispatch.Shard { return v.shards }
 
 // Shard returns the shard that holds a key.
-func (v *Volume) Shard(key string) choice.Shard {
+func (v *Volume) Shard(key string) dispatch.Shard {
 	h := mix(v.hash ^ xxhash.Sum64String(key))
 	best, at := uint64(0), 0
 	for i, s := range v.seeds {
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -1,7 +1,7 @@
 package placement
 
 import (
-	"chalkstand/choice"
+	"chalkstand/dispatch"
 	"fmt"
 	"testing"
 )
@@ -40,7 +40,7 @@
 
 func TestSpreadOfAVolume(t *testing.T) {
 	m := New(32)
-	used := map[choice.Shard]int{}
+	used := map[dispatch.Shard]int{}
 	for i := range 400 {
 		v := m.Volume(fmt.Sprint("vol-", i), 3)
 		if len(v.Shards()) != 3 || v.Shards()[0] >= v.Shards()[1] || v.Shards()[1] >= v.Shards()[2] {
--- a/relayfront/client.go
+++ b/respserver/client.go
@@ -1,9 +1,9 @@
-package relayfront
+package respserver
 
 import (
-	"chalkstand/exchange"
-	"chalkstand/internal/netloop"
-	"chalkstand/internal/objcmd"
+	"chalkstand/forwarder"
+	"chalkstand/internal/eventloop"
+	"chalkstand/internal/objectcommand"
 	"chalkstand/internal/resp"
 	"slices"
 	"time"
@@ -15,7 +15,7 @@
 // the order of the commands.
 type client struct {
 	f     *Front
-	c     *netloop.Conn
+	c     *eventloop.Conn
 	queue []*entry // commands that are not answered yet, the oldest first
 	born  time.Duration
 	last  time.Duration // something was asked or answered
@@ -95,7 +95,7 @@
 
 // OnData takes commands. What comes on a dead connection is thrown away, a read each sweep: at full
 // speed it would take the core from others.
-func (cl *client) OnData(c *netloop.Conn, b []byte) int {
+func (cl *client) OnData(c *eventloop.Conn, b []byte) int {
 	cl.heard = cl.f.now()
 	if cl.dead {
 		c.Pause()
@@ -140,11 +140,11 @@
 
 func (cl *client) command(words [][]byte) {
 	switch name := words[0]; {
-	case objcmd.Is(name):
+	case objectcommand.Is(name):
 		cl.object(words)
-	case objcmd.Named(name, "PING"):
+	case objectcommand.Named(name, "PING"):
 		cl.say(resp.Simple, "PONG")
-	case objcmd.Named(name, "CLIENT"), objcmd.Named(name, "SELECT"):
+	case objectcommand.Named(name, "CLIENT"), objectcommand.Named(name, "SELECT"):
 		cl.say(resp.Simple, "OK")
 	default:
 		cl.wrong("ERR unknown command: expected OBJ.GET, OBJ.PUT or PING")
@@ -192,7 +192,7 @@
 	f.tasks[t.id], f.ids[string(t.cmd.ID)] = t, t
 	cl.queue = append(cl.queue, t.entry)
 	t.cmd.Request.ID = t.id
-	f.tell(exchange.Begin{Request: t.cmd.Request})
+	f.tell(forwarder.Begin{Request: t.cmd.Request})
 }
 
 // say answers a command with a line, in its turn.
@@ -248,7 +248,7 @@
 }
 
 // OnDrained reads on.
-func (cl *client) OnDrained(c *netloop.Conn) {
+func (cl *client) OnDrained(c *eventloop.Conn) {
 	cl.last = cl.f.now()
 	if cl.ended {
 		cl.endAt = cl.last
@@ -260,14 +260,14 @@
 
 // OnLeft closes the connection of a client that has ended its side: it has gone, and what it had
 // open is not sent on. On a dead connection the error may still be on its way.
-func (cl *client) OnLeft(c *netloop.Conn) {
+func (cl *client) OnLeft(c *eventloop.Conn) {
 	if !cl.dead {
 		c.Close()
 	}
 }
 
 // OnClose tells that the client has left with what it had open.
-func (cl *client) OnClose(*netloop.Conn, error) {
+func (cl *client) OnClose(*eventloop.Conn, error) {
 	f := cl.f
 	if i := slices.Index(f.clients, cl); i >= 0 {
 		f.clients[i] = f.clients[len(f.clients)-1]
@@ -281,7 +281,7 @@
 			f.held -= len(e.reply)
 		} else {
 			f.forget(e.task)
-			f.tell(exchange.Gone{ID: e.task.id})
+			f.tell(forwarder.Gone{ID: e.task.id})
 		}
 	}
 }
--- a/relayfront/config.go
+++ b/respserver/config.go
@@ -1,9 +1,9 @@
-package relayfront
+package respserver
 
 import (
-	"chalkstand/exchange"
-	"chalkstand/internal/targets"
-	"chalkstand/internal/wire"
+	"chalkstand/forwarder"
+	"chalkstand/internal/endpoints"
+	"chalkstand/internal/simwire"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -22,8 +22,8 @@
 	Cores     float64
 	MemoryMB  float64
 	Sockets   int
-	Known     targets.Document
-	Settings  wire.Settings
+	Known     endpoints.Document
+	Settings  simwire.Settings
 }
 
 type configFile struct {
@@ -92,24 +92,24 @@
 	case len(f.Settings) == 0:
 		return c, errors.New("settings: missing")
 	}
-	if c.Settings, err = wire.Nested(f.Settings); err != nil {
+	if c.Settings, err = simwire.Nested(f.Settings); err != nil {
 		return c, fmt.Errorf("settings: %w", err)
 	}
 	if len(f.Known) > 0 && string(f.Known) != "null" {
-		if c.Known, err = targets.Parse(f.Known, c.names()); err != nil {
+		if c.Known, err = endpoints.Parse(f.Known, c.names()); err != nil {
 			return c, fmt.Errorf("known: %w", err)
 		}
 	} else {
 		c.Known.Version = -1
 	}
-	if _, err := exchange.New(c.exchange()); err != nil {
+	if _, err := forwarder.New(c.exchange()); err != nil {
 		return c, fmt.Errorf("settings: %w", err)
 	}
 	return c, nil
 }
 
-func (c *Config) names() targets.Names {
-	return targets.Names{Zones: c.Settings.Zones, Kinds: c.Settings.Kinds}
+func (c *Config) names() endpoints.Names {
+	return endpoints.Names{Zones: c.Settings.Zones, Kinds: c.Settings.Kinds}
 }
 
 // What is not told has these values.
@@ -136,7 +136,7 @@
 const callsPerMB = 32
 
 // exchange returns the settings of the life of requests.
-func (c *Config) exchange() exchange.Config {
+func (c *Config) exchange() forwarder.Config {
 	idle, connect := c.Settings.ConnIdle, c.Settings.Connect
 	if idle <= 0 {
 		idle = usualIdle
@@ -148,7 +148,7 @@
 	if m := c.Settings.MaxOpen; m > 0 {
 		calls = min(calls, m)
 	}
-	return exchange.Config{
+	return forwarder.Config{
 		Choice: c.Settings.Choice, Seed: c.Seed, ConnsPerNode: max(c.nodeConns()/2, 1), Conns: c.nodeConns(), Rest: restFor,
 		IdleFor: idle * 6 / 10, MaxAge: maxAge, Connect: connect, Margin: margin, MaxCalls: calls,
 	}
--- a/relayfront/crossing_test.go
+++ b/respserver/crossing_test.go
@@ -1,7 +1,8 @@
-package relayfront_test
+package respserver_test
 
 import (
-	"chalkstand/standin/relay"
+	fakediscovery "chalkstand/fake/discovery"
+	"chalkstand/fake/respnode"
 	"io"
 	"net"
 	"net/netip"
@@ -48,10 +49,10 @@
 func TestResetUnderTheFirstAnswer(t *testing.T) {
 	w := start(t, 256)
 	c := w.client()
-	c.say(relay.Command("PING"))
+	c.say(respnode.Command("PING"))
 	c.expect("+PONG")
 	w.f.OnLoop(func() {
-		c.say(relay.Command("PING") + get("1") + relay.Command("PING"))
+		c.say(respnode.Command("PING") + get("1") + respnode.Command("PING"))
 		w.reset(c)
 	})
 	w.onLoop(func() bool { return w.f.Clients() == 0 })
@@ -67,7 +68,7 @@
 // out once, not a second time with the connection.
 func TestAnswersAfterAFailedWrite(t *testing.T) {
 	w := start(t, 256)
-	w.node.Usually(relay.Order{Hang: true})
+	w.node.Usually(respnode.Order{Hang: true})
 	c := w.client()
 	c.say(get("1") + get("2") + get("3"))
 	w.onLoop(func() bool { return w.f.Queued() == 3 })
@@ -83,7 +84,7 @@
 // answered, what comes behind it is not begun, and its connection ends in order.
 func TestPlannedEndOfABusyClient(t *testing.T) {
 	w := start(t, 256)
-	w.node.Usually(relay.Order{Wait: 50 * time.Millisecond})
+	w.node.Usually(respnode.Order{Wait: 50 * time.Millisecond})
 	c := w.client()
 	c.say(get("0"))
 	if err := w.node.Await(1, patience); err != nil {
@@ -94,7 +95,7 @@
 	for answered := 0; ; answered++ {
 		c.Write([]byte(get(w.id()))) // one behind the one that is open; it may cross the end
 		said++
-		got, err := relay.ReadAnswer(c.in)
+		got, err := respnode.ReadAnswer(c.in)
 		if err != nil {
 			break
 		}
@@ -128,13 +129,13 @@
 // request behind it is not begun.
 func TestPlannedEndOfASilentNode(t *testing.T) {
 	w := start(t, 256)
-	w.node.Usually(relay.Order{Hang: true})
+	w.node.Usually(respnode.Order{Hang: true})
 	c := w.client()
-	c.say(relay.Command("OBJ.PUT", piece, "1", fields("c", "c=write", "d", "d=60000"), "body"))
+	c.say(respnode.Command("OBJ.PUT", piece, "1", fields("c", "c=write", "d", "d=60000"), "body"))
 	if err := w.node.Await(1, patience); err != nil {
 		t.Fatal(err)
 	}
-	w.f.OnLoop(func() { c.say(relay.Command("PING")) })
+	w.f.OnLoop(func() { c.say(respnode.Command("PING")) })
 	w.onLoop(func() bool { return w.f.Queued() == 2 })
 	w.f.Stop()
 	w.f.Advance(600 * time.Millisecond) // the last who come have come
@@ -176,7 +177,7 @@
 // A client that leaves while its connection is not read is noticed: its requests end.
 func TestLeavingAPausedConnection(t *testing.T) {
 	w := start(t, 256)
-	w.node.Usually(relay.Order{Hang: true})
+	w.node.Usually(respnode.Order{Hang: true})
 	c := w.client()
 	c.say(get("1"))
 	w.onLoop(func() bool { return w.f.Queued() == 1 })
@@ -194,7 +195,7 @@
 func TestCommandsOfWhoHasLeft(t *testing.T) {
 	w := start(t, 256)
 	c := w.client()
-	c.say(relay.Command("PING"))
+	c.say(respnode.Command("PING"))
 	c.expect("+PONG")
 	w.f.OnLoop(func() {
 		c.say(get("1"))
@@ -244,9 +245,9 @@
 
 // slowReader asks for so much that the kernel does not take all of it, and reads nothing.
 func (w *world) slowReader(requests int) *client {
-	w.node.Usually(relay.Order{Say: "*3\r\n" + relay.Bulk(strings.Repeat("v", 64<<10)) + "$-1\r\n$-1\r\n"})
+	w.node.Usually(respnode.Order{Say: "*3\r\n" + respnode.Bulk(strings.Repeat("v", 64<<10)) + "$-1\r\n$-1\r\n"})
 	c := w.client()
-	c.say(relay.Command("PING"))
+	c.say(respnode.Command("PING"))
 	c.expect("+PONG")
 	w.f.NarrowClients()
 	for range requests {
@@ -280,7 +281,7 @@
 	w.f.Advance(time.Second) // longer than it lingers
 	w.f.Sweep()
 	n, err := io.Copy(io.Discard, c.in)
-	if each := int64(len(relay.Bulk(strings.Repeat("v", 64<<10)))); n%each != 0 || n == 0 || err != nil {
+	if each := int64(len(respnode.Bulk(strings.Repeat("v", 64<<10)))); n%each != 0 || n == 0 || err != nil {
 		t.Errorf("%d bytes came, %d each (%v)", n, each, err)
 	}
 }
@@ -289,7 +290,7 @@
 func TestBehindAPlannedEnd(t *testing.T) {
 	w := start(t, 256)
 	c := w.client()
-	c.say(relay.Command("PING"))
+	c.say(respnode.Command("PING"))
 	c.expect("+PONG")
 	w.f.Stop()
 	w.f.Advance(600 * time.Millisecond)
@@ -318,7 +319,7 @@
 	w.f.Stop()
 	w.disc.End()
 	w.onLoop(func() bool { return !w.f.Watching() })
-	w.f.Advance(time.Second) // choice asks anew
+	w.f.Advance(time.Second) // the dispatcher asks anew
 	w.ended()
 	if calls := w.disc.Calls(); len(calls) != 1 {
 		t.Errorf("%d calls", len(calls))
@@ -356,7 +357,7 @@
 func TestTwoMovesBeforeTheNewWatchTells(t *testing.T) {
 	w := start(t, 256)
 	w.until(func() bool {
-		return w.disc.Tell(relay.List(42, true, relay.Entry{ID: "s1", Addr: w.node.Addr(), State: "Ready"})) > 0
+		return w.disc.Tell(fakediscovery.List(42, true, fakediscovery.Entry{ID: "s1", Addr: w.node.Addr(), State: "Ready"})) > 0
 	})
 	w.onLoop(func() bool { return w.f.Version() == 42 })
 	for range 2 {
@@ -365,7 +366,7 @@
 		w.f.Reload(next)
 	}
 	w.f.OnLoop(func() {})
-	w.disc.Tell(relay.List(43, false, relay.Entry{ID: "s1", Addr: w.node.Addr(), State: "Terminating"}))
+	w.disc.Tell(fakediscovery.List(43, false, fakediscovery.Entry{ID: "s1", Addr: w.node.Addr(), State: "Terminating"}))
 	w.onLoop(func() bool { return w.f.Version() == 43 })
 }
 
@@ -374,7 +375,7 @@
 func TestMoveWhileTheFirstWatchOpens(t *testing.T) {
 	w := start(t, 256)
 	next := w.cfg
-	moved, err := relay.StartDiscovery()
+	moved, err := fakediscovery.StartDiscovery()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -382,7 +383,7 @@
 	next.Discovery = netip.MustParseAddrPort(moved.Addr())
 	w.f.Reload(next)
 	w.until(func() bool {
-		return moved.Tell(relay.List(43, true, relay.Entry{ID: "s1", Addr: w.node.Addr(), State: "Ready"})) > 0
+		return moved.Tell(fakediscovery.List(43, true, fakediscovery.Entry{ID: "s1", Addr: w.node.Addr(), State: "Ready"})) > 0
 	})
 	w.onLoop(func() bool { return w.f.Version() == 43 })
 	w.disc.End()
@@ -403,7 +404,7 @@
 	w.f.OnLoop(func() { first = w.f.StoppedAt() })
 	w.f.Advance(300 * time.Millisecond)
 	w.f.Stop()
-	moved, err := relay.StartDiscovery()
+	moved, err := fakediscovery.StartDiscovery()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -432,7 +433,7 @@
 	w := start(t, 64)
 	bound := w.f.MostClients()
 	var all []*client
-	text := relay.Command("PING")
+	text := respnode.Command("PING")
 	for range bound {
 		c := w.client()
 		c.say(text[:5])
--- a/relayfront/export_test.go
+++ b/respserver/export_test.go
@@ -1,4 +1,4 @@
-package relayfront
+package respserver
 
 import (
 	"time"
@@ -28,7 +28,7 @@
 	return n
 }
 
-// FinishAll answers all open requests, as the exchange would.
+// FinishAll answers all open requests, as the forwarder would.
 func (f *Front) FinishAll(reply string) {
 	for _, cl := range f.clients {
 		for _, e := range append([]*entry(nil), cl.queue...) {
@@ -85,7 +85,7 @@
 // Version is that of the list which is known.
 func (f *Front) Version() int64 { return f.version }
 
-// NodeConns is how many connections to nodes the exchange holds.
+// NodeConns is how many connections to nodes the forwarder holds.
 func (f *Front) NodeConns() int { return f.x.Conns() }
 
 // HeardUnseen tells whether the kernel holds bytes of a node that the loop has not read.
--- a/relayfront/node.go
+++ b/respserver/node.go
@@ -1,10 +1,10 @@
-package relayfront
+package respserver
 
 import (
-	"chalkstand/choice"
-	"chalkstand/exchange"
-	"chalkstand/internal/netloop"
-	"chalkstand/internal/objcmd"
+	"chalkstand/dispatch"
+	"chalkstand/forwarder"
+	"chalkstand/internal/eventloop"
+	"chalkstand/internal/objectcommand"
 	"net/netip"
 	"time"
 )
@@ -12,8 +12,8 @@
 // nodeConn is a connection to a storage node. It carries one request at a time.
 type nodeConn struct {
 	f       *Front
-	id      exchange.ConnID
-	c       *netloop.Conn
+	id      forwarder.ConnID
+	c       *eventloop.Conn
 	due     time.Duration // until then it is to be open
 	opened  bool
 	used    bool  // it has carried a request before
@@ -22,14 +22,14 @@
 	value   []byte
 }
 
-func (f *Front) dial(a exchange.Dial) {
+func (f *Front) dial(a forwarder.Dial) {
 	to, err := netip.ParseAddrPort(a.Addr)
 	k := &nodeConn{f: f, id: a.Conn, due: f.now() + a.Timeout}
 	if err == nil {
 		k.c, err = f.loop.Connect(to, k)
 	}
 	if err != nil {
-		f.tell(exchange.Dialed{Conn: a.Conn})
+		f.tell(forwarder.Dialed{Conn: a.Conn})
 		return
 	}
 	k.c.Assign(f.flows.nodes)
@@ -37,17 +37,17 @@
 	f.dials = append(f.dials, k)
 }
 
-// OnOpen tells the exchange that the connection is there.
-func (k *nodeConn) OnOpen(*netloop.Conn) {
+// OnOpen tells the forwarder that the connection is there.
+func (k *nodeConn) OnOpen(*eventloop.Conn) {
 	k.opened = true
-	k.f.tell(exchange.Dialed{Conn: k.id, OK: true})
+	k.f.tell(forwarder.Dialed{Conn: k.id, OK: true})
 }
 
 // send writes a request. A connection on which something came since its last answer is of no
 // use: that would be taken for the answer of this one.
-func (k *nodeConn) send(t *task, a exchange.Send) {
+func (k *nodeConn) send(t *task, a forwarder.Send) {
 	if k.used && !k.c.Quiet() {
-		k.lose(exchange.Lost{Conn: k.id, Stale: true})
+		k.lose(forwarder.Lost{Conn: k.id, Stale: true})
 		return
 	}
 	k.task, k.used = t, true
@@ -57,7 +57,7 @@
 }
 
 // lose gives up a connection.
-func (k *nodeConn) lose(why exchange.Lost) {
+func (k *nodeConn) lose(why forwarder.Lost) {
 	delete(k.f.nodes, k.id)
 	k.task = nil
 	k.c.Close()
@@ -65,46 +65,46 @@
 }
 
 // OnData reads an answer. It is whole before anything is made of it.
-func (k *nodeConn) OnData(_ *netloop.Conn, b []byte) int {
+func (k *nodeConn) OnData(_ *eventloop.Conn, b []byte) int {
 	if k.task == nil { // nobody has asked
-		k.lose(exchange.Lost{Conn: k.id})
+		k.lose(forwarder.Lost{Conn: k.id})
 		return 0
 	}
 	n, err := k.f.answer.Read(b)
 	if err != nil {
-		k.lose(exchange.Lost{Conn: k.id})
+		k.lose(forwarder.Lost{Conn: k.id})
 		return 0
 	}
 	if n == 0 {
 		return 0
 	}
-	value, word, ok := objcmd.Word(&k.f.answer)
+	value, word, ok := objectcommand.Word(&k.f.answer)
 	if !ok {
-		k.lose(exchange.Lost{Conn: k.id})
+		k.lose(forwarder.Lost{Conn: k.id})
 		return 0
 	}
 	reuse := n == len(b) && k.written && !k.c.Left()
-	if word.Status == choice.Errored {
+	if word.Status == dispatch.Errored {
 		reuse = false // it may be noise in the form of an error
 	}
 	k.task, k.value = nil, value
-	k.f.tell(exchange.Answered{Conn: k.id, Word: word, Reuse: reuse})
+	k.f.tell(forwarder.Answered{Conn: k.id, Word: word, Reuse: reuse})
 	k.value = nil
 	return n
 }
 
 // OnDrained notes that the request's last byte has left.
-func (k *nodeConn) OnDrained(*netloop.Conn) { k.written = true }
+func (k *nodeConn) OnDrained(*eventloop.Conn) { k.written = true }
 
-// OnClose tells the exchange, unless it asked for it.
-func (k *nodeConn) OnClose(_ *netloop.Conn, _ error) {
+// OnClose tells the forwarder, unless it asked for it.
+func (k *nodeConn) OnClose(_ *eventloop.Conn, _ error) {
 	if k.f.nodes[k.id] != k {
 		return
 	}
 	delete(k.f.nodes, k.id)
 	if !k.opened {
-		k.f.tell(exchange.Dialed{Conn: k.id})
+		k.f.tell(forwarder.Dialed{Conn: k.id})
 		return
 	}
-	k.f.tell(exchange.Lost{Conn: k.id, Unsent: k.task != nil && !k.written})
+	k.f.tell(forwarder.Lost{Conn: k.id, Unsent: k.task != nil && !k.written})
 }
--- a/relayfront/node_test.go
+++ b/respserver/node_test.go
@@ -1,7 +1,8 @@
-package relayfront_test
+package respserver_test
 
 import (
-	"chalkstand/standin/relay"
+	fakediscovery "chalkstand/fake/discovery"
+	"chalkstand/fake/respnode"
 	"fmt"
 	"runtime"
 	"strings"
@@ -16,7 +17,7 @@
 func endsWith(t *testing.T, text, want string) {
 	t.Helper()
 	w := start(t, 256)
-	w.node.Usually(relay.Order{Hang: true})
+	w.node.Usually(respnode.Order{Hang: true})
 	c := w.client()
 	c.say(put("1", "body"))
 	if err := w.node.Await(1, patience); err != nil {
@@ -76,7 +77,7 @@
 // Half a line, half a value or nothing and then an end is no answer: a read goes out again, what may
 // have run and must not run twice does not. An answer that is whole counts, whatever ends its connection.
 func TestEndsOfAnswers(t *testing.T) {
-	for name, o := range map[string]relay.Order{
+	for name, o := range map[string]respnode.Order{
 		"half a line": {Say: "*3\r\n$5", Close: true}, "half a value": {Say: "*3\r\n$5\r\nab", Close: true},
 		"a reset": {Close: true, Reset: true}, "a reset within": {Say: "*3\r\n%v", Close: true, Reset: true},
 	} {
@@ -96,9 +97,9 @@
 	}
 	w := start(t, 256)
 	c := w.client()
-	w.node.Then(relay.Order{Say: "*3\r\n%v$-1\r\n$-1\r\n", Close: true})
+	w.node.Then(respnode.Order{Say: "*3\r\n%v$-1\r\n$-1\r\n", Close: true})
 	c.say(put("1", "body"))
-	c.expect("$" + relay.Value([]string{"", piece, "1"}))
+	c.expect("$" + respnode.Value([]string{"", piece, "1"}))
 }
 
 // Ever new nodes, volumes, connections and requests leave nothing behind: tables are as large after
@@ -110,16 +111,16 @@
 	churn := func(rounds int) {
 		for range rounds {
 			version++
-			w.disc.Tell(relay.List(version, false,
-				relay.Entry{ID: fmt.Sprintf("s%d", version), Addr: w.node.Addr(), State: "Ready", StartedMS: int64(version)},
-				relay.Entry{ID: fmt.Sprintf("s%d", version-1), Addr: w.node.Addr(), State: "Gone"}))
+			w.disc.Tell(fakediscovery.List(version, false,
+				fakediscovery.Entry{ID: fmt.Sprintf("s%d", version), Addr: w.node.Addr(), State: "Ready", StartedMS: int64(version)},
+				fakediscovery.Entry{ID: fmt.Sprintf("s%d", version-1), Addr: w.node.Addr(), State: "Gone"}))
 			w.onLoop(func() bool { return w.f.Version() == int64(version) })
 			c := w.dial() // a clean-up for each would be what grows
 			for range 3 {
 				id := w.id()
 				volume := fmt.Sprintf("volume=%016x", w.ids)
-				c.say(relay.Command("OBJ.GET", piece, id, fields("volume", volume)))
-				if got, err := relay.ReadAnswer(c.in); err != nil || !strings.HasPrefix(got, "$") && !strings.HasPrefix(got, "-BUSY") {
+				c.say(respnode.Command("OBJ.GET", piece, id, fields("volume", volume)))
+				if got, err := respnode.ReadAnswer(c.in); err != nil || !strings.HasPrefix(got, "$") && !strings.HasPrefix(got, "-BUSY") {
 					t.Fatalf("%q, %v", got, err)
 				}
 			}
--- a/relayfront/front.go
+++ b/respserver/server.go
@@ -1,19 +1,19 @@
-// Package relayfront is the front of the platform's protocol: clients ask in RESP, and
-// storage nodes are asked in RESP. One event loop owns the sockets, the exchange and the
+// Package respserver is the front of the platform's protocol: clients ask in RESP, and
+// storage nodes are asked in RESP. One event loop owns the sockets, the forwarder and the
 // decisions; nothing on the path of a request crosses goroutines. It moves bytes and
 // says what happened; what is sent, held, refused or repeated, and how nodes are judged,
-// is said by choice through exchange.
-package relayfront
+// is said by the dispatcher through exchange.
+package respserver
 
 import (
-	"chalkstand/choice"
-	"chalkstand/exchange"
-	"chalkstand/internal/discover"
-	"chalkstand/internal/netloop"
-	"chalkstand/internal/objcmd"
+	"chalkstand/dispatch"
+	"chalkstand/fairshare"
+	"chalkstand/forwarder"
+	"chalkstand/internal/discovery"
+	"chalkstand/internal/endpoints"
+	"chalkstand/internal/eventloop"
+	"chalkstand/internal/objectcommand"
 	"chalkstand/internal/resp"
-	"chalkstand/internal/targets"
-	"chalkstand/share"
 	"context"
 	"math"
 	"net"
@@ -29,22 +29,22 @@
 type Front struct {
 	cfg   Config
 	log   *zap.Logger
-	terms *objcmd.Terms
-	loop  *netloop.Loop
-	x     *exchange.Exchange
+	terms *objectcommand.Terms
+	loop  *eventloop.Loop
+	x     *forwarder.Exchange
 	start time.Time
 	epoch time.Duration // of the start, by the Unix clock
 
-	inbox []exchange.Event
+	inbox []forwarder.Event
 	busy  bool
-	wake  time.Duration // what the exchange asked for
+	wake  time.Duration // what the forwarder asked for
 
-	nodes   map[exchange.ConnID]*nodeConn
+	nodes   map[forwarder.ConnID]*nodeConn
 	dials   []*nodeConn // being opened, the oldest first
 	clients []*client
-	tasks   map[choice.RequestID]*task
+	tasks   map[dispatch.RequestID]*task
 	ids     map[string]*task // open requests by their clients' ids
-	lastID  choice.RequestID
+	lastID  dispatch.RequestID
 	held    int // bytes of commands and answers kept
 	most    int // of them
 
@@ -52,7 +52,7 @@
 	answer  resp.Answer
 	scratch []byte
 
-	flows   struct{ fresh, clients, nodes *netloop.Flow }
+	flows   struct{ fresh, clients, nodes *eventloop.Flow }
 	sweepAt time.Duration
 
 	discovery netip.AddrPort
@@ -68,10 +68,10 @@
 
 // task is an open request.
 type task struct {
-	id    choice.RequestID
+	id    dispatch.RequestID
 	cl    *client
 	entry *entry
-	cmd   objcmd.Command // its words are in buf
+	cmd   objectcommand.Command // its words are in buf
 	buf   []byte
 }
 
@@ -80,30 +80,30 @@
 
 // New opens a dispatcher's listener and loop. Run runs it.
 func New(cfg Config, log *zap.Logger) (*Front, error) {
-	x, err := exchange.New(cfg.exchange())
+	x, err := forwarder.New(cfg.exchange())
 	if err != nil {
 		return nil, err
 	}
 	f := &Front{
-		cfg: cfg, log: log, terms: objcmd.NewTerms(cfg.Settings), x: x, start: time.Now(), wake: math.MaxInt64,
-		nodes: map[exchange.ConnID]*nodeConn{}, tasks: map[choice.RequestID]*task{}, ids: map[string]*task{},
+		cfg: cfg, log: log, terms: objectcommand.NewTerms(cfg.Settings), x: x, start: time.Now(), wake: math.MaxInt64,
+		nodes: map[forwarder.ConnID]*nodeConn{}, tasks: map[dispatch.RequestID]*task{}, ids: map[string]*task{},
 		most: int(cfg.MemoryMB * heldPart * (1 << 20)), discovery: cfg.Discovery, version: cfg.Known.Version,
 	}
 	f.epoch = time.Duration(f.start.UnixNano())
-	o := netloop.Defaults
+	o := eventloop.Defaults
 	o.Now = func() time.Duration { return time.Since(f.start) }
-	if f.loop, err = netloop.NewLoopWith(0, o); err != nil {
+	if f.loop, err = eventloop.NewLoopWith(0, o); err != nil {
 		return nil, err
 	}
-	f.flows.fresh = f.loop.Flow("new", share.Terms{Weight: 2}, nil)
-	f.flows.clients = f.loop.Flow("clients", share.Terms{Weight: 4}, nil)
-	f.flows.nodes = f.loop.Flow("nodes", share.Terms{Weight: 16}, nil)
+	f.flows.fresh = f.loop.Flow("new", fairshare.Terms{Weight: 2}, nil)
+	f.flows.clients = f.loop.Flow("clients", fairshare.Terms{Weight: 4}, nil)
+	f.flows.nodes = f.loop.Flow("nodes", fairshare.Terms{Weight: 16}, nil)
 	ln, err := net.Listen("tcp", cfg.Listen.String())
 	if err != nil {
 		return nil, err
 	}
 	defer ln.Close()
-	fd, err := netloop.Detach(ln.(*net.TCPListener))
+	fd, err := eventloop.Detach(ln.(*net.TCPListener))
 	if err != nil {
 		return nil, err
 	}
@@ -116,15 +116,15 @@
 
 // Run serves until Stop has let it end.
 func (f *Front) Run() error {
-	f.tell(exchange.Nodes{Kind: choice.Persisted, Nodes: f.cfg.Known.Nodes})
+	f.tell(forwarder.Nodes{Kind: dispatch.Persisted, Nodes: f.cfg.Known.Nodes})
 	return f.loop.Run()
 }
 
 // now is the time by the Unix clock at the start, and steady from there.
 func (f *Front) now() time.Duration { return f.epoch + time.Since(f.start) }
 
-// tell hands an event to the exchange and does what it says, in order.
-func (f *Front) tell(ev exchange.Event) {
+// tell hands an event to the forwarder and does what it says, in order.
+func (f *Front) tell(ev forwarder.Event) {
 	f.inbox = append(f.inbox, ev)
 	if f.busy {
 		return
@@ -139,29 +139,29 @@
 	f.inbox, f.busy = f.inbox[:0], false
 }
 
-func (f *Front) do(a exchange.Action) {
+func (f *Front) do(a forwarder.Action) {
 	switch a := a.(type) {
-	case exchange.Dial:
+	case forwarder.Dial:
 		f.dial(a)
-	case exchange.Send:
+	case forwarder.Send:
 		if k, t := f.nodes[a.Conn], f.tasks[a.ID]; k != nil && t != nil {
 			k.send(t, a)
 		}
-	case exchange.Close:
+	case forwarder.Close:
 		if k := f.nodes[a.Conn]; k != nil {
 			delete(f.nodes, a.Conn)
 			k.c.Close()
 		}
-	case exchange.Deliver:
+	case forwarder.Deliver:
 		if t, k := f.tasks[a.ID], f.nodes[a.Conn]; t != nil && k != nil {
 			f.scratch = resp.AppendBulk(f.scratch[:0], k.value)
 			f.finish(t, f.scratch)
 		}
-	case exchange.Refuse:
+	case forwarder.Refuse:
 		if t := f.tasks[a.ID]; t != nil {
 			f.finish(t, f.busyAnswer(a.After))
 		}
-	case exchange.Fail:
+	case forwarder.Fail:
 		if t := f.tasks[a.ID]; t != nil {
 			text := "ERR failed"
 			if a.Late {
@@ -170,9 +170,9 @@
 			f.scratch = resp.AppendLine(f.scratch[:0], resp.Failure, text)
 			f.finish(t, f.scratch)
 		}
-	case exchange.SetTimer:
+	case forwarder.SetTimer:
 		f.wake = a.At
-	case exchange.Ask:
+	case forwarder.Ask:
 		f.ask()
 	}
 }
@@ -221,12 +221,12 @@
 		if f.nodes[k.id] == k && !k.opened {
 			delete(f.nodes, k.id)
 			k.c.Close()
-			f.tell(exchange.Dialed{Conn: k.id})
+			f.tell(forwarder.Dialed{Conn: k.id})
 		}
 	}
 	if now >= f.wake {
 		f.wake = math.MaxInt64
-		f.tell(exchange.Fired{})
+		f.tell(forwarder.Fired{})
 	}
 	if now >= f.sweepAt {
 		f.sweepAt = now + sweepEvery
@@ -243,7 +243,7 @@
 
 // Bounds of a watch. A change counts as told 6 s after discovery had it and could be reached, and 6 s
 // after a watch fell silent that would have told it. Discovery answers within 2 s or not at all, and
-// an empty line is due every 2 s; choice pauses for 0.75 s at most before the first call after a watch
+// an empty line is due every 2 s; the dispatcher pauses for 0.75 s at most before the first call after a watch
 // that had told something, and for 3 s at most before any.
 const (
 	discoveryAnswer  = 2500 * time.Millisecond
@@ -258,14 +258,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &watch{cancel: cancel}
 	f.watch = w
-	discover.Watch(ctx, f.discovery.String(), f.version, discover.Options{Names: f.cfg.names(), Answer: discoveryAnswer, Silence: discoverySilence},
-		func(d targets.Document) { f.loop.Do(func() { f.listed(w, d) }) },
+	discovery.Watch(ctx, f.discovery.String(), f.version, discovery.Options{Names: f.cfg.names(), Answer: discoveryAnswer, Silence: discoverySilence},
+		func(d endpoints.Document) { f.loop.Do(func() { f.listed(w, d) }) },
 		func(err error) { f.loop.Do(func() { f.watchEnded(w, err) }) })
 }
 
 // listed takes a document. One of an older version than what is known tells of the past,
 // unless it is the whole list at an address that has told nothing before.
-func (f *Front) listed(w *watch, d targets.Document) {
+func (f *Front) listed(w *watch, d endpoints.Document) {
 	if w != f.watch && w != f.old {
 		return
 	}
@@ -280,11 +280,11 @@
 		return
 	}
 	f.version = d.Version
-	kind := choice.Changes
+	kind := dispatch.Changes
 	if d.Full {
-		kind = choice.Complete
+		kind = dispatch.Complete
 	}
-	f.tell(exchange.Nodes{Kind: kind, Nodes: d.Nodes})
+	f.tell(forwarder.Nodes{Kind: kind, Nodes: d.Nodes})
 }
 
 func (f *Front) watchEnded(w *watch, err error) {
@@ -295,7 +295,7 @@
 	case f.watch:
 		f.watch = nil
 		f.log.Info("watch of discovery ended", zap.Error(err))
-		f.tell(exchange.Nodes{Kind: choice.Failed})
+		f.tell(forwarder.Nodes{Kind: dispatch.Failed})
 	}
 }
 
@@ -389,7 +389,7 @@
 		for _, e := range slices.Clone(cl.queue) {
 			if t := e.task; t != nil && !e.done {
 				f.finish(t, resp.AppendLine(nil, resp.Failure, "ERR failed: the dispatcher ends"))
-				f.tell(exchange.Abandon{ID: t.id})
+				f.tell(forwarder.Abandon{ID: t.id})
 			}
 		}
 	}
--- a/relayfront/front_test.go
+++ b/respserver/server_test.go
@@ -1,9 +1,10 @@
-package relayfront_test
+package respserver_test
 
 import (
 	"bufio"
-	"chalkstand/relayfront"
-	"chalkstand/standin/relay"
+	fakediscovery "chalkstand/fake/discovery"
+	"chalkstand/fake/respnode"
+	"chalkstand/respserver"
 	"fmt"
 	"net"
 	"os"
@@ -20,10 +21,10 @@
 // world is a dispatcher between clients, a node and discovery.
 type world struct {
 	t    *testing.T
-	f    *relayfront.Front
-	cfg  relayfront.Config
-	node *relay.Node
-	disc *relay.Discovery
+	f    *respserver.Front
+	cfg  respserver.Config
+	node *respnode.Node
+	disc *fakediscovery.Discovery
 	end  chan error
 	ids  int
 }
@@ -44,11 +45,11 @@
 	t.Helper()
 	w := &world{t: t, end: make(chan error, 1)}
 	var err error
-	if w.node, err = relay.StartNode(); err != nil {
+	if w.node, err = respnode.StartNode(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.node.Stop)
-	if w.disc, err = relay.StartDiscovery(); err != nil {
+	if w.disc, err = fakediscovery.StartDiscovery(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.disc.Stop)
@@ -58,11 +59,11 @@
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	known := relay.List(41, true, relay.Entry{ID: "s1", Addr: w.node.Addr(), State: "Ready"})
-	if w.cfg, err = relayfront.ParseConfig([]byte(configText(addr, w.disc.Addr(), known, sockets))); err != nil {
+	known := fakediscovery.List(41, true, fakediscovery.Entry{ID: "s1", Addr: w.node.Addr(), State: "Ready"})
+	if w.cfg, err = respserver.ParseConfig([]byte(configText(addr, w.disc.Addr(), known, sockets))); err != nil {
 		t.Fatal(err)
 	}
-	if w.f, err = relayfront.New(w.cfg, zap.NewNop()); err != nil {
+	if w.f, err = respserver.New(w.cfg, zap.NewNop()); err != nil {
 		t.Fatal(err)
 	}
 	go func() { w.end <- w.f.Run() }()
@@ -103,7 +104,7 @@
 
 func (c *client) expect(prefix string) {
 	c.t.Helper()
-	if got, err := relay.ReadAnswer(c.in); err != nil || !strings.HasPrefix(got, prefix) {
+	if got, err := respnode.ReadAnswer(c.in); err != nil || !strings.HasPrefix(got, prefix) {
 		c.t.Errorf("answered %q (%v), want %q", got, err, prefix)
 	}
 }
@@ -126,26 +127,26 @@
 	return fmt.Sprintf("%016x", w.ids)
 }
 
-func get(id string) string { return relay.Command("OBJ.GET", piece, id, fields()) }
+func get(id string) string { return respnode.Command("OBJ.GET", piece, id, fields()) }
 func answer(id string) string {
-	return "$" + relay.Value([]string{"OBJ.GET", piece, id})
+	return "$" + respnode.Value([]string{"OBJ.GET", piece, id})
 }
 
 func put(id, body string) string {
-	return relay.Command("OBJ.PUT", piece, id, fields("c", "c=write,k=5c0f6e1a2b3d4c59"), body)
+	return respnode.Command("OBJ.PUT", piece, id, fields("c", "c=write,k=5c0f6e1a2b3d4c59"), body)
 }
 
 func TestOnePathThere(t *testing.T) {
 	w := start(t, 256)
 	c := w.client()
-	c.say(relay.Command("PING") + relay.Command("CLIENT", "SETNAME", "x") + relay.Command("SELECT", "0") + relay.Command("HELLO", "3"))
+	c.say(respnode.Command("PING") + respnode.Command("CLIENT", "SETNAME", "x") + respnode.Command("SELECT", "0") + respnode.Command("HELLO", "3"))
 	for _, want := range []string{"+PONG", "+OK", "+OK", "-ERR"} {
 		c.expect(want)
 	}
 	c.say(get("1"))
 	c.expect(answer("1"))
 	c.say(put("2", strings.Repeat("b", 64<<10)))
-	c.expect("$" + relay.Value([]string{"", piece, "2"}))
+	c.expect("$" + respnode.Value([]string{"", piece, "2"}))
 	seen, _ := w.node.Seen()
 	if len(seen) != 2 || len(seen[1].Words[4]) != 64<<10 || seen[1].Words[0] != "OBJ.PUT" {
 		t.Fatalf("%d commands at the node", len(seen))
@@ -163,13 +164,13 @@
 func TestPipelinedAnswersInOrder(t *testing.T) {
 	w := start(t, 256)
 	c := w.client()
-	w.node.Then(relay.Order{Hang: true}, relay.Order{})
+	w.node.Then(respnode.Order{Hang: true}, respnode.Order{})
 	// One that must not run twice: a read would be sent again once the next has overtaken it.
-	c.say(relay.Command("OBJ.PUT", piece, "slow", fields("c", "c=write", "d", "d=400"), "body"))
+	c.say(respnode.Command("OBJ.PUT", piece, "slow", fields("c", "c=write", "d", "d=400"), "body"))
 	if err := w.node.Await(1, patience); err != nil {
 		t.Fatal(err)
 	}
-	c.say(get("quick") + relay.Command("PING"))
+	c.say(get("quick") + respnode.Command("PING"))
 	if err := w.node.Await(2, patience); err != nil {
 		t.Fatal(err)
 	}
@@ -182,28 +183,28 @@
 func TestBadRequests(t *testing.T) {
 	w := start(t, 256)
 	for _, bad := range []string{
-		relay.Command("OBJ.GET", piece, "", fields()),
-		relay.Command("OBJ.GET", "short", w.id(), fields()),
-		relay.Command("OBJ.GET", piece, w.id(), fields("c", "c=none")),
-		relay.Command("OBJ.GET", piece, w.id(), fields("c", "c=write")),
-		relay.Command("OBJ.GET", piece, w.id(), fields("t", "t=none")),
-		relay.Command("OBJ.GET", piece, w.id(), fields("d", "d=soon")),
-		relay.Command("OBJ.GET", piece, w.id(), fields("d", "d=-5")),
-		relay.Command("OBJ.GET", piece, w.id(), fields("d", "d=NaN")),
-		relay.Command("OBJ.GET", piece, w.id(), fields("volume", "volume=1")),
-		relay.Command("OBJ.GET", piece, w.id(), fields("units", "units=9")),
-		relay.Command("OBJ.GET", piece, w.id(), fields("units", "units=0")),
-		relay.Command("OBJ.GET", piece, w.id(), fields("shard", "shard=2")),
-		relay.Command("OBJ.GET", piece, w.id(), fields("hosts", "hosts=0")),
-		relay.Command("OBJ.GET", piece, w.id(), fields()+",c=read"),
-		relay.Command("OBJ.GET", piece, w.id(), "c=read,t=gold"),
-		relay.Command("OBJ.GET", piece, w.id()),
-		relay.Command("OBJ.DEL", piece),
+		respnode.Command("OBJ.GET", piece, "", fields()),
+		respnode.Command("OBJ.GET", "short", w.id(), fields()),
+		respnode.Command("OBJ.GET", piece, w.id(), fields("c", "c=none")),
+		respnode.Command("OBJ.GET", piece, w.id(), fields("c", "c=write")),
+		respnode.Command("OBJ.GET", piece, w.id(), fields("t", "t=none")),
+		respnode.Command("OBJ.GET", piece, w.id(), fields("d", "d=soon")),
+		respnode.Command("OBJ.GET", piece, w.id(), fields("d", "d=-5")),
+		respnode.Command("OBJ.GET", piece, w.id(), fields("d", "d=NaN")),
+		respnode.Command("OBJ.GET", piece, w.id(), fields("volume", "volume=1")),
+		respnode.Command("OBJ.GET", piece, w.id(), fields("units", "units=9")),
+		respnode.Command("OBJ.GET", piece, w.id(), fields("units", "units=0")),
+		respnode.Command("OBJ.GET", piece, w.id(), fields("shard", "shard=2")),
+		respnode.Command("OBJ.GET", piece, w.id(), fields("hosts", "hosts=0")),
+		respnode.Command("OBJ.GET", piece, w.id(), fields()+",c=read"),
+		respnode.Command("OBJ.GET", piece, w.id(), "c=read,t=gold"),
+		respnode.Command("OBJ.GET", piece, w.id()),
+		respnode.Command("OBJ.DEL", piece),
 	} {
 		c := w.client()
 		c.say(bad)
 		c.expect("-ERR ")
-		c.say(relay.Command("PING"))
+		c.say(respnode.Command("PING"))
 		c.expect("+PONG")
 	}
 	if seen, _ := w.node.Seen(); len(seen) > 0 {
@@ -235,7 +236,7 @@
 // The id of an open request is refused to another, and the first is not disturbed.
 func TestIDOfAnOpenRequest(t *testing.T) {
 	w := start(t, 256)
-	w.node.Usually(relay.Order{Wait: 100 * time.Millisecond})
+	w.node.Usually(respnode.Order{Wait: 100 * time.Millisecond})
 	a, b := w.client(), w.client()
 	a.say(get("same"))
 	if err := w.node.Await(1, patience); err != nil {
@@ -255,7 +256,7 @@
 			w := start(t, 256)
 			c := w.client()
 			for i := range 20 {
-				w.node.Then(relay.Order{After: after})
+				w.node.Then(respnode.Order{After: after})
 				id := fmt.Sprint(i)
 				c.say(get(id))
 				c.expect(answer(id))
@@ -278,10 +279,10 @@
 		t.Run(name, func(t *testing.T) {
 			w := start(t, 256)
 			c := w.client()
-			w.node.Then(relay.Order{Say: say})
+			w.node.Then(respnode.Order{Say: say})
 			c.say(get("1"))
 			c.expect(answer("1"))
-			w.node.Then(relay.Order{Say: say})
+			w.node.Then(respnode.Order{Say: say})
 			c.say(put("2", "body"))
 			c.expect("-ERR")
 			if seen, _ := w.node.Seen(); len(seen) != 3 {
@@ -296,7 +297,7 @@
 	w := start(t, 256)
 	c := w.client()
 	for i, say := range []string{"*3\r\n%v$-1\r\n$-1\r\n", "*3\r\n%v$9\r\nused=many\r\n$2\r\n==\r\n", "*3\r\n%v$20\r\nused=NaN,cost=-1e99,\r\n$14\r\ninflight=seven\r\n"} {
-		w.node.Then(relay.Order{Say: say})
+		w.node.Then(respnode.Order{Say: say})
 		id := fmt.Sprint(i)
 		c.say(get(id))
 		c.expect(answer(id))
@@ -307,16 +308,16 @@
 func TestFurtherAttempts(t *testing.T) {
 	w := start(t, 256)
 	c := w.client()
-	w.node.Then(relay.Order{Say: "-BUSY\r\n"})
+	w.node.Then(respnode.Order{Say: "-BUSY\r\n"})
 	c.say(put("1", "x"))
 	c.expect("$")
-	w.node.Then(relay.Order{Close: true})
+	w.node.Then(respnode.Order{Close: true})
 	c.say(get("2"))
 	c.expect("$")
-	w.node.Then(relay.Order{Say: "-ERR failed used=3 inflight=1,queue=0\r\n"})
+	w.node.Then(respnode.Order{Say: "-ERR failed used=3 inflight=1,queue=0\r\n"})
 	c.say(put("3", "x"))
 	c.expect("-ERR failed")
-	w.node.Then(relay.Order{Close: true})
+	w.node.Then(respnode.Order{Close: true})
 	c.say(put("4", "x"))
 	c.expect("-ERR failed")
 	if seen, _ := w.node.Seen(); len(seen) != 6 {
@@ -360,12 +361,12 @@
 // its new place from the version that is known.
 func TestDiscovery(t *testing.T) {
 	w := start(t, 256)
-	second, err := relay.StartNode()
+	second, err := respnode.StartNode()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(second.Stop)
-	told := func(d *relay.Discovery, line string) {
+	told := func(d *fakediscovery.Discovery, line string) {
 		t.Helper()
 		for end := time.Now().Add(patience); d.Tell(line) == 0; time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
@@ -373,14 +374,14 @@
 			}
 		}
 	}
-	reaches := func(n *relay.Node) {
+	reaches := func(n *respnode.Node) {
 		t.Helper()
 		before, _ := n.Seen()
 		for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
 			id := w.id()
 			c := w.client()
 			c.say(get(id))
-			relay.ReadAnswer(c.in)
+			respnode.ReadAnswer(c.in)
 			if now, _ := n.Seen(); len(now) > len(before) {
 				return
 			}
@@ -391,13 +392,13 @@
 	}
 	reaches(w.node)
 	told(w.disc, "")
-	told(w.disc, relay.List(42, false, relay.Entry{ID: "s1", Addr: w.node.Addr(), State: "Terminating"}, relay.Entry{ID: "s2", Addr: second.Addr(), State: "Ready"}))
+	told(w.disc, fakediscovery.List(42, false, fakediscovery.Entry{ID: "s1", Addr: w.node.Addr(), State: "Terminating"}, fakediscovery.Entry{ID: "s2", Addr: second.Addr(), State: "Ready"}))
 	reaches(second)
-	told(w.disc, relay.List(7, false, relay.Entry{ID: "s2", Addr: second.Addr(), State: "Gone"})) // of the past
+	told(w.disc, fakediscovery.List(7, false, fakediscovery.Entry{ID: "s2", Addr: second.Addr(), State: "Gone"})) // of the past
 	reaches(second)
 	w.disc.Fail(1)
 	told(w.disc, "{bad")
-	moved, err := relay.StartDiscovery()
+	moved, err := fakediscovery.StartDiscovery()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -406,12 +407,12 @@
 	if err := os.WriteFile(file, []byte(configText(w.cfg.Listen.String(), moved.Addr(), "null", 256)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	next, err := relayfront.LoadConfig(file)
+	next, err := respserver.LoadConfig(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.f.Reload(next)
-	told(moved, relay.List(43, true, relay.Entry{ID: "s1", Addr: w.node.Addr(), State: "Ready", StartedMS: 1}))
+	told(moved, fakediscovery.List(43, true, fakediscovery.Entry{ID: "s1", Addr: w.node.Addr(), State: "Ready", StartedMS: 1}))
 	reaches(w.node)
 	if calls := moved.Calls(); len(calls) != 1 || calls[0] != "42" {
 		t.Errorf("asked from %q, want 42", calls)
@@ -421,9 +422,9 @@
 // A planned end answers what was taken, serves those who still come, and ends.
 func TestPlannedEnd(t *testing.T) {
 	w := start(t, 256)
-	w.node.Usually(relay.Order{Wait: 700 * time.Millisecond})
+	w.node.Usually(respnode.Order{Wait: 700 * time.Millisecond})
 	c, idle := w.client(), w.client()
-	idle.say(relay.Command("PING"))
+	idle.say(respnode.Command("PING"))
 	idle.expect("+PONG")
 	c.say(get("before"))
 	if err := w.node.Await(1, patience); err != nil {
@@ -445,7 +446,7 @@
 // A wrong configuration is told by its field.
 func TestBadConfigurations(t *testing.T) {
 	good := configText("127.0.0.1:1", "127.0.0.1:2", "null", 256)
-	if _, err := relayfront.ParseConfig([]byte(good)); err != nil {
+	if _, err := respserver.ParseConfig([]byte(good)); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range [][3]string{
@@ -459,12 +460,12 @@
 		{`"policies":[`, `"none":[`, "Plans"},
 		{`{"name"`, `["name"`, "JSON"},
 	} {
-		_, err := relayfront.ParseConfig([]byte(strings.Replace(good, c[0], c[1], 1)))
+		_, err := respserver.ParseConfig([]byte(strings.Replace(good, c[0], c[1], 1)))
 		if err == nil || !strings.Contains(err.Error(), c[2]) {
 			t.Errorf("%s in the place of %s: %v", c[1], c[0], err)
 		}
 	}
-	if _, err := relayfront.LoadConfig(filepath.Join(t.TempDir(), "none.json")); err == nil {
+	if _, err := respserver.LoadConfig(filepath.Join(t.TempDir(), "none.json")); err == nil {
 		t.Error("a missing file is no error")
 	}
 }
--- a/trace/fixtures_test.go
+++ b/trace/fixtures_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"bytes"
-	"chalkstand/choice"
+	"chalkstand/dispatch"
 	"encoding/json"
 	"os"
 	"path/filepath"
@@ -61,7 +61,7 @@
 	t.Helper()
 	header, rest, _ := bytes.Cut(lines, []byte("\n"))
 	h := decodeLine[headerRecord](t, header)
-	d, err := choice.New(h.Config.decode(), h.Seed)
+	d, err := dispatch.New(h.Config.decode(), h.Seed)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/trace/record.go
+++ b/trace/record.go
@@ -1,7 +1,7 @@
 package trace
 
 import (
-	"chalkstand/choice"
+	"chalkstand/dispatch"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -149,7 +149,7 @@
 	return bs
 }
 
-func encodeConfig(c *choice.Config) configRecord {
+func encodeConfig(c *dispatch.Config) configRecord {
 	return configRecord{
 		Me:            c.Me,
 		Peers:         c.Peers,
@@ -174,8 +174,8 @@
 	}
 }
 
-func (r *configRecord) decode() choice.Config {
-	return choice.Config{
+func (r *configRecord) decode() dispatch.Config {
+	return dispatch.Config{
 		Me:            r.Me,
 		Peers:         r.Peers,
 		Cancel:        r.Cancel,
@@ -187,19 +187,19 @@
 		Plans:         convert(r.Plans, planRecord.decode),
 		UsualUnits:    r.UsualUnits,
 		LargestUnits:  r.LargestUnits,
-		Cold: choice.ColdRule{
+		Cold: dispatch.ColdRule{
 			From:       r.Cold.From,
 			WarmUp:     r.Cold.WarmUp,
 			Multiple:   r.Cold.Multiple,
 			Span:       r.Cold.Span,
 			YoungLimit: r.Cold.YoungLimit,
 		},
-		Budget: choice.BudgetRule{Free: r.Budget.Free, Ratio: r.Budget.Ratio, Span: r.Budget.Span},
+		Budget: dispatch.BudgetRule{Free: r.Budget.Free, Ratio: r.Budget.Ratio, Span: r.Budget.Span},
 		Settle: r.Settle,
 	}
 }
 
-func encodeClass(c choice.Class) classRecord {
+func encodeClass(c dispatch.Class) classRecord {
 	return classRecord{
 		Name:     c.Name,
 		Aim:      c.Aim,
@@ -212,20 +212,20 @@
 	}
 }
 
-func (r classRecord) decode() choice.Class {
-	return choice.Class{
+func (r classRecord) decode() dispatch.Class {
+	return dispatch.Class{
 		Name:     r.Name,
 		Aim:      r.Aim,
 		Deadline: r.Deadline,
 		Worth:    r.Worth,
-		Effect:   choice.Effect(r.Effect),
-		Group:    choice.Group(r.Group),
+		Effect:   dispatch.Effect(r.Effect),
+		Group:    dispatch.Group(r.Group),
 		Window:   r.Window,
 		InTurn:   r.InTurn,
 	}
 }
 
-func encodePlan(p choice.Plan) planRecord {
+func encodePlan(p dispatch.Plan) planRecord {
 	return planRecord{
 		Name:    p.Name,
 		Reserve: p.Reserve,
@@ -237,8 +237,8 @@
 	}
 }
 
-func (r planRecord) decode() choice.Plan {
-	return choice.Plan{
+func (r planRecord) decode() dispatch.Plan {
+	return dispatch.Plan{
 		Name:    r.Name,
 		Reserve: r.Reserve,
 		Weight:  r.Weight,
@@ -249,7 +249,7 @@
 	}
 }
 
-func encodeNode(n choice.Node) nodeRecord {
+func encodeNode(n dispatch.Node) nodeRecord {
 	return nodeRecord{
 		ID:      string(n.ID),
 		Zone:    n.Zone,
@@ -260,18 +260,18 @@
 	}
 }
 
-func (r nodeRecord) decode() choice.Node {
-	return choice.Node{
-		ID:      choice.NodeID(r.ID),
+func (r nodeRecord) decode() dispatch.Node {
+	return dispatch.Node{
+		ID:      dispatch.NodeID(r.ID),
 		Zone:    r.Zone,
 		Kind:    r.Kind,
-		Shard:   choice.Shard(r.Shard),
-		State:   choice.NodeState(r.State),
+		Shard:   dispatch.Shard(r.Shard),
+		State:   dispatch.NodeState(r.State),
 		Started: r.Started,
 	}
 }
 
-func encodeRequest(q *choice.Request) *requestRecord {
+func encodeRequest(q *dispatch.Request) *requestRecord {
 	return &requestRecord{
 		ID:     uint64(q.ID),
 		Class:  q.Class,
@@ -285,21 +285,21 @@
 	}
 }
 
-func (r *requestRecord) decode() choice.Request {
-	return choice.Request{
-		ID:     choice.RequestID(r.ID),
+func (r *requestRecord) decode() dispatch.Request {
+	return dispatch.Request{
+		ID:     dispatch.RequestID(r.ID),
 		Class:  r.Class,
 		Plan:   r.Plan,
-		Volume: choice.VolumeID(r.Volume),
+		Volume: dispatch.VolumeID(r.Volume),
 		Key:    r.Key,
-		Shard:  choice.Shard(r.Shard),
+		Shard:  dispatch.Shard(r.Shard),
 		Units:  r.Units,
 		Hosts:  r.Hosts,
 		Left:   r.Left,
 	}
 }
 
-func encodeOutcome(o *choice.Outcome) *outcomeRecord {
+func encodeOutcome(o *dispatch.Outcome) *outcomeRecord {
 	return &outcomeRecord{
 		ID:        uint64(o.ID),
 		Attempt:   o.Attempt,
@@ -313,12 +313,12 @@
 	}
 }
 
-func (r *outcomeRecord) decode() choice.Outcome {
-	return choice.Outcome{
-		ID:        choice.RequestID(r.ID),
+func (r *outcomeRecord) decode() dispatch.Outcome {
+	return dispatch.Outcome{
+		ID:        dispatch.RequestID(r.ID),
 		Attempt:   r.Attempt,
-		Node:      choice.NodeID(r.Node),
-		Status:    choice.Status(r.Status),
+		Node:      dispatch.NodeID(r.Node),
+		Status:    dispatch.Status(r.Status),
 		Concluded: r.Concluded,
 		Took:      r.Took,
 		Use:       r.Use,
@@ -328,20 +328,20 @@
 }
 
 // encodeEvent returns the record of an event and of the actions that answered it.
-func encodeEvent(now time.Duration, ev choice.Event, actions []choice.Action) eventRecord {
+func encodeEvent(now time.Duration, ev dispatch.Event, actions []dispatch.Action) eventRecord {
 	r := eventRecord{Now: now, Actions: renderActions(actions)}
 	switch e := ev.(type) {
-	case choice.NodeList:
+	case dispatch.NodeList:
 		r.List = &listRecord{Kind: int(e.Kind), Nodes: convert(e.Nodes, encodeNode)}
-	case choice.Request:
+	case dispatch.Request:
 		r.Request = encodeRequest(&e)
-	case choice.Outcome:
+	case dispatch.Outcome:
 		r.Outcome = encodeOutcome(&e)
-	case choice.Gone:
+	case dispatch.Gone:
 		r.Gone = &goneRecord{ID: uint64(e.ID)}
-	case choice.Measured:
+	case dispatch.Measured:
 		r.Measured = &measuredRecord{Volume: string(e.Volume), Node: string(e.Node), Units: e.Units}
-	case choice.Fired:
+	case dispatch.Fired:
 		r.Fired = &firedRecord{Token: e.Token}
 	}
 	return r
@@ -351,20 +351,20 @@
 var errNoEvent = errors.New("record without an event")
 
 // event returns the dispatcher's event of a record.
-func (r *eventRecord) event() (choice.Event, error) {
+func (r *eventRecord) event() (dispatch.Event, error) {
 	switch {
 	case r.List != nil:
-		return choice.NodeList{Kind: choice.ListKind(r.List.Kind), Nodes: convert(r.List.Nodes, nodeRecord.decode)}, nil
+		return dispatch.NodeList{Kind: dispatch.ListKind(r.List.Kind), Nodes: convert(r.List.Nodes, nodeRecord.decode)}, nil
 	case r.Request != nil:
 		return r.Request.decode(), nil
 	case r.Outcome != nil:
 		return r.Outcome.decode(), nil
 	case r.Gone != nil:
-		return choice.Gone{ID: choice.RequestID(r.Gone.ID)}, nil
+		return dispatch.Gone{ID: dispatch.RequestID(r.Gone.ID)}, nil
 	case r.Measured != nil:
-		return choice.Measured{Volume: choice.VolumeID(r.Measured.Volume), Node: choice.NodeID(r.Measured.Node), Units: r.Measured.Units}, nil
+		return dispatch.Measured{Volume: dispatch.VolumeID(r.Measured.Volume), Node: dispatch.NodeID(r.Measured.Node), Units: r.Measured.Units}, nil
 	case r.Fired != nil:
-		return choice.Fired{Token: r.Fired.Token}, nil
+		return dispatch.Fired{Token: r.Fired.Token}, nil
 	}
 	return nil, errNoEvent
 }
@@ -382,7 +382,7 @@
 
 // renderActions renders actions as a trace stores them. Replay compares these texts, so a
 // rendering must not change while Version stays the same.
-func renderActions(actions []choice.Action) []string {
+func renderActions(actions []dispatch.Action) []string {
 	var out []string
 	for _, a := range actions {
 		out = append(out, renderAction(a))
@@ -390,24 +390,24 @@
 	return out
 }
 
-func renderAction(a choice.Action) string {
+func renderAction(a dispatch.Action) string {
 	switch a := a.(type) {
-	case choice.Attempt:
+	case dispatch.Attempt:
 		return fmt.Sprintf("choice.Attempt{ID:%d Node:%s Until:%v Held:%s}", uint64(a.ID), string(a.Node), a.Until, renderHeld(a.Held))
-	case choice.Refuse:
+	case dispatch.Refuse:
 		return fmt.Sprintf("choice.Refuse{ID:%d After:%v Held:%s}", uint64(a.ID), a.After, renderHeld(a.Held))
-	case choice.Fail:
+	case dispatch.Fail:
 		return fmt.Sprintf("choice.Fail{ID:%d Held:%s}", uint64(a.ID), renderHeld(a.Held))
-	case choice.Cancel:
+	case dispatch.Cancel:
 		return fmt.Sprintf("choice.Cancel{ID:%d Attempt:%d}", uint64(a.ID), a.Attempt)
-	case choice.SetTimer:
+	case dispatch.SetTimer:
 		return fmt.Sprintf("choice.SetTimer{At:%v Token:%s}", a.At, a.Token)
-	case choice.Watch:
+	case dispatch.Watch:
 		return "choice.Watch{On:" + strconv.FormatBool(a.On) + "}"
 	}
 	return fmt.Sprintf("unknown action %T", a)
 }
 
-func renderHeld(h choice.Held) string {
+func renderHeld(h dispatch.Held) string {
 	return fmt.Sprintf("{Line:%v Limit:%v Cold:%v Suspect:%v}", h.Line, h.Limit, h.Cold, h.Suspect)
 }
--- a/trace/trace.go
+++ b/trace/trace.go
@@ -5,7 +5,7 @@
 
 import (
 	"bufio"
-	"chalkstand/choice"
+	"chalkstand/dispatch"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -33,8 +33,8 @@
 
 type entry struct {
 	now  time.Duration
-	ev   choice.Event
-	acts []choice.Action
+	ev   dispatch.Event
+	acts []dispatch.Action
 }
 
 // ErrFull tells that a record ended because its entries could not be written as
@@ -42,7 +42,7 @@
 var ErrFull = errors.New("trace: the queue is full; the record ends here")
 
 // NewWriter starts a record on w with a queue of so many entries.
-func NewWriter(w io.Writer, cfg choice.Config, seed uint64, queue int) (*Writer, error) {
+func NewWriter(w io.Writer, cfg dispatch.Config, seed uint64, queue int) (*Writer, error) {
 	z, err := zstd.NewWriter(w, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest))
 	if err != nil {
 		return nil, fmt.Errorf("trace: %w", err)
@@ -83,7 +83,7 @@
 }
 
 // Record notes an event and what was answered. The slices must not change after.
-func (t *Writer) Record(now time.Duration, ev choice.Event, acts []choice.Action) {
+func (t *Writer) Record(now time.Duration, ev dispatch.Event, acts []dispatch.Action) {
 	if t.ended {
 		return
 	}
@@ -145,7 +145,7 @@
 	if h.Version != Version {
 		return res, fmt.Errorf("trace: the record is of version %d, this reads %d", h.Version, Version)
 	}
-	d, err := choice.New(h.Config.decode(), h.Seed)
+	d, err := dispatch.New(h.Config.decode(), h.Seed)
 	if err != nil {
 		return res, fmt.Errorf("trace: %w", err)
 	}
