--- a/cmd/chalkstand/serve.go
+++ b/cmd/chalkstand/serve.go
@@ -181,7 +181,7 @@
 	}
 	g.SetKeys(s.Keys)
 	if old.Embedded == nil && s.Embedded == nil {
-		g.SetNodes(dispatch.Complete, gateway.NodesOf(s.Nodes))
+		g.SetNodes(dispatch.Snapshot, gateway.NodesOf(s.Nodes))
 	}
 	log.Info("settings taken over", zap.Int("keys", len(s.Keys)), zap.Int("nodes", len(s.Nodes)))
 }
@@ -225,7 +225,7 @@
 		nodes = append(nodes, n)
 		list = append(list, forwarder.Node{Addr: n.Addr(), Node: dispatch.Node{ID: dispatch.NodeID(n.ID()), Shard: dispatch.Shard(i)}})
 	}
-	g.SetNodes(dispatch.Complete, list)
+	g.SetNodes(dispatch.Snapshot, list)
 	return stop, nil
 }
 
--- a/dispatch/api.go
+++ b/dispatch/api.go
@@ -20,81 +20,81 @@
 // AnyShard is the shard of a request that any node may take.
 const AnyShard Shard = -1
 
-// Effect tells whether a request may run twice.
-type Effect int
+// Idempotency tells whether a request may run twice.
+type Idempotency int
 
 // The three kinds of effect.
 const (
-	Safe   Effect = iota // may be repeated freely
-	Keyed                // repeats are dropped within a group, for a window
-	Unsafe               // must not run twice
+	Idempotent    Idempotency = iota // may be repeated freely
+	Deduplicated                     // repeats are dropped within a group, for a window
+	NonIdempotent                    // must not run twice
 )
 
-// Group is the set of nodes that drop repeats of a keyed request.
-type Group int
+// DedupScope is the set of nodes that drop repeats of a keyed request.
+type DedupScope int
 
 // The groups, from the widest to the narrowest.
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupShard
+	DedupEverywhere DedupScope = iota
+	DedupPerZone
+	DedupPerShard
 )
 
 // Config holds the settings a dispatcher is given at start. A rule whose
 // settings are absent (zero) is off.
 type Config struct {
-	Me, Peers     int  // this dispatcher's number, and how many there are
-	Cancel        bool // attempts may be cancelled
-	AskDiscovery  bool // node lists come only when asked for
-	MaxRetryAfter time.Duration
-	MaxAttempts   int // for one request; 0: no bound
-	Round         time.Duration
+	DispatcherIndex, DispatcherCount int  // this dispatcher's number, and how many there are
+	CancelAttempts                   bool // attempts may be cancelled
+	PollDiscovery                    bool // node lists come only when asked for
+	MaxRetryAfter                    time.Duration
+	MaxAttempts                      int // for one request; 0: no bound
+	RoundTrip                        time.Duration
 
 	Classes []Class
 	Plans   []Plan
 
-	UsualUnits   float64 // mean units of a request
-	LargestUnits float64 // units of the largest request
+	MeanUnits float64 // mean units of a request
+	MaxUnits  float64 // units of the largest request
 
-	Cold   ColdRule
-	Budget BudgetRule
-	Settle time.Duration // rest of a key after an attempt that may still run
+	SlowStart   SlowStart
+	RetryBudget RetryBudget
+	Quiescence  time.Duration // rest of a key after an attempt that may still run
 }
 
 // Class is a kind of request.
 type Class struct {
-	Name          string
-	Aim, Deadline time.Duration
-	Worth         float64
-	Effect        Effect
-	Group         Group
-	Window        time.Duration
-	InTurn        bool // requests with one key run one at a time, in order
+	Name                       string
+	LatencyObjective, Deadline time.Duration
+	PriorityWeight             float64
+	Idempotency                Idempotency
+	DedupScope                 DedupScope
+	DedupWindow                time.Duration
+	Ordered                    bool // requests with one key run one at a time, in order
 }
 
 // Plan holds the figures of a volume over all dispatchers and nodes.
 type Plan struct {
-	Name                string
-	Reserve             float64 // units a second
-	Weight              float64
-	Price               float64
-	Limit, Burst, Slack float64 // Limit 0: none
+	Name                    string
+	Reserve                 float64 // units a second
+	Weight                  float64
+	Price                   float64
+	RateLimit, Burst, Slack float64 // Limit 0: none
 }
 
-// ColdRule bounds what all dispatchers may send a node that has just started.
-type ColdRule struct {
-	From       float64       // share of its capacity that a node starts with
-	WarmUp     time.Duration // it is warm after this at the latest
-	Multiple   float64       // of its present capacity that it bears
-	Span       time.Duration // for so long
-	YoungLimit float64       // units within Span that it always bears; 0: rule off
+// SlowStart bounds what all dispatchers may send a node that has just started.
+type SlowStart struct {
+	InitialCapacity float64       // share of its capacity that a node starts with
+	WarmUp          time.Duration // it is warm after this at the latest
+	OverloadFactor  float64       // of its present capacity that it bears
+	Window          time.Duration // for so long
+	InitialUnits    float64       // units within Span that it always bears; 0: rule off
 }
 
-// BudgetRule bounds attempts beyond the first: in any Span at most Free plus
+// RetryBudget bounds attempts beyond the first: in any Span at most Free plus
 // Ratio times the requests taken.
-type BudgetRule struct {
-	Free, Ratio float64
-	Span        time.Duration // 0: no budget
+type RetryBudget struct {
+	MinRetries, Ratio float64
+	Window            time.Duration // 0: no budget
 }
 
 // NodeState is what the node list says of a node.
@@ -102,7 +102,7 @@
 
 // The states of a listed node.
 const (
-	Serving NodeState = iota
+	Ready NodeState = iota
 	Draining
 	Removed
 )
@@ -120,124 +120,124 @@
 // Event is something that a dispatcher hears.
 type Event interface{ event() }
 
-// ListKind tells how a NodeList is to be applied.
-type ListKind int
+// EndpointUpdateKind tells how a NodeList is to be applied.
+type EndpointUpdateKind int
 
 // The kinds of list.
 const (
-	Changes   ListKind = iota // changed entries only
-	Complete                  // all nodes; those missing are removed
-	Persisted                 // all nodes as last held, perhaps stale
-	Failed                    // a call to discovery failed; nothing changes
+	Delta      EndpointUpdateKind = iota // changed entries only
+	Snapshot                             // all nodes; those missing are removed
+	Cached                               // all nodes as last held, perhaps stale
+	PollFailed                           // a call to discovery failed; nothing changes
 )
 
-// NodeList is news from discovery.
-type NodeList struct {
-	Kind  ListKind
+// EndpointUpdate is news from discovery.
+type EndpointUpdate struct {
+	Kind  EndpointUpdateKind
 	Nodes []Node
 }
 
 // Request is a client's request, to be answered once before Left has passed.
 type Request struct {
-	ID     RequestID
-	Class  int
-	Plan   int
-	Volume VolumeID
-	Key    string // "" : none
-	Shard  Shard
-	Units  float64
-	Hosts  int // dispatchers through which the volume's requests come
-	Left   time.Duration
+	ID          RequestID
+	Class       int
+	Plan        int
+	Volume      VolumeID
+	Key         string // "" : none
+	Shard       Shard
+	Units       float64
+	Dispatchers int // dispatchers through which the volume's requests come
+	Timeout     time.Duration
 }
 
-// Status is how an attempt ended.
-type Status int
+// AttemptResult is how an attempt ended.
+type AttemptResult int
 
 // The ends of an attempt.
 const (
-	Served Status = iota
-	Errored
-	Full          // turned away unseen
-	TimedOut      // no answer; it may have run
-	ConnectFailed // never sent
-	Dropped       // the connection broke
-	Cancelled
-	Moot // not sent
+	OK AttemptResult = iota
+	ServerError
+	Rejected        // turned away unseen
+	TimedOut        // no answer; it may have run
+	ConnectFailed   // never sent
+	ConnectionReset // the connection broke
+	Canceled
+	NotSent // not sent
 )
 
-// Report is a node's late and noisy account of its load: inflight (requests in hand) is
+// LoadReport is a node's late and noisy account of its load: inflight (requests in hand) is
 // used where it is there; other fields are ignored.
-type Report map[string]float64
-
-// Outcome is the end of one attempt.
-type Outcome struct {
-	ID        RequestID
-	Attempt   int
-	Node      NodeID
-	Status    Status
-	Concluded bool // the client has its answer
-	Took      time.Duration
-	Use       float64 // 1 + percent of the plan's rate served everywhere; 0: none
-	Elsewhere float64 // units served here for the volume through other dispatchers
-	Report    Report
+type LoadReport map[string]float64
+
+// AttemptCompleted is the end of one attempt.
+type AttemptCompleted struct {
+	ID         RequestID
+	Attempt    int
+	Node       NodeID
+	Result     AttemptResult
+	Responded  bool // the client has its answer
+	Latency    time.Duration
+	QuotaUsage float64 // 1 + percent of the plan's rate served everywhere; 0: none
+	PeerUnits  float64 // units served here for the volume through other dispatchers
+	LoadReport LoadReport
 }
 
-// Measured tells what a request that was sent turned out to cost beyond the units that it
+// CostCorrection tells what a request that was sent turned out to cost beyond the units that it
 // was taken for; below 0: short of them.
-type Measured struct {
+type CostCorrection struct {
 	Volume VolumeID
 	Node   NodeID
 	Units  float64
 }
 
-// Gone tells that the client has left.
-type Gone struct{ ID RequestID }
+// ClientCanceled tells that the client has left.
+type ClientCanceled struct{ ID RequestID }
 
-// Fired is a timer that the dispatcher has set.
-type Fired struct{ Token string }
+// TimerFired is a timer that the dispatcher has set.
+type TimerFired struct{ Token string }
 
-func (NodeList) event() {}
-func (Request) event()  {}
-func (Outcome) event()  {}
-func (Gone) event()     {}
-func (Measured) event() {}
-func (Fired) event()    {}
+func (EndpointUpdate) event()   {}
+func (Request) event()          {}
+func (AttemptCompleted) event() {}
+func (ClientCanceled) event()   {}
+func (CostCorrection) event()   {}
+func (TimerFired) event()       {}
 
 // Action is something that a dispatcher wants done, in the order given.
 type Action interface{ action() }
 
-// Held tells for what a request was held at nodes since it was taken or its last
+// QueueTime tells for what a request was held at nodes since it was taken or its last
 // attempt ended. What is left of that time is its key's turn or its pause.
-type Held struct {
-	Line    time.Duration // the node's places were taken
-	Limit   time.Duration // its volume's limit
-	Cold    time.Duration // the guard of a cold node
-	Suspect time.Duration // the pause of a suspect node
+type QueueTime struct {
+	Concurrency time.Duration // the node's places were taken
+	RateLimit   time.Duration // its volume's limit
+	SlowStart   time.Duration // the guard of a cold node
+	Ejected     time.Duration // the pause of a suspect node
 }
 
-// Attempt sends a request to a node; it ends at the client's deadline or Until.
-type Attempt struct {
-	ID    RequestID
-	Node  NodeID
-	Until time.Duration // 0: when the client gives up
-	Held  Held
+// SendAttempt sends a request to a node; it ends at the client's deadline or Until.
+type SendAttempt struct {
+	ID        RequestID
+	Node      NodeID
+	Deadline  time.Duration // 0: when the client gives up
+	QueueTime QueueTime
 }
 
-// Refuse is a final answer: trying again is harmless, after After.
-type Refuse struct {
-	ID    RequestID
-	After time.Duration
-	Held  Held
+// Reject is a final answer: trying again is harmless, after After.
+type Reject struct {
+	ID         RequestID
+	RetryAfter time.Duration
+	QueueTime  QueueTime
 }
 
 // Fail is a final answer that promises nothing.
 type Fail struct {
-	ID   RequestID
-	Held Held
+	ID        RequestID
+	QueueTime QueueTime
 }
 
-// Cancel stops waiting for an attempt.
-type Cancel struct {
+// CancelAttempt stops waiting for an attempt.
+type CancelAttempt struct {
 	ID      RequestID
 	Attempt int
 }
@@ -251,9 +251,9 @@
 // Watch asks discovery for changes from now on.
 type Watch struct{ On bool }
 
-func (Attempt) action()  {}
-func (Refuse) action()   {}
-func (Fail) action()     {}
-func (Cancel) action()   {}
-func (SetTimer) action() {}
-func (Watch) action()    {}
+func (SendAttempt) action()   {}
+func (Reject) action()        {}
+func (Fail) action()          {}
+func (CancelAttempt) action() {}
+func (SetTimer) action()      {}
+func (Watch) action()         {}
--- a/dispatch/astray_test.go
+++ b/dispatch/astray_test.go
@@ -4,7 +4,7 @@
 
 func cancels(acts []Action) (ids []RequestID) {
 	for _, a := range acts {
-		if c, ok := a.(Cancel); ok {
+		if c, ok := a.(CancelAttempt); ok {
 			ids = append(ids, c.ID)
 		}
 	}
@@ -15,7 +15,7 @@
 func warm(r *rig) {
 	for range 4 {
 		id, _ := r.ask(Request{Shard: 0, Plan: 1})
-		r.end(id, 0, Served)
+		r.end(id, 0, OK)
 	}
 }
 
@@ -27,7 +27,7 @@
 	r.at(1 * ms)
 	later, _ := r.ask(Request{Shard: 0, Plan: 1})
 	r.at(5 * ms)
-	r.end(later, 0, Served)
+	r.end(later, 0, OK)
 	r.at(400 * ms)
 	for range 2 {
 		id, acts := r.ask(Request{Shard: 0, Plan: 1})
@@ -43,7 +43,7 @@
 	r.at(1 * ms)
 	later, _ := r.ask(Request{Shard: 0, Plan: 1})
 	r.at(150 * ms)
-	acts := r.do(Outcome{ID: later, Status: Served, Concluded: true, Took: 150 * ms})
+	acts := r.do(AttemptCompleted{ID: later, Result: OK, Responded: true, Latency: 150 * ms})
 	if got := cancels(acts); len(got) > 0 {
 		t.Errorf("gave up %v behind a slow answer", got)
 	}
@@ -61,7 +61,7 @@
 	}{{testConfig().Classes[0], true}, {testConfig().Classes[1], true}, {testConfig().Classes[2], false}} {
 		cfg := testConfig()
 		cfg.Classes[0] = c.class
-		cfg.Classes[0].InTurn = false
+		cfg.Classes[0].Ordered = false
 		r := newRig(t, cfg)
 		warm(r)
 		lost, _ := r.ask(Request{Shard: 0, Plan: 1})
@@ -69,7 +69,7 @@
 		later, acts := r.ask(Request{Shard: 0, Plan: 1})
 		want(t, "a second", acts, later, "sent")
 		r.at(5 * ms)
-		acts = r.end(later, 0, Served)
+		acts = r.end(later, 0, OK)
 		if got := cancels(acts); (len(got) == 1 && got[0] == lost) != c.want {
 			t.Errorf("%s: given up %v, want %v", c.class.Name, got, c.want)
 		}
@@ -78,15 +78,15 @@
 		}
 		again, _ := r.ask(Request{Shard: 0, Plan: 1})
 		r.at(5 * ms)
-		if got := cancels(r.end(again, 0, Served)); len(got) > 0 {
+		if got := cancels(r.end(again, 0, OK)); len(got) > 0 {
 			t.Errorf("%s: given up twice", c.class.Name)
 		}
 		before := r.d.lost
-		r.end(lost, 0, Cancelled)
+		r.end(lost, 0, Canceled)
 		want(t, "the second attempt", r.at(1*ms), lost, "sent")
 		id, _ := r.ask(Request{Shard: 0, Plan: 1})
 		r.at(5 * ms)
-		r.end(id, 0, Served)
+		r.end(id, 0, OK)
 		if r.d.lost <= before {
 			t.Errorf("%s: the answer does not count as lost", c.class.Name)
 		}
@@ -96,14 +96,14 @@
 // Beyond the budget an overtaken attempt stays out: given up, it could only fail.
 func TestOvertakenAttemptStaysBeyondBudget(t *testing.T) {
 	cfg := testConfig()
-	cfg.Budget.Free, cfg.Budget.Ratio = 0, 0
+	cfg.RetryBudget.MinRetries, cfg.RetryBudget.Ratio = 0, 0
 	r := newRig(t, cfg)
 	warm(r)
 	r.ask(Request{Shard: 0, Plan: 1})
 	r.at(60 * ms)
 	later, _ := r.ask(Request{Shard: 0, Plan: 1})
 	r.at(5 * ms)
-	if got := cancels(r.end(later, 0, Served)); len(got) > 0 {
+	if got := cancels(r.end(later, 0, OK)); len(got) > 0 {
 		t.Errorf("given up: %v", got)
 	}
 }
--- a/dispatch/check.go
+++ b/dispatch/check.go
@@ -1,3 +1,5 @@
+// The check of the settings that a dispatcher is given.
+
 package dispatch
 
 import (
@@ -9,26 +11,28 @@
 // check refuses settings that make no sense, naming the field.
 func check(cfg Config) error {
 	switch {
-	case cfg.Peers < 1:
+	case cfg.DispatcherCount < 1:
 		return errors.New("Peers: want at least 1")
-	case cfg.Me < 0 || cfg.Me >= cfg.Peers:
-		return fmt.Errorf("Me: %d is not among %d peers", cfg.Me, cfg.Peers)
+	case cfg.DispatcherIndex < 0 || cfg.DispatcherIndex >= cfg.DispatcherCount:
+		return fmt.Errorf("Me: %d is not among %d peers", cfg.DispatcherIndex, cfg.DispatcherCount)
 	case len(cfg.Classes) == 0:
 		return errors.New("Classes: none given")
 	case len(cfg.Plans) == 0:
 		return errors.New("Plans: none given")
 	case cfg.MaxAttempts < 0:
 		return errors.New("MaxAttempts: negative")
-	case cfg.Budget.Span < 0 || cfg.Budget.Free < 0 || cfg.Budget.Ratio < 0:
+	case cfg.RetryBudget.Window < 0 || cfg.RetryBudget.MinRetries < 0 || cfg.RetryBudget.Ratio < 0:
 		return errors.New("Budget: negative")
-	case cfg.Cold.YoungLimit > 0 && (cfg.Cold.Span <= 0 || cfg.Cold.From <= 0 || cfg.Cold.From > 1):
+	case cfg.SlowStart.InitialUnits > 0 &&
+		(cfg.SlowStart.Window <= 0 ||
+			cfg.SlowStart.InitialCapacity <= 0 || cfg.SlowStart.InitialCapacity > 1):
 		return errors.New("Cold: YoungLimit needs a Span and a From in (0, 1]")
 	}
 	for i, c := range cfg.Classes {
-		if c.Aim <= 0 || c.Deadline <= 0 {
+		if c.LatencyObjective <= 0 || c.Deadline <= 0 {
 			return fmt.Errorf("Classes[%d].Aim, Deadline: want above 0", i)
 		}
-		if c.Effect == Keyed && c.Window < 0 {
+		if c.Idempotency == Deduplicated && c.DedupWindow < 0 {
 			return fmt.Errorf("Classes[%d].Window: negative", i)
 		}
 	}
@@ -36,7 +40,7 @@
 		if !(p.Weight > 0) || math.IsInf(p.Weight, 0) {
 			return fmt.Errorf("Plans[%d].Weight: want above 0", i)
 		}
-		if p.Limit < 0 || p.Burst < 0 || p.Slack < 0 || p.Reserve < 0 {
+		if p.RateLimit < 0 || p.Burst < 0 || p.Slack < 0 || p.Reserve < 0 {
 			return fmt.Errorf("Plans[%d]: negative figure", i)
 		}
 	}
@@ -46,5 +50,5 @@
 // sensible tells whether a request's figures can be acted on.
 func (d *Dispatcher) sensible(e Request) bool {
 	return e.Class >= 0 && e.Class < len(d.cfg.Classes) && e.Plan >= 0 && e.Plan < len(d.cfg.Plans) &&
-		e.Units >= 0 && e.Left > 0
+		e.Units >= 0 && e.Timeout > 0
 }
--- a/dispatch/checker_test.go
+++ b/dispatch/checker_test.go
@@ -54,7 +54,7 @@
 
 func newChecker(cfg Config) *checker {
 	return &checker{
-		cfg: cfg, slack: 8 * ms, broken: map[string]string{}, lives: make([]*life, cfg.Peers),
+		cfg: cfg, slack: 8 * ms, broken: map[string]string{}, lives: make([]*life, cfg.DispatcherCount),
 		stores: map[VolumeID]*store{}, works: map[NodeID][]work{},
 		served: map[NodeID][]work{}, nodes: map[NodeID]Node{},
 	}
@@ -77,28 +77,28 @@
 		t := &track{req: e, taken: now}
 		l.reqs[e.ID] = t
 		l.took = append(l.took, now)
-		if k := c.cfg.Classes[e.Class]; k.InTurn && e.Key != "" {
+		if k := c.cfg.Classes[e.Class]; k.Ordered && e.Key != "" {
 			l.order[e.Key] = append(l.order[e.Key], t)
 		}
-	case Outcome:
+	case AttemptCompleted:
 		t := l.reqs[e.ID]
 		t.out = false
-		if e.Status == Served {
+		if e.Result == OK {
 			c.served[t.node] = append(c.served[t.node], work{now, t.req.Units})
 		}
-		t.answered = t.answered || e.Concluded
-		if e.Status != Full && e.Status != ConnectFailed && e.Status != Moot && !t.mayRun {
+		t.answered = t.answered || e.Responded
+		if e.Result != Rejected && e.Result != ConnectFailed && e.Result != NotSent && !t.mayRun {
 			t.mayRun, t.doubt, t.shard = true, t.lastSent, c.nodes[t.node].Shard
 		}
-		if e.Status == TimedOut || e.Status == Dropped || e.Status == Cancelled {
-			t.restTill = now + c.cfg.Settle
+		if e.Result == TimedOut || e.Result == ConnectionReset || e.Result == Canceled {
+			t.restTill = now + c.cfg.Quiescence
 		}
-	case Gone:
+	case ClientCanceled:
 		if t := l.reqs[e.ID]; t != nil {
 			t.answered = true
 		}
-	case NodeList:
-		if e.Kind == Complete || e.Kind == Persisted {
+	case EndpointUpdate:
+		if e.Kind == Snapshot || e.Kind == Cached {
 			listed := map[NodeID]bool{}
 			for _, n := range e.Nodes {
 				listed[n.ID] = true
@@ -110,7 +110,7 @@
 			}
 		}
 		for _, n := range e.Nodes {
-			if n.State == Serving {
+			if n.State == Ready {
 				delete(l.told, n.ID)
 			} else {
 				l.tell(n.ID, now)
@@ -128,13 +128,13 @@
 func (c *checker) action(i int, now time.Duration, a Action) {
 	l := c.lives[i]
 	switch a := a.(type) {
-	case Attempt:
+	case SendAttempt:
 		c.attempt(l, now, a)
-	case Refuse:
+	case Reject:
 		t := l.reqs[a.ID]
 		c.answer(t, now, a.ID)
 		k := c.cfg.Classes[t.req.Class]
-		if (t.mayRun || t.out) && k.Effect != Safe && !(k.Effect == Keyed && k.Group == GroupAll) {
+		if (t.mayRun || t.out) && k.Idempotency != Idempotent && !(k.Idempotency == Deduplicated && k.DedupScope == DedupEverywhere) {
 			c.breach("effects", "request %d refused though it may have run", a.ID)
 		}
 	case Fail:
@@ -150,7 +150,7 @@
 	t.answered = true
 }
 
-func (c *checker) attempt(l *life, now time.Duration, a Attempt) {
+func (c *checker) attempt(l *life, now time.Duration, a SendAttempt) {
 	t := l.reqs[a.ID]
 	if t == nil || t.answered {
 		c.breach("answer", "request %d sent after its end", a.ID)
@@ -160,7 +160,7 @@
 	if t.out {
 		c.breach("effects", "request %d has two attempts out", a.ID)
 	}
-	if t.mayRun && (k.Effect == Unsafe || k.Effect == Keyed && (n.Shard != t.shard || now-t.doubt >= k.Window)) {
+	if t.mayRun && (k.Idempotency == NonIdempotent || k.Idempotency == Deduplicated && (n.Shard != t.shard || now-t.doubt >= k.DedupWindow)) {
 		c.breach("effects", "request %d sent again though it may have run", a.ID)
 	}
 	if told, ok := l.told[a.Node]; ok && now > told+drainGrace {
@@ -169,8 +169,8 @@
 	c.orderKept(l, now, t, k)
 	if t.sends > 0 {
 		l.extra = append(l.extra, now)
-		if b := c.cfg.Budget; float64(since(l.extra, now-b.Span)) > b.Free+b.Ratio*float64(since(l.took, now-b.Span)) {
-			c.breach("budget", "%d further attempts", since(l.extra, now-b.Span))
+		if b := c.cfg.RetryBudget; float64(since(l.extra, now-b.Window)) > b.MinRetries+b.Ratio*float64(since(l.took, now-b.Window)) {
+			c.breach("budget", "%d further attempts", since(l.extra, now-b.Window))
 		}
 	} else {
 		c.limitKept(now, t.req)
@@ -190,7 +190,7 @@
 }
 
 func (c *checker) orderKept(l *life, now time.Duration, t *track, k Class) {
-	if !k.InTurn || t.req.Key == "" {
+	if !k.Ordered || t.req.Key == "" {
 		return
 	}
 	for _, e := range l.order[t.req.Key] {
@@ -205,7 +205,7 @@
 
 func (c *checker) limitKept(now time.Duration, q Request) {
 	p := c.cfg.Plans[q.Plan]
-	if p.Limit == 0 {
+	if p.RateLimit == 0 {
 		return
 	}
 	s := c.stores[q.Volume]
@@ -213,7 +213,7 @@
 		s = &store{level: p.Burst, at: now}
 		c.stores[q.Volume] = s
 	}
-	s.level = min(p.Burst, s.level+p.Limit*(now-s.at).Seconds()) - q.Units
+	s.level = min(p.Burst, s.level+p.RateLimit*(now-s.at).Seconds()) - q.Units
 	s.at = now
 	if s.level < -p.Slack-1e-6 {
 		c.breach("limit", "volume %s at %.2f, slack %.2f", q.Volume, s.level, p.Slack)
@@ -226,23 +226,23 @@
 
 // capacity is what n can do now.
 func (c *checker) capacity(n Node, now time.Duration) float64 {
-	r := c.cfg.Cold
+	r := c.cfg.SlowStart
 	if n.Started == 0 || now-n.Started > r.WarmUp {
 		return trueUnits
 	}
-	return trueUnits * (r.From + (1-r.From)*(now-n.Started).Seconds()/r.WarmUp.Seconds())
+	return trueUnits * (r.InitialCapacity + (1-r.InitialCapacity)*(now-n.Started).Seconds()/r.WarmUp.Seconds())
 }
 
 // coldKept bounds what all send a young node by the multiple of its present capacity, with
 // one largest request for chance.
 func (c *checker) coldKept(now time.Duration, n Node, units float64) {
-	r := c.cfg.Cold
+	r := c.cfg.SlowStart
 	if n.Started == 0 || now-n.Started > r.WarmUp {
 		return
 	}
 	c.works[n.ID] = append(c.works[n.ID], work{now, units})
-	from := max(now-r.Span, n.Started)
-	bears := r.Multiple*c.capacity(n, now)*r.Span.Seconds() + c.cfg.LargestUnits
+	from := max(now-r.Window, n.Started)
+	bears := r.OverloadFactor*c.capacity(n, now)*r.Window.Seconds() + c.cfg.MaxUnits
 	if sum := unitsSince(c.works[n.ID], from); sum > bears+1e-6 {
 		c.breach("cold", "%.0f units to %s, it bears %.1f", sum, n.ID, bears)
 	}
@@ -262,7 +262,7 @@
 			continue
 		}
 		for id, t := range l.reqs {
-			if !t.answered && now > t.taken+t.req.Left+c.slack {
+			if !t.answered && now > t.taken+t.req.Timeout+c.slack {
 				c.breach("answer", "request %d overdue", id)
 			}
 		}
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -69,12 +69,12 @@
 		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0)),
 		nodes: map[NodeID]*node{}, shards: map[Shard]*node{}, usages: map[Shard]*meter{},
 		vols: map[VolumeID]*volume{}, reqs: map[RequestID]*request{}, turns: map[string]*turn{},
-		maxLeft: make([]time.Duration, len(cfg.Classes)), tightest: cfg.Classes[0].Aim,
+		maxLeft: make([]time.Duration, len(cfg.Classes)), tightest: cfg.Classes[0].LatencyObjective,
 	}
 	for _, c := range cfg.Classes {
-		d.tightest = min(d.tightest, c.Aim)
+		d.tightest = min(d.tightest, c.LatencyObjective)
 		for _, p := range cfg.Plans {
-			d.bestValue = max(d.bestValue, c.Worth*p.Price)
+			d.bestValue = max(d.bestValue, c.PriorityWeight*p.Price)
 		}
 	}
 	return d, nil
@@ -87,22 +87,22 @@
 	if !d.started {
 		d.started, d.born, d.wakeAt = true, d.now, math.MaxInt64
 		d.at(d.now+controlEvery, &task{kind: doControl})
-		if d.cfg.AskDiscovery {
+		if d.cfg.PollDiscovery {
 			d.act(Watch{On: true})
 		}
 	}
 	switch e := ev.(type) {
-	case NodeList:
+	case EndpointUpdate:
 		d.onList(e)
 	case Request:
 		d.onRequest(e)
-	case Outcome:
+	case AttemptCompleted:
 		d.onOutcome(e)
-	case Gone:
+	case ClientCanceled:
 		d.onGone(e)
-	case Measured:
+	case CostCorrection:
 		d.onMeasured(e)
-	case Fired:
+	case TimerFired:
 		if d.now >= d.wakeAt {
 			d.wakeAt = math.MaxInt64
 		}
@@ -138,7 +138,7 @@
 		f.line = append(f.line, r)
 	}
 	f.settle()
-	d.expire(r, min(r.aimAt, r.deadline-d.cfg.Round))
+	d.expire(r, min(r.aimAt, r.deadline-d.cfg.RoundTrip))
 	d.touch(n)
 }
 
@@ -273,7 +273,8 @@
 	}
 	floor := depthMin
 	if d.lost < lossy { // else what is out may hold a place that the node has free
-		floor = min(depthMin, max(1, depthMax/d.cfg.Peers)+min(n.easy/2, 1)) // four each from many flood it
+		// Four each from many dispatchers flood the node.
+		floor = min(depthMin, max(1, depthMax/d.cfg.DispatcherCount)+min(n.easy/2, 1))
 	}
 	deep := min(max(float64(floor), math.Ceil(n.done.rate(d.now, rateSpan)*d.tightest.Seconds())), depthMax)
 	// Crowding: the delay tells when the node is sent too much, whoever sends it.
@@ -312,14 +313,14 @@
 func (d *Dispatcher) crowding() float64 { return crowded * d.tightest.Seconds() }
 
 // usualUnits is what a request counts where nothing more is known of it.
-func (d *Dispatcher) usualUnits() float64 { return max(d.cfg.UsualUnits, 1) }
+func (d *Dispatcher) usualUnits() float64 { return max(d.cfg.MeanUnits, 1) }
 
 // heard learns from a served answer of r: the uncrowded time of a unit is a low quantile
 // of what units took, and what it took beyond is the delay. One answer may just have been
 // unlucky: the requests that the node reports in hand, worked off one by one or as many at
 // a time as D's floor, bound the delay from both sides. Without a report it stands alone.
-func (d *Dispatcher) heard(n *node, r *request, e Outcome) {
-	took := e.Took.Seconds()
+func (d *Dispatcher) heard(n *node, r *request, e AttemptCompleted) {
+	took := e.Latency.Seconds()
 	if unit := took / max(r.Units, 1); n.base == 0 {
 		n.base, n.lat = unit, 0
 	} else if unit < n.base {
@@ -328,7 +329,7 @@
 		n.base *= 1 + baseGain*baseQuantile
 	}
 	over := max(0, took-n.base*r.Units)
-	if x, told := e.Report["inflight"]; told && x >= 0 && !math.IsInf(x, 1) {
+	if x, told := e.LoadReport["inflight"]; told && x >= 0 && !math.IsInf(x, 1) {
 		hand := x * n.base * d.usualUnits()
 		over = min(max(over, hand/depthMin), hand)
 	}
@@ -369,12 +370,13 @@
 	v, part, ahead := r.vol, roomReserve, n.heldSum
 	v.fillReserve(d)
 	if v.reserve < v.heldUnits {
-		part, ahead = roomBeyond, ahead+d.cfg.UsualUnits
+		part, ahead = roomBeyond, ahead+d.cfg.MeanUnits
 	}
-	part *= 0.5 + 0.5*r.class.Worth*v.plan.Price/max(d.bestValue, 1e-9)
+	part *= 0.5 + 0.5*r.class.PriorityWeight*v.plan.Price/max(d.bestValue, 1e-9)
 	delay, cold := d.delay(n), max(0, d.coldAt(n, ahead)-d.now)
 	wait, left := d.wait(r, n), r.aimAt-d.now-n.service(r.Units)
-	inAims := time.Duration(float64(wait) * float64(d.tightest) / float64(r.class.Aim)) // bars no other
+	// A wait within its own objective bars no other request.
+	inAims := time.Duration(float64(wait) * float64(d.tightest) / float64(r.class.LatencyObjective))
 	need := delay + max(inAims+max(0, n.until-d.now), lim, cold)
 	room := min(time.Duration(float64(d.tightest)*part), left-wait+inAims)
 	if need > room && !(d.idle(n) && d.now >= n.until && lim == 0 && cold == 0) {
@@ -390,7 +392,7 @@
 // One attempt that has long been silent, where none ended badly, may be a lost answer: a
 // second finds out. At a node that hangs it costs that one.
 func (d *Dispatcher) idle(n *node) bool {
-	gap := time.Duration(max(0, d.cfg.Peers-depthMax/depthMin)) * n.service(d.usualUnits())
+	gap := time.Duration(max(0, d.cfg.DispatcherCount-depthMax/depthMin)) * n.service(d.usualUnits())
 	if n.out == 1 && n.bad == 0 {
 		gap += seconds(d.crowding()) + n.service(patient*d.usualUnits())
 	} else if n.out > 0 {
@@ -412,29 +414,29 @@
 }
 
 // reserveTop is a second of the reserve and one largest request.
-func (v *volume) reserveTop(d *Dispatcher) float64 { return v.plan.Reserve + d.cfg.LargestUnits }
+func (v *volume) reserveTop(d *Dispatcher) float64 { return v.plan.Reserve + d.cfg.MaxUnits }
 
 // ---- 5. Health, from symptoms.
 
 // judge takes an attempt's end as a symptom. Only an answer clears suspicion.
-func (d *Dispatcher) judge(n *node, r *request, e Outcome) {
-	switch e.Status {
-	case Served:
+func (d *Dispatcher) judge(n *node, r *request, e AttemptCompleted) {
+	switch e.Result {
+	case OK:
 		d.miss(n, r, e)
 		n.bad, n.until = 0, 0
 		n.done.add(d.now, 1, rateSpan)
 		d.heard(n, r, e)
 		n.use.add(d.now, r.Units, usualSpan)
 		d.giveUp(n)
-	case Cancelled:
+	case Canceled:
 		if r.astray { // its answer counts as lost, and says nothing of the node
 			n.missing++
 			n.missedAt = max(n.missedAt, r.sentAt)
 		}
-	case Full, TimedOut, ConnectFailed, Dropped:
+	case Rejected, TimedOut, ConnectFailed, ConnectionReset:
 		n.bad++
 		n.easy = 0
-		if e.Status == TimedOut {
+		if e.Result == TimedOut {
 			n.missing++
 			n.missedAt = max(n.missedAt, r.sentAt)
 		}
@@ -451,11 +453,12 @@
 func (d *Dispatcher) giveUp(n *node) {
 	usual := d.delay(n)
 	for _, r := range n.outs {
-		safe := r.class.Effect == Safe || r.class.Effect == Keyed && d.now-r.sentAt < r.class.Window
-		if safe && d.cfg.Cancel && r.state == sent && !r.astray && d.overtaken(r, n, usual) &&
+		safe := r.class.Idempotency == Idempotent ||
+			r.class.Idempotency == Deduplicated && d.now-r.sentAt < r.class.DedupWindow
+		if safe && d.cfg.CancelAttempts && r.state == sent && !r.astray && d.overtaken(r, n, usual) &&
 			d.now+usual+n.service(r.Units) < r.aimAt && d.mayRepeat(r, n) {
 			r.astray = true
-			d.act(Cancel{ID: r.ID, Attempt: r.attempts - 1})
+			d.act(CancelAttempt{ID: r.ID, Attempt: r.attempts - 1})
 			return
 		}
 	}
@@ -464,9 +467,9 @@
 // miss learns the share of answers that are lost: attempts that ran out of time while a
 // later one at the same node was answered without delay. A node that is silent, or slow,
 // answers none so; its time-outs prove nothing.
-func (d *Dispatcher) miss(n *node, r *request, e Outcome) {
+func (d *Dispatcher) miss(n *node, r *request, e AttemptCompleted) {
 	d.lost *= 1 - lostGain
-	if (e.Took - n.service(r.Units)).Seconds() < d.crowding() {
+	if (e.Latency - n.service(r.Units)).Seconds() < d.crowding() {
 		n.heardAt = max(n.heardAt, r.sentAt)
 		if r.sentAt > n.missedAt {
 			d.lost += (1 - d.lost) * min(1, lostGain*float64(n.missing))
@@ -480,7 +483,7 @@
 // allowed tells whether every rule lets r leave for n now; else from when on,
 // and whether the volume or the node stands in the way.
 func (d *Dispatcher) allowed(r *request, n *node) (time.Duration, verdict) {
-	if r.state == over || r.out || d.now >= r.deadline || !n.listed || n.State != Serving {
+	if r.state == over || r.out || d.now >= r.deadline || !n.listed || n.State != Ready {
 		return d.now, never // answered, out, too late, or told that the node drains
 	}
 	if r.Shard != AnyShard && r.Shard != n.Shard || r.attempts > 0 && !d.mayRepeat(r, n) {
@@ -506,44 +509,45 @@
 		return false
 	}
 	if r.mayHaveRun {
-		switch r.class.Effect {
-		case Unsafe:
+		switch r.class.Idempotency {
+		case NonIdempotent:
 			return false
-		case Keyed:
-			in := r.class.Group == GroupAll || r.class.Group == GroupZone && r.doubtZone == n.Zone ||
-				r.class.Group == GroupShard && r.doubtShard == n.Shard
-			if !in || d.now-r.doubtAt >= r.class.Window {
+		case Deduplicated:
+			in := r.class.DedupScope == DedupEverywhere ||
+				r.class.DedupScope == DedupPerZone && r.doubtZone == n.Zone ||
+				r.class.DedupScope == DedupPerShard && r.doubtShard == n.Shard
+			if !in || d.now-r.doubtAt >= r.class.DedupWindow {
 				return false
 			}
 		}
 	}
-	b := d.cfg.Budget
-	if b.Span == 0 {
+	b := d.cfg.RetryBudget
+	if b.Window == 0 {
 		return true
 	}
 	d.trimBudget()
-	return float64(len(d.extra)+1) <= b.Free+b.Ratio*float64(len(d.taken))
+	return float64(len(d.extra)+1) <= b.MinRetries+b.Ratio*float64(len(d.taken))
 }
 
 // trimBudget forgets what has left the window. Requests leave a round early and
 // further attempts a round late, so that the edges cannot be counted against us.
 func (d *Dispatcher) trimBudget() {
-	b := d.cfg.Budget
-	d.taken = after(d.taken, d.now-b.Span+d.cfg.Round)
-	d.extra = after(d.extra, d.now-b.Span-d.cfg.Round-1)
+	b := d.cfg.RetryBudget
+	d.taken = after(d.taken, d.now-b.Window+d.cfg.RoundTrip)
+	d.extra = after(d.extra, d.now-b.Window-d.cfg.RoundTrip-1)
 }
 
 // mayRefuse tells whether refusing r keeps the rule on effects.
 func (r *request) mayRefuse() bool {
-	return !r.mayHaveRun && !r.out || r.class.Effect == Safe ||
-		r.class.Effect == Keyed && r.class.Group == GroupAll
+	return !r.mayHaveRun && !r.out || r.class.Idempotency == Idempotent ||
+		r.class.Idempotency == Deduplicated && r.class.DedupScope == DedupEverywhere
 }
 
 // limitWait tells how long the volume's part of its limit holds r back, counting
 // what is held before it, and whether r can never pass.
 func (d *Dispatcher) limitWait(r *request) (time.Duration, bool) {
 	v := r.vol
-	if v.plan.Limit <= 0 || r.attempts > 0 {
+	if v.plan.RateLimit <= 0 || r.attempts > 0 {
 		return 0, false
 	}
 	v.fillTokens(d)
@@ -554,7 +558,7 @@
 	if r.state != held {
 		short += v.heldUnits
 	}
-	rate := v.plan.Limit / float64(v.hosts)
+	rate := v.plan.RateLimit / float64(v.hosts)
 	return time.Duration(math.Ceil(max(0, short)/rate*1e6)) * time.Microsecond, false
 }
 
@@ -567,7 +571,7 @@
 // burst for each host. It starts empty: a restarted dispatcher cannot know what
 // it spent, and the even part of the time since it started is provably unspent.
 func (v *volume) fillTokens(d *Dispatcher) {
-	v.tokens += (d.now - v.tokensAt).Seconds() * v.plan.Limit / float64(v.hosts)
+	v.tokens += (d.now - v.tokensAt).Seconds() * v.plan.RateLimit / float64(v.hosts)
 	v.tokens = min(v.tokens, v.tokensTop())
 	v.tokensAt = d.now
 }
@@ -582,18 +586,19 @@
 // keeps many from entering their first at once. So a span sees the parts, and by chance a
 // request more from a few: the other half of the bound is for these.
 func (d *Dispatcher) coldAt(n *node, ahead float64) time.Duration {
-	c := d.cfg.Cold
+	c := d.cfg.SlowStart
 	age := d.now - n.Started
-	if c.YoungLimit <= 0 || n.Started == 0 || age >= c.WarmUp+c.Span {
+	if c.InitialUnits <= 0 || n.Started == 0 || age >= c.WarmUp+c.Window {
 		return 0
 	}
-	grown := c.From + (1-c.From)*min(1, max(0, (age-c.Span).Seconds())/max(c.WarmUp.Seconds(), 1e-9))
-	even := c.YoungLimit / c.From / c.Span.Seconds() / float64(d.cfg.Peers)
-	rate := coldSafe * grown * (even + c.Multiple*d.usual(n))
+	warm := min(1, max(0, (age-c.Window).Seconds())/max(c.WarmUp.Seconds(), 1e-9))
+	grown := c.InitialCapacity + (1-c.InitialCapacity)*warm
+	even := c.InitialUnits / c.InitialCapacity / c.Window.Seconds() / float64(d.cfg.DispatcherCount)
+	rate := coldSafe * grown * (even + c.OverloadFactor*d.usual(n))
 	if from := max(n.Started, d.born); n.debtAt < from { // an earlier life's debt is unknown
 		n.debt, n.debtAt = d.rng.Float64()*d.usualUnits(), from
 	}
-	n.debt = max(-d.cfg.UsualUnits, n.debt-rate*(d.now-n.debtAt).Seconds())
+	n.debt = max(-d.cfg.MeanUnits, n.debt-rate*(d.now-n.debtAt).Seconds())
 	n.debtAt = d.now
 	if n.debt+ahead <= 0 {
 		return 0
@@ -622,8 +627,8 @@
 	n.out++
 	n.sentAt = d.now
 	n.outs = append(n.outs, r)
-	d.act(Attempt{ID: r.ID, Node: n.ID, Until: d.patience(r, n), Held: r.held})
-	r.held = Held{}
+	d.act(SendAttempt{ID: r.ID, Node: n.ID, Deadline: d.patience(r, n), QueueTime: r.held})
+	r.held = QueueTime{}
 }
 
 // patience ends an attempt in time for another one within the aim, where answers are lost
@@ -637,7 +642,7 @@
 		return 0
 	case until < d.now+usual:
 		return r.aimAt
-	case n.base == 0 || r.class.Effect == Unsafe || n.bad >= suspectAfter:
+	case n.base == 0 || r.class.Idempotency == NonIdempotent || n.bad >= suspectAfter:
 		return 0
 	}
 	return until
@@ -648,9 +653,9 @@
 func (d *Dispatcher) refuse(r *request, after time.Duration) {
 	if r.mayRefuse() {
 		after = min(max(after, afterMin), max(d.cfg.MaxRetryAfter, afterMin))
-		d.act(Refuse{ID: r.ID, After: after, Held: r.heldFor(d.now)})
+		d.act(Reject{ID: r.ID, RetryAfter: after, QueueTime: r.heldFor(d.now)})
 	} else {
-		d.act(Fail{ID: r.ID, Held: r.heldFor(d.now)})
+		d.act(Fail{ID: r.ID, QueueTime: r.heldFor(d.now)})
 	}
 	d.finish(r)
 }
@@ -697,27 +702,27 @@
 		return // told twice
 	}
 	if !d.sensible(e) { // nothing has run: harmless to try again
-		d.act(Refuse{ID: e.ID, After: afterMin})
+		d.act(Reject{ID: e.ID, RetryAfter: afterMin})
 		return
 	}
-	if d.cfg.Budget.Span > 0 {
+	if d.cfg.RetryBudget.Window > 0 {
 		d.trimBudget()
 		d.taken = append(d.taken, d.now)
 	}
 	c := &d.cfg.Classes[e.Class]
-	d.maxLeft[e.Class] = max(d.maxLeft[e.Class], e.Left)
-	age := d.maxLeft[e.Class] - e.Left // of earlier tries of the same wish
+	d.maxLeft[e.Class] = max(d.maxLeft[e.Class], e.Timeout)
+	age := d.maxLeft[e.Class] - e.Timeout // of earlier tries of the same wish
 	// Worth little now, and impatient clients repeat it whatever they are told: such tries
 	// must not take the place, reserve or budget of others.
-	if age >= c.Aim {
-		d.act(Refuse{ID: e.ID, After: d.cfg.MaxRetryAfter})
+	if age >= c.LatencyObjective {
+		d.act(Reject{ID: e.ID, RetryAfter: d.cfg.MaxRetryAfter})
 		return
 	}
 	d.seq++
-	r := &request{Request: e, class: c, seq: d.seq, deadline: d.now + e.Left, vol: d.volumeOf(e)}
-	r.aimAt = d.now + min(c.Aim-age, e.Left)
+	r := &request{Request: e, class: c, seq: d.seq, deadline: d.now + e.Timeout, vol: d.volumeOf(e)}
+	r.aimAt = d.now + min(c.LatencyObjective-age, e.Timeout)
 	d.reqs[r.ID] = r
-	if c.InTurn && r.Key != "" {
+	if c.Ordered && r.Key != "" {
 		t := d.turns[r.Key]
 		if t == nil {
 			t = &turn{key: strings.Clone(r.Key)}
@@ -739,7 +744,7 @@
 	if v == nil {
 		p := &d.cfg.Plans[e.Plan]
 		v = &volume{
-			id: e.Volume, plan: p, phi: p.Weight, hosts: max(e.Hosts, 1), tokensAt: d.born,
+			id: e.Volume, plan: p, phi: p.Weight, hosts: max(e.Dispatchers, 1), tokensAt: d.born,
 			reserveAt: d.now,
 		}
 		v.reserve = v.reserveTop(d)
@@ -747,7 +752,7 @@
 		d.volOrder = append(d.volOrder, v)
 	}
 	v.fillTokens(d)
-	v.hosts = max(v.hosts, e.Hosts) // fewer hosts now: the others may have spent their parts
+	v.hosts = max(v.hosts, e.Dispatchers) // fewer hosts now: the others may have spent their parts
 	v.seen = d.now
 	return v
 }
@@ -770,7 +775,7 @@
 	var best *node
 	bestCost := math.Inf(1)
 	for _, n := range d.order {
-		if n.State != Serving || d.now < n.until {
+		if n.State != Ready || d.now < n.until {
 			continue
 		}
 		each := (d.delay(n) + n.service(r.Units)).Seconds()
@@ -786,7 +791,7 @@
 	return best
 }
 
-func (d *Dispatcher) onOutcome(e Outcome) {
+func (d *Dispatcher) onOutcome(e AttemptCompleted) {
 	r := d.reqs[e.ID]
 	if r == nil || !r.out || e.Attempt != r.attempts-1 {
 		return
@@ -797,39 +802,40 @@
 	d.touch(n)
 	d.judge(n, r, e)
 	r.astray = false
-	if e.Use > 0 {
-		r.vol.use = e.Use
+	if e.QuotaUsage > 0 {
+		r.vol.use = e.QuotaUsage
 	}
-	if e.Elsewhere > 0 {
-		r.vol.takeReserve(d, e.Elsewhere)
+	if e.PeerUnits > 0 {
+		r.vol.takeReserve(d, e.PeerUnits)
 	}
-	proven := e.Status == Full || e.Status == ConnectFailed || e.Status == Moot
+	proven := e.Result == Rejected || e.Result == ConnectFailed || e.Result == NotSent
 	if !proven && !r.mayHaveRun {
 		r.mayHaveRun, r.doubtAt, r.doubtZone, r.doubtShard = true, r.sentAt, n.Zone, n.Shard
 	}
-	if t := r.turn; t != nil && (e.Status == TimedOut || e.Status == Dropped || e.Status == Cancelled) {
-		t.rest = max(t.rest, d.now+d.cfg.Settle)
+	ambiguous := e.Result == TimedOut || e.Result == ConnectionReset || e.Result == Canceled
+	if t := r.turn; t != nil && ambiguous {
+		t.rest = max(t.rest, d.now+d.cfg.Quiescence)
 	}
-	if r.state == over || e.Concluded {
+	if r.state == over || e.Responded {
 		d.finish(r)
 		return
 	}
-	d.again(r, n, e.Status)
+	d.again(r, n, e.Result)
 }
 
 // again tries r once more where the rules allow and time is left, else answers.
-func (d *Dispatcher) again(r *request, n *node, s Status) {
+func (d *Dispatcher) again(r *request, n *node, s AttemptResult) {
 	if r.Shard != AnyShard {
 		if m := d.shards[r.Shard]; m != nil {
 			n = m
 		}
-	} else if !r.mayHaveRun || r.class.Effect == Safe {
+	} else if !r.mayHaveRun || r.class.Idempotency == Idempotent {
 		if m := d.choose(r); m != nil {
 			n = m
 		}
 	}
 	gap := retryGap
-	if s == TimedOut || s == Cancelled {
+	if s == TimedOut || s == Canceled {
 		gap = 0
 	}
 	if d.now+gap+d.delay(n)+n.service(r.Units) >= r.aimAt || !d.mayRepeat(r, n) {
@@ -843,9 +849,9 @@
 // onMeasured charges a volume's tag, limit and reserve for what was taken for less than it
 // is, or gives back: else who asks for more than it says has more than its share. It may do
 // harm where nodes tell wrong sizes; a tag's cost does not fall below nought.
-func (d *Dispatcher) onMeasured(e Measured) {
+func (d *Dispatcher) onMeasured(e CostCorrection) {
 	v, n := d.vols[e.Volume], d.nodes[e.Node]
-	if v == nil || n == nil || !(math.Abs(e.Units) <= d.cfg.LargestUnits) {
+	if v == nil || n == nil || !(math.Abs(e.Units) <= d.cfg.MaxUnits) {
 		return
 	}
 	v.fillTokens(d)
@@ -861,28 +867,28 @@
 	}
 }
 
-func (d *Dispatcher) onGone(e Gone) {
+func (d *Dispatcher) onGone(e ClientCanceled) {
 	r := d.reqs[e.ID]
 	if r == nil || r.state == over {
 		return
 	}
-	if r.out && d.cfg.Cancel {
-		d.act(Cancel{ID: r.ID, Attempt: r.attempts - 1})
+	if r.out && d.cfg.CancelAttempts {
+		d.act(CancelAttempt{ID: r.ID, Attempt: r.attempts - 1})
 	}
 	d.finish(r)
 }
 
 // onList follows the node list. What a node that no longer serves holds goes to
 // its successor, if one is listed.
-func (d *Dispatcher) onList(e NodeList) {
-	if e.Kind == Failed {
+func (d *Dispatcher) onList(e EndpointUpdate) {
+	if e.Kind == PollFailed {
 		gap := min(callMin<<min(d.calls, 8), callMax)
 		d.calls++
 		d.at(d.now+time.Duration(float64(gap)*(0.5+d.rng.Float64())), &task{kind: doWatch})
 		return
 	}
 	d.calls = 0
-	if e.Kind != Changes {
+	if e.Kind != Delta {
 		for _, n := range d.order {
 			n.State = Removed
 		}
@@ -903,12 +909,12 @@
 	slices.SortFunc(d.order, func(a, b *node) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	clear(d.shards)
 	for _, n := range d.order {
-		if n.State == Serving && (d.shards[n.Shard] == nil || d.shards[n.Shard].Started < n.Started) {
+		if n.State == Ready && (d.shards[n.Shard] == nil || d.shards[n.Shard].Started < n.Started) {
 			d.shards[n.Shard] = n
 		}
 	}
 	for _, n := range d.order {
-		if n.State != Serving {
+		if n.State != Ready {
 			d.evict(n)
 		}
 		d.touch(n)
@@ -944,7 +950,7 @@
 			return f.live == 0 && !f.parked && (f.lastF <= f.node.v || !f.node.listed)
 		})
 		v.fillTokens(d)
-		full := v.plan.Limit == 0 || v.tokens >= v.tokensTop()
+		full := v.plan.RateLimit == 0 || v.tokens >= v.tokensTop()
 		gone := full && v.heldUnits <= 1e-9 && len(v.flows) == 0 && d.now-v.seen > forgetAfter
 		if gone {
 			delete(d.vols, v.id)
@@ -974,7 +980,7 @@
 			d.nextTurn(t.turn)
 		case doAgain:
 			if r := t.req; r.state == resting {
-				if n := r.node; n.listed && n.State == Serving && d.mayRepeat(r, n) {
+				if n := r.node; n.listed && n.State == Ready && d.mayRepeat(r, n) {
 					d.enqueue(r, n, true)
 				} else {
 					d.refuse(r, afterMin)
--- a/dispatch/example_test.go
+++ b/dispatch/example_test.go
@@ -10,8 +10,8 @@
 // clock is the caller's; it may start anywhere but never goes back.
 func Example() {
 	d, err := dispatch.New(dispatch.Config{
-		Me: 0, Peers: 1, MaxRetryAfter: time.Second, UsualUnits: 2, LargestUnits: 8,
-		Classes: []dispatch.Class{{Name: "read", Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1}},
+		DispatcherIndex: 0, DispatcherCount: 1, MaxRetryAfter: time.Second, MeanUnits: 2, MaxUnits: 8,
+		Classes: []dispatch.Class{{Name: "read", LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1}},
 		Plans:   []dispatch.Plan{{Name: "standard", Reserve: 20, Weight: 1, Price: 1}},
 	}, 42)
 	if err != nil {
@@ -22,10 +22,10 @@
 	show := func(acts []dispatch.Action) {
 		for _, a := range acts {
 			switch a := a.(type) {
-			case dispatch.Attempt:
+			case dispatch.SendAttempt:
 				fmt.Printf("send %d to %s\n", a.ID, a.Node)
-			case dispatch.Refuse:
-				fmt.Printf("refuse %d, come back in %v\n", a.ID, a.After)
+			case dispatch.Reject:
+				fmt.Printf("refuse %d, come back in %v\n", a.ID, a.RetryAfter)
 			case dispatch.Fail:
 				fmt.Printf("fail %d\n", a.ID)
 			case dispatch.SetTimer:
@@ -33,14 +33,14 @@
 			}
 		}
 	}
-	show(d.Handle(now, dispatch.NodeList{Kind: dispatch.Complete, Nodes: []dispatch.Node{{ID: "disk-a", Shard: 0}}}))
+	show(d.Handle(now, dispatch.EndpointUpdate{Kind: dispatch.Snapshot, Nodes: []dispatch.Node{{ID: "disk-a", Shard: 0}}}))
 	now += time.Millisecond
-	show(d.Handle(now, dispatch.Request{ID: 1, Volume: "photos", Shard: 0, Units: 2, Hosts: 1, Left: time.Second}))
-	show(d.Handle(now, dispatch.Request{ID: 2, Volume: "photos", Shard: 5, Units: 2, Hosts: 1, Left: time.Second}))
+	show(d.Handle(now, dispatch.Request{ID: 1, Volume: "photos", Shard: 0, Units: 2, Dispatchers: 1, Timeout: time.Second}))
+	show(d.Handle(now, dispatch.Request{ID: 2, Volume: "photos", Shard: 5, Units: 2, Dispatchers: 1, Timeout: time.Second}))
 	now += 20 * time.Millisecond
-	show(d.Handle(now, dispatch.Outcome{
-		ID: 1, Node: "disk-a", Status: dispatch.Served, Concluded: true,
-		Took: 20 * time.Millisecond,
+	show(d.Handle(now, dispatch.AttemptCompleted{
+		ID: 1, Node: "disk-a", Result: dispatch.OK, Responded: true,
+		Latency: 20 * time.Millisecond,
 	}))
 	// Output:
 	// send 1 to disk-a
--- a/dispatch/helpers_test.go
+++ b/dispatch/helpers_test.go
@@ -10,24 +10,24 @@
 // testConfig is a made-up site with every rule on.
 func testConfig() Config {
 	return Config{
-		Me: 0, Peers: 2, Cancel: true, MaxRetryAfter: time.Second, MaxAttempts: 3,
-		Round:      2 * ms,
-		UsualUnits: 2, LargestUnits: 8,
+		DispatcherIndex: 0, DispatcherCount: 2, CancelAttempts: true, MaxRetryAfter: time.Second, MaxAttempts: 3,
+		RoundTrip: 2 * ms,
+		MeanUnits: 2, MaxUnits: 8,
 		Classes: []Class{
-			{Name: "look", Aim: 200 * ms, Deadline: time.Second, Worth: 2, Effect: Safe},
+			{Name: "look", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 2, Idempotency: Idempotent},
 			{
-				Name: "put", Aim: 300 * ms, Deadline: 1500 * ms, Worth: 2, Effect: Keyed, Group: GroupShard,
-				Window: 800 * ms, InTurn: true,
+				Name: "put", LatencyObjective: 300 * ms, Deadline: 1500 * ms, PriorityWeight: 2, Idempotency: Deduplicated, DedupScope: DedupPerShard,
+				DedupWindow: 800 * ms, Ordered: true,
 			},
-			{Name: "pay", Aim: 300 * ms, Deadline: 1500 * ms, Worth: 2, Effect: Unsafe},
+			{Name: "pay", LatencyObjective: 300 * ms, Deadline: 1500 * ms, PriorityWeight: 2, Idempotency: NonIdempotent},
 		},
 		Plans: []Plan{
-			{Name: "small", Reserve: 5, Weight: 1, Price: 1, Limit: 30, Burst: 40, Slack: 8},
+			{Name: "small", Reserve: 5, Weight: 1, Price: 1, RateLimit: 30, Burst: 40, Slack: 8},
 			{Name: "large", Reserve: 30, Weight: 3, Price: 1},
 		},
-		Cold:   ColdRule{From: 0.2, WarmUp: 10 * time.Second, Multiple: 2.5, Span: time.Second, YoungLimit: 20},
-		Budget: BudgetRule{Free: 2, Ratio: 0.1, Span: 5 * time.Second},
-		Settle: 150 * ms,
+		SlowStart:   SlowStart{InitialCapacity: 0.2, WarmUp: 10 * time.Second, OverloadFactor: 2.5, Window: time.Second, InitialUnits: 20},
+		RetryBudget: RetryBudget{MinRetries: 2, Ratio: 0.1, Window: 5 * time.Second},
+		Quiescence:  150 * ms,
 	}
 }
 
@@ -45,15 +45,17 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, d: d, now: time.Hour}
-	r.list(Persisted, Node{ID: "n0", Shard: 0}, Node{ID: "n1", Shard: 1})
+	r.list(Cached, Node{ID: "n0", Shard: 0}, Node{ID: "n1", Shard: 1})
 	r.now += 20 * time.Second // parts of limits have filled
-	r.do(Fired{"wake"})
+	r.do(TimerFired{"wake"})
 	return r
 }
 
 func (r *rig) do(e Event) []Action { return r.d.Handle(r.now, e) }
 
-func (r *rig) list(k ListKind, ns ...Node) []Action { return r.do(NodeList{Kind: k, Nodes: ns}) }
+func (r *rig) list(k EndpointUpdateKind, ns ...Node) []Action {
+	return r.do(EndpointUpdate{Kind: k, Nodes: ns})
+}
 
 // ask sends a request, filling what the test leaves out.
 func (r *rig) ask(q Request) (RequestID, []Action) {
@@ -65,11 +67,11 @@
 	if q.Volume == "" {
 		q.Volume = "v"
 	}
-	if q.Hosts == 0 {
-		q.Hosts = 1
+	if q.Dispatchers == 0 {
+		q.Dispatchers = 1
 	}
-	if q.Left == 0 {
-		q.Left = r.d.cfg.Classes[q.Class].Deadline
+	if q.Timeout == 0 {
+		q.Timeout = r.d.cfg.Classes[q.Class].Deadline
 	}
 	return q.ID, r.do(q)
 }
@@ -77,16 +79,16 @@
 // at moves the clock and fires the timer.
 func (r *rig) at(dt time.Duration) []Action {
 	r.now += dt
-	return r.do(Fired{"wake"})
+	return r.do(TimerFired{"wake"})
 }
 
-func (r *rig) end(id RequestID, attempt int, s Status) []Action {
-	return r.do(Outcome{ID: id, Attempt: attempt, Status: s, Concluded: s == Served, Took: 5 * ms})
+func (r *rig) end(id RequestID, attempt int, s AttemptResult) []Action {
+	return r.do(AttemptCompleted{ID: id, Attempt: attempt, Result: s, Responded: s == OK, Latency: 5 * ms})
 }
 
 func attempts(acts []Action) (ids []RequestID) {
 	for _, a := range acts {
-		if a, ok := a.(Attempt); ok {
+		if a, ok := a.(SendAttempt); ok {
 			ids = append(ids, a.ID)
 		}
 	}
@@ -98,11 +100,11 @@
 	kind := "held"
 	for _, a := range acts {
 		switch a := a.(type) {
-		case Attempt:
+		case SendAttempt:
 			if a.ID == id {
 				kind = "sent"
 			}
-		case Refuse:
+		case Reject:
 			if a.ID == id {
 				kind = "refused"
 			}
--- a/dispatch/odd_test.go
+++ b/dispatch/odd_test.go
@@ -12,10 +12,10 @@
 		r := newRig(t, testConfig()) // limit 30, burst and slack 48, in 12 parts
 		sent := 0.0
 		for range 40 {
-			id, _ := r.ask(Request{Shard: 0, Hosts: 12})
+			id, _ := r.ask(Request{Shard: 0, Dispatchers: 12})
 			if q := r.d.reqs[id]; q != nil && q.out {
 				sent++
-				r.end(id, 0, Served)
+				r.end(id, 0, OK)
 			}
 		}
 		if sent > 48.0/12 {
@@ -27,16 +27,16 @@
 		for range 5 {
 			r.ask(Request{Shard: 0, Plan: 1})
 		}
-		r.list(Changes, Node{ID: "n0", Shard: 9, Kind: 3})
+		r.list(Delta, Node{ID: "n0", Shard: 9, Kind: 3})
 		id, acts := r.ask(Request{Shard: 0, Plan: 1})
 		want(t, "its old shard", acts, id, "refused")
 		for id, q := range r.d.reqs {
 			if q.out {
-				r.end(id, 0, Served)
+				r.end(id, 0, OK)
 			}
 		}
 		for _, a := range r.at(time.Second) {
-			if a, ok := a.(Attempt); ok {
+			if a, ok := a.(SendAttempt); ok {
 				t.Errorf("request %d of the old shard sent to the node", a.ID)
 			}
 		}
@@ -50,12 +50,12 @@
 		r.end(id, 0, TimedOut)
 		acts := r.at(ms)
 		want(t, "tried again", acts, id, "sent")
-		want(t, "a second end of the first attempt", r.end(id, 0, Served), id, "held")
+		want(t, "a second end of the first attempt", r.end(id, 0, OK), id, "held")
 		if q := r.d.reqs[id]; q == nil || !q.out {
 			t.Error("the second attempt is no longer awaited")
 		}
-		r.end(id, 1, Served)
-		r.end(id, 1, Served)
+		r.end(id, 1, OK)
+		r.end(id, 1, OK)
 		if len(r.d.reqs) != 0 || r.d.nodes["n0"].out != 0 {
 			t.Errorf("%d requests, %d out", len(r.d.reqs), r.d.nodes["n0"].out)
 		}
@@ -64,7 +64,7 @@
 		r := newRig(t, testConfig())
 		for range 6 {
 			id, _ := r.ask(Request{Shard: 0, Plan: 1})
-			r.do(Outcome{ID: id, Status: Served, Concluded: true, Took: 5 * ms, Use: 301})
+			r.do(AttemptCompleted{ID: id, Result: OK, Responded: true, Latency: 5 * ms, QuotaUsage: 301})
 		}
 		r.at(controlEvery)
 		phi := r.d.vols["v"].phi
@@ -78,13 +78,13 @@
 // other volume. One with the tightest aim is refused.
 func TestRunWithALongAimWaits(t *testing.T) {
 	cfg := testConfig()
-	cfg.Peers = 40
-	cfg.Classes = append(cfg.Classes, Class{Name: "scan", Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 2})
+	cfg.DispatcherCount = 40
+	cfg.Classes = append(cfg.Classes, Class{Name: "scan", LatencyObjective: 2 * time.Second, Deadline: 4 * time.Second, PriorityWeight: 2})
 	for class, held := range map[int]bool{3: true, 0: false} {
 		r := newRig(t, cfg)
 		id, _ := r.ask(Request{Shard: 0, Plan: 1, Volume: "w"})
 		r.now += 40 * ms
-		r.do(Outcome{ID: id, Status: Served, Concluded: true, Took: 40 * ms})
+		r.do(AttemptCompleted{ID: id, Result: OK, Responded: true, Latency: 40 * ms})
 		kinds := ""
 		for range 4 {
 			id, acts := r.ask(Request{Shard: 0, Plan: 1, Class: class, Units: 2})
@@ -103,9 +103,9 @@
 		for _, backlog := range []int{0, 100, 10000} {
 			b.Run(fmt.Sprintf("nodes=%d/backlog=%d", nodes, backlog), func(b *testing.B) {
 				cfg := testConfig()
-				cfg.Classes[0].Aim, cfg.Classes[0].Deadline = time.Hour, 2*time.Hour
+				cfg.Classes[0].LatencyObjective, cfg.Classes[0].Deadline = time.Hour, 2*time.Hour
 				d, _ := New(cfg, 1)
-				l := NodeList{Kind: Complete}
+				l := EndpointUpdate{Kind: Snapshot}
 				for i := range nodes {
 					l.Nodes = append(l.Nodes, Node{ID: NodeID(fmt.Sprint("n", i)), Shard: Shard(i)})
 				}
@@ -115,7 +115,7 @@
 					id++
 					d.Handle(time.Second, Request{
 						ID: id, Plan: 1, Volume: VolumeID(fmt.Sprint("v", id%500)),
-						Shard: 0, Units: 1, Hosts: 1, Left: 2 * time.Hour,
+						Shard: 0, Units: 1, Dispatchers: 1, Timeout: 2 * time.Hour,
 					})
 				}
 				for range backlog {
@@ -123,7 +123,7 @@
 				}
 				for b.Loop() {
 					ask()
-					d.Handle(time.Second, Gone{id})
+					d.Handle(time.Second, ClientCanceled{id})
 				}
 			})
 		}
@@ -134,20 +134,20 @@
 // the agenda would else hold every request of the last minutes.
 func TestAnsweredRequestsLeaveTheAgenda(t *testing.T) {
 	d, err := New(Config{
-		Peers: 1, UsualUnits: 1, LargestUnits: 1, MaxRetryAfter: time.Second,
-		Classes: []Class{{Aim: time.Hour, Deadline: 2 * time.Hour, Worth: 1, InTurn: true}}, Plans: []Plan{{Weight: 1, Reserve: 1000, Price: 1}},
+		DispatcherCount: 1, MeanUnits: 1, MaxUnits: 1, MaxRetryAfter: time.Second,
+		Classes: []Class{{LatencyObjective: time.Hour, Deadline: 2 * time.Hour, PriorityWeight: 1, Ordered: true}}, Plans: []Plan{{Weight: 1, Reserve: 1000, Price: 1}},
 	}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Duration(0)
-	d.Handle(now, NodeList{Kind: Complete, Nodes: []Node{{ID: "a"}}})
+	d.Handle(now, EndpointUpdate{Kind: Snapshot, Nodes: []Node{{ID: "a"}}})
 	for i := range RequestID(1000) {
 		now += time.Millisecond
-		d.Handle(now, Request{ID: 2*i + 1, Volume: "v", Key: "k", Units: 1, Hosts: 1, Left: 2 * time.Hour})
-		d.Handle(now, Request{ID: 2*i + 2, Volume: "v", Key: "k", Units: 1, Hosts: 1, Left: 2 * time.Hour}) // waits for its turn
-		d.Handle(now, Gone{ID: 2*i + 2})
-		d.Handle(now, Outcome{ID: 2*i + 1, Node: "a", Status: Served, Concluded: true, Took: time.Millisecond})
+		d.Handle(now, Request{ID: 2*i + 1, Volume: "v", Key: "k", Units: 1, Dispatchers: 1, Timeout: 2 * time.Hour})
+		d.Handle(now, Request{ID: 2*i + 2, Volume: "v", Key: "k", Units: 1, Dispatchers: 1, Timeout: 2 * time.Hour}) // waits for its turn
+		d.Handle(now, ClientCanceled{ID: 2*i + 2})
+		d.Handle(now, AttemptCompleted{ID: 2*i + 1, Node: "a", Result: OK, Responded: true, Latency: time.Millisecond})
 	}
 	if n := len(d.agenda); n > 10 {
 		t.Fatalf("%d tasks in the agenda", n)
--- a/dispatch/queue_test.go
+++ b/dispatch/queue_test.go
@@ -20,7 +20,7 @@
 }
 
 func (q *queueRig) volume(id string, phi float64) *volume {
-	v := q.d.volumeOf(Request{Volume: VolumeID(id), Plan: 1, Hosts: 1})
+	v := q.d.volumeOf(Request{Volume: VolumeID(id), Plan: 1, Dispatchers: 1})
 	v.phi = phi
 	return v
 }
@@ -161,7 +161,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(t, testConfig())
-			v := r.d.volumeOf(Request{Volume: "v", Plan: 1, Hosts: 1})
+			v := r.d.volumeOf(Request{Volume: "v", Plan: 1, Dispatchers: 1})
 			for _, u := range c.use {
 				if u > 0 {
 					v.use = u
@@ -181,23 +181,23 @@
 	if d := r.d.depth(n); d != 4 {
 		t.Errorf("unheard node: D = %d, want 4", d)
 	}
-	served := func(gap time.Duration, count int, s Status) {
+	served := func(gap time.Duration, count int, s AttemptResult) {
 		for range count {
 			r.now += gap
 			r.d.now = r.now
-			r.d.judge(n, &request{Request: Request{Units: 1}}, Outcome{Status: s, Took: 5 * ms})
+			r.d.judge(n, &request{Request: Request{Units: 1}}, AttemptCompleted{Result: s, Latency: 5 * ms})
 		}
 	}
-	served(20*ms, 1500, Served) // 50 a second x 0.2 s = 10
+	served(20*ms, 1500, OK) // 50 a second x 0.2 s = 10
 	if d := r.d.depth(n); d < 9 || d > 11 {
 		t.Errorf("50 a second, aim 200 ms: D = %d, want about 10", d)
 	}
-	served(ms, 20000, Served)
+	served(ms, 20000, OK)
 	if d := r.d.depth(n); d != 32 {
 		t.Errorf("1000 a second: D = %d, want the ceiling 32", d)
 	}
 	r.now += time.Minute
-	served(ms, 1000, Errored) // quick errors are no completions
+	served(ms, 1000, ServerError) // quick errors are no completions
 	if d := r.d.depth(n); d != 4 {
 		t.Errorf("quick errors only: D = %d, want 4", d)
 	}
@@ -219,7 +219,7 @@
 			r := q.pop()
 			if r.vol == a {
 				sent[0]++
-				q.d.onMeasured(Measured{Volume: "a", Node: q.n.ID, Units: x.more})
+				q.d.onMeasured(CostCorrection{Volume: "a", Node: q.n.ID, Units: x.more})
 			} else {
 				sent[1]++
 			}
@@ -238,18 +238,18 @@
 	v.fillTokens(r.d)
 	tokens, reserve := v.tokens, v.reserve
 	for _, u := range []float64{math.NaN(), math.Inf(1), -1e9, 1e9} {
-		r.do(Measured{Volume: "v", Node: "n0", Units: u})
+		r.do(CostCorrection{Volume: "v", Node: "n0", Units: u})
 	}
-	r.do(Measured{Volume: "v", Node: "none", Units: 1})
-	r.do(Measured{Volume: "none", Node: "n0", Units: 1})
+	r.do(CostCorrection{Volume: "v", Node: "none", Units: 1})
+	r.do(CostCorrection{Volume: "none", Node: "n0", Units: 1})
 	if v.tokens != tokens || v.reserve != reserve {
 		t.Errorf("tokens %g from %g, reserve %g from %g", v.tokens, tokens, v.reserve, reserve)
 	}
-	r.do(Measured{Volume: "v", Node: "n0", Units: 3})
+	r.do(CostCorrection{Volume: "v", Node: "n0", Units: 3})
 	if math.Abs(v.tokens-(tokens-3)) > 1e-9 || math.Abs(v.reserve-(reserve-3)) > 1e-9 {
 		t.Errorf("tokens %g from %g, reserve %g from %g, want 3 less", v.tokens, tokens, v.reserve, reserve)
 	}
-	r.do(Measured{Volume: "v", Node: "n0", Units: -8})
+	r.do(CostCorrection{Volume: "v", Node: "n0", Units: -8})
 	if v.tokens > v.tokensTop() {
 		t.Errorf("more tokens than the store holds")
 	}
--- a/dispatch/random_test.go
+++ b/dispatch/random_test.go
@@ -63,7 +63,7 @@
 
 func (s *storm) start(i int) {
 	c := s.module
-	c.Me = i
+	c.DispatcherIndex = i
 	d, err := New(c, s.rng.Uint64())
 	if err != nil {
 		panic(err)
@@ -71,15 +71,15 @@
 	s.lives[i]++
 	s.ds[i], s.sent[i] = d, map[RequestID]int{}
 	s.ck.begin(i)
-	s.deliver(i, NodeList{Kind: Persisted, Nodes: append([]Node(nil), s.nodes...)})
+	s.deliver(i, EndpointUpdate{Kind: Cached, Nodes: append([]Node(nil), s.nodes...)})
 }
 
 func (s *storm) deliver(i int, e Event) {
 	s.ck.event(i, s.now, e)
-	if l, ok := e.(NodeList); ok && s.hideDrains {
+	if l, ok := e.(EndpointUpdate); ok && s.hideDrains {
 		var ns []Node
 		for _, n := range l.Nodes {
-			n.State = Serving
+			n.State = Ready
 			ns = append(ns, n)
 		}
 		l.Nodes = ns
@@ -91,38 +91,38 @@
 		s.ck.action(i, s.now, a)
 		switch a := a.(type) {
 		case SetTimer:
-			s.later(a.At-s.now, i, Fired{a.Token}, nil)
-		case Attempt:
+			s.later(a.At-s.now, i, TimerFired{a.Token}, nil)
+		case SendAttempt:
 			s.outcome(i, a)
 		}
 	}
 }
 
 // outcome draws how an attempt ends. A life's own record gives its deadline.
-func (s *storm) outcome(i int, a Attempt) {
+func (s *storm) outcome(i int, a SendAttempt) {
 	no := s.sent[i][a.ID]
 	s.sent[i][a.ID]++
 	t := s.ck.lives[i].reqs[a.ID]
-	left := t.taken + t.req.Left - s.now
-	if a.Until > 0 {
-		left = min(left, max(0, a.Until-s.now))
+	left := t.taken + t.req.Timeout - s.now
+	if a.Deadline > 0 {
+		left = min(left, max(0, a.Deadline-s.now))
 	}
-	st, took := Served, time.Duration(2+s.rng.IntN(60))*ms
+	st, took := OK, time.Duration(2+s.rng.IntN(60))*ms
 	switch x := s.rng.Float64(); {
 	case x < 0.25:
-		st = []Status{Errored, Full, ConnectFailed, Dropped}[s.rng.IntN(4)]
+		st = []AttemptResult{ServerError, Rejected, ConnectFailed, ConnectionReset}[s.rng.IntN(4)]
 	case x < 0.25+s.lost:
 		took = time.Hour
 	case unitsSince(s.ck.served[a.Node], s.now-time.Second) >= s.ck.capacity(s.ck.nodes[a.Node], s.now):
-		st = Full // no node serves more than it can
+		st = Rejected // no node serves more than it can
 	}
 	if took >= left {
 		st, took = TimedOut, left
 	}
-	s.later(took, i, Outcome{
-		ID: a.ID, Attempt: no, Node: a.Node, Status: st, Concluded: st == Served, Took: took,
-		Use: float64(s.rng.IntN(400)), Elsewhere: float64(s.rng.IntN(3)),
-		Report: Report{"inflight": float64(s.rng.IntN(60) - 2)},
+	s.later(took, i, AttemptCompleted{
+		ID: a.ID, Attempt: no, Node: a.Node, Result: st, Responded: st == OK, Latency: took,
+		QuotaUsage: float64(s.rng.IntN(400)), PeerUnits: float64(s.rng.IntN(3)),
+		LoadReport: LoadReport{"inflight": float64(s.rng.IntN(60) - 2)},
 	}, nil) // as good as seconds late
 }
 
@@ -131,7 +131,7 @@
 	v := i/s.hosts*2 + s.rng.IntN(2)
 	q := Request{
 		ID: s.nextID, Class: s.rng.IntN(len(s.truth.Classes)), Plan: v % 2, Volume: VolumeID(fmt.Sprint("v", v)),
-		Units: float64(1 + s.rng.IntN(8)), Hosts: s.hosts, Shard: Shard(s.rng.IntN(3)),
+		Units: float64(1 + s.rng.IntN(8)), Dispatchers: s.hosts, Shard: Shard(s.rng.IntN(3)),
 	}
 	if s.rng.IntN(8) == 0 {
 		q.Shard = AnyShard
@@ -139,10 +139,10 @@
 	if s.rng.IntN(2) == 0 {
 		q.Key = fmt.Sprint("k", s.rng.IntN(3))
 	}
-	q.Left = s.truth.Classes[q.Class].Deadline
+	q.Timeout = s.truth.Classes[q.Class].Deadline
 	s.deliver(i, q)
 	if s.rng.IntN(50) == 0 {
-		s.later(time.Duration(s.rng.IntN(100))*ms, i, Gone{q.ID}, nil)
+		s.later(time.Duration(s.rng.IntN(100))*ms, i, ClientCanceled{q.ID}, nil)
 	}
 }
 
@@ -151,14 +151,14 @@
 	i := s.rng.IntN(len(s.nodes))
 	n := &s.nodes[i]
 	switch n.State {
-	case Serving:
+	case Ready:
 		n.State = []NodeState{Draining, Removed}[s.rng.IntN(2)]
 	default:
-		n.State, n.Started = Serving, s.now
+		n.State, n.Started = Ready, s.now
 	}
 	s.ck.nodes[n.ID] = *n
 	for to := range s.ds {
-		s.later(0, to, NodeList{Kind: Changes, Nodes: []Node{*n}}, nil)
+		s.later(0, to, EndpointUpdate{Kind: Delta, Nodes: []Node{*n}}, nil)
 	}
 }
 
@@ -166,8 +166,8 @@
 func (s *storm) run(length time.Duration) map[string]string {
 	s.now = time.Hour
 	end := s.now + length
-	s.ds, s.lives = make([]*Dispatcher, s.truth.Peers), make([]int, s.truth.Peers)
-	s.sent = make([]map[RequestID]int, s.truth.Peers)
+	s.ds, s.lives = make([]*Dispatcher, s.truth.DispatcherCount), make([]int, s.truth.DispatcherCount)
+	s.sent = make([]map[RequestID]int, s.truth.DispatcherCount)
 	s.ck = newChecker(s.truth)
 	s.ck.slack -= s.impatience
 	for i := range 3 {
@@ -203,7 +203,7 @@
 		case h.to < 0:
 			h.do()
 		case h.life == s.lives[h.to]:
-			if g, ok := h.what.(Gone); ok && s.ck.lives[h.to].reqs[g.ID].answered {
+			if g, ok := h.what.(ClientCanceled); ok && s.ck.lives[h.to].reqs[g.ID].answered {
 				continue
 			}
 			s.deliver(h.to, h.what)
@@ -220,7 +220,7 @@
 // newWideStorm has so many dispatchers, in sets that each share two volumes.
 func newWideStorm(seed uint64, peers, hosts int) *storm {
 	cfg := testConfig()
-	cfg.Peers, cfg.UsualUnits = peers, 4.5 // the mean of what request draws
+	cfg.DispatcherCount, cfg.MeanUnits = peers, 4.5 // the mean of what request draws
 	return &storm{
 		rng: rand.New(rand.NewPCG(seed, 7)), module: cfg, truth: cfg, lost: 0.03, hosts: hosts,
 		said: fnv.New64a(),
@@ -259,30 +259,30 @@
 	for rule, without := range map[string]func(*storm){
 		"effects": func(s *storm) {
 			s.module.Classes = append([]Class(nil), s.module.Classes...)
-			s.module.Classes[2].Effect = Safe
+			s.module.Classes[2].Idempotency = Idempotent
 		},
 		"order": func(s *storm) {
 			s.module.Classes = append([]Class(nil), s.module.Classes...)
-			s.module.Classes[1].InTurn = false
+			s.module.Classes[1].Ordered = false
 		},
 		"budget": func(s *storm) {
-			s.module.Budget = BudgetRule{}
+			s.module.RetryBudget = RetryBudget{}
 			s.module.Classes = append([]Class(nil), s.module.Classes...)
 			for i := range s.module.Classes { // in no hurry, so that it tries again
-				s.module.Classes[i].Aim = time.Minute
+				s.module.Classes[i].LatencyObjective = time.Minute
 			}
 		},
-		"cold":  func(s *storm) { s.module.Cold = ColdRule{} },
+		"cold":  func(s *storm) { s.module.SlowStart = SlowStart{} },
 		"drain": func(s *storm) { s.hideDrains = true },
 		"limit": func(s *storm) {
 			s.module.Plans = append([]Plan(nil), s.module.Plans...)
-			s.module.Plans[0].Limit = 0
+			s.module.Plans[0].RateLimit = 0
 		},
 		"answer": func(s *storm) {
 			s.module.Classes = append([]Class(nil), s.module.Classes...)
 			for i := range s.module.Classes { // it believes that clients wait for ever
 				s.truth.Classes[i].Deadline = 50 * ms
-				s.module.Classes[i].Aim = time.Hour
+				s.module.Classes[i].LatencyObjective = time.Hour
 			}
 			s.impatience = 57 * ms
 		},
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -13,18 +13,18 @@
 	id, acts := r.ask(Request{Shard: 0})
 	want(t, "idle node", acts, id, "sent")
 	want(t, "time-out at the deadline", func() []Action { r.now += time.Second; return r.end(id, 0, TimedOut) }(), id, "refused")
-	if acts := r.end(id, 0, Served); len(attempts(acts)) > 0 {
+	if acts := r.end(id, 0, OK); len(attempts(acts)) > 0 {
 		t.Error("sent after the answer")
 	}
 	id, acts = r.ask(Request{Shard: 7})
 	want(t, "a shard that no node holds", acts, id, "refused")
 	id, _ = r.ask(Request{Shard: 0})
-	r.do(Gone{id})
-	if acts := r.end(id, 0, Full); kindOf(acts, id) != "held" {
+	r.do(ClientCanceled{id})
+	if acts := r.end(id, 0, Rejected); kindOf(acts, id) != "held" {
 		t.Errorf("answered a client that has left: %v", acts)
 	}
-	r.do(Gone{999}) // never heard of: harmless
-	r.end(999, 0, Served)
+	r.do(ClientCanceled{999}) // never heard of: harmless
+	r.end(999, 0, OK)
 	if len(r.d.reqs) != 0 {
 		t.Errorf("%d requests kept after their end", len(r.d.reqs))
 	}
@@ -58,17 +58,17 @@
 	for _, c := range []struct {
 		name  string
 		class int
-		ends  Status
+		ends  AttemptResult
 		wait  time.Duration
 		want  string
 	}{
-		{"safe after an error is tried again", 0, Errored, retryGap, "sent"},
-		{"safe turned away is tried again", 0, Full, retryGap, "sent"},
-		{"unsafe turned away is tried again", 2, Full, retryGap, "sent"},
-		{"unsafe after an error is neither sent nor refused", 2, Errored, 0, "failed"},
-		{"unsafe after a reset is neither sent nor refused", 2, Dropped, 0, "failed"},
+		{"safe after an error is tried again", 0, ServerError, retryGap, "sent"},
+		{"safe turned away is tried again", 0, Rejected, retryGap, "sent"},
+		{"unsafe turned away is tried again", 2, Rejected, retryGap, "sent"},
+		{"unsafe after an error is neither sent nor refused", 2, ServerError, 0, "failed"},
+		{"unsafe after a reset is neither sent nor refused", 2, ConnectionReset, 0, "failed"},
 		{"unsafe that never connected is tried again", 2, ConnectFailed, retryGap, "sent"},
-		{"keyed after an error is tried again at its node", 1, Errored, retryGap, "sent"},
+		{"keyed after an error is tried again at its node", 1, ServerError, retryGap, "sent"},
 		{"keyed whose answer is lost is tried again at its node", 1, TimedOut, ms, "sent"},
 		{"safe whose answer is lost is tried again", 0, TimedOut, ms, "sent"},
 		{"unsafe whose answer is lost is neither sent nor refused", 2, TimedOut, 0, "failed"},
@@ -108,15 +108,15 @@
 			r := newRig(t, testConfig())
 			switch kind {
 			case "draining":
-				r.list(Changes, Node{ID: "n0", Shard: 0, State: Draining})
+				r.list(Delta, Node{ID: "n0", Shard: 0, State: Draining})
 			case "gone":
-				r.list(Changes, Node{ID: "n0", Shard: 0, State: Removed})
+				r.list(Delta, Node{ID: "n0", Shard: 0, State: Removed})
 			default:
-				r.list(Complete, Node{ID: "n1", Shard: 1})
+				r.list(Snapshot, Node{ID: "n1", Shard: 1})
 			}
 			id, acts := r.ask(Request{Shard: 0})
 			want(t, "no node serves it", acts, id, "refused")
-			r.list(Changes, Node{ID: "n2", Shard: 0})
+			r.list(Delta, Node{ID: "n2", Shard: 0})
 			id, acts = r.ask(Request{Shard: 0})
 			want(t, "a successor", acts, id, "sent")
 		})
@@ -128,12 +128,12 @@
 		}
 		id, acts := r.ask(Request{Shard: 0, Plan: 1})
 		want(t, "depth is full", acts, id, "held")
-		acts = r.list(Changes, Node{ID: "n0", Shard: 0, State: Draining}, Node{ID: "n2", Shard: 0})
+		acts = r.list(Delta, Node{ID: "n0", Shard: 0, State: Draining}, Node{ID: "n2", Shard: 0})
 		want(t, "successor", acts, id, "sent")
 	})
 	t.Run("an emptied list is harmless", func(t *testing.T) {
 		r := newRig(t, testConfig())
-		r.list(Complete)
+		r.list(Snapshot)
 		id, acts := r.ask(Request{Shard: AnyShard})
 		want(t, "no nodes", acts, id, "refused")
 	})
@@ -141,7 +141,7 @@
 
 func TestDiscoveryIsAskedAndAskedAgain(t *testing.T) {
 	cfg := testConfig()
-	cfg.AskDiscovery = true
+	cfg.PollDiscovery = true
 	d, err := New(cfg, 3)
 	if err != nil {
 		t.Fatal(err)
@@ -154,7 +154,7 @@
 		}
 		return false
 	}
-	if !watched(d.Handle(time.Hour, NodeList{Kind: Persisted})) {
+	if !watched(d.Handle(time.Hour, EndpointUpdate{Kind: Cached})) {
 		t.Fatal("discovery not asked at the start")
 	}
 	now := time.Hour
@@ -163,42 +163,42 @@
 	for range 3 {
 		longest := 750 * ms
 		for range 20 {
-			if watched(d.Handle(now, NodeList{Kind: Failed})) {
+			if watched(d.Handle(now, EndpointUpdate{Kind: PollFailed})) {
 				t.Fatal("asked again at once after a failure")
 			}
-			if now += longest; !watched(d.Handle(now, Fired{"wake"})) {
+			if now += longest; !watched(d.Handle(now, TimerFired{"wake"})) {
 				t.Fatalf("not asked again %v after a failure", longest)
 			}
 			longest = 3 * time.Second
 		}
-		d.Handle(now, NodeList{Kind: Changes}) // it was told something: what failed before is over
+		d.Handle(now, EndpointUpdate{Kind: Delta}) // it was told something: what failed before is over
 	}
 }
 
 // The requests that a node reports in hand bound what one unlucky, or lucky, answer says of
 // its delay; a report that makes no sense is as good as none.
 func TestReportBoundsTheDelay(t *testing.T) {
-	after := func(rep Report, took time.Duration) time.Duration {
+	after := func(rep LoadReport, took time.Duration) time.Duration {
 		r := newRig(t, testConfig())
 		for range 2 {
 			id, _ := r.ask(Request{Shard: 0, Plan: 1})
-			r.do(Outcome{ID: id, Status: Served, Concluded: true, Took: 10 * ms})
+			r.do(AttemptCompleted{ID: id, Result: OK, Responded: true, Latency: 10 * ms})
 		}
 		id, _ := r.ask(Request{Shard: 0, Plan: 1})
-		r.do(Outcome{ID: id, Status: Served, Concluded: true, Took: took, Report: rep})
+		r.do(AttemptCompleted{ID: id, Result: OK, Responded: true, Latency: took, LoadReport: rep})
 		return r.d.delay(r.d.nodes["n0"])
 	}
 	alone := after(nil, 150*ms)
-	if few := after(Report{"inflight": 1}, 150*ms); few >= alone/2 {
+	if few := after(LoadReport{"inflight": 1}, 150*ms); few >= alone/2 {
 		t.Errorf("delay %v with one in hand, %v without a report", few, alone)
 	}
-	if idle := after(Report{"inflight": 0}, 150*ms); idle > ms {
+	if idle := after(LoadReport{"inflight": 0}, 150*ms); idle > ms {
 		t.Errorf("delay %v at an idle node", idle)
 	}
-	if many := after(Report{"inflight": 50}, 10*ms); many < 20*ms {
+	if many := after(LoadReport{"inflight": 50}, 10*ms); many < 20*ms {
 		t.Errorf("delay %v with 50 in hand", many)
 	}
-	for _, bad := range []Report{{"inflight": -3}, {"inflight": math.NaN()}, {"inflight": math.Inf(1)}, {"other": 7}, {}} {
+	for _, bad := range []LoadReport{{"inflight": -3}, {"inflight": math.NaN()}, {"inflight": math.Inf(1)}, {"other": 7}, {}} {
 		if got := after(bad, 150*ms); got != alone {
 			t.Errorf("%v: delay %v, want %v as without a report", bad, got, alone)
 		}
@@ -211,12 +211,12 @@
 	r := newRig(t, testConfig())
 	id, acts := r.ask(Request{Shard: 0, Plan: 1}) // shows how long clients of the class wait
 	want(t, "patient", acts, id, "sent")
-	r.end(id, 0, Served)
+	r.end(id, 0, OK)
 	r.ask(Request{Shard: 0, Plan: 1, Volume: "w"})
 	v := r.d.vols["v"]
 	reserve := v.reserve
 	for range 15 {
-		id, acts := r.ask(Request{Shard: 0, Plan: 1, Left: 60 * ms})
+		id, acts := r.ask(Request{Shard: 0, Plan: 1, Timeout: 60 * ms})
 		want(t, "impatient", acts, id, "refused")
 	}
 	if v.reserve != reserve || v.heldUnits != 0 || len(r.d.extra) != 0 {
@@ -229,7 +229,7 @@
 func TestFloorOfDepthAmongMany(t *testing.T) {
 	for peers, floor := range map[int]int{1: 4, 8: 4, 10: 3, 40: 1, 200: 1} {
 		cfg := testConfig()
-		cfg.Peers = peers
+		cfg.DispatcherCount = peers
 		r := newRig(t, cfg)
 		n := r.d.nodes["n0"]
 		if got := r.d.depth(n); got != floor {
@@ -238,7 +238,7 @@
 		answer := func(took time.Duration) {
 			id, _ := r.ask(Request{Shard: 0, Plan: 1})
 			r.now += took
-			r.do(Outcome{ID: id, Status: Served, Concluded: true, Took: took})
+			r.do(AttemptCompleted{ID: id, Result: OK, Responded: true, Latency: took})
 			r.at(10 * time.Second)
 		}
 		answer(5 * ms)
@@ -260,14 +260,14 @@
 			acts = append(acts, r.at(10*ms)...)
 			for _, id := range attempts(acts) {
 				sent += 3
-				r.end(id, 0, Errored)
+				r.end(id, 0, ServerError)
 			}
 		}
 		return sent
 	}
 	start := func(usual float64) *rig {
 		r := newRig(t, testConfig())
-		r.list(Changes, Node{ID: "n0", Shard: 0, Started: r.now})
+		r.list(Delta, Node{ID: "n0", Shard: 0, Started: r.now})
 		u := r.d.usageOf(0)
 		u.sum, u.at = usual*usualSpan.Seconds()*(1-decay(r.now-r.d.born, usualSpan)), r.now
 		return r
@@ -283,25 +283,25 @@
 	}
 	t.Run("usual service is known of a successor, and fades", func(t *testing.T) {
 		r := start(usual)
-		r.list(Changes, Node{ID: "n0", Shard: 0, State: Removed}, Node{ID: "n9", Shard: 0, Started: r.now})
+		r.list(Delta, Node{ID: "n0", Shard: 0, State: Removed}, Node{ID: "n9", Shard: 0, Started: r.now})
 		if got := r.d.usual(r.d.nodes["n9"]); got < usual*0.99 || got > usual*1.01 {
 			t.Errorf("%g, want %g", got, usual)
 		}
 		r.now += usualSpan
-		r.do(Fired{"wake"})
+		r.do(TimerFired{"wake"})
 		if got := r.d.usual(r.d.nodes["n9"]); got > usual/2 {
 			t.Errorf("%g a span later", got)
 		}
 	})
 	warm := newRig(t, testConfig())
-	warm.list(Changes, Node{ID: "n0", Shard: 0, Started: warm.now - 12*time.Second})
+	warm.list(Delta, Node{ID: "n0", Shard: 0, Started: warm.now - 12*time.Second})
 	id, acts := warm.ask(Request{Shard: 0, Units: 8, Plan: 1})
 	want(t, "a warm node", acts, id, "sent")
 	t.Run("a restarted dispatcher starts in debt", func(t *testing.T) {
 		debts := 0.0
 		for seed := range uint64(40) {
 			d, _ := New(testConfig(), seed)
-			d.Handle(time.Hour, NodeList{Kind: Persisted, Nodes: []Node{{ID: "n0", Started: time.Hour - time.Second}}})
+			d.Handle(time.Hour, EndpointUpdate{Kind: Cached, Nodes: []Node{{ID: "n0", Started: time.Hour - time.Second}}})
 			d.coldAt(d.nodes["n0"], 0)
 			debts += d.nodes["n0"].debt / 40
 		}
@@ -316,7 +316,7 @@
 			r.d.coldAt(n, 0)
 			n.debt = -0.5 // less than a usual request
 			id, _ := r.ask(Request{Shard: 1, Plan: 1})
-			r.end(id, 0, Served)
+			r.end(id, 0, OK)
 			if beyond {
 				r.d.vols["v"].reserve = -20
 			}
@@ -326,9 +326,9 @@
 	})
 	t.Run("one unit for each of many peers", func(t *testing.T) {
 		cfg := testConfig()
-		cfg.Peers = 200 // above YoungLimit
+		cfg.DispatcherCount = 200 // above YoungLimit
 		r := newRig(t, cfg)
-		r.list(Changes, Node{ID: "n0", Shard: 0, Started: r.now})
+		r.list(Delta, Node{ID: "n0", Shard: 0, Started: r.now})
 		if sent := sentOver(r, time.Second); sent > 3 {
 			t.Errorf("%g units without history, want one request at most", sent)
 		}
@@ -345,8 +345,8 @@
 	}
 	until := func(acts []Action) time.Duration {
 		for _, a := range acts {
-			if a, ok := a.(Attempt); ok {
-				return a.Until
+			if a, ok := a.(SendAttempt); ok {
+				return a.Deadline
 			}
 		}
 		t.Fatal("nothing sent")
@@ -358,7 +358,7 @@
 			t.Error("ended early without evidence")
 		}
 		r.now += 5 * ms
-		r.end(id, 0, Served)
+		r.end(id, 0, OK)
 	}
 	r := newRig(t, testConfig())
 	learn(r)
@@ -383,7 +383,7 @@
 	lose(slow)
 	id, _ = slow.ask(Request{Shard: 0, Plan: 1})
 	slow.now += 900 * ms
-	slow.do(Outcome{ID: id, Status: Served, Concluded: true, Took: 900 * ms})
+	slow.do(AttemptCompleted{ID: id, Result: OK, Responded: true, Latency: 900 * ms})
 	if slow.d.lost != 0 {
 		t.Error("a slow node taken for one that loses answers")
 	}
@@ -398,17 +398,17 @@
 	want(t, "second waits for its turn", acts, b, "held")
 	c, acts := put("other")
 	want(t, "another key", acts, c, "sent")
-	r.end(c, 0, Served)
-	want(t, "the turn passes", r.end(a, 0, Served), b, "sent")
+	r.end(c, 0, OK)
+	want(t, "the turn passes", r.end(a, 0, OK), b, "sent")
 	r.now += 10 * ms
 	e, _ := put("k")
-	acts = r.do(Gone{b})
+	acts = r.do(ClientCanceled{b})
 	want(t, "the client of the one running has left; its attempt is out", acts, e, "held")
-	acts = r.end(b, 0, Cancelled)
+	acts = r.end(b, 0, Canceled)
 	want(t, "the key rests after doubt", acts, e, "held")
 	want(t, "still", r.at(149*ms), e, "held")
 	want(t, "rested", r.at(ms), e, "sent")
-	r.end(e, 0, Served)
+	r.end(e, 0, OK)
 	if len(r.d.turns) != 0 {
 		t.Errorf("%d keys kept", len(r.d.turns))
 	}
@@ -419,24 +419,24 @@
 	again := 0
 	for range 10 {
 		id, _ := r.ask(Request{Shard: 0, Plan: 1})
-		r.end(id, 0, Errored)
+		r.end(id, 0, ServerError)
 		for _, a := range attempts(r.at(retryGap)) {
 			again++
-			r.end(a, 1, Served)
+			r.end(a, 1, OK)
 		}
 	}
 	if again != 3 { // 2 + 10 % of 10
 		t.Errorf("%d further attempts for 10 requests, want 3", again)
 	}
 	cfg := testConfig()
-	cfg.Budget = BudgetRule{}
+	cfg.RetryBudget = RetryBudget{}
 	r = newRig(t, cfg)
 	for range 10 {
 		id, _ := r.ask(Request{Shard: 0, Plan: 1})
-		r.end(id, 0, Errored)
+		r.end(id, 0, ServerError)
 		acts := r.at(retryGap)
 		want(t, "no budget stated", acts, id, "sent")
-		r.end(id, 1, Served)
+		r.end(id, 1, OK)
 	}
 }
 
@@ -444,29 +444,29 @@
 	r := newRig(t, testConfig())
 	sent := 0.0
 	for range 100 {
-		id, acts := r.ask(Request{Shard: 0, Plan: 0, Units: 4, Hosts: 2})
+		id, acts := r.ask(Request{Shard: 0, Plan: 0, Units: 4, Dispatchers: 2})
 		if kindOf(acts, id) == "sent" {
 			sent += 4
-			r.end(id, 0, Served)
+			r.end(id, 0, OK)
 		}
 	}
 	if part := (40.0 + 8) / 2; sent > part || sent < part-4 {
 		t.Errorf("%g units at once, want nearly this host's part %g", sent, part)
 	}
-	id, acts := r.ask(Request{Shard: 0, Plan: 0, Units: 30, Hosts: 2})
+	id, acts := r.ask(Request{Shard: 0, Plan: 0, Units: 30, Dispatchers: 2})
 	want(t, "more than the limit can ever hold", acts, id, "refused")
 	t.Run("a restarted dispatcher starts with nothing", func(t *testing.T) {
 		d, _ := New(testConfig(), 1)
-		d.Handle(time.Hour, NodeList{Kind: Persisted, Nodes: []Node{{ID: "n0"}}})
-		acts := d.Handle(time.Hour, Request{ID: 1, Volume: "v", Units: 1, Hosts: 1, Left: time.Second})
+		d.Handle(time.Hour, EndpointUpdate{Kind: Cached, Nodes: []Node{{ID: "n0"}}})
+		acts := d.Handle(time.Hour, Request{ID: 1, Volume: "v", Units: 1, Dispatchers: 1, Timeout: time.Second})
 		want(t, "at once", acts, 1, "held")
-		acts = d.Handle(time.Hour+40*ms, Fired{"wake"})
+		acts = d.Handle(time.Hour+40*ms, TimerFired{"wake"})
 		want(t, "once the rate has brought a unit", acts, 1, "sent")
 	})
 	t.Run("fewer hosts do not enlarge the part", func(t *testing.T) {
 		r := newRig(t, testConfig())
-		r.ask(Request{Volume: "w", Hosts: 4, Shard: 0})
-		r.ask(Request{Volume: "w", Hosts: 1, Shard: 0})
+		r.ask(Request{Volume: "w", Dispatchers: 4, Shard: 0})
+		r.ask(Request{Volume: "w", Dispatchers: 1, Shard: 0})
 		if h := r.d.vols["w"].hosts; h != 4 {
 			t.Errorf("hosts = %d, want 4", h)
 		}
@@ -477,7 +477,7 @@
 	r := newRig(t, testConfig())
 	for range 4 {
 		id, _ := r.ask(Request{Shard: 0, Plan: 1})
-		r.end(id, 0, Served)
+		r.end(id, 0, OK)
 	}
 	r.ask(Request{Shard: 0, Plan: 1})
 	r.at(400 * ms) // the one out has had no answer for twice the aim
@@ -500,7 +500,7 @@
 			t.Fatalf("backed off after %d bad ends", i)
 		}
 		id, _ := r.ask(Request{Shard: 0, Plan: 1, Class: 2})
-		r.end(id, 0, Dropped)
+		r.end(id, 0, ConnectionReset)
 	}
 	if n.until <= r.now {
 		t.Fatal("not backed off")
@@ -510,7 +510,7 @@
 	want(t, "the first try after the back-off", acts, id, "sent")
 	id2, acts := r.ask(Request{Shard: 0, Plan: 1, Class: 2})
 	want(t, "only one at a time", acts, id2, "held")
-	r.end(id, 0, Served)
+	r.end(id, 0, OK)
 	if r.d.depth(n) < depthMin {
 		t.Error("an answer did not clear the suspicion")
 	}
@@ -518,16 +518,16 @@
 
 func TestNewNamesTheField(t *testing.T) {
 	for field, spoil := range map[string]func(*Config){
-		"Peers":             func(c *Config) { c.Peers = 0 },
-		"Me":                func(c *Config) { c.Me = 2 },
+		"Peers":             func(c *Config) { c.DispatcherCount = 0 },
+		"Me":                func(c *Config) { c.DispatcherIndex = 2 },
 		"Classes":           func(c *Config) { c.Classes = nil },
 		"Plans":             func(c *Config) { c.Plans = nil },
-		"Classes[1].Aim":    func(c *Config) { c.Classes[1].Aim = 0 },
-		"Classes[1].Window": func(c *Config) { c.Classes[1].Window = -1 },
+		"Classes[1].Aim":    func(c *Config) { c.Classes[1].LatencyObjective = 0 },
+		"Classes[1].Window": func(c *Config) { c.Classes[1].DedupWindow = -1 },
 		"Plans[0].Weight":   func(c *Config) { c.Plans[0].Weight = 0 },
-		"Plans[1]":          func(c *Config) { c.Plans[1].Limit = -1 },
-		"Cold":              func(c *Config) { c.Cold.From = 0 },
-		"Budget":            func(c *Config) { c.Budget.Free = -1 },
+		"Plans[1]":          func(c *Config) { c.Plans[1].RateLimit = -1 },
+		"Cold":              func(c *Config) { c.SlowStart.InitialCapacity = 0 },
+		"Budget":            func(c *Config) { c.RetryBudget.MinRetries = -1 },
 		"MaxAttempts":       func(c *Config) { c.MaxAttempts = -1 },
 	} {
 		c := testConfig()
@@ -544,11 +544,11 @@
 	for i := range 20000 {
 		name := string(rune('a'+i%26)) + time.Duration(i).String()
 		if i%100 == 0 {
-			r.list(Complete, Node{ID: NodeID(name), Shard: 0}, Node{ID: "n1", Shard: 1})
+			r.list(Snapshot, Node{ID: NodeID(name), Shard: 0}, Node{ID: "n1", Shard: 1})
 		}
 		id, acts := r.ask(Request{Shard: 0, Class: i % 3, Plan: i % 2, Key: name, Volume: VolumeID(name)})
 		if kindOf(acts, id) == "sent" {
-			r.end(id, 0, Served)
+			r.end(id, 0, OK)
 		}
 		r.at(20 * ms)
 	}
@@ -568,21 +568,21 @@
 		ask   Request
 		want  string
 	}{
-		{"one dispatcher", func(c *Config) { c.Peers = 1 }, Request{Shard: 0}, "sent"},
-		{"no figures of units", func(c *Config) { c.UsualUnits, c.LargestUnits = 0, 0 }, Request{Shard: 0}, "sent"},
+		{"one dispatcher", func(c *Config) { c.DispatcherCount = 1 }, Request{Shard: 0}, "sent"},
+		{"no figures of units", func(c *Config) { c.MeanUnits, c.MaxUnits = 0, 0 }, Request{Shard: 0}, "sent"},
 		{"no reserve", func(c *Config) { c.Plans[1].Reserve = 0 }, Request{Shard: 0, Plan: 1}, "sent"},
-		{"no worth stated", func(c *Config) { c.Classes[0].Worth = 0 }, Request{Shard: 0}, "sent"},
-		{"an aim beyond the deadline", func(c *Config) { c.Classes[0].Aim = time.Hour }, Request{Shard: 0}, "sent"},
+		{"no worth stated", func(c *Config) { c.Classes[0].PriorityWeight = 0 }, Request{Shard: 0}, "sent"},
+		{"an aim beyond the deadline", func(c *Config) { c.Classes[0].LatencyObjective = time.Hour }, Request{Shard: 0}, "sent"},
 		{
-			"a limit below one request", func(c *Config) { c.Plans[0].Limit, c.Plans[0].Burst, c.Plans[0].Slack = 1, 1, 1 },
+			"a limit below one request", func(c *Config) { c.Plans[0].RateLimit, c.Plans[0].Burst, c.Plans[0].Slack = 1, 1, 1 },
 			Request{Shard: 0, Units: 8},
 			"refused",
 		},
 		{"no limit's store at all", func(c *Config) { c.Plans[0].Burst, c.Plans[0].Slack = 0, 0 }, Request{Shard: 0}, "refused"},
 		{"units below nothing", func(*Config) {}, Request{Shard: 0, Units: -1}, "refused"},
-		{"no time left", func(*Config) {}, Request{Shard: 0, Left: -1}, "refused"},
+		{"no time left", func(*Config) {}, Request{Shard: 0, Timeout: -1}, "refused"},
 		{"an unknown plan", func(*Config) {}, Request{Shard: 0, Plan: 9}, "refused"},
-		{"no round stated", func(c *Config) { c.Round = 0 }, Request{Shard: 0}, "sent"},
+		{"no round stated", func(c *Config) { c.RoundTrip = 0 }, Request{Shard: 0}, "sent"},
 		{"no key in a class that keeps order", func(*Config) {}, Request{Shard: 0, Class: 1}, "sent"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -595,7 +595,7 @@
 	t.Run("a request told twice is answered once", func(t *testing.T) {
 		r := newRig(t, testConfig())
 		id, _ := r.ask(Request{Shard: 0})
-		if acts := r.do(Request{ID: id, Shard: 0, Units: 1, Left: time.Second}); len(acts) > 0 {
+		if acts := r.do(Request{ID: id, Shard: 0, Units: 1, Timeout: time.Second}); len(acts) > 0 {
 			t.Errorf("acted on the second: %v", acts)
 		}
 	})
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -1,3 +1,5 @@
+// The state that a dispatcher keeps between events. Nothing is decided here.
+
 package dispatch
 
 import (
@@ -8,8 +10,6 @@
 	"time"
 )
 
-// The state that dispatcher.go keeps between events. Nothing is decided here.
-
 type state int
 
 const (
@@ -39,9 +39,9 @@
 	doubtAt         time.Duration // send of the first attempt that may have run
 	doubtZone       int
 	doubtShard      Shard
-	expiry          *task // while it is held or waits for its turn
-	held            Held  // in queues that it has left
-	queued          stand // when it joined its queue
+	expiry          *task     // while it is held or waits for its turn
+	held            QueueTime // in queues that it has left
+	queued          stand     // when it joined its queue
 }
 
 // stand is a moment, with what had stood in the way of a flow until then.
@@ -296,7 +296,7 @@
 
 // heldFor tells for what r was held until now. Where two things stood in the way at
 // once, the time is the first's: the parts sum to the time in queues.
-func (r *request) heldFor(now time.Duration) Held {
+func (r *request) heldFor(now time.Duration) QueueTime {
 	h := r.held
 	if r.flow == nil {
 		return h
@@ -308,10 +308,10 @@
 		left -= d
 		return d
 	}
-	h.Limit += part(s.limit - q.limit)
-	h.Cold += part(s.cold - q.cold)
-	h.Suspect += part(s.suspect - q.suspect)
-	h.Line += left
+	h.RateLimit += part(s.limit - q.limit)
+	h.SlowStart += part(s.cold - q.cold)
+	h.Ejected += part(s.suspect - q.suspect)
+	h.Concurrency += left
 	return h
 }
 
--- a/forwarder/account.go
+++ b/forwarder/account.go
@@ -22,8 +22,8 @@
 // wasHeld puts the time since the last attempt, or the start, down to its causes, as
 // the dispatcher tells them. The time in line is divided among those who had the node's
 // places; what the dispatcher does not name is the key's turn or the pause between attempts.
-func (x *Exchange) wasHeld(c *call, h dispatch.Held) {
-	if !x.cfg.Accounts || c.stage != asked {
+func (x *Forwarder) wasHeld(c *call, h dispatch.QueueTime) {
+	if !x.cfg.Attribution || c.stage != asked {
 		return
 	}
 	before := c.span.Parts[attribution.Held]
@@ -34,10 +34,10 @@
 		left -= d
 		return d
 	}
-	part(attribution.Limit, h.Limit)
-	part(attribution.ColdNode, h.Cold)
-	part(attribution.Suspect, h.Suspect)
-	line := part(attribution.Others, h.Line)
+	part(attribution.Limit, h.RateLimit)
+	part(attribution.ColdNode, h.SlowStart)
+	part(attribution.Suspect, h.Ejected)
+	line := part(attribution.Others, h.Concurrency)
 	if c.attempt < 0 {
 		part(attribution.Turn, left)
 	} else {
@@ -61,10 +61,10 @@
 }
 
 // holder is the node that a request is held for: the newest that serves its shard.
-func (x *Exchange) holder(c *call) *node {
+func (x *Forwarder) holder(c *call) *node {
 	var best *node
 	for _, n := range x.order {
-		if n.State == dispatch.Serving && n.Shard == c.req.Shard && (best == nil || best.Started < n.Started) {
+		if n.State == dispatch.Ready && n.Shard == c.req.Shard && (best == nil || best.Started < n.Started) {
 			best = n
 		}
 	}
@@ -72,7 +72,7 @@
 }
 
 // lost puts an attempt's time down as lost: it brought no answer.
-func (x *Exchange) lost(c *call) {
+func (x *Forwarder) lost(c *call) {
 	c.span.To(x.now, attribution.Held)
 	d := x.now - c.begun
 	d -= c.span.Move(attribution.NodeTime, attribution.Lost, d)
@@ -81,7 +81,7 @@
 }
 
 // leaves takes a call from those that are out at its node.
-func (x *Exchange) leaves(c *call) {
+func (x *Forwarder) leaves(c *call) {
 	if n := c.occupies; n != nil {
 		n.occupancy().Ended(x.now, string(c.req.Volume), c.req.Units)
 		c.occupies = nil
@@ -89,9 +89,9 @@
 }
 
 // sent notes that a call is out at a node, and who was there before it.
-func (x *Exchange) sent(c *call, n *node) {
+func (x *Forwarder) sent(c *call, n *node) {
 	c.span.To(x.now, attribution.NodeTime)
-	if x.cfg.Accounts {
+	if x.cfg.Attribution {
 		c.occupies = n
 		c.ahead = n.occupancy().Sent(x.now, string(c.req.Volume), c.req.Units)
 	}
@@ -99,19 +99,19 @@
 
 // timed divides the present attempt's time at its node as the node tells: no more
 // than passed. The wait in its queue goes to those who were there before.
-func (x *Exchange) timed(c *call, w Word) {
-	if !x.cfg.Accounts || !w.Timed || c.told {
+func (x *Forwarder) timed(c *call, w ResponseInfo) {
+	if !x.cfg.Attribution || !w.HasTiming || c.told {
 		return
 	}
 	c.told = true
-	queue := c.span.Move(attribution.NodeTime, attribution.NodeQueue, w.Queue)
-	c.span.Move(attribution.NodeTime, attribution.NodeWork, w.Work)
+	queue := c.span.Move(attribution.NodeTime, attribution.NodeQueue, w.QueueTime)
+	c.span.Move(attribution.NodeTime, attribution.NodeWork, w.ServiceTime)
 	c.behind = append(c.behind, attribution.Divide(c.ahead, queue)...)
 }
 
 // account gives a call's account, once.
-func (x *Exchange) account(c *call, o attribution.Outcome) {
-	if !x.cfg.Accounts {
+func (x *Forwarder) account(c *call, o attribution.Outcome) {
+	if !x.cfg.Attribution {
 		return
 	}
 	c.span.To(x.now, attribution.Gateway)
@@ -121,19 +121,19 @@
 		c.untold[0] = attribution.Untold{Call: uint64(c.req.ID), Attempt: c.attempt, Unknown: unknown, Ahead: c.ahead}
 		c.entry.Untold = c.untold[:]
 	}
-	x.act(Accounted{ID: c.req.ID, Lane: c.lane, Entry: &c.entry})
+	x.act(RequestAttributed{ID: c.req.ID, Loop: c.lane, Entry: &c.entry})
 }
 
 // outcome tells how a final answer ends a request; nil: its client has left.
 func outcome(a Action) attribution.Outcome {
 	switch a.(type) {
-	case Deliver:
+	case ForwardResponse:
 		return attribution.Answered
-	case Refuse:
+	case Reject:
 		return attribution.Refused
 	case Fail:
 		return attribution.Failed
-	case Cut:
+	case AbortResponse:
 		return attribution.Cut
 	}
 	return attribution.Left
--- a/forwarder/api.go
+++ b/forwarder/api.go
@@ -16,47 +16,47 @@
 // ConnID names a connection to a node. It is never used twice.
 type ConnID uint64
 
-// Lane is an event loop. A request and the connection that carries it share one.
-type Lane int
+// LoopID is an event loop. A request and the connection that carries it share one.
+type LoopID int
 
 // Config holds the settings of a forwarder.
 type Config struct {
-	Choice dispatch.Config
-	Seed   uint64
+	Dispatch dispatch.Config
+	Seed     uint64
 
-	ConnsPerNode int // bound on connections to one node, those being opened included
-	// Streams bounds the bodies that flow to or from one node without a place in
+	MaxConnsPerNode int // bound on connections to one node, those being opened included
+	// MaxStreamsPerNode bounds the bodies that flow to or from one node without a place in
 	// the dispatcher's depth. It must be below ConnsPerNode: the rest is for what the dispatcher sends.
-	Streams int
-	Conns   int           // bound on connections to all nodes; 0: none
-	Rest    time.Duration // after an answer, before a connection carries another request; may be 0
-	IdleFor time.Duration // an unused connection is closed after this
-	MaxAge  time.Duration // a connection is not used again when it is older
-	Connect time.Duration // bound on opening a connection
-	// Margin is kept before a client's deadline for the way of the answer.
-	Margin time.Duration
-	// MaxCalls bounds the requests held and out together; beyond it a request is
+	MaxStreamsPerNode int
+	MaxConns          int           // bound on connections to all nodes; 0: none
+	ReuseDelay        time.Duration // after an answer, before a connection carries another request; may be 0
+	IdleTimeout       time.Duration // an unused connection is closed after this
+	MaxConnAge        time.Duration // a connection is not used again when it is older
+	DialTimeout       time.Duration // bound on opening a connection
+	// ResponseMargin is kept before a client's deadline for the way of the answer.
+	ResponseMargin time.Duration
+	// MaxRequests bounds the requests held and out together; beyond it a request is
 	// refused unseen.
-	MaxCalls int
-	// Accounts has each Begin followed by one Accounted.
-	Accounts bool
+	MaxRequests int
+	// Attribution has each Begin followed by one Accounted.
+	Attribution bool
 }
 
 func (c Config) check() error {
 	switch {
-	case c.ConnsPerNode < 1:
+	case c.MaxConnsPerNode < 1:
 		return errors.New("ConnsPerNode: want at least 1")
-	case c.Streams < 0 || c.Streams >= c.ConnsPerNode:
+	case c.MaxStreamsPerNode < 0 || c.MaxStreamsPerNode >= c.MaxConnsPerNode:
 		return errors.New("Streams: want 0 to below ConnsPerNode")
-	case c.Conns < 0 || c.Rest < 0:
+	case c.MaxConns < 0 || c.ReuseDelay < 0:
 		return errors.New("Conns, Rest: want at least 0")
-	case c.IdleFor <= 0 || c.MaxAge <= 0 || c.Connect <= 0:
+	case c.IdleTimeout <= 0 || c.MaxConnAge <= 0 || c.DialTimeout <= 0:
 		return errors.New("IdleFor, MaxAge, Connect: want above 0")
-	case c.MaxCalls < 1:
+	case c.MaxRequests < 1:
 		return errors.New("MaxCalls: want at least 1")
 	}
-	for i, k := range c.Choice.Classes {
-		if c.Margin < 0 || c.Margin >= k.Deadline {
+	for i, k := range c.Dispatch.Classes {
+		if c.ResponseMargin < 0 || c.ResponseMargin >= k.Deadline {
 			return fmt.Errorf("Margin: want at least 0 and below Classes[%d].Deadline", i)
 		}
 	}
@@ -72,71 +72,71 @@
 // Event is something that a forwarder hears.
 type Event interface{ event() }
 
-// Begin is a request for a node, to be answered once.
-type Begin struct {
-	Request dispatch.Request
-	Lane    Lane
-	Once    bool // its body streams through and cannot be sent a second time
+// StartRequest is a request for a node, to be answered once.
+type StartRequest struct {
+	Request       dispatch.Request
+	Loop          LoopID
+	NotReplayable bool // its body streams through and cannot be sent a second time
 }
 
-// Gone tells that nobody waits for the request any more. Units, where it is over 0, is
+// ClientCanceled tells that nobody waits for the request any more. Units, where it is over 0, is
 // what the part of its answer cost that had come.
-type Gone struct {
+type ClientCanceled struct {
 	ID    dispatch.RequestID
 	Units float64
 }
 
-// Abandon ends a request whose body proved bad or stopped coming: its client has
+// AbortRequest ends a request whose body proved bad or stopped coming: its client has
 // been, or is being, answered by the caller.
-type Abandon struct{ ID dispatch.RequestID }
+type AbortRequest struct{ ID dispatch.RequestID }
 
-// Flowing tells that the node takes the request's body as it comes: from here on
+// BodyStreaming tells that the node takes the request's body as it comes: from here on
 // the client and the link set the pace.
-type Flowing struct{ ID dispatch.RequestID }
+type BodyStreaming struct{ ID dispatch.RequestID }
 
 // BodySent tells that the whole body has gone to the node.
 type BodySent struct{ ID dispatch.RequestID }
 
-// Nodes is news from discovery. Entries that are removed may lack an address.
-type Nodes struct {
-	Kind  dispatch.ListKind
+// EndpointUpdate is news from discovery. Entries that are removed may lack an address.
+type EndpointUpdate struct {
+	Kind  dispatch.EndpointUpdateKind
 	Nodes []Node
 }
 
-// Dialed ends a Dial.
-type Dialed struct {
+// DialCompleted ends a Dial.
+type DialCompleted struct {
 	Conn ConnID
 	OK   bool
 }
 
-// Headed tells that the head of a node's answer has been passed on to the client,
+// ResponseHeaders tells that the head of a node's answer has been passed on to the client,
 // and that its body follows piece by piece. From here there is no other answer.
-type Headed struct {
+type ResponseHeaders struct {
 	Conn ConnID
-	Word Word
+	Info ResponseInfo
 }
 
-// Answered tells that a node's whole answer is there.
-type Answered struct {
+// ResponseCompleted tells that a node's whole answer is there.
+type ResponseCompleted struct {
 	Conn  ConnID
-	Word  Word
+	Info  ResponseInfo
 	Reuse bool // the connection can carry another request
 }
 
-// Word is what a node's answer says beside its content.
-type Word struct {
-	Status    dispatch.Status // Served, Errored or Full
-	Units     float64         // that the answer's size makes the request cost; 0: those it came with
-	Use       float64
-	Elsewhere float64
-	Report    dispatch.Report
-	Timed     bool // the node tells how the request's time there divides
-	Queue     time.Duration
-	Work      time.Duration
+// ResponseInfo is what a node's answer says beside its content.
+type ResponseInfo struct {
+	Result      dispatch.AttemptResult // Served, Errored or Full
+	Units       float64                // that the answer's size makes the request cost; 0: those it came with
+	QuotaUsage  float64
+	PeerUnits   float64
+	LoadReport  dispatch.LoadReport
+	HasTiming   bool // the node tells how the request's time there divides
+	QueueTime   time.Duration
+	ServiceTime time.Duration
 }
 
-// Lost tells that a connection ended, or that what came on it was no answer.
-type Lost struct {
+// ConnectionLost tells that a connection ended, or that what came on it was no answer.
+type ConnectionLost struct {
 	Conn ConnID
 	// Unsent tells that its request was not wholly written, and so never ran.
 	Unsent bool
@@ -145,130 +145,130 @@
 	Stale bool
 }
 
-// Fired is a timer that the forwarder has set.
-type Fired struct{}
-
-func (Begin) event()    {}
-func (Gone) event()     {}
-func (Abandon) event()  {}
-func (Flowing) event()  {}
-func (BodySent) event() {}
-func (Nodes) event()    {}
-func (Dialed) event()   {}
-func (Headed) event()   {}
-func (Answered) event() {}
-func (Lost) event()     {}
-func (Fired) event()    {}
+// TimerFired is a timer that the forwarder has set.
+type TimerFired struct{}
+
+func (StartRequest) event()      {}
+func (ClientCanceled) event()    {}
+func (AbortRequest) event()      {}
+func (BodyStreaming) event()     {}
+func (BodySent) event()          {}
+func (EndpointUpdate) event()    {}
+func (DialCompleted) event()     {}
+func (ResponseHeaders) event()   {}
+func (ResponseCompleted) event() {}
+func (ConnectionLost) event()    {}
+func (TimerFired) event()        {}
 
 // Action is something that a forwarder wants done, in the order given.
 type Action interface {
-	// On returns the lane that is to do it; false for what belongs to none.
-	On() (Lane, bool)
+	// OnLoop returns the lane that is to do it; false for what belongs to none.
+	OnLoop() (LoopID, bool)
 }
 
 // Dial opens a connection.
 type Dial struct {
 	Conn    ConnID
-	Lane    Lane
+	Loop    LoopID
 	Node    dispatch.NodeID
 	Addr    string
 	Timeout time.Duration
 }
 
-// Send writes a request on a connection. Attempt counts from 0.
-type Send struct {
-	Conn    ConnID
-	Lane    Lane
-	ID      dispatch.RequestID
-	Node    dispatch.NodeID
-	Attempt int
-	Until   time.Duration // then the attempt is given up
+// SendRequest writes a request on a connection. Attempt counts from 0.
+type SendRequest struct {
+	Conn     ConnID
+	Loop     LoopID
+	ID       dispatch.RequestID
+	Node     dispatch.NodeID
+	Attempt  int
+	Deadline time.Duration // then the attempt is given up
 }
 
-// Close ends a connection. Whatever still comes on it is thrown away.
-type Close struct {
+// CloseConn ends a connection. Whatever still comes on it is thrown away.
+type CloseConn struct {
 	Conn ConnID
-	Lane Lane
+	Loop LoopID
 }
 
-// Deliver is a final answer: the node's own, which the caller holds.
-type Deliver struct {
+// ForwardResponse is a final answer: the node's own, which the caller holds.
+type ForwardResponse struct {
 	ID   dispatch.RequestID
-	Lane Lane
+	Loop LoopID
 	Conn ConnID
 }
 
-// Drop throws away a node's answer: the request goes on.
-type Drop struct {
+// DiscardResponse throws away a node's answer: the request goes on.
+type DiscardResponse struct {
 	ID   dispatch.RequestID
-	Lane Lane
+	Loop LoopID
 	Conn ConnID
 }
 
-// Refuse is a final answer: trying again after After is harmless.
-type Refuse struct {
-	ID    dispatch.RequestID
-	Lane  Lane
-	After time.Duration
+// Reject is a final answer: trying again after After is harmless.
+type Reject struct {
+	ID         dispatch.RequestID
+	Loop       LoopID
+	RetryAfter time.Duration
 }
 
 // Fail is a final answer that promises nothing. Late tells that time ran out.
 type Fail struct {
-	ID   dispatch.RequestID
-	Lane Lane
-	Late bool
+	ID       dispatch.RequestID
+	Loop     LoopID
+	TimedOut bool
 }
 
-// Cut breaks off, visibly, an answer whose head was passed on.
-type Cut struct {
+// AbortResponse breaks off, visibly, an answer whose head was passed on.
+type AbortResponse struct {
 	ID   dispatch.RequestID
-	Lane Lane
+	Loop LoopID
 }
 
-// Accounted is the account of a request that ends: where its time from Begin on
+// RequestAttributed is the account of a request that ends: where its time from Begin on
 // went, and behind whom it was held. It comes once for each Begin, before the final
 // answer, where the settings ask for accounts; nothing is decided by it.
-type Accounted struct {
+type RequestAttributed struct {
 	ID    dispatch.RequestID
-	Lane  Lane
+	Loop  LoopID
 	Entry *attribution.Entry // the caller's from here on
 }
 
 // SetTimer asks for Fired at a time. A later one replaces it.
 type SetTimer struct{ At time.Duration }
 
-// Ask asks discovery for the list and its changes.
-type Ask struct{}
+// PollDiscovery asks discovery for the list and its changes.
+type PollDiscovery struct{}
 
-// On returns the action's lane.
-func (a Dial) On() (Lane, bool) { return a.Lane, true }
+// OnLoop returns the action's lane.
+func (a Dial) OnLoop() (LoopID, bool) { return a.Loop, true }
 
-// On returns the action's lane.
-func (a Send) On() (Lane, bool) { return a.Lane, true }
+// OnLoop returns the action's lane.
+func (a SendRequest) OnLoop() (LoopID, bool) { return a.Loop, true }
 
-// On returns the action's lane.
-func (a Close) On() (Lane, bool) { return a.Lane, true }
+// OnLoop returns the action's lane.
+func (a CloseConn) OnLoop() (LoopID, bool) { return a.Loop, true }
 
-// On returns the action's lane.
-func (a Deliver) On() (Lane, bool) { return a.Lane, true }
+// OnLoop returns the action's lane.
+func (a ForwardResponse) OnLoop() (LoopID, bool) { return a.Loop, true }
 
-// On returns the action's lane.
-func (a Drop) On() (Lane, bool) { return a.Lane, true }
+// OnLoop returns the action's lane.
+func (a DiscardResponse) OnLoop() (LoopID, bool) { return a.Loop, true }
 
-// On returns the action's lane.
-func (a Refuse) On() (Lane, bool) { return a.Lane, true }
+// OnLoop returns the action's lane.
+func (a Reject) OnLoop() (LoopID, bool) { return a.Loop, true }
 
-// On returns the action's lane.
-func (a Fail) On() (Lane, bool) { return a.Lane, true }
+// OnLoop returns the action's lane.
+func (a Fail) OnLoop() (LoopID, bool) { return a.Loop, true }
 
-// On returns the action's lane.
-func (a Cut) On() (Lane, bool) { return a.Lane, true }
+// OnLoop returns the action's lane.
+func (a AbortResponse) OnLoop() (LoopID, bool) { return a.Loop, true }
 
-// On returns the action's lane.
-func (a Accounted) On() (Lane, bool) { return a.Lane, true }
+// OnLoop returns the action's lane.
+func (a RequestAttributed) OnLoop() (LoopID, bool) { return a.Loop, true }
 
-// On tells that it belongs to no lane.
-func (SetTimer) On() (Lane, bool) { return 0, false }
+// OnLoop tells that it belongs to no lane.
+func (SetTimer) OnLoop() (LoopID, bool) { return 0, false }
 
-// On tells that it belongs to no lane.
-func (Ask) On() (Lane, bool) { return 0, false }
+// OnLoop tells that it belongs to no lane.
+func (PollDiscovery) OnLoop() (LoopID, bool) { return 0, false }
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// Exchange is the state machine of one gateway's requests. It is not safe for
+// Forwarder is the state machine of one gateway's requests. It is not safe for
 // concurrent use.
-type Exchange struct {
+type Forwarder struct {
 	// Trace, when set, is shown each input of the dispatcher with what it answered.
 	Trace func(now time.Duration, ev dispatch.Event, acts []dispatch.Action)
 
@@ -52,7 +52,7 @@
 type call struct {
 	req      dispatch.Request
 	class    *dispatch.Class
-	lane     Lane
+	lane     LoopID
 	stage    stage
 	conn     *conn
 	attempt  int           // of the present or last one
@@ -68,7 +68,7 @@
 	once     bool          // its body cannot be sent twice
 	streams  *node         // among whose streams it counts
 	headAt   time.Duration // when its answer's head was passed on, while the dispatcher waits for its end
-	headWord Word
+	headWord ResponseInfo
 
 	span     attribution.Span
 	begun    time.Duration // of the present attempt
@@ -91,7 +91,7 @@
 type conn struct {
 	id    ConnID
 	node  *node
-	lane  Lane
+	lane  LoopID
 	state connState
 	call  *call // that it carries or opens for
 	born  time.Duration
@@ -108,56 +108,56 @@
 }
 
 // New checks the settings and returns a forwarder that knows no node yet.
-func New(cfg Config) (*Exchange, error) {
+func New(cfg Config) (*Forwarder, error) {
 	if err := cfg.check(); err != nil {
 		return nil, fmt.Errorf("forwarder: %w", err)
 	}
-	d, err := dispatch.New(cfg.Choice, cfg.Seed)
+	d, err := dispatch.New(cfg.Dispatch, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("forwarder: %w", err)
 	}
-	return &Exchange{
+	return &Forwarder{
 		cfg: cfg, d: d, calls: map[dispatch.RequestID]*call{}, conns: map[ConnID]*conn{},
 		nodes: map[dispatch.NodeID]*node{}, wakeAt: math.MaxInt64,
 	}, nil
 }
 
 // Calls returns how many requests are held or out.
-func (x *Exchange) Calls() int { return len(x.calls) }
+func (x *Forwarder) Calls() int { return len(x.calls) }
 
 // Conns returns how many connections to nodes there are.
-func (x *Exchange) Conns() int { return len(x.conns) }
+func (x *Forwarder) Conns() int { return len(x.conns) }
 
 // Handle takes one event and returns what is to be done, in order. The slice is
 // the caller's until the next call.
-func (x *Exchange) Handle(now time.Duration, ev Event) []Action {
+func (x *Forwarder) Handle(now time.Duration, ev Event) []Action {
 	x.acts = x.acts[:0]
 	x.now = max(now, x.now)
 	switch e := ev.(type) {
-	case Begin:
+	case StartRequest:
 		x.onBegin(e)
-	case Gone:
+	case ClientCanceled:
 		if c := x.calls[e.ID]; c != nil && c.stage == passing {
 			x.measure(c, e.Units)
 		}
 		x.onGone(e.ID)
-	case Abandon:
+	case AbortRequest:
 		x.onGone(e.ID)
-	case Flowing:
+	case BodyStreaming:
 		x.onFlowing(e.ID)
 	case BodySent:
 		x.onBodySent(e.ID)
-	case Nodes:
+	case EndpointUpdate:
 		x.onNodes(e)
-	case Dialed:
+	case DialCompleted:
 		x.onDialed(e)
-	case Headed:
+	case ResponseHeaders:
 		x.onHeaded(e)
-	case Answered:
+	case ResponseCompleted:
 		x.onAnswered(e)
-	case Lost:
+	case ConnectionLost:
 		x.onLost(e)
-	case Fired:
+	case TimerFired:
 		x.wakeAt = math.MaxInt64
 	}
 	x.settle()
@@ -166,11 +166,11 @@
 	return x.acts
 }
 
-func (x *Exchange) act(a Action) { x.acts = append(x.acts, a) }
+func (x *Forwarder) act(a Action) { x.acts = append(x.acts, a) }
 
 // settle lets the dispatcher hear all that happened, and does what it says, which
 // may make more happen.
-func (x *Exchange) settle() {
+func (x *Forwarder) settle() {
 	for len(x.inbox) > 0 {
 		ev := x.inbox[0]
 		x.inbox = x.inbox[1:]
@@ -185,40 +185,40 @@
 	x.inbox = nil
 }
 
-func (x *Exchange) tell(ev dispatch.Event) { x.inbox = append(x.inbox, ev) }
+func (x *Forwarder) tell(ev dispatch.Event) { x.inbox = append(x.inbox, ev) }
 
 // follow does what the dispatcher said.
-func (x *Exchange) follow(a dispatch.Action) {
+func (x *Forwarder) follow(a dispatch.Action) {
 	switch a := a.(type) {
-	case dispatch.Attempt:
+	case dispatch.SendAttempt:
 		x.attempt(a)
-	case dispatch.Refuse:
+	case dispatch.Reject:
 		if c := x.calls[a.ID]; c != nil {
-			x.wasHeld(c, a.Held)
-			x.answer(c, Refuse{ID: a.ID, Lane: c.lane, After: a.After})
+			x.wasHeld(c, a.QueueTime)
+			x.answer(c, Reject{ID: a.ID, Loop: c.lane, RetryAfter: a.RetryAfter})
 		}
 	case dispatch.Fail:
 		if c := x.calls[a.ID]; c != nil {
-			x.wasHeld(c, a.Held)
-			x.answer(c, Fail{ID: a.ID, Lane: c.lane, Late: c.late})
+			x.wasHeld(c, a.QueueTime)
+			x.answer(c, Fail{ID: a.ID, Loop: c.lane, TimedOut: c.late})
 		}
-	case dispatch.Cancel:
+	case dispatch.CancelAttempt:
 		// A body that can't be sent twice would be lost with its attempt, and waits on.
 		if c := x.calls[a.ID]; c != nil && c.attempt == a.Attempt && !c.once {
-			x.giveUp(c, dispatch.Cancelled)
+			x.giveUp(c, dispatch.Canceled)
 		}
 	case dispatch.SetTimer:
 		x.dispatchTimer.at, x.dispatchTimer.token, x.dispatchTimer.set = a.At, a.Token, true
 	case dispatch.Watch:
 		if a.On {
-			x.act(Ask{})
+			x.act(PollDiscovery{})
 		}
 	}
 }
 
 // answer gives a call its final answer and forgets it. It is the only place from
 // which an answer of the gateway's own leaves.
-func (x *Exchange) answer(c *call, a Action) {
+func (x *Forwarder) answer(c *call, a Action) {
 	if c.stage == done {
 		return
 	}
@@ -227,7 +227,7 @@
 }
 
 // conclude forgets a call with its final answer; nil: its client has left.
-func (x *Exchange) conclude(c *call, a Action) {
+func (x *Forwarder) conclude(c *call, a Action) {
 	c.stage = done
 	x.stop(c)
 	x.leaves(c)
@@ -244,7 +244,7 @@
 
 // detach takes the connection from a call. One that may still bring an answer is
 // closed: its late answer must not meet another request.
-func (x *Exchange) detach(c *call) {
+func (x *Forwarder) detach(c *call) {
 	k := c.conn
 	if k == nil {
 		return
@@ -255,16 +255,16 @@
 	}
 }
 
-func (x *Exchange) close(k *conn) {
+func (x *Forwarder) close(k *conn) {
 	if x.conns[k.id] != k {
 		return
 	}
-	x.act(Close{Conn: k.id, Lane: k.lane})
+	x.act(CloseConn{Conn: k.id, Loop: k.lane})
 	x.unlist(k)
 }
 
 // unlist forgets a connection.
-func (x *Exchange) unlist(k *conn) {
+func (x *Forwarder) unlist(k *conn) {
 	if x.conns[k.id] != k {
 		return
 	}
@@ -277,24 +277,24 @@
 
 // ---- Calls.
 
-func (x *Exchange) onBegin(e Begin) {
+func (x *Forwarder) onBegin(e StartRequest) {
 	if x.calls[e.Request.ID] != nil {
 		return // told twice
 	}
-	if len(x.calls) >= x.cfg.MaxCalls || e.Request.Class < 0 || e.Request.Class >= len(x.cfg.Choice.Classes) {
-		if x.cfg.Accounts {
-			x.act(Accounted{
-				ID: e.Request.ID, Lane: e.Lane,
+	if len(x.calls) >= x.cfg.MaxRequests || e.Request.Class < 0 || e.Request.Class >= len(x.cfg.Dispatch.Classes) {
+		if x.cfg.Attribution {
+			x.act(RequestAttributed{
+				ID: e.Request.ID, Loop: e.Loop,
 				Entry: &attribution.Entry{Volume: string(e.Request.Volume), Started: x.now, Ended: x.now, Outcome: attribution.Refused},
 			})
 		}
-		x.act(Refuse{ID: e.Request.ID, Lane: e.Lane, After: x.cfg.Choice.MaxRetryAfter})
+		x.act(Reject{ID: e.Request.ID, Loop: e.Loop, RetryAfter: x.cfg.Dispatch.MaxRetryAfter})
 		return
 	}
-	class := &x.cfg.Choice.Classes[e.Request.Class]
+	class := &x.cfg.Dispatch.Classes[e.Request.Class]
 	c := &call{
-		req: e.Request, class: class, lane: e.Lane, attempt: -1, once: e.Once, units: e.Request.Units,
-		deadline: x.now + e.Request.Left - x.cfg.Margin,
+		req: e.Request, class: class, lane: e.Loop, attempt: -1, once: e.NotReplayable, units: e.Request.Units,
+		deadline: x.now + e.Request.Timeout - x.cfg.ResponseMargin,
 	}
 	c.span = attribution.Begin(x.now, attribution.Held)
 	x.calls[c.req.ID] = c
@@ -304,43 +304,43 @@
 // attempt starts an attempt that the dispatcher decided. The guard of drains: the dispatcher sends
 // nothing to a node that it was told drains, and what it decided just before is
 // stopped again where the connection is ready (ready, below).
-func (x *Exchange) attempt(a dispatch.Attempt) {
+func (x *Forwarder) attempt(a dispatch.SendAttempt) {
 	c := x.calls[a.ID]
 	if c == nil { // cannot happen: who is gone was told; the dispatcher must not wait for its end
-		x.tell(dispatch.Outcome{ID: a.ID, Node: a.Node, Status: dispatch.Moot})
+		x.tell(dispatch.AttemptCompleted{ID: a.ID, Node: a.Node, Result: dispatch.NotSent})
 		return
 	}
 	if c.stage != asked {
 		return // cannot happen: never two attempts out for one request
 	}
-	x.wasHeld(c, a.Held)
+	x.wasHeld(c, a.QueueTime)
 	c.attempt++
 	c.begun, c.told = x.now, false
 	c.span.To(x.now, attribution.Connect)
 	c.stage, c.bodySent, c.late = opening, false, false
 	c.sentAt = x.now
 	until := c.deadline
-	if a.Until > 0 {
-		until = min(until, a.Until)
+	if a.Deadline > 0 {
+		until = min(until, a.Deadline)
 	}
 	x.callTimer(c, until)
 	n := x.nodes[a.Node]
-	if n == nil || n.State != dispatch.Serving {
-		x.end(c, dispatch.Moot, Word{})
+	if n == nil || n.State != dispatch.Ready {
+		x.end(c, dispatch.NotSent, ResponseInfo{})
 		return
 	}
 	x.connect(c, n)
 }
 
 // connect finds or opens a connection for a call's attempt.
-func (x *Exchange) connect(c *call, n *node) {
+func (x *Forwarder) connect(c *call, n *node) {
 	if k := x.take(n, c.lane); k != nil {
 		x.carry(k, c)
 		return
 	}
 	k := x.open(n, c.lane)
 	if k == nil { // our own shortage: not sent, and no fault of the node
-		x.end(c, dispatch.Moot, Word{})
+		x.end(c, dispatch.NotSent, ResponseInfo{})
 		return
 	}
 	c.conn, k.call = k, c
@@ -349,14 +349,14 @@
 // end tells the dispatcher how an attempt ended without an answer for the client. A body
 // that cannot be sent twice bars a further attempt, of which the dispatcher knows nothing:
 // the answer is given here, a refusal only where the node took nothing in.
-func (x *Exchange) end(c *call, s dispatch.Status, w Word) {
+func (x *Forwarder) end(c *call, s dispatch.AttemptResult, w ResponseInfo) {
 	c.late = s == dispatch.TimedOut
 	if c.once && c.stage == out {
 		x.give(c, s, w, true)
-		if s == dispatch.Full {
-			x.answer(c, Refuse{ID: c.req.ID, Lane: c.lane, After: x.cfg.Choice.MaxRetryAfter})
+		if s == dispatch.Rejected {
+			x.answer(c, Reject{ID: c.req.ID, Loop: c.lane, RetryAfter: x.cfg.Dispatch.MaxRetryAfter})
 		} else {
-			x.answer(c, Fail{ID: c.req.ID, Lane: c.lane, Late: c.late})
+			x.answer(c, Fail{ID: c.req.ID, Loop: c.lane, TimedOut: c.late})
 		}
 		return
 	}
@@ -366,40 +366,40 @@
 }
 
 // give tells the dispatcher of an attempt's end, once.
-func (x *Exchange) give(c *call, s dispatch.Status, w Word, concluded bool) {
+func (x *Forwarder) give(c *call, s dispatch.AttemptResult, w ResponseInfo, concluded bool) {
 	if c.settled {
 		return
 	}
 	c.settled = concluded
-	if proven := s == dispatch.Full || s == dispatch.ConnectFailed || s == dispatch.Moot; !proven && !c.doubt {
+	if proven := s == dispatch.Rejected || s == dispatch.ConnectFailed || s == dispatch.NotSent; !proven && !c.doubt {
 		c.doubt, c.doubtAt = true, c.sentAt
 	}
 	id := dispatch.NodeID("")
 	if c.conn != nil {
 		id = c.conn.node.ID
 	}
-	x.tell(dispatch.Outcome{
-		ID: c.req.ID, Attempt: c.attempt, Node: id, Status: s, Concluded: concluded,
-		Took: x.now - c.sentAt, Use: w.Use, Elsewhere: w.Elsewhere, Report: w.Report,
+	x.tell(dispatch.AttemptCompleted{
+		ID: c.req.ID, Attempt: c.attempt, Node: id, Result: s, Responded: concluded,
+		Latency: x.now - c.sentAt, QuotaUsage: w.QuotaUsage, PeerUnits: w.PeerUnits, LoadReport: w.LoadReport,
 	})
 }
 
 // onGone ends a call that nobody waits for. An attempt that is out ends with it;
 // its connection is closed, so that it carries nothing else.
-func (x *Exchange) onGone(id dispatch.RequestID) {
+func (x *Forwarder) onGone(id dispatch.RequestID) {
 	c := x.calls[id]
 	if c == nil {
 		return
 	}
 	switch c.stage {
 	case asked:
-		x.tell(dispatch.Gone{ID: id})
+		x.tell(dispatch.ClientCanceled{ID: id})
 	case opening: // never sent
-		x.tell(dispatch.Gone{ID: id})
-		x.give(c, dispatch.Moot, Word{}, true)
+		x.tell(dispatch.ClientCanceled{ID: id})
+		x.give(c, dispatch.NotSent, ResponseInfo{}, true)
 	case out:
-		x.tell(dispatch.Gone{ID: id})
-		x.give(c, dispatch.Cancelled, Word{}, true)
+		x.tell(dispatch.ClientCanceled{ID: id})
+		x.give(c, dispatch.Canceled, ResponseInfo{}, true)
 	case passing:
 		x.served(c)
 	}
@@ -413,21 +413,21 @@
 // harm where a slow client hides a slow node; that node then shows in its other
 // answers. Beyond the bound on streams a call keeps its place in the dispatcher's depth,
 // so that a node full of streams counts as busy.
-func (x *Exchange) onFlowing(id dispatch.RequestID) {
+func (x *Forwarder) onFlowing(id dispatch.RequestID) {
 	c := x.calls[id]
-	if c == nil || c.stage != out || c.bodySent || c.class.InTurn && c.req.Key != "" || !x.stream(c) {
+	if c == nil || c.stage != out || c.bodySent || c.class.Ordered && c.req.Key != "" || !x.stream(c) {
 		return
 	}
-	x.give(c, dispatch.Cancelled, Word{}, true)
+	x.give(c, dispatch.Canceled, ResponseInfo{}, true)
 	x.leaves(c) // its place in the depth is free
 	c.stage = released
 	x.stop(c)
 }
 
 // stream takes a place for a call among its node's streams.
-func (x *Exchange) stream(c *call) bool {
+func (x *Forwarder) stream(c *call) bool {
 	n := c.conn.node
-	if c.streams == nil && n.streams < x.cfg.Streams {
+	if c.streams == nil && n.streams < x.cfg.MaxStreamsPerNode {
 		n.streams++
 		c.streams = n
 	}
@@ -435,7 +435,7 @@
 }
 
 // onBodySent starts the node's own time for a call that the dispatcher has let go.
-func (x *Exchange) onBodySent(id dispatch.RequestID) {
+func (x *Forwarder) onBodySent(id dispatch.RequestID) {
 	if c := x.calls[id]; c != nil {
 		c.bodySent = true
 		if c.stage == released {
@@ -450,13 +450,13 @@
 // others grow old and are closed. One whose answer has just come rests: what a broken
 // node sends after its answer, a second copy or noise, must not be taken for the answer
 // of the next request. It costs a connection more where requests follow closely.
-func (x *Exchange) take(n *node, lane Lane) *conn {
+func (x *Forwarder) take(n *node, lane LoopID) *conn {
 	for i := len(n.idle) - 1; i >= 0; i-- {
 		k := n.idle[i]
-		if k.lane != lane || x.now-k.since < x.cfg.Rest {
+		if k.lane != lane || x.now-k.since < x.cfg.ReuseDelay {
 			continue
 		}
-		if x.now-k.born >= x.cfg.MaxAge || x.now-k.since >= x.cfg.IdleFor {
+		if x.now-k.born >= x.cfg.MaxConnAge || x.now-k.since >= x.cfg.IdleTimeout {
 			x.close(k)
 			continue
 		}
@@ -468,26 +468,26 @@
 
 // open starts a connection, in the place of an unused one of another lane where
 // the bound is reached. nil: all are in use.
-func (x *Exchange) open(n *node, lane Lane) *conn {
-	if n.conns >= x.cfg.ConnsPerNode {
+func (x *Forwarder) open(n *node, lane LoopID) *conn {
+	if n.conns >= x.cfg.MaxConnsPerNode {
 		if len(n.idle) == 0 {
 			return nil
 		}
 		x.close(n.idle[0])
 	}
-	if x.cfg.Conns > 0 && len(x.conns) >= x.cfg.Conns && !x.closeIdle() {
+	if x.cfg.MaxConns > 0 && len(x.conns) >= x.cfg.MaxConns && !x.closeIdle() {
 		return nil
 	}
 	x.lastID++
 	k := &conn{id: x.lastID, node: n, lane: lane, born: x.now}
 	x.conns[k.id] = k
 	n.conns++
-	x.act(Dial{Conn: k.id, Lane: lane, Node: n.ID, Addr: n.Addr, Timeout: x.cfg.Connect})
+	x.act(Dial{Conn: k.id, Loop: lane, Node: n.ID, Addr: n.Addr, Timeout: x.cfg.DialTimeout})
 	return k
 }
 
 // closeIdle closes the connection that has been idle for the longest, of whatever node.
-func (x *Exchange) closeIdle() bool {
+func (x *Forwarder) closeIdle() bool {
 	var oldest *conn
 	for _, n := range x.order {
 		if len(n.idle) > 0 && (oldest == nil || n.idle[0].since < oldest.since) {
@@ -502,17 +502,17 @@
 
 // carry sends a call on a connection. It is the only place from which a request
 // leaves for a node.
-func (x *Exchange) carry(k *conn, c *call) {
+func (x *Forwarder) carry(k *conn, c *call) {
 	k.state, k.call, c.conn, c.stage = busy, c, k, out
 	x.sent(c, k.node)
-	x.act(Send{Conn: k.id, Lane: k.lane, ID: c.req.ID, Node: k.node.ID, Attempt: c.attempt, Until: c.timer.at})
+	x.act(SendRequest{Conn: k.id, Loop: k.lane, ID: c.req.ID, Node: k.node.ID, Attempt: c.attempt, Deadline: c.timer.at})
 }
 
-func (x *Exchange) onDialed(e Dialed) {
+func (x *Forwarder) onDialed(e DialCompleted) {
 	k := x.conns[e.Conn]
 	if k == nil || k.state != dialing {
 		if e.OK {
-			x.act(Close{Conn: e.Conn}) // given up meanwhile
+			x.act(CloseConn{Conn: e.Conn}) // given up meanwhile
 		}
 		return
 	}
@@ -521,7 +521,7 @@
 		k.call = nil
 		x.unlist(k)
 		if c != nil {
-			x.end(c, dispatch.ConnectFailed, Word{})
+			x.end(c, dispatch.ConnectFailed, ResponseInfo{})
 			c.conn = nil
 		}
 		return
@@ -529,16 +529,16 @@
 	switch n := k.node; {
 	case c == nil:
 		x.rest(k)
-	case n.State != dispatch.Serving:
+	case n.State != dispatch.Ready:
 		// The guard of drains, for what was decided before the drain was told: it has
 		// not been sent, and the dispatcher places it anew.
 		k.call, c.conn = nil, nil
 		x.close(k)
-		x.end(c, dispatch.Moot, Word{})
+		x.end(c, dispatch.NotSent, ResponseInfo{})
 	case x.tooLate(c):
 		k.call, c.conn = nil, nil
 		x.rest(k)
-		x.end(c, dispatch.Moot, Word{})
+		x.end(c, dispatch.NotSent, ResponseInfo{})
 	default:
 		x.carry(k, c)
 	}
@@ -546,13 +546,13 @@
 
 // tooLate guards the effects of a further attempt whose connection took so long that
 // nodes may no longer drop it as a repeat. It has not been sent, and the dispatcher answers.
-func (x *Exchange) tooLate(c *call) bool {
-	return c.doubt && c.class.Effect == dispatch.Keyed && x.now-c.doubtAt >= c.class.Window
+func (x *Forwarder) tooLate(c *call) bool {
+	return c.doubt && c.class.Idempotency == dispatch.Deduplicated && x.now-c.doubtAt >= c.class.DedupWindow
 }
 
 // rest puts a connection back for another request, where it may carry one.
-func (x *Exchange) rest(k *conn) {
-	if k.node.State != dispatch.Serving || x.now-k.born >= x.cfg.MaxAge || x.conns[k.id] == nil {
+func (x *Forwarder) rest(k *conn) {
+	if k.node.State != dispatch.Ready || x.now-k.born >= x.cfg.MaxConnAge || x.conns[k.id] == nil {
 		x.close(k)
 		return
 	}
@@ -560,22 +560,22 @@
 	k.node.idle = append(k.node.idle, k)
 	if !k.watch {
 		k.watch = true
-		x.at(x.now+x.cfg.IdleFor, &timer{conn: k})
+		x.at(x.now+x.cfg.IdleTimeout, &timer{conn: k})
 	}
 }
 
 // onHeaded notes that the client's answer has begun: it is the final one, whatever
 // becomes of the rest.
-func (x *Exchange) onHeaded(e Headed) {
+func (x *Forwarder) onHeaded(e ResponseHeaders) {
 	k := x.conns[e.Conn]
 	if k == nil || k.call == nil || k.call.stage != out && k.call.stage != released {
 		return
 	}
 	c := k.call
-	c.stage, c.headAt, c.headWord = passing, x.now, e.Word
-	x.measure(c, e.Word.Units)
+	c.stage, c.headAt, c.headWord = passing, x.now, e.Info
+	x.measure(c, e.Info.Units)
 	c.span.To(x.now, attribution.BodyOut)
-	x.timed(c, e.Word)
+	x.timed(c, e.Info)
 	x.stop(c)
 	if x.stream(c) {
 		x.served(c)
@@ -583,28 +583,28 @@
 }
 
 // measure tells the dispatcher of units that are not those that the request came with.
-func (x *Exchange) measure(c *call, units float64) {
+func (x *Forwarder) measure(c *call, units float64) {
 	if !(units > 0) || units == c.units || c.conn == nil {
 		return
 	}
-	x.tell(dispatch.Measured{Volume: c.req.Volume, Node: c.conn.node.ID, Units: units - c.units})
+	x.tell(dispatch.CostCorrection{Volume: c.req.Volume, Node: c.conn.node.ID, Units: units - c.units})
 	c.units = units
 }
 
 // served tells the dispatcher of an answer that streams: it took until its head. What
 // comes after is paced by the client.
-func (x *Exchange) served(c *call) {
+func (x *Forwarder) served(c *call) {
 	x.leaves(c)
 	if !c.settled {
 		c.settled = true
-		x.tell(dispatch.Outcome{
-			ID: c.req.ID, Attempt: c.attempt, Status: dispatch.Served, Concluded: true, Took: c.headAt - c.sentAt,
-			Use: c.headWord.Use, Elsewhere: c.headWord.Elsewhere, Report: c.headWord.Report,
+		x.tell(dispatch.AttemptCompleted{
+			ID: c.req.ID, Attempt: c.attempt, Result: dispatch.OK, Responded: true, Latency: c.headAt - c.sentAt,
+			QuotaUsage: c.headWord.QuotaUsage, PeerUnits: c.headWord.PeerUnits, LoadReport: c.headWord.LoadReport,
 		})
 	}
 }
 
-func (x *Exchange) onAnswered(e Answered) {
+func (x *Forwarder) onAnswered(e ResponseCompleted) {
 	k := x.conns[e.Conn]
 	if k == nil || k.state != busy {
 		return
@@ -617,19 +617,19 @@
 	switch {
 	case c.stage == passing:
 		x.served(c)
-		x.conclude(c, Deliver{ID: c.req.ID, Lane: c.lane, Conn: k.id})
-	case c.stage == released && e.Word.Status != dispatch.Served:
-		x.act(Drop{ID: c.req.ID, Lane: c.lane, Conn: k.id})
-		x.conclude(c, Fail{ID: c.req.ID, Lane: c.lane})
-	case e.Word.Status == dispatch.Served:
-		x.measure(c, e.Word.Units)
+		x.conclude(c, ForwardResponse{ID: c.req.ID, Loop: c.lane, Conn: k.id})
+	case c.stage == released && e.Info.Result != dispatch.OK:
+		x.act(DiscardResponse{ID: c.req.ID, Loop: c.lane, Conn: k.id})
+		x.conclude(c, Fail{ID: c.req.ID, Loop: c.lane})
+	case e.Info.Result == dispatch.OK:
+		x.measure(c, e.Info.Units)
 		c.span.To(x.now, attribution.Gateway)
-		x.timed(c, e.Word)
-		x.give(c, dispatch.Served, e.Word, true)
-		x.conclude(c, Deliver{ID: c.req.ID, Lane: c.lane, Conn: k.id})
+		x.timed(c, e.Info)
+		x.give(c, dispatch.OK, e.Info, true)
+		x.conclude(c, ForwardResponse{ID: c.req.ID, Loop: c.lane, Conn: k.id})
 	default:
-		x.act(Drop{ID: c.req.ID, Lane: c.lane, Conn: k.id})
-		x.end(c, e.Word.Status, e.Word)
+		x.act(DiscardResponse{ID: c.req.ID, Loop: c.lane, Conn: k.id})
+		x.end(c, e.Info.Result, e.Info)
 	}
 	c.conn, k.call = nil, nil
 	if x.conns[k.id] != k {
@@ -642,7 +642,7 @@
 	}
 }
 
-func (x *Exchange) onLost(e Lost) {
+func (x *Forwarder) onLost(e ConnectionLost) {
 	k := x.conns[e.Conn]
 	if k == nil {
 		return
@@ -655,11 +655,11 @@
 	k.call, c.conn = nil, nil
 	switch c.stage {
 	case opening:
-		x.end(c, dispatch.ConnectFailed, Word{})
+		x.end(c, dispatch.ConnectFailed, ResponseInfo{})
 	case out:
 		n := k.node
 		switch {
-		case e.Stale && n.State == dispatch.Serving && x.now < c.timer.at && !x.tooLate(c):
+		case e.Stale && n.State == dispatch.Ready && x.now < c.timer.at && !x.tooLate(c):
 			// An idle connection that the node had closed, or that holds what is no answer: the
 			// attempt has not begun, and goes on with another. Each takes one idle connection
 			// out, so this ends.
@@ -667,25 +667,25 @@
 			c.stage = opening
 			x.connect(c, n)
 		case e.Stale:
-			x.end(c, dispatch.Moot, Word{})
+			x.end(c, dispatch.NotSent, ResponseInfo{})
 		case e.Unsent:
-			x.end(c, dispatch.ConnectFailed, Word{})
+			x.end(c, dispatch.ConnectFailed, ResponseInfo{})
 		default:
-			x.end(c, dispatch.Dropped, Word{})
+			x.end(c, dispatch.ConnectionReset, ResponseInfo{})
 		}
 	case passing:
 		x.served(c)
-		x.conclude(c, Cut{ID: c.req.ID, Lane: c.lane})
+		x.conclude(c, AbortResponse{ID: c.req.ID, Loop: c.lane})
 	case released:
-		x.conclude(c, Fail{ID: c.req.ID, Lane: c.lane})
+		x.conclude(c, Fail{ID: c.req.ID, Loop: c.lane})
 	}
 }
 
 // ---- The node list.
 
-func (x *Exchange) onNodes(e Nodes) {
-	list := dispatch.NodeList{Kind: e.Kind}
-	if e.Kind == dispatch.Complete || e.Kind == dispatch.Persisted {
+func (x *Forwarder) onNodes(e EndpointUpdate) {
+	list := dispatch.EndpointUpdate{Kind: e.Kind}
+	if e.Kind == dispatch.Snapshot || e.Kind == dispatch.Cached {
 		for _, n := range x.order {
 			n.State = dispatch.Removed
 		}
@@ -708,7 +708,7 @@
 	}
 	slices.SortFunc(x.order, func(a, b *node) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	x.order = slices.DeleteFunc(x.order, func(n *node) bool {
-		if n.State != dispatch.Serving {
+		if n.State != dispatch.Ready {
 			x.clear(n)
 		}
 		gone := n.State == dispatch.Removed && n.conns == 0
@@ -721,7 +721,7 @@
 }
 
 // clear closes a node's unused connections.
-func (x *Exchange) clear(n *node) {
+func (x *Forwarder) clear(n *node) {
 	for len(n.idle) > 0 {
 		x.close(n.idle[len(n.idle)-1])
 	}
@@ -753,7 +753,7 @@
 	return v
 }
 
-func (x *Exchange) at(when time.Duration, t *timer) *timer {
+func (x *Forwarder) at(when time.Duration, t *timer) *timer {
 	x.seq++
 	t.at, t.seq = when, x.seq
 	heap.Push(&x.timers, t)
@@ -761,13 +761,13 @@
 }
 
 // callTimer sets when the present attempt is given up.
-func (x *Exchange) callTimer(c *call, when time.Duration) {
+func (x *Forwarder) callTimer(c *call, when time.Duration) {
 	x.stop(c)
 	c.timer = x.at(when, &timer{call: c})
 }
 
 // stop takes a call's timer away.
-func (x *Exchange) stop(c *call) {
+func (x *Forwarder) stop(c *call) {
 	if c.timer != nil {
 		heap.Remove(&x.timers, c.timer.pos)
 		c.timer = nil
@@ -775,12 +775,12 @@
 }
 
 // expire handles what is due.
-func (x *Exchange) expire() {
+func (x *Forwarder) expire() {
 	for {
 		switch {
 		case x.dispatchTimer.set && x.dispatchTimer.at <= x.now:
 			x.dispatchTimer.set = false
-			x.tell(dispatch.Fired{Token: x.dispatchTimer.token})
+			x.tell(dispatch.TimerFired{Token: x.dispatchTimer.token})
 		case len(x.timers) > 0 && x.timers[0].at <= x.now:
 			t := heap.Pop(&x.timers).(*timer)
 			if t.call != nil {
@@ -798,47 +798,47 @@
 
 // expireConn closes a connection that has not been used for long, or looks again
 // when it may have been.
-func (x *Exchange) expireConn(k *conn) {
+func (x *Forwarder) expireConn(k *conn) {
 	k.watch = false
 	switch {
 	case x.conns[k.id] != k || k.state != idle:
-	case x.now-k.since >= x.cfg.IdleFor:
+	case x.now-k.since >= x.cfg.IdleTimeout:
 		x.close(k)
 	default:
 		k.watch = true
-		x.at(k.since+x.cfg.IdleFor, &timer{conn: k})
+		x.at(k.since+x.cfg.IdleTimeout, &timer{conn: k})
 	}
 }
 
-func (x *Exchange) expireCall(c *call) {
+func (x *Forwarder) expireCall(c *call) {
 	switch c.stage {
 	case opening: // never sent: the connection may come yet, for another
 		k := c.conn
-		x.end(c, dispatch.ConnectFailed, Word{})
+		x.end(c, dispatch.ConnectFailed, ResponseInfo{})
 		c.conn, k.call = nil, nil
 	case out:
 		x.giveUp(c, dispatch.TimedOut)
 	case released:
-		x.answer(c, Fail{ID: c.req.ID, Lane: c.lane, Late: true})
+		x.answer(c, Fail{ID: c.req.ID, Loop: c.lane, TimedOut: true})
 	}
 }
 
 // giveUp ends an attempt that is out. Its connection may still bring an answer, and is
 // closed with it.
-func (x *Exchange) giveUp(c *call, s dispatch.Status) {
+func (x *Forwarder) giveUp(c *call, s dispatch.AttemptResult) {
 	if c.stage != out {
 		return
 	}
 	k := c.conn
 	x.stop(c)
-	x.end(c, s, Word{})
+	x.end(c, s, ResponseInfo{})
 	if c.conn == k {
 		x.detach(c)
 	}
 }
 
 // arm asks for the next Fired, where it is earlier than what was asked for.
-func (x *Exchange) arm() {
+func (x *Forwarder) arm() {
 	next := time.Duration(math.MaxInt64)
 	if len(x.timers) > 0 {
 		next = x.timers[0].at
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -12,19 +12,19 @@
 
 func settings() Config {
 	return Config{
-		Seed: 1, ConnsPerNode: 4, Streams: 2, IdleFor: 2 * time.Second, MaxAge: 20 * time.Second,
-		Connect: 200 * time.Millisecond, Margin: 5 * time.Millisecond, MaxCalls: 64,
-		Choice: dispatch.Config{
-			Me: 0, Peers: 1, Cancel: true, MaxRetryAfter: time.Second, MaxAttempts: 3,
-			UsualUnits: 1, LargestUnits: 8, Settle: 50 * time.Millisecond, Round: time.Millisecond,
-			Budget: dispatch.BudgetRule{Free: 3, Ratio: 0.2, Span: 5 * time.Second},
+		Seed: 1, MaxConnsPerNode: 4, MaxStreamsPerNode: 2, IdleTimeout: 2 * time.Second, MaxConnAge: 20 * time.Second,
+		DialTimeout: 200 * time.Millisecond, ResponseMargin: 5 * time.Millisecond, MaxRequests: 64,
+		Dispatch: dispatch.Config{
+			DispatcherIndex: 0, DispatcherCount: 1, CancelAttempts: true, MaxRetryAfter: time.Second, MaxAttempts: 3,
+			MeanUnits: 1, MaxUnits: 8, Quiescence: 50 * time.Millisecond, RoundTrip: time.Millisecond,
+			RetryBudget: dispatch.RetryBudget{MinRetries: 3, Ratio: 0.2, Window: 5 * time.Second},
 			Classes: []dispatch.Class{
-				{Name: "read", Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 2},
+				{Name: "read", LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 2},
 				{
-					Name: "write", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Worth: 2, Effect: dispatch.Keyed,
-					Group: dispatch.GroupShard, Window: 2 * time.Second, InTurn: true,
+					Name: "write", LatencyObjective: 300 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 2, Idempotency: dispatch.Deduplicated,
+					DedupScope: dispatch.DedupPerShard, DedupWindow: 2 * time.Second, Ordered: true,
 				},
-				{Name: "unsafe", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1, Effect: dispatch.Unsafe},
+				{Name: "unsafe", LatencyObjective: 300 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: dispatch.NonIdempotent},
 			},
 			Plans: []dispatch.Plan{{Name: "p", Reserve: 1000, Weight: 1, Price: 1}},
 		},
@@ -34,7 +34,7 @@
 // rig plays the world around a forwarder and checks what it does.
 type rig struct {
 	t      *testing.T
-	x      *Exchange
+	x      *Forwarder
 	now    time.Duration
 	conns  map[ConnID]*rigConn
 	state  map[dispatch.NodeID]dispatch.NodeState
@@ -75,7 +75,7 @@
 	}
 	return &rig{
 		t: t, x: x, accounts: map[string]attribution.Entry{}, conns: map[ConnID]*rigConn{}, state: map[dispatch.NodeID]dispatch.NodeState{}, volume: "v",
-		calls: map[dispatch.RequestID]*rigCall{}, wake: 1 << 62, perNod: map[dispatch.NodeID]int{}, limit: cfg.ConnsPerNode,
+		calls: map[dispatch.RequestID]*rigCall{}, wake: 1 << 62, perNod: map[dispatch.NodeID]int{}, limit: cfg.MaxConnsPerNode,
 	}
 }
 
@@ -105,7 +105,7 @@
 		if r.perNod[a.Node]++; r.perNod[a.Node] > r.limit {
 			r.t.Fatalf("%d connections to %s", r.perNod[a.Node], a.Node)
 		}
-	case Send:
+	case SendRequest:
 		k, c := r.conns[a.Conn], r.calls[a.ID]
 		switch {
 		case k == nil || !k.open || k.call != nil:
@@ -114,35 +114,35 @@
 			r.t.Fatalf("request %d: a second attempt while one is out", a.ID)
 		case c.answers > 0 || c.gone:
 			r.t.Fatalf("request %d sent after its end", a.ID)
-		case r.state[k.node] != dispatch.Serving:
+		case r.state[k.node] != dispatch.Ready:
 			r.t.Fatalf("request %d sent to %s, which drains", a.ID, k.node)
 		case c.once && c.sends > 0:
 			r.t.Fatalf("request %d, whose body is gone, sent twice", a.ID)
 		}
 		k.call, c.out, c.on = c, true, a.Conn
 		c.sends++
-	case Close:
+	case CloseConn:
 		if k := r.conns[a.Conn]; k != nil {
 			r.drop(k)
 		}
-	case Deliver:
+	case ForwardResponse:
 		final(a.ID)
 		r.free(a.Conn)
-	case Drop:
+	case DiscardResponse:
 		r.free(a.Conn)
-	case Accounted:
+	case RequestAttributed:
 		if c := r.calls[a.ID]; c != nil && c.answers > 0 {
 			r.t.Fatalf("request %d: its account comes after its answer", a.ID)
 		}
 		r.accounts[a.Entry.Volume] = *a.Entry
 		r.entries++
-	case Refuse:
-		if final(a.ID); a.After <= 0 {
+	case Reject:
+		if final(a.ID); a.RetryAfter <= 0 {
 			r.t.Fatalf("%+v: no time to come back", a)
 		}
 	case Fail:
 		final(a.ID)
-	case Cut:
+	case AbortResponse:
 		c := r.calls[a.ID]
 		if !c.headed {
 			r.t.Fatalf("request %d cut before its answer began", a.ID)
@@ -167,16 +167,16 @@
 
 func (r *rig) node(id string, shard int, s dispatch.NodeState) {
 	r.state[dispatch.NodeID(id)] = s
-	r.tell(Nodes{Kind: dispatch.Changes, Nodes: []Node{{Addr: id, Node: dispatch.Node{ID: dispatch.NodeID(id), Shard: dispatch.Shard(shard), State: s}}}})
+	r.tell(EndpointUpdate{Kind: dispatch.Delta, Nodes: []Node{{Addr: id, Node: dispatch.Node{ID: dispatch.NodeID(id), Shard: dispatch.Shard(shard), State: s}}}})
 }
 
 func (r *rig) begin(id int, class, shard int, key string, once bool) *rigCall {
-	left := r.x.cfg.Choice.Classes[class].Deadline
+	left := r.x.cfg.Dispatch.Classes[class].Deadline
 	c := &rigCall{id: dispatch.RequestID(id), due: r.now + left, once: once}
 	r.calls[c.id] = c
-	r.tell(Begin{Once: once, Request: dispatch.Request{
+	r.tell(StartRequest{NotReplayable: once, Request: dispatch.Request{
 		ID: c.id, Class: class, Volume: r.volume, Key: key,
-		Shard: dispatch.Shard(shard), Units: 1, Hosts: 1, Left: left,
+		Shard: dispatch.Shard(shard), Units: 1, Dispatchers: 1, Timeout: left,
 	}})
 	return c
 }
@@ -186,7 +186,7 @@
 	end := r.now + d
 	for r.wake <= end {
 		r.now, r.wake = max(r.wake, r.now), 1<<62
-		r.tell(Fired{})
+		r.tell(TimerFired{})
 	}
 	r.now = end
 }
@@ -197,7 +197,7 @@
 			if k.open = ok; !ok {
 				r.drop(k)
 			}
-			r.tell(Dialed{Conn: id, OK: ok})
+			r.tell(DialCompleted{Conn: id, OK: ok})
 			return id
 		}
 	}
@@ -205,18 +205,18 @@
 	return 0
 }
 
-func served() Word { return Word{Status: dispatch.Served} }
+func served() ResponseInfo { return ResponseInfo{Result: dispatch.OK} }
 
 func TestServedOverAConnectionUsedTwice(t *testing.T) {
 	r := newRig(t, settings())
-	r.node("a", 0, dispatch.Serving)
+	r.node("a", 0, dispatch.Ready)
 	for i := 1; i <= 3; i++ {
 		c := r.begin(i, 0, 0, "", false)
 		if i == 1 {
 			r.dialed(true)
 		}
 		r.now += time.Millisecond
-		r.tell(Answered{Conn: c.on, Word: served(), Reuse: true})
+		r.tell(ResponseCompleted{Conn: c.on, Info: served(), Reuse: true})
 		if c.answers != 1 || c.sends != 1 {
 			t.Fatalf("request %d: %+v", i, c)
 		}
@@ -234,23 +234,23 @@
 // and the answer that comes after is nobody's.
 func TestLateAnswerIsThrownAway(t *testing.T) {
 	r := newRig(t, settings())
-	r.node("a", 0, dispatch.Serving)
+	r.node("a", 0, dispatch.Ready)
 	c := r.begin(1, 0, 0, "", false)
 	k := r.dialed(true)
 	r.wait(995 * time.Millisecond)
 	if c.answers != 1 || r.conns[k] != nil {
 		t.Fatalf("answers %d, connection open: %v", c.answers, r.conns[k] != nil)
 	}
-	if acts := r.tell(Answered{Conn: k, Word: served(), Reuse: true}); len(acts) > 0 {
+	if acts := r.tell(ResponseCompleted{Conn: k, Info: served(), Reuse: true}); len(acts) > 0 {
 		t.Fatalf("a late answer causes %v", acts)
 	}
 }
 
 func TestDrainWhileConnecting(t *testing.T) {
 	r := newRig(t, settings())
-	r.node("a", 0, dispatch.Serving)
+	r.node("a", 0, dispatch.Ready)
 	c := r.begin(1, 0, 0, "", false)
-	r.node("b", 0, dispatch.Serving)
+	r.node("b", 0, dispatch.Ready)
 	r.node("a", 0, dispatch.Draining)
 	r.dialed(true) // to a: not to be used any more
 	if c.sends != 0 {
@@ -268,12 +268,14 @@
 
 func TestBodyThatIsGoneIsNotSentAgain(t *testing.T) {
 	for _, end := range []func(*rig, ConnID){
-		func(r *rig, k ConnID) { r.drop(r.conns[k]); r.tell(Lost{Conn: k}) },
-		func(r *rig, k ConnID) { r.tell(Answered{Conn: k, Word: Word{Status: dispatch.Errored}}) },
+		func(r *rig, k ConnID) { r.drop(r.conns[k]); r.tell(ConnectionLost{Conn: k}) },
+		func(r *rig, k ConnID) {
+			r.tell(ResponseCompleted{Conn: k, Info: ResponseInfo{Result: dispatch.ServerError}})
+		},
 		func(r *rig, k ConnID) { r.wait(2 * time.Second) },
 	} {
 		r := newRig(t, settings())
-		r.node("a", 0, dispatch.Serving)
+		r.node("a", 0, dispatch.Ready)
 		c := r.begin(1, 1, 0, "k", true)
 		end(r, r.dialed(true))
 		if _, failed := c.last.(Fail); !failed || c.sends != 1 {
@@ -281,10 +283,10 @@
 		}
 	}
 	r := newRig(t, settings())
-	r.node("a", 0, dispatch.Serving)
+	r.node("a", 0, dispatch.Ready)
 	c := r.begin(1, 1, 0, "k", true)
-	r.tell(Answered{Conn: r.dialed(true), Word: Word{Status: dispatch.Full}})
-	if _, refused := c.last.(Refuse); !refused || r.x.Calls() != 0 {
+	r.tell(ResponseCompleted{Conn: r.dialed(true), Info: ResponseInfo{Result: dispatch.Rejected}})
+	if _, refused := c.last.(Reject); !refused || r.x.Calls() != 0 {
 		t.Fatalf("a full node: %#v", c.last)
 	}
 }
@@ -292,22 +294,22 @@
 // A client that keeps its node waiting is not held against the node.
 func TestSlowClientIsNotTheNodesDelay(t *testing.T) {
 	r := newRig(t, settings())
-	r.node("a", 0, dispatch.Serving)
+	r.node("a", 0, dispatch.Ready)
 	slow := r.begin(1, 2, 0, "", true)
 	k := r.dialed(true)
-	r.tell(Flowing{ID: 1})
+	r.tell(BodyStreaming{ID: 1})
 	r.wait(5 * time.Second)
 	if slow.answers != 0 {
 		t.Fatal("given up on while its client sends")
 	}
 	quick := r.begin(2, 0, 0, "", false)
-	r.tell(Answered{Conn: r.dialed(true), Word: served(), Reuse: true})
-	if _, ok := quick.last.(Deliver); !ok {
+	r.tell(ResponseCompleted{Conn: r.dialed(true), Info: served(), Reuse: true})
+	if _, ok := quick.last.(ForwardResponse); !ok {
 		t.Fatalf("beside a slow client: %#v", quick.last)
 	}
 	r.tell(BodySent{ID: 1})
-	r.tell(Answered{Conn: k, Word: served(), Reuse: true})
-	if _, ok := slow.last.(Deliver); !ok {
+	r.tell(ResponseCompleted{Conn: k, Info: served(), Reuse: true})
+	if _, ok := slow.last.(ForwardResponse); !ok {
 		t.Fatalf("the slow one: %#v", slow.last)
 	}
 }
@@ -315,20 +317,20 @@
 // Beyond the bound a stream keeps its place in the dispatcher's depth until its end.
 func TestStreamsAreBounded(t *testing.T) {
 	r := newRig(t, settings())
-	r.node("a", 0, dispatch.Serving)
+	r.node("a", 0, dispatch.Ready)
 	var ks []ConnID
 	for i := range 3 {
 		c := r.begin(i+1, 0, 0, "", false)
 		k := r.dialed(true)
 		c.headed = true
-		r.tell(Headed{Conn: k, Word: served()})
+		r.tell(ResponseHeaders{Conn: k, Info: served()})
 		ks = append(ks, k)
 	}
 	if n := r.x.nodes["a"].streams; n != 2 || r.x.calls[3].settled || !r.x.calls[2].settled {
 		t.Fatalf("%d streams", n)
 	}
 	for _, k := range ks {
-		r.tell(Answered{Conn: k, Word: served(), Reuse: true})
+		r.tell(ResponseCompleted{Conn: k, Info: served(), Reuse: true})
 	}
 	if n := r.x.nodes["a"].streams; n != 0 || r.x.Calls() != 0 {
 		t.Fatalf("%d streams, %d calls left", n, r.x.Calls())
@@ -337,15 +339,15 @@
 
 func TestAnswerCutAfterItsHead(t *testing.T) {
 	r := newRig(t, settings())
-	r.node("a", 0, dispatch.Serving)
+	r.node("a", 0, dispatch.Ready)
 	c := r.begin(1, 0, 0, "", false)
 	k := r.dialed(true)
 	c.headed = true
-	r.tell(Headed{Conn: k, Word: served()})
+	r.tell(ResponseHeaders{Conn: k, Info: served()})
 	r.wait(10 * time.Second)
 	r.drop(r.conns[k])
-	acts := r.tell(Lost{Conn: k})
-	if len(acts) == 0 || acts[0] != (Cut{ID: 1}) || c.sends != 1 {
+	acts := r.tell(ConnectionLost{Conn: k})
+	if len(acts) == 0 || acts[0] != (AbortResponse{ID: 1}) || c.sends != 1 {
 		t.Fatalf("%v", acts)
 	}
 }
@@ -361,7 +363,7 @@
 func history(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	cfg := settings()
-	cfg.Accounts = true
+	cfg.Attribution = true
 	r := newRig(t, cfg)
 	began := map[string]time.Duration{}
 	defer func() { // every request's parts sum to its time, exactly
@@ -379,7 +381,7 @@
 		}
 	}()
 	for i := range 4 {
-		r.node(fmt.Sprint("n", i), i%2, dispatch.Serving)
+		r.node(fmt.Sprint("n", i), i%2, dispatch.Ready)
 	}
 	next := 0
 	pick := func(ok func(*rigConn) bool) *rigConn {
@@ -403,38 +405,38 @@
 				if k.open = ok; !ok {
 					r.drop(k)
 				}
-				r.tell(Dialed{Conn: k.id, OK: ok})
+				r.tell(DialCompleted{Conn: k.id, OK: ok})
 			}
 		case 5, 6, 7:
 			if k := pick(func(k *rigConn) bool { return k.call != nil }); k != nil {
-				s := []dispatch.Status{dispatch.Served, dispatch.Served, dispatch.Errored, dispatch.Full}[rng.IntN(4)]
+				s := []dispatch.AttemptResult{dispatch.OK, dispatch.OK, dispatch.ServerError, dispatch.Rejected}[rng.IntN(4)]
 				if k.call.headed {
-					s = dispatch.Served
+					s = dispatch.OK
 				}
-				r.tell(Answered{Conn: k.id, Word: Word{Status: s, Timed: rng.IntN(2) == 0, Queue: time.Duration(rng.IntN(80)) * ms, Work: 20 * ms}, Reuse: rng.IntN(4) > 0})
+				r.tell(ResponseCompleted{Conn: k.id, Info: ResponseInfo{Result: s, HasTiming: rng.IntN(2) == 0, QueueTime: time.Duration(rng.IntN(80)) * ms, ServiceTime: 20 * ms}, Reuse: rng.IntN(4) > 0})
 			}
 		case 8:
 			if k := pick(func(k *rigConn) bool { return k.open }); k != nil {
 				id := k.id
 				r.drop(k)
-				r.tell(Lost{Conn: id})
+				r.tell(ConnectionLost{Conn: id})
 			}
 		case 9:
 			if k := pick(func(k *rigConn) bool { return k.call != nil && !k.call.headed }); k != nil {
 				switch rng.IntN(3) {
 				case 0:
 					k.call.headed = true
-					r.tell(Headed{Conn: k.id, Word: served()})
+					r.tell(ResponseHeaders{Conn: k.id, Info: served()})
 				case 1:
 					if k.call.once {
-						r.tell(Flowing{ID: k.call.id})
+						r.tell(BodyStreaming{ID: k.call.id})
 						r.tell(BodySent{ID: k.call.id})
 						k.call.due += 10 * time.Second
 					}
 				default:
 					c := k.call
 					c.gone = true
-					r.tell(Gone{ID: c.id})
+					r.tell(ClientCanceled{ID: c.id})
 				}
 			}
 		case 10:
@@ -481,26 +483,26 @@
 // is out, and an attempt at a node that is told to drain or is not known.
 func TestAttemptsThatMustNotBe(t *testing.T) {
 	r := newRig(t, settings())
-	r.node("a", 0, dispatch.Serving)
+	r.node("a", 0, dispatch.Ready)
 	c := r.begin(1, 0, 0, "", false)
 	r.dialed(true)
 	r.x.acts = nil
-	r.x.attempt(dispatch.Attempt{ID: 1, Node: "a"})
+	r.x.attempt(dispatch.SendAttempt{ID: 1, Node: "a"})
 	if len(r.x.acts) > 0 || len(r.x.inbox) > 0 || c.sends != 1 || r.x.Conns() != 1 || r.x.calls[1].stage != out {
 		t.Fatalf("a second attempt does %v", r.x.acts)
 	}
 	for _, s := range []dispatch.NodeState{dispatch.Draining, dispatch.Removed} {
 		r := newRig(t, settings())
-		r.node("a", 0, dispatch.Serving)
+		r.node("a", 0, dispatch.Ready)
 		r.begin(1, 0, 0, "", false)
 		k := r.dialed(true)
-		r.tell(Answered{Conn: k, Word: served(), Reuse: true})
-		r.x.calls[2] = &call{req: dispatch.Request{ID: 2}, class: &r.x.cfg.Choice.Classes[0], attempt: -1, deadline: r.now + time.Second}
+		r.tell(ResponseCompleted{Conn: k, Info: served(), Reuse: true})
+		r.x.calls[2] = &call{req: dispatch.Request{ID: 2}, class: &r.x.cfg.Dispatch.Classes[0], attempt: -1, deadline: r.now + time.Second}
 		if r.x.nodes["a"].State = s; s == dispatch.Removed {
 			delete(r.x.nodes, "a")
 		}
 		r.x.acts = nil
-		r.x.attempt(dispatch.Attempt{ID: 2, Node: "a"})
+		r.x.attempt(dispatch.SendAttempt{ID: 2, Node: "a"})
 		if len(r.x.acts) != 0 || r.x.calls[2].stage != asked {
 			t.Fatalf("an attempt at a node of state %d does %v", s, r.x.acts)
 		}
@@ -509,13 +511,13 @@
 
 func TestCallsAreBounded(t *testing.T) {
 	cfg := settings()
-	cfg.MaxCalls = 3
+	cfg.MaxRequests = 3
 	r := newRig(t, cfg)
-	r.node("a", 0, dispatch.Serving)
+	r.node("a", 0, dispatch.Ready)
 	for i := range 3 {
 		r.begin(i+1, 0, 0, "", false)
 	}
-	if c := r.begin(4, 0, 0, "", false); c.answers != 1 || c.last != (Refuse{ID: 4, After: time.Second}) {
+	if c := r.begin(4, 0, 0, "", false); c.answers != 1 || c.last != (Reject{ID: 4, RetryAfter: time.Second}) {
 		t.Fatalf("%#v", c.last)
 	}
 }
@@ -528,10 +530,10 @@
 		{Addr: "b", Node: dispatch.Node{ID: "a"}},
 	} {
 		r := newRig(t, settings())
-		r.node("a", 0, dispatch.Serving)
+		r.node("a", 0, dispatch.Ready)
 		r.begin(1, 0, 0, "", false)
-		r.tell(Answered{Conn: r.dialed(true), Word: served(), Reuse: true})
-		r.tell(Nodes{Kind: dispatch.Changes, Nodes: []Node{next}})
+		r.tell(ResponseCompleted{Conn: r.dialed(true), Info: served(), Reuse: true})
+		r.tell(EndpointUpdate{Kind: dispatch.Delta, Nodes: []Node{next}})
 		if r.x.Conns() != 0 || len(r.conns) != 0 {
 			t.Errorf("%+v: %d connections", next, r.x.Conns())
 		}
@@ -542,15 +544,15 @@
 // next; one that comes after its place was given up is closed.
 func TestConnectionThatComesLate(t *testing.T) {
 	r := newRig(t, settings())
-	r.node("a", 0, dispatch.Serving)
+	r.node("a", 0, dispatch.Ready)
 	c := r.begin(1, 0, 0, "", false)
 	c.gone = true
-	r.tell(Gone{ID: 1})
+	r.tell(ClientCanceled{ID: 1})
 	r.dialed(true)
 	if next := r.begin(2, 0, 0, "", false); next.sends != 1 || r.x.Conns() != 1 {
 		t.Fatalf("sends %d over %d connections", next.sends, r.x.Conns())
 	}
-	if acts := r.x.Handle(r.now, Dialed{Conn: 99, OK: true}); len(acts) == 0 || acts[0] != (Close{Conn: 99}) {
+	if acts := r.x.Handle(r.now, DialCompleted{Conn: 99, OK: true}); len(acts) == 0 || acts[0] != (CloseConn{Conn: 99}) {
 		t.Fatalf("%v", acts)
 	}
 }
@@ -561,22 +563,22 @@
 	r := newRig(t, settings())
 	var told []float64
 	r.x.Trace = func(_ time.Duration, ev dispatch.Event, _ []dispatch.Action) {
-		if m, ok := ev.(dispatch.Measured); ok {
+		if m, ok := ev.(dispatch.CostCorrection); ok {
 			told = append(told, m.Units)
 		}
 	}
-	r.node("a", 0, dispatch.Serving)
+	r.node("a", 0, dispatch.Ready)
 	r.begin(1, 0, 0, "", false)
 	k := r.dialed(true)
 	w := served()
 	w.Units = 5
-	r.tell(Headed{Conn: k, Word: w})
-	r.tell(Gone{ID: 1, Units: 2})
+	r.tell(ResponseHeaders{Conn: k, Info: w})
+	r.tell(ClientCanceled{ID: 1, Units: 2})
 	r.begin(2, 0, 0, "", false)
 	k = r.dialed(true)
-	r.tell(Answered{Conn: k, Word: w, Reuse: true})
+	r.tell(ResponseCompleted{Conn: k, Info: w, Reuse: true})
 	r.begin(3, 0, 0, "", false)
-	r.tell(Gone{ID: 3, Units: 1e6}) // nothing has come yet
+	r.tell(ClientCanceled{ID: 3, Units: 1e6}) // nothing has come yet
 	if want := []float64{4, -3, 4}; !slices.Equal(told, want) {
 		t.Errorf("told %v, want %v", told, want)
 	}
--- a/forwarder/sockets_test.go
+++ b/forwarder/sockets_test.go
@@ -11,14 +11,14 @@
 func TestGivenUpAttemptGoesOutAgain(t *testing.T) {
 	for _, once := range []bool{false, true} {
 		r := newRig(t, settings())
-		r.node("a", 0, dispatch.Serving)
+		r.node("a", 0, dispatch.Ready)
 		for i := 1; i <= 4; i++ { // it is known how fast the node is
 			c := r.begin(i, 0, 0, "", false)
 			if i == 1 {
 				r.dialed(true)
 			}
 			r.wait(5 * time.Millisecond)
-			r.tell(Answered{Conn: c.on, Word: served(), Reuse: true})
+			r.tell(ResponseCompleted{Conn: c.on, Info: served(), Reuse: true})
 		}
 		lost := r.begin(5, 0, 0, "", once)
 		on := lost.on
@@ -26,7 +26,7 @@
 		later := r.begin(6, 0, 0, "", false)
 		r.dialed(true)
 		r.wait(5 * time.Millisecond)
-		r.tell(Answered{Conn: later.on, Word: served(), Reuse: true})
+		r.tell(ResponseCompleted{Conn: later.on, Info: served(), Reuse: true})
 		r.wait(2 * time.Millisecond)
 		if gone := r.conns[on] == nil; gone == once {
 			t.Fatalf("once %v: its connection closed %v", once, gone)
@@ -42,11 +42,11 @@
 func TestUnsentNeverRan(t *testing.T) {
 	for _, unsent := range []bool{true, false} {
 		r := newRig(t, settings())
-		r.node("a", 0, dispatch.Serving)
+		r.node("a", 0, dispatch.Ready)
 		c := r.begin(1, 2, 0, "", false)
 		k := r.dialed(true)
 		r.drop(r.conns[k])
-		r.tell(Lost{Conn: k, Unsent: unsent})
+		r.tell(ConnectionLost{Conn: k, Unsent: unsent})
 		r.wait(30 * time.Millisecond)
 		if unsent {
 			r.dialed(true)
@@ -60,22 +60,22 @@
 // A connection that proves of no use before anything was written on it costs no attempt.
 func TestStaleConnectionIsReplaced(t *testing.T) {
 	r := newRig(t, settings())
-	r.node("a", 0, dispatch.Serving)
-	var statuses []dispatch.Status
+	r.node("a", 0, dispatch.Ready)
+	var statuses []dispatch.AttemptResult
 	r.x.Trace = func(_ time.Duration, ev dispatch.Event, _ []dispatch.Action) {
-		if o, ok := ev.(dispatch.Outcome); ok {
-			statuses = append(statuses, o.Status)
+		if o, ok := ev.(dispatch.AttemptCompleted); ok {
+			statuses = append(statuses, o.Result)
 		}
 	}
 	one := r.begin(1, 0, 0, "", false)
 	k := r.dialed(true)
-	r.tell(Answered{Conn: k, Word: served(), Reuse: true})
+	r.tell(ResponseCompleted{Conn: k, Info: served(), Reuse: true})
 	two := r.begin(2, 0, 0, "", false)
 	r.drop(r.conns[two.on])
-	r.tell(Lost{Conn: k, Stale: true})
+	r.tell(ConnectionLost{Conn: k, Stale: true})
 	r.dialed(true)
-	r.tell(Answered{Conn: two.on, Word: served(), Reuse: true})
-	if one.answers != 1 || two.answers != 1 || two.on == k || len(statuses) != 2 || statuses[1] != dispatch.Served {
+	r.tell(ResponseCompleted{Conn: two.on, Info: served(), Reuse: true})
+	if one.answers != 1 || two.answers != 1 || two.on == k || len(statuses) != 2 || statuses[1] != dispatch.OK {
 		t.Fatalf("answers %d and %d, ends of attempts %v", one.answers, two.answers, statuses)
 	}
 	// A node that drains meanwhile is sent nothing.
@@ -83,7 +83,7 @@
 	on := three.on
 	r.drop(r.conns[on])
 	r.node("a", 0, dispatch.Draining)
-	r.tell(Lost{Conn: on, Stale: true})
+	r.tell(ConnectionLost{Conn: on, Stale: true})
 	if three.sends != 1 || len(r.conns) != 0 {
 		t.Fatalf("sent %d times, %d connections", three.sends, len(r.conns))
 	}
@@ -92,12 +92,12 @@
 // A connection rests after its answer, so that what still comes is seen for what it is.
 func TestConnectionRests(t *testing.T) {
 	cfg := settings()
-	cfg.Rest = 20 * time.Millisecond
+	cfg.ReuseDelay = 20 * time.Millisecond
 	r := newRig(t, cfg)
-	r.node("a", 0, dispatch.Serving)
+	r.node("a", 0, dispatch.Ready)
 	r.begin(1, 0, 0, "", false)
 	k := r.dialed(true)
-	r.tell(Answered{Conn: k, Word: served(), Reuse: true})
+	r.tell(ResponseCompleted{Conn: k, Info: served(), Reuse: true})
 	r.now += 19 * time.Millisecond
 	if c := r.begin(2, 0, 0, "", false); c.sends != 0 {
 		t.Fatal("used again at once")
@@ -113,16 +113,16 @@
 // where all are in use a request is not sent, which is no fault of its node.
 func TestConnectionsOverAllNodes(t *testing.T) {
 	cfg := settings()
-	cfg.Conns = 2
+	cfg.MaxConns = 2
 	r := newRig(t, cfg)
-	var ends []dispatch.Status
+	var ends []dispatch.AttemptResult
 	r.x.Trace = func(_ time.Duration, ev dispatch.Event, _ []dispatch.Action) {
-		if o, ok := ev.(dispatch.Outcome); ok {
-			ends = append(ends, o.Status)
+		if o, ok := ev.(dispatch.AttemptCompleted); ok {
+			ends = append(ends, o.Result)
 		}
 	}
 	for i, id := range []string{"a", "b", "c"} {
-		r.node(id, i, dispatch.Serving)
+		r.node(id, i, dispatch.Ready)
 	}
 	var first ConnID
 	for i := range 3 {
@@ -132,7 +132,7 @@
 			first = k
 		}
 		r.now += time.Millisecond
-		r.tell(Answered{Conn: c.on, Word: served(), Reuse: true})
+		r.tell(ResponseCompleted{Conn: c.on, Info: served(), Reuse: true})
 	}
 	if r.x.Conns() != 2 || r.conns[first] != nil {
 		t.Fatalf("%d connections, the oldest open: %v", r.x.Conns(), r.conns[first] != nil)
@@ -140,7 +140,7 @@
 	r.begin(10, 0, 1, "", false)
 	r.begin(11, 0, 2, "", false)
 	r.begin(12, 0, 0, "", false)
-	if last := ends[len(ends)-1]; r.x.Conns() != 2 || last != dispatch.Moot {
+	if last := ends[len(ends)-1]; r.x.Conns() != 2 || last != dispatch.NotSent {
 		t.Fatalf("%d connections, the attempt ended with %d", r.x.Conns(), last)
 	}
 }
--- a/gateway/accounting.go
+++ b/gateway/accounting.go
@@ -159,7 +159,7 @@
 }
 
 // accounted takes the account of a request to a node that has ended.
-func (l *lane) accounted(a forwarder.Accounted) {
+func (l *lane) accounted(a forwarder.RequestAttributed) {
 	c := l.calls[a.ID]
 	if c == nil {
 		c = l.leaving[a.ID]
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -85,7 +85,7 @@
 }
 
 // send writes a request. The call's source, if any, goes on from here.
-func (k *nodeConn) send(c *call, a forwarder.Send) {
+func (k *nodeConn) send(c *call, a forwarder.SendRequest) {
 	k.call, k.res = c, result{}
 	k.c.Assign(k.lane.payer(c.t).flow)
 	if !k.r.Sent(c.method, c.collect) { // cannot happen: it carries nothing else
@@ -162,7 +162,7 @@
 	}
 	k.giveBack()
 	delete(k.lane.conns, k.id)
-	k.lane.tell(forwarder.Lost{Conn: k.id})
+	k.lane.tell(forwarder.ConnectionLost{Conn: k.id})
 }
 
 // lose gives up a connection whose bytes are no answer.
@@ -175,7 +175,7 @@
 	if c != nil {
 		c.Close()
 	}
-	k.lane.tell(forwarder.Lost{Conn: k.id})
+	k.lane.tell(forwarder.ConnectionLost{Conn: k.id})
 }
 
 // OnData reads an answer.
@@ -227,7 +227,7 @@
 // whether reading goes on.
 func (k *nodeConn) head() bool {
 	word := k.word()
-	if k.call.sink == nil || word.Status != dispatch.Served {
+	if k.call.sink == nil || word.Result != dispatch.OK {
 		if k.r.Collect().Kind == upstreamhttp.Fault {
 			k.lose()
 			return false
@@ -237,7 +237,7 @@
 	k.r.Stream()
 	k.moved = k.lane.now()
 	sink := k.call.sink
-	k.lane.tell(forwarder.Headed{Conn: k.id, Word: word})
+	k.lane.tell(forwarder.ResponseHeaders{Conn: k.id, Info: word})
 	if k.call == nil {
 		return false
 	}
@@ -268,7 +268,7 @@
 	k.res = r
 	reuse := k.r.Reusable() && k.src == nil && k.c.Pending() == 0
 	k.lane.lateTimings(k.r.Response.Headers)
-	k.lane.tell(forwarder.Answered{Conn: k.id, Word: k.word(), Reuse: reuse})
+	k.lane.tell(forwarder.ResponseCompleted{Conn: k.id, Info: k.word(), Reuse: reuse})
 }
 
 // sent tells that the source has sent all.
--- a/gateway/core.go
+++ b/gateway/core.go
@@ -13,7 +13,7 @@
 // connection, in the order in which they were decided.
 type core struct {
 	mu    sync.Mutex
-	x     *forwarder.Exchange
+	x     *forwarder.Forwarder
 	start time.Time
 	lanes []*lane
 	timer *time.Timer
@@ -22,7 +22,7 @@
 	nonce string // begins the keys of writes: no other process's are the same
 }
 
-func newCore(x *forwarder.Exchange) *core {
+func newCore(x *forwarder.Forwarder) *core {
 	c := &core{
 		x: x, start: time.Now(), timer: time.NewTimer(time.Hour), done: make(chan struct{}),
 		nonce: requestID(rand.Uint64()),
@@ -40,7 +40,7 @@
 		case <-c.done:
 			return
 		case <-c.timer.C:
-			c.tell(nil, forwarder.Fired{})
+			c.tell(nil, forwarder.TimerFired{})
 		}
 	}
 }
@@ -69,7 +69,7 @@
 
 // route puts an action into its lane's queue.
 func (c *core) route(a forwarder.Action) {
-	lane, ok := a.On()
+	lane, ok := a.OnLoop()
 	if !ok {
 		if t, timer := a.(forwarder.SetTimer); timer {
 			c.timer.Reset(max(t.At-c.now(), 0))
--- a/gateway/core_test.go
+++ b/gateway/core_test.go
@@ -10,10 +10,10 @@
 // BenchmarkHandOver compares the ways of handing an event to the one owner of the
 // decisions: the lock that is used, and a goroutine with a channel, its peer.
 func BenchmarkHandOver(b *testing.B) {
-	cfg := dispatch.Config{Peers: 1, Classes: []dispatch.Class{{Aim: time.Second, Deadline: 2 * time.Second}}, Plans: []dispatch.Plan{{Weight: 1}}}
+	cfg := dispatch.Config{DispatcherCount: 1, Classes: []dispatch.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second}}, Plans: []dispatch.Plan{{Weight: 1}}}
 	x, err := forwarder.New(forwarder.Config{
-		Choice: cfg, Seed: 1, ConnsPerNode: 8,
-		Streams: 4, IdleFor: time.Second, MaxAge: time.Minute, Connect: time.Second, MaxCalls: 8,
+		Dispatch: cfg, Seed: 1, MaxConnsPerNode: 8,
+		MaxStreamsPerNode: 4, IdleTimeout: time.Second, MaxConnAge: time.Minute, DialTimeout: time.Second, MaxRequests: 8,
 	})
 	if err != nil {
 		b.Fatal(err)
@@ -23,7 +23,7 @@
 		b.ReportAllocs()
 		b.RunParallel(func(pb *testing.PB) {
 			for pb.Next() {
-				c.tell(nil, forwarder.Gone{ID: 1})
+				c.tell(nil, forwarder.ClientCanceled{ID: 1})
 			}
 		})
 	})
@@ -43,7 +43,7 @@
 		b.RunParallel(func(pb *testing.PB) {
 			done := make(chan struct{}, 1)
 			for pb.Next() {
-				in <- ask{forwarder.Gone{ID: 1}, done}
+				in <- ask{forwarder.ClientCanceled{ID: 1}, done}
 				<-done
 			}
 		})
--- a/gateway/front.go
+++ b/gateway/front.go
@@ -245,11 +245,11 @@
 	s := t.conn.lane.g
 	p := s.tariff.Of(kind, size)
 	class := &s.cfg.Classes[p.Class]
-	r := dispatch.Request{Class: p.Class, Shard: shard, Units: p.Units, Left: class.Deadline.D()}
+	r := dispatch.Request{Class: p.Class, Shard: shard, Units: p.Units, Timeout: class.Deadline.D()}
 	if v != nil {
-		r.Plan, r.Volume, r.Hosts = v.plan, dispatch.VolumeID(v.name), v.hosts
+		r.Plan, r.Volume, r.Dispatchers = v.plan, dispatch.VolumeID(v.name), v.hosts
 	} else {
-		r.Volume, r.Hosts = "/", s.cfg.Peers // what belongs to no bucket
+		r.Volume, r.Dispatchers = "/", s.cfg.Peers // what belongs to no bucket
 	}
 	if class.InTurn && key != "" {
 		r.Key = string(r.Volume) + "/" + key
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -113,8 +113,8 @@
 	g.verify = &sigv4.Verifier{Region: cfg.Region, Skew: cfg.Limits.Skew.D(), Secret: g.secret}
 	l := cfg.Limits
 	x, err := forwarder.New(forwarder.Config{
-		Choice: cfg.Choice(), Seed: g.seed, ConnsPerNode: l.ConnsPerNode, Streams: l.Streams, IdleFor: l.NodeIdle.D(),
-		MaxAge: l.NodeAge.D(), Connect: l.Connect.D(), Margin: l.Margin.D(), MaxCalls: l.Calls, Accounts: cfg.Accounts.On,
+		Dispatch: cfg.Choice(), Seed: g.seed, MaxConnsPerNode: l.ConnsPerNode, MaxStreamsPerNode: l.Streams, IdleTimeout: l.NodeIdle.D(),
+		MaxConnAge: l.NodeAge.D(), DialTimeout: l.Connect.D(), ResponseMargin: l.Margin.D(), MaxRequests: l.Calls, Attribution: cfg.Accounts.On,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
@@ -155,7 +155,7 @@
 		go g.books.run()
 	}
 	if len(cfg.Nodes) > 0 {
-		g.SetNodes(dispatch.Complete, NodesOf(cfg.Nodes))
+		g.SetNodes(dispatch.Snapshot, NodesOf(cfg.Nodes))
 	}
 	return g, nil
 }
@@ -177,8 +177,8 @@
 func (g *Gateway) Now() time.Duration { return g.core.now() }
 
 // SetNodes tells the gateway of its storage nodes. Times in it are on Now's scale.
-func (g *Gateway) SetNodes(kind dispatch.ListKind, nodes []forwarder.Node) {
-	g.core.tell(nil, forwarder.Nodes{Kind: kind, Nodes: nodes})
+func (g *Gateway) SetNodes(kind dispatch.EndpointUpdateKind, nodes []forwarder.Node) {
+	g.core.tell(nil, forwarder.EndpointUpdate{Kind: kind, Nodes: nodes})
 }
 
 // SetKeys replaces the access keys. Requests already taken keep theirs.
--- a/gateway/lane.go
+++ b/gateway/lane.go
@@ -17,7 +17,7 @@
 // connections to nodes. Everything but acts and woken is touched on the loop only.
 type lane struct {
 	g     *Gateway
-	index forwarder.Lane
+	index forwarder.LoopID
 	loop  *eventloop.Loop
 
 	calls   map[dispatch.RequestID]*call
@@ -45,7 +45,7 @@
 
 func newLane(g *Gateway, loop *eventloop.Loop) *lane {
 	l := &lane{
-		g: g, index: forwarder.Lane(loop.Index), loop: loop, calls: map[dispatch.RequestID]*call{},
+		g: g, index: forwarder.LoopID(loop.Index), loop: loop, calls: map[dispatch.RequestID]*call{},
 		conns: map[forwarder.ConnID]*nodeConn{}, clients: map[*clientConn]struct{}{}, volumes: map[string]*volume{}, leaving: map[dispatch.RequestID]*call{}, swept: time.Now(),
 	}
 	l.strange = &volume{name: "(newcomers)", terms: fairshare.Terms{Weight: g.cfg.Share.Newcomers}, over: l.newOverload()}
@@ -87,16 +87,16 @@
 	switch a := a.(type) {
 	case forwarder.Dial:
 		l.dial(a)
-	case forwarder.Send:
+	case forwarder.SendRequest:
 		if k, c := l.conns[a.Conn], l.calls[a.ID]; k != nil && c != nil {
 			k.send(c, a)
 		}
-	case forwarder.Close:
+	case forwarder.CloseConn:
 		if k := l.conns[a.Conn]; k != nil {
 			delete(l.conns, a.Conn)
 			k.shut()
 		}
-	case forwarder.Deliver:
+	case forwarder.ForwardResponse:
 		if c := l.take(a.ID); c != nil {
 			r := result{kind: failed}
 			if k := l.conns[a.Conn]; k != nil {
@@ -104,23 +104,23 @@
 			}
 			c.done(r)
 		}
-	case forwarder.Accounted:
+	case forwarder.RequestAttributed:
 		l.accounted(a)
-	case forwarder.Drop:
+	case forwarder.DiscardResponse:
 		if k := l.conns[a.Conn]; k != nil {
 			k.handOver()
 		}
-	case forwarder.Refuse:
+	case forwarder.Reject:
 		l.g.metrics.refused.Inc()
 		if c := l.take(a.ID); c != nil {
-			c.done(result{kind: refused, after: a.After})
+			c.done(result{kind: refused, after: a.RetryAfter})
 		}
 	case forwarder.Fail:
 		l.g.metrics.failed.Inc()
 		if c := l.take(a.ID); c != nil {
-			c.done(result{kind: failed, late: a.Late})
+			c.done(result{kind: failed, late: a.TimedOut})
 		}
-	case forwarder.Cut:
+	case forwarder.AbortResponse:
 		l.g.metrics.cut.Inc()
 		if c := l.take(a.ID); c != nil {
 			c.done(result{kind: cut})
@@ -144,7 +144,7 @@
 	r.ID = c.id
 	c.lane = l
 	l.calls[c.id] = c
-	l.tell(forwarder.Begin{Request: r, Lane: l.index, Once: c.source != nil})
+	l.tell(forwarder.StartRequest{Request: r, Loop: l.index, NotReplayable: c.source != nil})
 }
 
 // drop ends a call that nobody waits for.
@@ -153,7 +153,7 @@
 		return
 	}
 	l.leave(c)
-	e := forwarder.Gone{ID: c.id}
+	e := forwarder.ClientCanceled{ID: c.id}
 	if c.reads { // it pays for what it used
 		e.Units = l.g.tariff.Of(objectapi.GetObject, c.passed).Units
 	}
@@ -187,7 +187,7 @@
 		if err != nil {
 			delete(l.conns, a.Conn)
 		}
-		l.tell(forwarder.Dialed{Conn: a.Conn, OK: err == nil})
+		l.tell(forwarder.DialCompleted{Conn: a.Conn, OK: err == nil})
 	})
 }
 
--- a/gateway/report.go
+++ b/gateway/report.go
@@ -13,27 +13,27 @@
 const loadHeader = "endpoint-load-metrics"
 
 // word turns a node's answer into what the forwarder hears of it.
-func (k *nodeConn) word() forwarder.Word {
-	w := forwarder.Word{Status: dispatch.Served}
+func (k *nodeConn) word() forwarder.ResponseInfo {
+	w := forwarder.ResponseInfo{Result: dispatch.OK}
 	switch s := k.r.Response.Status; {
 	case s == 503 || s == 429:
-		w.Status = dispatch.Full
+		w.Result = dispatch.Rejected
 	case s >= 500 && s != 501:
-		w.Status = dispatch.Errored
+		w.Result = dispatch.ServerError
 	}
-	if r := &k.r.Response; w.Status == dispatch.Served && k.call != nil && k.call.guess && !r.Chunked && !r.UntilClose {
+	if r := &k.r.Response; w.Result == dispatch.OK && k.call != nil && k.call.guess && !r.Chunked && !r.UntilClose {
 		w.Units = k.lane.g.tariff.Of(objectapi.GetObject, r.Length).Units
 	}
 	if v := k.r.Response.Headers.Get(loadHeader); v != nil {
 		k.lane.readReport(v, k.call, &w)
 	}
-	w.Queue, w.Work, w.Timed = ownTiming(k.r.Response.Headers)
+	w.QueueTime, w.ServiceTime, w.HasTiming = ownTiming(k.r.Response.Headers)
 	return w
 }
 
 // readReport reads "TEXT name=value, …". Names that are not known are left out;
 // a value that is no number is as good as absent.
-func (l *lane) readReport(v []byte, c *call, w *forwarder.Word) {
+func (l *lane) readReport(v []byte, c *call, w *forwarder.ResponseInfo) {
 	rest, ok := bytes.CutPrefix(v, []byte("TEXT "))
 	if !ok {
 		return
@@ -48,13 +48,13 @@
 		}
 		switch string(name) {
 		case "named_metrics.inflight":
-			w.Report = dispatch.Report{"inflight": x}
+			w.LoadReport = dispatch.LoadReport{"inflight": x}
 		case "named_metrics.volume_rate":
 			if c != nil && c.rate > 0 {
-				w.Use = 1 + 100*x/c.rate
+				w.QuotaUsage = 1 + 100*x/c.rate
 			}
 		case "named_metrics.volume_elsewhere":
-			w.Elsewhere = x
+			w.PeerUnits = x
 		}
 	}
 }
--- a/gateway/upload.go
+++ b/gateway/upload.go
@@ -62,7 +62,7 @@
 	}
 	if !u.flowing {
 		u.flowing = true
-		c.lane.tell(forwarder.Flowing{ID: u.call.id})
+		c.lane.tell(forwarder.BodyStreaming{ID: u.call.id})
 	}
 	if u.k != nil && u.k.call == u.call && u.k.c.Pending() > 0 {
 		u.stall.begin(t.at())
@@ -87,7 +87,7 @@
 func (u *upload) abandon() {
 	l := u.t.conn.lane
 	l.leave(u.call)
-	l.tell(forwarder.Abandon{ID: u.call.id})
+	l.tell(forwarder.AbortRequest{ID: u.call.id})
 }
 
 func (u *upload) pass(p []byte) {
--- a/internal/e2e/share_test.go
+++ b/internal/e2e/share_test.go
@@ -204,7 +204,7 @@
 func TestTrueSizeIsCharged(t *testing.T) {
 	told := make(chan float64, 16)
 	e := crowded(t, nil, gateway.WithTrace(func(_ time.Duration, ev dispatch.Event, _ []dispatch.Action) {
-		if m, ok := ev.(dispatch.Measured); ok {
+		if m, ok := ev.(dispatch.CostCorrection); ok {
 			told <- m.Units
 		}
 	}))
--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -46,7 +46,7 @@
 	Started float64 `json:"started_ms"`
 }
 
-var states = map[string]dispatch.NodeState{"Ready": dispatch.Serving, "Terminating": dispatch.Draining, "Gone": dispatch.Removed}
+var states = map[string]dispatch.NodeState{"Ready": dispatch.Ready, "Terminating": dispatch.Draining, "Gone": dispatch.Removed}
 
 // Parse reads a document. A bad entry makes the whole of it bad: a list with a part
 // missing would be another list. Times of start are since the Unix epoch.
--- a/internal/modelcheck/coverage.go
+++ b/internal/modelcheck/coverage.go
@@ -39,7 +39,7 @@
 
 // stages reads where the forwarder has each request, by reflection: what decides has
 // no need to tell.
-func stages(x *forwarder.Exchange) map[dispatch.RequestID]string {
+func stages(x *forwarder.Forwarder) map[dispatch.RequestID]string {
 	out := map[dispatch.RequestID]string{}
 	calls := reflect.ValueOf(x).Elem().FieldByName("calls")
 	for it := calls.MapRange(); it.Next(); {
@@ -68,21 +68,21 @@
 		}
 	}
 	switch e := ev.(type) {
-	case forwarder.Begin:
+	case forwarder.StartRequest:
 		o.of = e.Request.ID
-	case forwarder.Gone:
+	case forwarder.ClientCanceled:
 		o.of = e.ID
-	case forwarder.Flowing:
+	case forwarder.BodyStreaming:
 		o.of = e.ID
 	case forwarder.BodySent:
 		o.of = e.ID
-	case forwarder.Dialed:
+	case forwarder.DialCompleted:
 		onConn(e.Conn)
-	case forwarder.Headed:
+	case forwarder.ResponseHeaders:
 		onConn(e.Conn)
-	case forwarder.Answered:
+	case forwarder.ResponseCompleted:
 		onConn(e.Conn)
-	case forwarder.Lost:
+	case forwarder.ConnectionLost:
 		onConn(e.Conn)
 	}
 	return o
@@ -158,10 +158,10 @@
 // Pairs are all pairs of an event and a stage at which it can find its request.
 func Pairs() []string {
 	return []string{
-		"Begin -", "Gone asked", "Gone opening", "Gone out", "Gone passing", "Gone released", "Gone -",
-		"Dialed opening", "Dialed -", "Headed out", "Headed released", "Headed -", "Answered out", "Answered passing", "Answered released", "Answered -",
-		"Lost opening", "Lost out", "Lost passing", "Lost released", "Lost -", "Flowing out", "Flowing released", "BodySent out", "BodySent released",
-		"Fired asked", "Fired opening", "Fired out", "Fired passing", "Fired released",
-		"Nodes asked", "Nodes opening", "Nodes out", "Nodes passing", "Nodes released",
+		"StartRequest -", "ClientCanceled asked", "ClientCanceled opening", "ClientCanceled out", "ClientCanceled passing", "ClientCanceled released", "ClientCanceled -",
+		"DialCompleted opening", "DialCompleted -", "ResponseHeaders out", "ResponseHeaders released", "ResponseHeaders -", "ResponseCompleted out", "ResponseCompleted passing", "ResponseCompleted released", "ResponseCompleted -",
+		"ConnectionLost opening", "ConnectionLost out", "ConnectionLost passing", "ConnectionLost released", "ConnectionLost -", "BodyStreaming out", "BodyStreaming released", "BodySent out", "BodySent released",
+		"TimerFired asked", "TimerFired opening", "TimerFired out", "TimerFired passing", "TimerFired released",
+		"EndpointUpdate asked", "EndpointUpdate opening", "EndpointUpdate out", "EndpointUpdate passing", "EndpointUpdate released",
 	}
 }
--- a/internal/modelcheck/fingerprint.go
+++ b/internal/modelcheck/fingerprint.go
@@ -46,18 +46,18 @@
 
 	"upstreamhttp.Reader.Limits": skip, "upstreamhttp.Reader.Response": skip, // its parts that matter follow from state and scan
 
-	"forwarder.Exchange.cfg": skip, "forwarder.Exchange.now": skip, "forwarder.Exchange.lastID": skip, "forwarder.Exchange.seq": skip, "forwarder.Exchange.acts": skip,
-	"forwarder.Exchange.wakeAt": near, "forwarder.Exchange.dispatchTimer.at": near, "forwarder.Exchange.order": skip, // follows from nodes
+	"forwarder.Forwarder.cfg": skip, "forwarder.Forwarder.now": skip, "forwarder.Forwarder.lastID": skip, "forwarder.Forwarder.seq": skip, "forwarder.Forwarder.acts": skip,
+	"forwarder.Forwarder.wakeAt": near, "forwarder.Forwarder.dispatchTimer.at": near, "forwarder.Forwarder.order": skip, // follows from nodes
 	"forwarder.call.class": skip, "forwarder.call.deadline": due, "forwarder.call.sentAt": moment, "forwarder.call.headAt": moment, "forwarder.call.doubtAt": moment,
 	// Accounts: told, decided on by nothing.
 	"forwarder.call.span": skip, "forwarder.call.begun": skip, "forwarder.call.behind": skip, "forwarder.call.occupies": skip, "forwarder.call.ahead": skip,
-	"forwarder.call.told": skip, "forwarder.call.entry": skip, "forwarder.call.untold": skip, "forwarder.node.out": skip, "forwarder.Word.Timed": skip, "forwarder.Word.Queue": skip, "forwarder.Word.Work": skip,
+	"forwarder.call.told": skip, "forwarder.call.entry": skip, "forwarder.call.untold": skip, "forwarder.node.out": skip, "forwarder.ResponseInfo.HasTiming": skip, "forwarder.ResponseInfo.QueueTime": skip, "forwarder.ResponseInfo.ServiceTime": skip,
 	"forwarder.conn.id": rank, "forwarder.conn.born": moment, "forwarder.conn.since": moment,
 	"forwarder.timer.at": near, "forwarder.timer.seq": skip, "forwarder.timer.pos": skip,
-	"forwarder.Accounted.Entry": skip, "forwarder.Dial.Conn": rank, "forwarder.Send.Conn": rank, "forwarder.Send.Until": due, "forwarder.Close.Conn": rank, "forwarder.Deliver.Conn": rank,
-	"forwarder.Drop.Conn": rank, "forwarder.Dial.Timeout": span, "forwarder.Refuse.After": span, "forwarder.SetTimer.At": moment,
+	"forwarder.RequestAttributed.Entry": skip, "forwarder.Dial.Conn": rank, "forwarder.SendRequest.Conn": rank, "forwarder.SendRequest.Deadline": due, "forwarder.CloseConn.Conn": rank, "forwarder.ForwardResponse.Conn": rank,
+	"forwarder.DiscardResponse.Conn": rank, "forwarder.Dial.Timeout": span, "forwarder.Reject.RetryAfter": span, "forwarder.SetTimer.At": moment,
 
-	"dispatch.Node.Started": moment, "dispatch.Request.Left": skip, // only on arrival
+	"dispatch.Node.Started": moment, "dispatch.Request.Timeout": skip, // only on arrival
 	"dispatch.request.class": skip, "dispatch.request.seq": rank, "dispatch.request.sentAt": moment, "dispatch.request.deadline": due, "dispatch.request.aimAt": due,
 	"dispatch.request.doubtAt": moment, "dispatch.request.held": skip, "dispatch.request.queued": skip, // accounts
 	"dispatch.volume.plan": skip, "dispatch.volume.tokensAt": moment, "dispatch.volume.reserveAt": moment, "dispatch.volume.seen": skip, // forgotten after 30 s
@@ -124,10 +124,10 @@
 			off[n] = true
 		}
 	}
-	c := &w.cfg.Choice
-	cold, limits, reserve, volumes := c.Cold.YoungLimit > 0, false, false, 1
+	c := &w.cfg.Dispatch
+	cold, limits, reserve, volumes := c.SlowStart.InitialUnits > 0, false, false, 1
 	for _, p := range c.Plans {
-		limits, reserve = limits || p.Limit > 0, reserve || p.Reserve > 0
+		limits, reserve = limits || p.RateLimit > 0, reserve || p.Reserve > 0
 	}
 	if !cold {
 		skipAll("dispatch.node.debt", "dispatch.node.debtAt", "dispatch.node.use", "dispatch.Dispatcher.usages")
@@ -144,10 +144,10 @@
 	if volumes == 1 { // one flow at each node: its tags order nothing
 		skipAll("dispatch.node.v", "dispatch.request.vArr", "dispatch.flow.lastS", "dispatch.flow.lastC", "dispatch.flow.lastF", "dispatch.flow.floor", "dispatch.flow.start")
 	}
-	if c.Budget.Ratio == 0 {
+	if c.RetryBudget.Ratio == 0 {
 		skipAll("dispatch.Dispatcher.taken", "modelcheck.rules.took")
 	}
-	if w.cfg.IdleFor > far && w.cfg.MaxAge > far {
+	if w.cfg.IdleTimeout > far && w.cfg.MaxConnAge > far {
 		skipAll("forwarder.conn.born", "forwarder.conn.since")
 	}
 	return off
@@ -165,9 +165,9 @@
 		p.ranked[k] = p.ranked[k][:0]
 	}
 	if p.off == nil {
-		p.off, p.tight = without(w), w.cfg.Choice.Classes[0].Aim
-		for _, c := range w.cfg.Choice.Classes {
-			p.tight = min(p.tight, c.Aim)
+		p.off, p.tight = without(w), w.cfg.Dispatch.Classes[0].LatencyObjective
+		for _, c := range w.cfg.Dispatch.Classes {
+			p.tight = min(p.tight, c.LatencyObjective)
 		}
 	}
 	p.walk(reflect.ValueOf(w).Elem(), 0)
@@ -215,7 +215,7 @@
 // that stands in the forwarder is the only one.
 func typeName(t reflect.Type) string {
 	if t.Name() == "" && t.Kind() == reflect.Struct {
-		return "forwarder.Exchange.dispatchTimer"
+		return "forwarder.Forwarder.dispatchTimer"
 	}
 	path := t.PkgPath()
 	return path[strings.LastIndexByte(path, '/')+1:] + "." + t.Name()
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -60,8 +60,8 @@
 		name, rule string
 		bend       func(*World)
 	}{
-		{"window", "effects", func(w *World) { w.cfg.Choice.Classes[keyed].Window = 20 * ms }},
-		{"turn", "order", func(w *World) { w.cfg.Choice.Settle = 200 * ms }},
+		{"window", "effects", func(w *World) { w.cfg.Dispatch.Classes[keyed].DedupWindow = 20 * ms }},
+		{"turn", "order", func(w *World) { w.cfg.Dispatch.Quiescence = 200 * ms }},
 		{"drain", "answer", func(w *World) { w.wake = math.MaxInt64 }}, // the timer is lost
 		{"drain", "drain", func(w *World) { w.told["a"] = w.now }},     // of which the gateway did not hear
 		{"doubt", "connection", func(w *World) {
@@ -69,14 +69,14 @@
 				k.dead = true
 			}
 		}},
-		{"limits", "budget", func(w *World) { w.cfg.Choice.Budget.Free = 0 }},
+		{"limits", "budget", func(w *World) { w.cfg.Dispatch.RetryBudget.MinRetries = 0 }},
 	} {
 		s, _ := Named(x.name)
 		// The gateway has the scenario's settings, the rules are held to others.
 		found := false
 		for seed := range uint64(3000) {
 			w := start(&s)
-			w.cfg.Choice.Classes = slices.Clone(w.cfg.Choice.Classes) // the gateway keeps its own
+			w.cfg.Dispatch.Classes = slices.Clone(w.cfg.Dispatch.Classes) // the gateway keeps its own
 			rng := rand.New(rand.NewPCG(seed, 1))
 			for range 200 {
 				x.bend(w)
@@ -207,14 +207,14 @@
 	}
 	for _, x := range []any{
 		World{},
-		forwarder.Exchange{},
-		forwarder.Accounted{},
+		forwarder.Forwarder{},
+		forwarder.RequestAttributed{},
 		forwarder.Dial{},
-		forwarder.Send{},
-		forwarder.Close{},
-		forwarder.Deliver{},
-		forwarder.Drop{},
-		forwarder.Refuse{},
+		forwarder.SendRequest{},
+		forwarder.CloseConn{},
+		forwarder.ForwardResponse{},
+		forwarder.DiscardResponse{},
+		forwarder.Reject{},
 		forwarder.SetTimer{},
 		dispatch.Dispatcher{},
 		dispatch.Request{},
--- a/internal/modelcheck/moves.go
+++ b/internal/modelcheck/moves.go
@@ -131,7 +131,7 @@
 			if u.lists < s.lists {
 				add(List, i)
 			}
-		case n.state == dispatch.Serving:
+		case n.state == dispatch.Ready:
 			if u.renews < s.renews {
 				add(Renew, i)
 			}
@@ -227,7 +227,7 @@
 func onlyAnswers(queue []forwarder.Action) bool {
 	for _, a := range queue {
 		switch a.(type) {
-		case forwarder.Refuse, forwarder.Fail:
+		case forwarder.Reject, forwarder.Fail:
 		default:
 			return false
 		}
@@ -263,8 +263,8 @@
 		if !c.begun || c.over() {
 			continue
 		}
-		if c.mayRun && w.class(c).Effect == dispatch.Keyed {
-			take(c.doubt + w.class(c).Window)
+		if c.mayRun && w.class(c).Idempotency == dispatch.Deduplicated {
+			take(c.doubt + w.class(c).DedupWindow)
 		}
 		take(c.due)
 	}
@@ -274,7 +274,7 @@
 // before is the last moment of the grid before one.
 func (w *World) before(t time.Duration) time.Duration { return (t - 1) / grid * grid }
 
-func (w *World) class(c *call) *dispatch.Class { return &w.cfg.Choice.Classes[c.class] }
+func (w *World) class(c *call) *dispatch.Class { return &w.cfg.Dispatch.Classes[c.class] }
 
 // apply does a move. It must be one that moves returned.
 func (w *World) apply(m Move) {
@@ -291,14 +291,14 @@
 		w.follow(1)
 	case Fire:
 		w.wake = math.MaxInt64
-		w.tell(forwarder.Fired{}, elsewhere)
+		w.tell(forwarder.TimerFired{}, elsewhere)
 	case DialOK, DialFail:
 		k := w.conns[forwarder.ConnID(m.On)]
 		if k.open = m.Kind == DialOK; !k.open {
 			u.dialFails++
 			delete(w.conns, k.id)
 		}
-		w.tell(forwarder.Dialed{Conn: k.id, OK: k.open}, k.lane)
+		w.tell(forwarder.DialCompleted{Conn: k.id, OK: k.open}, k.lane)
 	case Served, Closing, Errored, Full, Headed, Rest, Garbage, Twice:
 		w.answered(w.conns[forwarder.ConnID(m.On)], m.Kind)
 	case Reset:
@@ -316,7 +316,7 @@
 		c := w.calls[m.On-1]
 		u.flows++
 		c.flowing = true
-		w.tell(forwarder.Flowing{ID: c.id}, c.lane)
+		w.tell(forwarder.BodyStreaming{ID: c.id}, c.lane)
 	case BodySent:
 		c := w.calls[m.On-1]
 		c.sent = true
@@ -330,7 +330,7 @@
 		w.crash()
 	case Truth:
 		w.stale = false
-		w.tell(w.list(dispatch.Complete), elsewhere)
+		w.tell(w.list(dispatch.Snapshot), elsewhere)
 	case Before:
 		w.now = w.before(w.next())
 	case Reach:
@@ -347,9 +347,9 @@
 	k := w.class(c)
 	c.begun, c.inLane, c.due = true, true, w.now+k.Deadline
 	w.rules.taken(w, c)
-	w.tell(forwarder.Begin{Once: c.once, Lane: c.lane, Request: dispatch.Request{
+	w.tell(forwarder.StartRequest{NotReplayable: c.once, Loop: c.lane, Request: dispatch.Request{
 		ID: c.id, Class: c.class, Volume: "v", Key: c.key,
-		Shard: c.shard, Units: 1, Hosts: 1, Left: k.Deadline,
+		Shard: c.shard, Units: 1, Dispatchers: 1, Timeout: k.Deadline,
 	}}, c.lane)
 }
 
@@ -383,7 +383,7 @@
 // leave lets a client go.
 func (w *World) leave(c *call) {
 	c.left, c.inLane, c.end = true, false, "left"
-	w.tell(forwarder.Gone{ID: c.id}, c.lane)
+	w.tell(forwarder.ClientCanceled{ID: c.id}, c.lane)
 }
 
 // listing tells the gateway of a node.
@@ -409,7 +409,7 @@
 	if m.Kind == Renew {
 		w.renewed(n.id)
 	}
-	e := forwarder.Nodes{Kind: dispatch.Changes, Nodes: []forwarder.Node{node(*n, n.state)}}
+	e := forwarder.EndpointUpdate{Kind: dispatch.Delta, Nodes: []forwarder.Node{node(*n, n.state)}}
 	w.hear(e)
 	w.tell(e, elsewhere)
 }
@@ -431,5 +431,5 @@
 	}
 	clear(w.told)
 	w.stale = true
-	w.begin(dispatch.Persisted)
+	w.begin(dispatch.Cached)
 }
--- a/internal/modelcheck/rules.go
+++ b/internal/modelcheck/rules.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"reflect"
 	"slices"
-	"strings"
 	"time"
 )
 
@@ -51,7 +50,7 @@
 
 func (r *rules) taken(w *World, c *call) {
 	r.took = append(r.took, w.now)
-	if k := w.class(c); k.InTurn && c.key != "" {
+	if k := w.class(c); k.Ordered && c.key != "" {
 		r.order[c.key] = append(r.order[c.key], c)
 	}
 }
@@ -59,7 +58,7 @@
 // decided checks what holds when the forwarder decides: no request is sent to a node
 // that it was told not to use.
 func (w *World) decided(a forwarder.Action) {
-	if s, ok := a.(forwarder.Send); ok {
+	if s, ok := a.(forwarder.SendRequest); ok {
 		if at, told := w.told[s.Node]; told {
 			w.broke("drain", "request %d is sent to %s, of which was told %v before that it drains or is gone", s.ID, s.Node, w.now-at)
 		}
@@ -71,13 +70,13 @@
 func (w *World) dialing(a forwarder.Dial) {
 	n := 1
 	for _, k := range w.conns {
-		closing := slices.ContainsFunc(w.queue[k.lane], func(x forwarder.Action) bool { c, ok := x.(forwarder.Close); return ok && c.Conn == k.id })
+		closing := slices.ContainsFunc(w.queue[k.lane], func(x forwarder.Action) bool { c, ok := x.(forwarder.CloseConn); return ok && c.Conn == k.id })
 		if k.node == a.Node && !closing {
 			n++
 		}
 	}
-	if n > w.cfg.ConnsPerNode {
-		w.broke("bounds", "%d connections to %s, bound %d", n, a.Node, w.cfg.ConnsPerNode)
+	if n > w.cfg.MaxConnsPerNode {
+		w.broke("bounds", "%d connections to %s, bound %d", n, a.Node, w.cfg.MaxConnsPerNode)
 	}
 }
 
@@ -85,7 +84,7 @@
 // What was decided to go out on one before cannot be held against the forwarder.
 func (w *World) renewed(id dispatch.NodeID) {
 	for _, k := range w.conns {
-		decided := slices.ContainsFunc(w.queue[k.lane], func(a forwarder.Action) bool { s, ok := a.(forwarder.Send); return ok && s.Conn == k.id })
+		decided := slices.ContainsFunc(w.queue[k.lane], func(a forwarder.Action) bool { s, ok := a.(forwarder.SendRequest); return ok && s.Conn == k.id })
 		if k.node == id && k.open && k.call == nil && !decided {
 			k.dead = true
 		}
@@ -93,7 +92,7 @@
 }
 
 // sending checks a request that goes out.
-func (w *World) sending(k *conn, c *call, a forwarder.Send) {
+func (w *World) sending(k *conn, c *call, a forwarder.SendRequest) {
 	cl := w.class(c)
 	switch {
 	case c.answers > 0 || c.left:
@@ -102,7 +101,7 @@
 		w.broke("attempts", "request %d is sent on connection %d while it is out on %d", c.id, k.id, c.out.id)
 	case !k.open || k.call != nil || k.has || k.dead:
 		w.broke("connection", "request %d is sent on connection %d: open %v, in use %v, in doubt %v", c.id, k.id, k.open, k.call != nil || k.has, k.dead)
-	case a.Lane != k.lane || a.Lane != c.lane:
+	case a.Loop != k.lane || a.Loop != c.lane:
 		w.broke("connection", "request %d of loop %d is sent on connection %d of loop %d", c.id, c.lane, k.id, k.lane)
 	case a.Node != k.node:
 		w.broke("connection", "request %d for %s is sent on connection %d to %s", c.id, a.Node, k.id, k.node)
@@ -110,31 +109,31 @@
 		w.broke("effects", "request %d of shard %d is sent to %s", c.id, c.shard, k.node)
 	case c.once && c.sends > 0:
 		w.broke("effects", "request %d, whose body is gone, is sent again", c.id)
-	case c.mayRun && cl.Effect == dispatch.Unsafe:
+	case c.mayRun && cl.Idempotency == dispatch.NonIdempotent:
 		w.broke("effects", "unsafe request %d is sent again though it may have run", c.id)
-	case c.mayRun && cl.Effect == dispatch.Keyed && w.now-c.doubt >= cl.Window:
+	case c.mayRun && cl.Idempotency == dispatch.Deduplicated && w.now-c.doubt >= cl.DedupWindow:
 		w.broke("effects", "keyed request %d is sent again %v after it may have run, beyond its window", c.id, w.now-c.doubt)
 	case a.Attempt != c.sends && a.Attempt < c.sends:
 		w.broke("attempts", "request %d: attempt %d is sent after %d others", c.id, a.Attempt, c.sends)
 	}
-	if most := w.cfg.Choice.MaxAttempts; most > 0 && c.sends >= most {
+	if most := w.cfg.Dispatch.MaxAttempts; most > 0 && c.sends >= most {
 		w.broke("bounds", "request %d is sent for the %dth time, bound %d", c.id, c.sends+1, most)
 	}
 	w.inOrder(c, cl)
 	if c.sends++; c.sends > 1 {
 		at := w.now
 		w.rules.extra = append(w.rules.extra, at)
-		b := w.cfg.Choice.Budget
+		b := w.cfg.Dispatch.RetryBudget
 		within := func(ts []time.Duration) (n int) {
 			for _, t := range ts {
-				if at-b.Span < t && t <= at {
+				if at-b.Window < t && t <= at {
 					n++
 				}
 			}
 			return n
 		}
-		if b.Span > 0 && float64(within(w.rules.extra)) > b.Free+b.Ratio*float64(within(w.rules.took)) {
-			w.broke("budget", "%d further attempts within %v", within(w.rules.extra), b.Span)
+		if b.Window > 0 && float64(within(w.rules.extra)) > b.MinRetries+b.Ratio*float64(within(w.rules.took)) {
+			w.broke("budget", "%d further attempts within %v", within(w.rules.extra), b.Window)
 		}
 	}
 	if !c.mayRun {
@@ -149,7 +148,7 @@
 
 // inOrder checks the turns of a key.
 func (w *World) inOrder(c *call, cl *dispatch.Class) {
-	if !cl.InTurn || c.key == "" {
+	if !cl.Ordered || c.key == "" {
 		return
 	}
 	for _, e := range w.rules.order[c.key] {
@@ -169,13 +168,13 @@
 func (w *World) ending(c *call) bool {
 	return slices.ContainsFunc(w.queue[c.lane], func(a forwarder.Action) bool {
 		switch a := a.(type) {
-		case forwarder.Deliver:
+		case forwarder.ForwardResponse:
 			return a.ID == c.id
-		case forwarder.Refuse:
+		case forwarder.Reject:
 			return a.ID == c.id
 		case forwarder.Fail:
 			return a.ID == c.id
-		case forwarder.Cut:
+		case forwarder.AbortResponse:
 			return a.ID == c.id
 		}
 		return false
@@ -189,7 +188,7 @@
 		return
 	}
 	c.mayRun = true
-	c.rest = max(c.rest, w.now+w.cfg.Choice.Settle)
+	c.rest = max(c.rest, w.now+w.cfg.Dispatch.Quiescence)
 }
 
 // proven notes what an answer says of a request's effects.
@@ -202,12 +201,12 @@
 		c.mayRun = true
 	}
 	if kind == Garbage {
-		c.rest = max(c.rest, w.now+w.cfg.Choice.Settle)
+		c.rest = max(c.rest, w.now+w.cfg.Dispatch.Quiescence)
 	}
 }
 
 // delivered checks that an answer belongs to its request.
-func (w *World) delivered(a forwarder.Deliver, c *call, k *conn) {
+func (w *World) delivered(a forwarder.ForwardResponse, c *call, k *conn) {
 	switch {
 	case k == nil:
 		w.broke("connection", "request %d is given the answer of connection %d, which is gone", a.ID, a.Conn)
@@ -237,13 +236,13 @@
 		return // nobody is there to see it
 	}
 	c.inLane = false
-	c.end = strings.ToLower(strings.TrimPrefix(fmt.Sprintf("%T", a), "forwarder."))
+	c.end = endName(a)
 	if c.answers++; c.answers > 1 {
 		w.broke("answer", "request %d has %d final answers", c.id, c.answers)
 	}
-	_, refused := a.(forwarder.Refuse)
-	_, cut := a.(forwarder.Cut)
-	_, whole := a.(forwarder.Deliver)
+	_, refused := a.(forwarder.Reject)
+	_, cut := a.(forwarder.AbortResponse)
+	_, whole := a.(forwarder.ForwardResponse)
 	k := w.class(c)
 	switch {
 	case c.headed && !cut && !whole:
@@ -252,13 +251,28 @@
 		w.broke("answer", "request %d: cut before its answer has begun", c.id)
 	case w.now > c.due && !c.headed && !c.flowing:
 		w.broke("answer", "request %d is answered %v after its time", c.id, w.now-c.due)
-	case refused && c.mayRun && k.Effect != dispatch.Safe && !(k.Effect == dispatch.Keyed && k.Group == dispatch.GroupAll):
+	case refused && c.mayRun && k.Idempotency != dispatch.Idempotent && !(k.Idempotency == dispatch.Deduplicated && k.DedupScope == dispatch.DedupEverywhere):
 		w.broke("effects", "request %d is refused as harmless to try again, though it may have run", c.id)
-	case refused && a.(forwarder.Refuse).After <= 0:
+	case refused && a.(forwarder.Reject).RetryAfter <= 0:
 		w.broke("answer", "request %d is refused without a time to come back", c.id)
 	}
 }
 
+// endName is the name of a final answer in scripts, which are played over sockets too.
+func endName(a forwarder.Action) string {
+	switch a.(type) {
+	case forwarder.ForwardResponse:
+		return "deliver"
+	case forwarder.Reject:
+		return "refuse"
+	case forwarder.Fail:
+		return "fail"
+	case forwarder.AbortResponse:
+		return "cut"
+	}
+	return ""
+}
+
 // checkTime looks for requests that are overdue. A body that flows, either way,
 // takes its time; the gateway's own limits on standstill are not part of this.
 func (w *World) checkTime() {
@@ -300,7 +314,7 @@
 
 // dispatched is how many requests the dispatcher has, by reflection: it has no need
 // to tell.
-func dispatched(x *forwarder.Exchange) int {
+func dispatched(x *forwarder.Forwarder) int {
 	return reflect.ValueOf(x).Elem().FieldByName("d").Elem().FieldByName("reqs").Len()
 }
 
@@ -309,18 +323,18 @@
 func (w *World) checkConns() {
 	for range 1000 {
 		w.followAll()
-		if w.wake >= w.now+w.cfg.MaxAge || len(w.conns) == 0 && w.x.Conns() == 0 {
+		if w.wake >= w.now+w.cfg.MaxConnAge || len(w.conns) == 0 && w.x.Conns() == 0 {
 			break
 		}
 		for _, k := range w.sorted() {
 			if !k.open {
 				k.open = true
-				w.tell(forwarder.Dialed{Conn: k.id, OK: true}, k.lane)
+				w.tell(forwarder.DialCompleted{Conn: k.id, OK: true}, k.lane)
 			}
 		}
 		w.now = max(w.now, w.wake)
 		w.wake = 1<<63 - 1
-		w.tell(forwarder.Fired{}, elsewhere)
+		w.tell(forwarder.TimerFired{}, elsewhere)
 	}
 	if len(w.conns) > 0 || w.x.Conns() > 0 {
 		w.broke("connection", "%d connections are left on the loop, %d in the forwarder, that nothing will close", len(w.conns), w.x.Conns())
--- a/internal/modelcheck/scenario.go
+++ b/internal/modelcheck/scenario.go
@@ -29,7 +29,7 @@
 	shard dispatch.Shard
 	once  bool // its body streams through and cannot be sent twice
 	big   bool // its answer streams through
-	lane  forwarder.Lane
+	lane  forwarder.LoopID
 }
 
 // place is a node that may be listed.
@@ -80,7 +80,7 @@
 		{
 			Name: "window", What: "a keyed write whose answer is lost, its window ending between decision and send",
 			asks: []ask{{class: keyed}}, nodes: successor, resets: 2, dialFails: 2, lists: 1, drains: 1, errors: 1,
-			change: func(c *forwarder.Config) { c.Choice.Classes[keyed].Window = 40 * ms },
+			change: func(c *forwarder.Config) { c.Dispatch.Classes[keyed].DedupWindow = 40 * ms },
 		},
 		{
 			Name: "stream", What: "bodies that flow, both ways, and break",
@@ -93,7 +93,7 @@
 		{
 			Name: "renew", What: "a node is announced as a new process; connections grow old and are closed unused",
 			asks: []ask{{class: safe}, {class: safe}}, nodes: successor, renews: 1, drains: 1, resets: 1, closes: 1, spread: 100 * ms,
-			change: func(c *forwarder.Config) { c.IdleFor, c.MaxAge = 60*ms, 100*ms },
+			change: func(c *forwarder.Config) { c.IdleTimeout, c.MaxConnAge = 60*ms, 100*ms },
 		},
 		{
 			Name: "silent", What: "answers that do not come, so that attempts are given up early",
@@ -105,11 +105,11 @@
 		},
 		{
 			Name: "tries", What: "one request whose attempts break again and again, with a budget for more than it may have", asks: []ask{{class: safe}}, nodes: successor,
-			resets: 4, errors: 2, dialFails: 1, change: func(c *forwarder.Config) { c.Choice.Budget.Free = 8 },
+			resets: 4, errors: 2, dialFails: 1, change: func(c *forwarder.Config) { c.Dispatch.RetryBudget.MinRetries = 8 },
 		},
 		{
 			Name: "thrift", What: "the same with a budget for one further attempt", asks: []ask{{class: safe}}, nodes: successor,
-			resets: 3, errors: 1, change: func(c *forwarder.Config) { c.Choice.Budget.Free = 1 },
+			resets: 3, errors: 1, change: func(c *forwarder.Config) { c.Dispatch.RetryBudget.MinRetries = 1 },
 		},
 		{
 			Name: "lossy", What: "a node that is known to lose answers, so that attempts end early and are made again",
@@ -127,15 +127,15 @@
 		{
 			Name: "loops", What: "two event loops that share one connection to a node",
 			asks: []ask{{class: safe}, {class: keyed, lane: 1}}, nodes: successor, leaves: 1, resets: 1, drains: 1, lists: 1, spread: 60 * ms,
-			change: func(c *forwarder.Config) { c.ConnsPerNode, c.Streams = 1, 0 },
+			change: func(c *forwarder.Config) { c.MaxConnsPerNode, c.MaxStreamsPerNode = 1, 0 },
 		},
 		{
 			Name: "limits", What: "few connections, a small budget, two shards",
 			asks: []ask{{class: safe}, {class: safe, shard: 1}, {class: unsafe}}, nodes: []place{{id: "a", first: true}, {id: "c", shard: 1, first: true}},
 			resets: 2, errors: 1, dialFails: 1,
 			change: func(c *forwarder.Config) {
-				c.ConnsPerNode, c.Streams = 1, 0
-				c.Choice.Budget = dispatch.BudgetRule{Free: 1, Ratio: 0, Span: 5 * time.Second}
+				c.MaxConnsPerNode, c.MaxStreamsPerNode = 1, 0
+				c.Dispatch.RetryBudget = dispatch.RetryBudget{MinRetries: 1, Ratio: 0, Window: 5 * time.Second}
 			},
 		},
 		{
@@ -216,17 +216,17 @@
 // config returns the settings of a scenario's gateway.
 func (s *Scenario) config() forwarder.Config {
 	c := forwarder.Config{
-		Seed: 1, ConnsPerNode: 4, Streams: 2, IdleFor: 5 * time.Second, MaxAge: 20 * time.Second,
-		Connect: 100 * ms, MaxCalls: 64,
-		Choice: dispatch.Config{
-			Peers: 1, Cancel: true, MaxRetryAfter: time.Second, MaxAttempts: 3,
-			UsualUnits: 1, LargestUnits: 8, Settle: 60 * ms, Round: ms,
-			Budget: dispatch.BudgetRule{Free: 2, Ratio: 0, Span: 5 * time.Second},
+		Seed: 1, MaxConnsPerNode: 4, MaxStreamsPerNode: 2, IdleTimeout: 5 * time.Second, MaxConnAge: 20 * time.Second,
+		DialTimeout: 100 * ms, MaxRequests: 64,
+		Dispatch: dispatch.Config{
+			DispatcherCount: 1, CancelAttempts: true, MaxRetryAfter: time.Second, MaxAttempts: 3,
+			MeanUnits: 1, MaxUnits: 8, Quiescence: 60 * ms, RoundTrip: ms,
+			RetryBudget: dispatch.RetryBudget{MinRetries: 2, Ratio: 0, Window: 5 * time.Second},
 			Classes: []dispatch.Class{
-				{Name: "safe", Aim: 200 * ms, Deadline: 400 * ms, Worth: 1},
-				{Name: "keyed", Aim: 300 * ms, Deadline: 500 * ms, Worth: 1, Effect: dispatch.Keyed, Group: dispatch.GroupShard, Window: 160 * ms},
-				{Name: "in turn", Aim: 300 * ms, Deadline: 500 * ms, Worth: 1, Effect: dispatch.Keyed, Group: dispatch.GroupShard, Window: 2 * time.Second, InTurn: true},
-				{Name: "unsafe", Aim: 300 * ms, Deadline: 500 * ms, Worth: 1, Effect: dispatch.Unsafe},
+				{Name: "safe", LatencyObjective: 200 * ms, Deadline: 400 * ms, PriorityWeight: 1},
+				{Name: "keyed", LatencyObjective: 300 * ms, Deadline: 500 * ms, PriorityWeight: 1, Idempotency: dispatch.Deduplicated, DedupScope: dispatch.DedupPerShard, DedupWindow: 160 * ms},
+				{Name: "in turn", LatencyObjective: 300 * ms, Deadline: 500 * ms, PriorityWeight: 1, Idempotency: dispatch.Deduplicated, DedupScope: dispatch.DedupPerShard, DedupWindow: 2 * time.Second, Ordered: true},
+				{Name: "unsafe", LatencyObjective: 300 * ms, Deadline: 500 * ms, PriorityWeight: 1, Idempotency: dispatch.NonIdempotent},
 			},
 			Plans: []dispatch.Plan{{Name: "p", Weight: 1, Price: 1}},
 		},
--- a/internal/modelcheck/walk.go
+++ b/internal/modelcheck/walk.go
@@ -16,7 +16,7 @@
 		s.nodes = append(s.nodes, place{id: dispatch.NodeID(fmt.Sprint("n", i)), shard: dispatch.Shard(i % shards), first: i < shards})
 	}
 	for i := range requests {
-		a := ask{class: i % 4, shard: dispatch.Shard(i * 7 % shards), lane: forwarder.Lane(i / 5 % loops)}
+		a := ask{class: i % 4, shard: dispatch.Shard(i * 7 % shards), lane: forwarder.LoopID(i / 5 % loops)}
 		switch {
 		case a.class == inTurn:
 			a.key = fmt.Sprint("k", i%3, "/", a.shard)
@@ -32,9 +32,9 @@
 	s.resets, s.garbage, s.fulls, s.errors, s.heads, s.dialFails, s.closes, s.flows, s.renews = n/4, n/10, n/6, n/6, n/4, n/6, n/6, n/4, shards/2
 	s.spread = 1 << 40
 	s.change = func(c *forwarder.Config) {
-		c.ConnsPerNode = 3
-		c.IdleFor = 60 * ms
-		c.Choice.Budget = dispatch.BudgetRule{Free: 2, Ratio: 0.3, Span: 5000 * ms}
+		c.MaxConnsPerNode = 3
+		c.IdleTimeout = 60 * ms
+		c.Dispatch.RetryBudget = dispatch.RetryBudget{MinRetries: 2, Ratio: 0.3, Window: 5000 * ms}
 	}
 	return s
 }
