--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -17,7 +17,7 @@
 	spec  *Scenario
 	cfg   forwarder.Config
 	now   time.Duration
-	x     *forwarder.Exchange
+	x     *forwarder.Forwarder
 	wake  time.Duration             // of the forwarder's timer
 	queue [loops][]forwarder.Action // what each event loop has yet to do
 	calls []*call
@@ -68,7 +68,7 @@
 // conn is a connection as the loop has it.
 type conn struct {
 	id   forwarder.ConnID
-	lane forwarder.Lane
+	lane forwarder.LoopID
 	node dispatch.NodeID
 	open bool
 	r    upstreamhttp.Reader
@@ -87,7 +87,7 @@
 	for _, p := range s.nodes {
 		w.nodes = append(w.nodes, listed{place: p, on: p.first})
 	}
-	w.begin(dispatch.Complete)
+	w.begin(dispatch.Snapshot)
 	if s.prepare != nil {
 		s.prepare(w)
 	}
@@ -95,7 +95,7 @@
 }
 
 // begin starts a gateway and tells it a list.
-func (w *World) begin(kind dispatch.ListKind) {
+func (w *World) begin(kind dispatch.EndpointUpdateKind) {
 	x, err := forwarder.New(w.cfg)
 	if err != nil {
 		panic("modelcheck: " + err.Error()) // the scenarios' own settings
@@ -107,12 +107,12 @@
 }
 
 // list is the node list of a kind: complete as it is, or as it was at the start.
-func (w *World) list(kind dispatch.ListKind) forwarder.Nodes {
-	e := forwarder.Nodes{Kind: kind}
+func (w *World) list(kind dispatch.EndpointUpdateKind) forwarder.EndpointUpdate {
+	e := forwarder.EndpointUpdate{Kind: kind}
 	for _, n := range w.nodes {
-		if kind == dispatch.Persisted {
+		if kind == dispatch.Cached {
 			if n.first {
-				e.Nodes = append(e.Nodes, node(n, dispatch.Serving))
+				e.Nodes = append(e.Nodes, node(n, dispatch.Ready))
 			}
 		} else if n.on && n.state != dispatch.Removed {
 			e.Nodes = append(e.Nodes, node(n, n.state))
@@ -123,8 +123,8 @@
 }
 
 // hear notes what the gateway is told of nodes.
-func (w *World) hear(e forwarder.Nodes) {
-	if e.Kind != dispatch.Changes {
+func (w *World) hear(e forwarder.EndpointUpdate) {
+	if e.Kind != dispatch.Delta {
 		for _, n := range w.nodes {
 			if _, ok := w.told[n.id]; !ok {
 				w.told[n.id] = w.now
@@ -132,7 +132,7 @@
 		}
 	}
 	for _, n := range e.Nodes {
-		if n.State == dispatch.Serving {
+		if n.State == dispatch.Ready {
 			delete(w.told, n.ID)
 		} else if _, ok := w.told[n.ID]; !ok {
 			w.told[n.ID] = w.now
@@ -149,12 +149,12 @@
 const loops = 2
 
 // elsewhere is where the timer and the node list come from: no loop.
-const elsewhere forwarder.Lane = -1
+const elsewhere forwarder.LoopID = -1
 
 // tell hands the forwarder an event. From a loop, the actions for that loop are
 // followed before anything else happens there; all others wait until their loop
 // comes to them.
-func (w *World) tell(ev forwarder.Event, from forwarder.Lane) {
+func (w *World) tell(ev forwarder.Event, from forwarder.LoopID) {
 	before := w.seen.before(w, ev)
 	for _, a := range w.x.Handle(w.now, ev) {
 		w.decided(a)
@@ -162,7 +162,7 @@
 			w.wake = t.At
 			continue
 		}
-		if lane, ok := a.On(); ok {
+		if lane, ok := a.OnLoop(); ok {
 			w.queue[lane] = append(w.queue[lane], a)
 		}
 	}
@@ -173,7 +173,7 @@
 }
 
 // follow does what the forwarder decided for a loop, as the loop does.
-func (w *World) follow(lane forwarder.Lane) {
+func (w *World) follow(lane forwarder.LoopID) {
 	for len(w.queue[lane]) > 0 {
 		a := w.queue[lane][0]
 		w.queue[lane] = w.queue[lane][1:]
@@ -183,7 +183,7 @@
 }
 
 func (w *World) followAll() {
-	for lane := range forwarder.Lane(loops) {
+	for lane := range forwarder.LoopID(loops) {
 		w.follow(lane)
 	}
 }
@@ -199,31 +199,31 @@
 	switch a := a.(type) {
 	case forwarder.Dial:
 		w.dialing(a)
-		w.conns[a.Conn] = &conn{id: a.Conn, lane: a.Lane, node: a.Node, r: upstreamhttp.Reader{Limits: http1.DefaultLimits}}
-	case forwarder.Send:
+		w.conns[a.Conn] = &conn{id: a.Conn, lane: a.Loop, node: a.Node, r: upstreamhttp.Reader{Limits: http1.DefaultLimits}}
+	case forwarder.SendRequest:
 		if k, c := w.conns[a.Conn], w.byID(a.ID); k != nil && c != nil && c.inLane {
 			w.send(k, c, a)
 		}
-	case forwarder.Close:
+	case forwarder.CloseConn:
 		if k := w.conns[a.Conn]; k != nil {
 			w.shut(k)
 		}
-	case forwarder.Deliver:
+	case forwarder.ForwardResponse:
 		c, k := w.byID(a.ID), w.conns[a.Conn]
 		w.delivered(a, c, k)
 		if k != nil {
 			w.handOver(k)
 		}
 		w.answer(c, a)
-	case forwarder.Drop:
+	case forwarder.DiscardResponse:
 		if k := w.conns[a.Conn]; k != nil {
 			w.handOver(k)
 		}
-	case forwarder.Refuse:
+	case forwarder.Reject:
 		w.answer(w.byID(a.ID), a)
 	case forwarder.Fail:
 		w.answer(w.byID(a.ID), a)
-	case forwarder.Cut:
+	case forwarder.AbortResponse:
 		w.answer(w.byID(a.ID), a)
 	}
 }
@@ -238,7 +238,7 @@
 }
 
 // send puts a request on a connection.
-func (w *World) send(k *conn, c *call, a forwarder.Send) {
+func (w *World) send(k *conn, c *call, a forwarder.SendRequest) {
 	w.sending(k, c, a)
 	if !k.r.Sent("GET", small) {
 		w.broke("connection", "request %d is sent on connection %d, which is %v", c.id, k.id, k.r.State())
@@ -278,7 +278,7 @@
 	k.r.Break()
 	w.free(k)
 	delete(w.conns, k.id)
-	w.tell(forwarder.Lost{Conn: k.id}, k.lane)
+	w.tell(forwarder.ConnectionLost{Conn: k.id}, k.lane)
 }
 
 // The bodies that nodes answer with: a small one is collected, a large one passed on.
@@ -314,7 +314,7 @@
 			}
 			return
 		case upstreamhttp.Head:
-			if word(k).Status != dispatch.Served {
+			if word(k).Result != dispatch.OK {
 				if k.r.Collect().Kind == upstreamhttp.Fault {
 					w.lost(k)
 					return
@@ -322,7 +322,7 @@
 				continue
 			}
 			k.r.Stream()
-			w.tell(forwarder.Headed{Conn: k.id, Word: word(k)}, k.lane)
+			w.tell(forwarder.ResponseHeaders{Conn: k.id, Info: word(k)}, k.lane)
 			if k.call == nil {
 				return
 			}
@@ -332,7 +332,7 @@
 				return
 			}
 		case upstreamhttp.Whole, upstreamhttp.End:
-			w.tell(forwarder.Answered{Conn: k.id, Word: word(k), Reuse: k.r.Reusable() && !k.sending()}, k.lane)
+			w.tell(forwarder.ResponseCompleted{Conn: k.id, Info: word(k), Reuse: k.r.Reusable() && !k.sending()}, k.lane)
 			if w.conns[k.id] != k {
 				return
 			}
@@ -347,14 +347,14 @@
 // sending tells whether a body is still going out.
 func (k *conn) sending() bool { return k.call != nil && k.call.source && !k.call.sent }
 
-func word(k *conn) forwarder.Word {
+func word(k *conn) forwarder.ResponseInfo {
 	switch s := k.r.Response.Status; {
 	case s == 503:
-		return forwarder.Word{Status: dispatch.Full}
+		return forwarder.ResponseInfo{Result: dispatch.Rejected}
 	case s >= 500:
-		return forwarder.Word{Status: dispatch.Errored}
+		return forwarder.ResponseInfo{Result: dispatch.ServerError}
 	}
-	return forwarder.Word{Status: dispatch.Served}
+	return forwarder.ResponseInfo{Result: dispatch.OK}
 }
 
 // owed tells whether an answer is due by a time: none has begun, and no body flows, which
--- a/internal/objectcommand/objectcommand.go
+++ b/internal/objectcommand/objectcommand.go
@@ -43,7 +43,7 @@
 
 // NewTerms takes the terms from the settings.
 func NewTerms(s simwire.Settings) *Terms {
-	t := &Terms{Classes: map[string]int{}, Plans: map[string]int{}, Writes: s.ClassWrites, Shards: s.Shards, Largest: s.Choice.LargestUnits}
+	t := &Terms{Classes: map[string]int{}, Plans: map[string]int{}, Writes: s.ClassWrites, Shards: s.Shards, Largest: s.Choice.MaxUnits}
 	for i, c := range s.Choice.Classes {
 		t.Classes[c.Name] = i
 	}
@@ -92,7 +92,7 @@
 		return c, fmt.Errorf("names and values: expected at most %d bytes", maxList)
 	}
 	r := &c.Request
-	r.Class, r.Plan, r.Shard, r.Hosts = -1, -1, dispatch.AnyShard-1, 0
+	r.Class, r.Plan, r.Shard, r.Dispatchers = -1, -1, dispatch.AnyShard-1, 0
 	if err := t.fields(string(c.Fields), r); err != nil {
 		return c, err
 	}
@@ -144,7 +144,7 @@
 		ms, ok := simwire.Finite(v)
 		ok = ok && ms > 0 && ms <= float64(longest/time.Millisecond)
 		if ok {
-			r.Left = time.Duration(ms * float64(time.Millisecond))
+			r.Timeout = time.Duration(ms * float64(time.Millisecond))
 		}
 		return 4, want(ok, name, "milliseconds above 0, an hour at most", v)
 	case "volume":
@@ -160,8 +160,8 @@
 		ok = err == nil && s >= int(dispatch.AnyShard) && s < 1<<24 && (t.Shards <= 0 || s < t.Shards)
 		return 32, want(ok, name, fmt.Sprintf("-1 to %d", t.Shards-1), v)
 	case "hosts":
-		r.Hosts, err = strconv.Atoi(v)
-		return 64, want(err == nil && r.Hosts >= 1 && r.Hosts < 1<<16, name, "1 or more", v)
+		r.Dispatchers, err = strconv.Atoi(v)
+		return 64, want(err == nil && r.Dispatchers >= 1 && r.Dispatchers < 1<<16, name, "1 or more", v)
 	}
 	return 0, nil
 }
@@ -228,7 +228,7 @@
 // Word reads what a node answered. value is what the client is owed where the word is
 // Served. It tells false of what is no answer to an object command: the request may have
 // run, and the connection is of no further use.
-func Word(a *resp.Answer) (value []byte, w forwarder.Word, ok bool) {
+func Word(a *resp.Answer) (value []byte, w forwarder.ResponseInfo, ok bool) {
 	switch a.Kind {
 	case resp.Failure:
 		return nil, failure(string(a.Text)), true
@@ -236,26 +236,26 @@
 		if len(a.Items) != 3 || a.Items[0].Null {
 			return nil, w, false
 		}
-		w.Status = dispatch.Served
+		w.Result = dispatch.OK
 		figures(&w, string(a.Items[1].Text))
-		w.Report = simwire.Report(string(a.Items[2].Text), "=")
+		w.LoadReport = simwire.Report(string(a.Items[2].Text), "=")
 		return a.Items[0].Text, w, true
 	}
 	return nil, w, false
 }
 
 // failure reads an error line. Only what is turned away is known not to have run.
-func failure(text string) forwarder.Word {
+func failure(text string) forwarder.ResponseInfo {
 	word, rest, _ := strings.Cut(text, " ")
 	if word == "BUSY" {
-		return forwarder.Word{Status: dispatch.Full}
+		return forwarder.ResponseInfo{Result: dispatch.Rejected}
 	}
-	w := forwarder.Word{Status: dispatch.Errored}
+	w := forwarder.ResponseInfo{Result: dispatch.ServerError}
 	for f := range strings.FieldsSeq(rest) {
 		if strings.Contains(f, "used=") || strings.Contains(f, "cost=") {
 			figures(&w, f)
 		} else if strings.Contains(f, "=") {
-			w.Report = simwire.Report(f, "=")
+			w.LoadReport = simwire.Report(f, "=")
 		}
 	}
 	return w
@@ -264,7 +264,7 @@
 // figures reads the figures on use. What can't be read is left out; the answer is good
 // all the same. The simulator's figure is one more than the one told here, and so is
 // that of the dispatcher.
-func figures(w *forwarder.Word, s string) {
+func figures(w *forwarder.ResponseInfo, s string) {
 	for pair := range strings.SplitSeq(s, ",") {
 		name, v, _ := strings.Cut(pair, "=")
 		x, ok := simwire.Finite(v)
@@ -273,9 +273,9 @@
 		}
 		switch name {
 		case "used":
-			w.Use = x + 1
+			w.QuotaUsage = x + 1
 		case "cost":
-			w.Elsewhere = x
+			w.PeerUnits = x
 		}
 	}
 }
--- a/internal/objectcommand/objectcommand_test.go
+++ b/internal/objectcommand/objectcommand_test.go
@@ -34,19 +34,19 @@
 	for _, c := range []struct {
 		text   string
 		ok     bool
-		status dispatch.Status
+		status dispatch.AttemptResult
 		use    float64
 		cost   float64
 		hand   float64
 	}{
-		{"*3\r\n$1\r\nv\r\n$14\r\nused=37,cost=4\r\n$12\r\nrif=7,lat_ms\r\n", true, dispatch.Served, 38, 4, 0},
-		{"*3\r\n$1\r\nv\r\n$6\r\nused=0\r\n$14\r\nrif=7,lat_ms=3\r\n", true, dispatch.Served, 1, 0, 7},
-		{"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", true, dispatch.Served, 0, 0, 0},
-		{"*3\r\n$1\r\nv\r\n$13\r\nused=-1,cost=\r\n$-1\r\n", true, dispatch.Served, 0, 0, 0},
-		{"-ERR failed used=9,cost=2 inflight=5,queue=0\r\n", true, dispatch.Errored, 10, 2, 5},
-		{"-ERR failed inflight=5,queue=0\r\n", true, dispatch.Errored, 0, 0, 5},
-		{"-BUSY\r\n", true, dispatch.Full, 0, 0, 0},
-		{"-SYNTAX\r\n", true, dispatch.Errored, 0, 0, 0},
+		{"*3\r\n$1\r\nv\r\n$14\r\nused=37,cost=4\r\n$12\r\nrif=7,lat_ms\r\n", true, dispatch.OK, 38, 4, 0},
+		{"*3\r\n$1\r\nv\r\n$6\r\nused=0\r\n$14\r\nrif=7,lat_ms=3\r\n", true, dispatch.OK, 1, 0, 7},
+		{"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", true, dispatch.OK, 0, 0, 0},
+		{"*3\r\n$1\r\nv\r\n$13\r\nused=-1,cost=\r\n$-1\r\n", true, dispatch.OK, 0, 0, 0},
+		{"-ERR failed used=9,cost=2 inflight=5,queue=0\r\n", true, dispatch.ServerError, 10, 2, 5},
+		{"-ERR failed inflight=5,queue=0\r\n", true, dispatch.ServerError, 0, 0, 5},
+		{"-BUSY\r\n", true, dispatch.Rejected, 0, 0, 0},
+		{"-SYNTAX\r\n", true, dispatch.ServerError, 0, 0, 0},
 		{"*3\r\n$-1\r\n$-1\r\n$-1\r\n", false, 0, 0, 0, 0},
 		{"*2\r\n$1\r\nv\r\n$-1\r\n", false, 0, 0, 0, 0},
 		{"$1\r\nv\r\n", false, 0, 0, 0, 0},
@@ -57,10 +57,10 @@
 			t.Fatalf("%q: %v", c.text, err)
 		}
 		value, w, ok := Word(&a)
-		if ok != c.ok || ok && (w.Status != c.status || w.Use != c.use || w.Elsewhere != c.cost || w.Report["inflight"] != c.hand) {
+		if ok != c.ok || ok && (w.Result != c.status || w.QuotaUsage != c.use || w.PeerUnits != c.cost || w.LoadReport["inflight"] != c.hand) {
 			t.Errorf("%q: %+v, %v", c.text, w, ok)
 		}
-		if ok && c.status == dispatch.Served && string(value) != "v" {
+		if ok && c.status == dispatch.OK && string(value) != "v" {
 			t.Errorf("%q: value %q", c.text, value)
 		}
 	}
@@ -87,7 +87,7 @@
 			return
 		}
 		r := c.Request
-		if r.Left <= 0 || r.Left > longest || !(r.Units > 0 && r.Units <= tt.Largest) || r.Shard < dispatch.AnyShard || int(r.Shard) >= tt.Shards || r.Hosts < 1 || tt.Writes[r.Class] != c.Put {
+		if r.Timeout <= 0 || r.Timeout > longest || !(r.Units > 0 && r.Units <= tt.Largest) || r.Shard < dispatch.AnyShard || int(r.Shard) >= tt.Shards || r.Dispatchers < 1 || tt.Writes[r.Class] != c.Put {
 			t.Fatalf("%q: %+v", list, r)
 		}
 		sent, n, err := resp.Command(c.AppendTo(nil, time.Second), nil)
@@ -95,10 +95,10 @@
 			t.Fatalf("%q: %q, %v", list, sent, err)
 		}
 		again, err := tt.Parse(sent)
-		if err != nil || again.Request.Left != time.Second {
+		if err != nil || again.Request.Timeout != time.Second {
 			t.Fatalf("%q: %q, %v", list, sent, err)
 		}
-		if again.Request.Left = r.Left; again.Request != r {
+		if again.Request.Timeout = r.Timeout; again.Request != r {
 			t.Errorf("%+v, sent as %+v", r, again.Request)
 		}
 	})
@@ -119,10 +119,10 @@
 			return
 		}
 		value, w, ok := Word(&a)
-		if !(w.Use == 0 || w.Use >= 1 && w.Use <= 1e9+1) || !(w.Elsewhere >= 0 && w.Elsewhere <= 1e9) {
+		if !(w.QuotaUsage == 0 || w.QuotaUsage >= 1 && w.QuotaUsage <= 1e9+1) || !(w.PeerUnits >= 0 && w.PeerUnits <= 1e9) {
 			t.Errorf("%q: %+v", text, w)
 		}
-		if served := ok && w.Status == dispatch.Served; served && value == nil && len(a.Items) == 0 {
+		if served := ok && w.Result == dispatch.OK; served && value == nil && len(a.Items) == 0 {
 			t.Errorf("%q: served with nothing", text)
 		}
 	})
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -111,8 +111,8 @@
 }
 
 var (
-	effects = map[string]dispatch.Effect{"safe": dispatch.Safe, "keyed": dispatch.Keyed, "unsafe": dispatch.Unsafe}
-	groups  = map[string]dispatch.Group{"": dispatch.GroupAll, "all": dispatch.GroupAll, "zone": dispatch.GroupZone, "shard": dispatch.GroupShard}
+	effects = map[string]dispatch.Idempotency{"safe": dispatch.Idempotent, "keyed": dispatch.Deduplicated, "unsafe": dispatch.NonIdempotent}
+	groups  = map[string]dispatch.DedupScope{"": dispatch.DedupEverywhere, "all": dispatch.DedupEverywhere, "zone": dispatch.DedupPerZone, "shard": dispatch.DedupPerShard}
 )
 
 func (s *Settings) checkClasses() (string, string) {
@@ -401,24 +401,24 @@
 func (s *Settings) Choice() dispatch.Config {
 	r := s.Rules
 	c := dispatch.Config{
-		Me: s.Me, Peers: s.Peers, Cancel: true, MaxRetryAfter: r.MaxRetryAfter.D(), MaxAttempts: r.MaxAttempts,
-		Round: r.Round.D(), UsualUnits: r.UsualUnits, LargestUnits: r.LargestUnits, Settle: r.Settle.D(),
-		Budget: dispatch.BudgetRule{Free: r.Budget.Free, Ratio: r.Budget.Ratio, Span: r.Budget.Span.D()},
-		Cold: dispatch.ColdRule{
-			From: r.Cold.From, WarmUp: r.Cold.WarmUp.D(), Multiple: r.Cold.Multiple, Span: r.Cold.Span.D(),
-			YoungLimit: r.Cold.YoungLimit,
+		DispatcherIndex: s.Me, DispatcherCount: s.Peers, CancelAttempts: true, MaxRetryAfter: r.MaxRetryAfter.D(), MaxAttempts: r.MaxAttempts,
+		RoundTrip: r.Round.D(), MeanUnits: r.UsualUnits, MaxUnits: r.LargestUnits, Quiescence: r.Settle.D(),
+		RetryBudget: dispatch.RetryBudget{MinRetries: r.Budget.Free, Ratio: r.Budget.Ratio, Window: r.Budget.Span.D()},
+		SlowStart: dispatch.SlowStart{
+			InitialCapacity: r.Cold.From, WarmUp: r.Cold.WarmUp.D(), OverloadFactor: r.Cold.Multiple, Window: r.Cold.Span.D(),
+			InitialUnits: r.Cold.YoungLimit,
 		},
 	}
 	for _, k := range s.Classes {
 		c.Classes = append(c.Classes, dispatch.Class{
-			Name: k.Name, Aim: k.Aim.D(), Deadline: k.Deadline.D(), Worth: k.Worth,
-			Effect: effects[k.Effect], Group: groups[k.Group], Window: k.Window.D(), InTurn: k.InTurn,
+			Name: k.Name, LatencyObjective: k.Aim.D(), Deadline: k.Deadline.D(), PriorityWeight: k.Worth,
+			Idempotency: effects[k.Effect], DedupScope: groups[k.Group], DedupWindow: k.Window.D(), Ordered: k.InTurn,
 		})
 	}
 	for _, p := range s.Plans {
 		c.Plans = append(c.Plans, dispatch.Plan{
 			Name: p.Name, Reserve: p.Reserve, Weight: p.Weight, Price: p.Price,
-			Limit: p.Limit, Burst: p.Burst, Slack: p.Slack,
+			RateLimit: p.Limit, Burst: p.Burst, Slack: p.Slack,
 		})
 	}
 	return c
--- a/internal/simwire/config.go
+++ b/internal/simwire/config.go
@@ -31,37 +31,37 @@
 // the dispatcher reads what the decisions use.
 func (p *settings) dispatchConfig() (dispatch.Config, error) {
 	c := dispatch.Config{
-		Me: p.integer("me"), Peers: p.integer("peers_total"),
-		Cancel:        p.boolean("limits.cancel"),
-		AskDiscovery:  p.m["discovery"] == "on_request",
-		MaxRetryAfter: p.time("limits.max_retry_after_ms"), MaxAttempts: p.integer("limits.try_limit"),
-		Round: p.time("round_ms"), UsualUnits: p.number("family_info.usual_units"),
-		LargestUnits: p.number("family_info.largest"),
-		Settle:       p.time("rules.settle_after_doubt_ms"),
-		Cold: dispatch.ColdRule{
-			From: p.number("rules.cold_from"), WarmUp: p.time("rules.warm_up_ms"),
-			Multiple: p.number("rules.overload_factor"), Span: p.time("rules.overload_for_ms"),
-			YoungLimit: p.number("family_info.young_limit"),
+		DispatcherIndex: p.integer("me"), DispatcherCount: p.integer("peers_total"),
+		CancelAttempts: p.boolean("limits.cancel"),
+		PollDiscovery:  p.m["discovery"] == "on_request",
+		MaxRetryAfter:  p.time("limits.max_retry_after_ms"), MaxAttempts: p.integer("limits.try_limit"),
+		RoundTrip: p.time("round_ms"), MeanUnits: p.number("family_info.usual_units"),
+		MaxUnits:   p.number("family_info.largest"),
+		Quiescence: p.time("rules.settle_after_doubt_ms"),
+		SlowStart: dispatch.SlowStart{
+			InitialCapacity: p.number("rules.cold_from"), WarmUp: p.time("rules.warm_up_ms"),
+			OverloadFactor: p.number("rules.overload_factor"), Window: p.time("rules.overload_for_ms"),
+			InitialUnits: p.number("family_info.young_limit"),
 		},
-		Budget: dispatch.BudgetRule{
-			Free: p.number("rules.free_resends"), Ratio: p.number("rules.resend_ratio"),
-			Span: p.time("rules.resend_span_ms"),
+		RetryBudget: dispatch.RetryBudget{
+			MinRetries: p.number("rules.free_resends"), Ratio: p.number("rules.resend_ratio"),
+			Window: p.time("rules.resend_span_ms"),
 		},
 	}
 	for i := range p.count("classes.count") {
 		at := fmt.Sprintf("classes.%d.", i)
 		k := dispatch.Class{
-			Name: p.m[at+"name"], Aim: p.time(at + "slo_ms"), Deadline: p.time(at + "deadline_ms"),
-			Worth: p.number(at + "credit"), Window: p.time(at + "window_ms"),
-			InTurn: p.boolean(at + "in_turn"),
+			Name: p.m[at+"name"], LatencyObjective: p.time(at + "slo_ms"), Deadline: p.time(at + "deadline_ms"),
+			PriorityWeight: p.number(at + "credit"), DedupWindow: p.time(at + "window_ms"),
+			Ordered: p.boolean(at + "in_turn"),
 		}
-		k.Effect = dispatch.Effect(p.oneOf(at+"effect", map[string]int{
-			"":           int(dispatch.Unsafe),
-			"idempotent": int(dispatch.Safe), "deduplicated": int(dispatch.Keyed), "at_most_once": int(dispatch.Unsafe),
+		k.Idempotency = dispatch.Idempotency(p.oneOf(at+"effect", map[string]int{
+			"":           int(dispatch.NonIdempotent),
+			"idempotent": int(dispatch.Idempotent), "deduplicated": int(dispatch.Deduplicated), "at_most_once": int(dispatch.NonIdempotent),
 		}))
-		k.Group = dispatch.Group(p.oneOf(at+"group", map[string]int{
-			"":    int(dispatch.GroupShard),
-			"all": int(dispatch.GroupAll), "zone": int(dispatch.GroupZone), "cell": int(dispatch.GroupShard),
+		k.DedupScope = dispatch.DedupScope(p.oneOf(at+"group", map[string]int{
+			"":    int(dispatch.DedupPerShard),
+			"all": int(dispatch.DedupEverywhere), "zone": int(dispatch.DedupPerZone), "cell": int(dispatch.DedupPerShard),
 		}))
 		c.Classes = append(c.Classes, k)
 	}
@@ -70,7 +70,7 @@
 		c.Plans = append(c.Plans, dispatch.Plan{
 			Name:    p.m[at+"name"],
 			Reserve: p.number(at + "guaranteed"), Weight: p.number(at + "weight"), Price: p.number(at + "value_factor"),
-			Limit: p.number(at + "limit"), Burst: p.number(at + "limit_burst"), Slack: p.number(at + "cap_slack"),
+			RateLimit: p.number(at + "limit"), Burst: p.number(at + "limit_burst"), Slack: p.number(at + "cap_slack"),
 		})
 	}
 	return c, p.err
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -146,10 +146,10 @@
 		it.Kind = Crash
 	case "FLEET":
 		f.integer("index")
-		ev := dispatch.NodeList{}
-		ev.Kind = dispatch.ListKind(f.oneOf("kind", listKinds))
+		ev := dispatch.EndpointUpdate{}
+		ev.Kind = dispatch.EndpointUpdateKind(f.oneOf("kind", listKinds))
 		bank := f.word("bank")
-		if ev.Kind != dispatch.Failed && f.err == nil {
+		if ev.Kind != dispatch.PollFailed && f.err == nil {
 			n, err := strconv.ParseInt(bank, 10, 64)
 			nodes, ok := d.pages[n]
 			if err != nil || !ok {
@@ -168,9 +168,9 @@
 		f.word("server")
 		f.time("wait_time_ms")
 	case "ABANDONED":
-		it.Event = dispatch.Gone{ID: f.rid()}
+		it.Event = dispatch.ClientCanceled{ID: f.rid()}
 	case "TIMEOUT_FIRED":
-		it.Event = dispatch.Fired{Token: f.word("label")}
+		it.Event = dispatch.TimerFired{Token: f.word("label")}
 	case "SAMPLED":
 		f.word("server")
 		f.oneOf("status", statuses)
@@ -194,16 +194,16 @@
 
 var (
 	listKinds = map[string]int{
-		"Partial": int(dispatch.Changes), "Complete": int(dispatch.Complete),
-		"Persisted": int(dispatch.Persisted), "Error": int(dispatch.Failed),
+		"Partial": int(dispatch.Delta), "Complete": int(dispatch.Snapshot),
+		"Persisted": int(dispatch.Cached), "Error": int(dispatch.PollFailed),
 	}
 	statuses = map[string]int{
-		"delivered": int(dispatch.Served), "app_error": int(dispatch.Errored), "shed": int(dispatch.Full),
-		"expired": int(dispatch.TimedOut), "dial_failed": int(dispatch.ConnectFailed), "dropped": int(dispatch.Dropped),
-		"revoked": int(dispatch.Cancelled), "unused": int(dispatch.Moot),
+		"delivered": int(dispatch.OK), "app_error": int(dispatch.ServerError), "shed": int(dispatch.Rejected),
+		"expired": int(dispatch.TimedOut), "dial_failed": int(dispatch.ConnectFailed), "dropped": int(dispatch.ConnectionReset),
+		"revoked": int(dispatch.Canceled), "unused": int(dispatch.NotSent),
 	}
 	nodeStates = map[string]int{
-		"SERVING": int(dispatch.Serving), "DRAINING": int(dispatch.Draining),
+		"SERVING": int(dispatch.Ready), "DRAINING": int(dispatch.Draining),
 		"DELETED": int(dispatch.Removed),
 	}
 )
@@ -244,14 +244,14 @@
 }
 
 func (f *fields) ask() dispatch.Event {
-	r := dispatch.Request{ID: f.rid(), Hosts: int(f.number("attached")), Plan: int(f.integer("plan"))}
+	r := dispatch.Request{ID: f.rid(), Dispatchers: int(f.number("attached")), Plan: int(f.integer("plan"))}
 	f.integer("state_bits")
 	r.Units = f.number("quota_units")
 	r.Class = int(f.integer("tier_class"))
 	if r.Key = f.word("object"); r.Key == "-" {
 		r.Key = ""
 	}
-	r.Left = f.time("grace_ms")
+	r.Timeout = f.time("grace_ms")
 	r.Volume = dispatch.VolumeID(f.word("owner"))
 	r.Shard = dispatch.AnyShard
 	if f.next() != "-" {
@@ -263,12 +263,12 @@
 }
 
 func (f *fields) outcome() dispatch.Event {
-	o := dispatch.Outcome{
-		ID: f.rid(), Concluded: f.boolean("complete"), Node: dispatch.NodeID(f.word("server")),
-		Use: f.number("volume_use"), Status: dispatch.Status(f.oneOf("status", statuses)), Attempt: int(f.integer("leg")),
-		Elsewhere: f.number("elsewhere"), Took: f.time("wait_time_ms"),
+	o := dispatch.AttemptCompleted{
+		ID: f.rid(), Responded: f.boolean("complete"), Node: dispatch.NodeID(f.word("server")),
+		QuotaUsage: f.number("volume_use"), Result: dispatch.AttemptResult(f.oneOf("status", statuses)), Attempt: int(f.integer("leg")),
+		PeerUnits: f.number("elsewhere"), Latency: f.time("wait_time_ms"),
 	}
-	o.Report = f.report()
+	o.LoadReport = f.report()
 	return o
 }
 
@@ -379,7 +379,7 @@
 	"rate": "qps", "fail_rate": "eps",
 }
 
-func (f *fields) report() dispatch.Report {
+func (f *fields) report() dispatch.LoadReport {
 	if !f.more {
 		return nil
 	}
@@ -396,8 +396,8 @@
 
 // Report reads a load report: names and values with a mark between them, set apart by
 // commas. It returns nil where it can't be read.
-func Report(s, mark string) dispatch.Report {
-	r := dispatch.Report{}
+func Report(s, mark string) dispatch.LoadReport {
+	r := dispatch.LoadReport{}
 	for _, p := range strings.Split(s, ",") {
 		k, v, ok := strings.Cut(p, mark)
 		x, err := strconv.ParseFloat(v, 64)
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -40,13 +40,13 @@
 // Action writes one action of the instance named last.
 func (e *Encoder) Action(a dispatch.Action) {
 	switch a := a.(type) {
-	case dispatch.Attempt:
-		e.line("FORWARD", id(a.ID), string(a.Node), ms(a.Until))
-	case dispatch.Refuse:
-		e.line("TURN_AWAY", id(a.ID), ms(a.After))
+	case dispatch.SendAttempt:
+		e.line("FORWARD", id(a.ID), string(a.Node), ms(a.Deadline))
+	case dispatch.Reject:
+		e.line("TURN_AWAY", id(a.ID), ms(a.RetryAfter))
 	case dispatch.Fail:
 		e.line("RESPOND_ERROR", id(a.ID))
-	case dispatch.Cancel:
+	case dispatch.CancelAttempt:
 		e.line("REVOKE", id(a.ID), strconv.Itoa(a.Attempt))
 	case dispatch.SetTimer:
 		e.line("DEFER", ms(a.At), a.Token)
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -35,24 +35,24 @@
 		t.Fatalf("now %v, %d items", b.Now, len(b.Items))
 	}
 	c := b.Items[0].Config
-	if k := c.Classes[0]; b.Items[0].Seed != 51 || c.Me != 1 || c.Peers != 2 || !c.AskDiscovery || k.Effect != dispatch.Keyed ||
-		k.Group != dispatch.GroupZone || !k.InTurn || k.Aim != 300*time.Millisecond || c.Plans[0].Limit != 22 ||
-		c.Budget.Span != 5*time.Second || c.Settle != 40*time.Millisecond {
+	if k := c.Classes[0]; b.Items[0].Seed != 51 || c.DispatcherIndex != 1 || c.DispatcherCount != 2 || !c.PollDiscovery || k.Idempotency != dispatch.Deduplicated ||
+		k.DedupScope != dispatch.DedupPerZone || !k.Ordered || k.LatencyObjective != 300*time.Millisecond || c.Plans[0].RateLimit != 22 ||
+		c.RetryBudget.Window != 5*time.Second || c.Quiescence != 40*time.Millisecond {
 		t.Errorf("config %+v", c)
 	}
-	l := b.Items[1].Event.(dispatch.NodeList)
-	if l.Kind != dispatch.Persisted || len(l.Nodes) != 2 || l.Nodes[1].State != dispatch.Draining || l.Nodes[0].Kind != 1 ||
+	l := b.Items[1].Event.(dispatch.EndpointUpdate)
+	if l.Kind != dispatch.Cached || len(l.Nodes) != 2 || l.Nodes[1].State != dispatch.Draining || l.Nodes[0].Kind != 1 ||
 		l.Nodes[1].Started != 6100*time.Millisecond || l.Nodes[0].Shard != 5 {
 		t.Errorf("list %+v", l)
 	}
-	if q := b.Items[2].Event.(dispatch.Request); q.ID != 4068207471792580 || q.Hosts != 3 || q.Units != 2 ||
-		q.Key != "ext-k" || q.Volume != "c:vol" || q.Shard != 0 || q.Left != 240*time.Millisecond {
+	if q := b.Items[2].Event.(dispatch.Request); q.ID != 4068207471792580 || q.Dispatchers != 3 || q.Units != 2 ||
+		q.Key != "ext-k" || q.Volume != "c:vol" || q.Shard != 0 || q.Timeout != 240*time.Millisecond {
 		t.Errorf("request %+v", q)
 	}
 	if q := b.Items[3].Event.(dispatch.Request); q.Shard != dispatch.AnyShard || q.Key != "" || q.Units != 8 {
 		t.Errorf("new object %+v", q)
 	}
-	if o := b.Items[4].Event.(dispatch.Outcome); !o.Concluded || o.Use != 86 || o.Elsewhere != 3 || o.Report["latency_ms"] != 14.5 {
+	if o := b.Items[4].Event.(dispatch.AttemptCompleted); !o.Responded || o.QuotaUsage != 86 || o.PeerUnits != 3 || o.LoadReport["latency_ms"] != 14.5 {
 		t.Errorf("outcome %+v", o)
 	}
 	if e := b.Items[7].Event; e != nil {
@@ -108,11 +108,11 @@
 	e := NewEncoder(&out)
 	e.By("dispatcher_3")
 	for _, a := range []dispatch.Action{
-		dispatch.Attempt{ID: 4068207471792580, Node: "10.18.74.7:8003", Until: 8492250 * time.Microsecond},
-		dispatch.Attempt{ID: 1, Node: "n"},
-		dispatch.Refuse{ID: 2, After: 50 * time.Millisecond},
+		dispatch.SendAttempt{ID: 4068207471792580, Node: "10.18.74.7:8003", Deadline: 8492250 * time.Microsecond},
+		dispatch.SendAttempt{ID: 1, Node: "n"},
+		dispatch.Reject{ID: 2, RetryAfter: 50 * time.Millisecond},
 		dispatch.Fail{ID: 3},
-		dispatch.Cancel{ID: 4, Attempt: 1},
+		dispatch.CancelAttempt{ID: 4, Attempt: 1},
 		dispatch.SetTimer{At: 8912250001, Token: "wake"},
 		dispatch.Watch{On: true},
 		dispatch.Watch{},
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -111,13 +111,13 @@
 	}
 	e.T.Cleanup(n.Stop)
 	e.Nodes = append(e.Nodes, n)
-	e.List(n, shard, dispatch.Serving)
+	e.List(n, shard, dispatch.Ready)
 	return n
 }
 
 // List tells the gateway of a node's state.
 func (e *Site) List(n *storagenode.Node, shard int, s dispatch.NodeState) {
-	e.G.SetNodes(dispatch.Changes, []forwarder.Node{{Addr: n.Addr(), Node: dispatch.Node{ID: dispatch.NodeID(n.ID()), Shard: dispatch.Shard(shard), State: s}}})
+	e.G.SetNodes(dispatch.Delta, []forwarder.Node{{Addr: n.Addr(), Node: dispatch.Node{ID: dispatch.NodeID(n.ID()), Shard: dispatch.Shard(shard), State: s}}})
 }
 
 // Log returns what reached all nodes.
--- a/lab/attributiontest/attributiontest.go
+++ b/lab/attributiontest/attributiontest.go
@@ -191,7 +191,7 @@
 		return err
 	}
 	close(ready)
-	g.SetNodes(dispatch.Complete, []forwarder.Node{{Addr: p.node.Addr(), Node: dispatch.Node{ID: "node"}}})
+	g.SetNodes(dispatch.Snapshot, []forwarder.Node{{Addr: p.node.Addr(), Node: dispatch.Node{ID: "node"}}})
 	ln, err := gateway.Listen("127.0.0.1:0")
 	if err != nil {
 		g.Close()
--- a/lab/faultinjection/faultinjection.go
+++ b/lab/faultinjection/faultinjection.go
@@ -247,7 +247,7 @@
 	}
 	d.old = clone(d.list)
 	for i := range o.Gateways {
-		l, err := d.startGateway(i, 1, dispatch.Complete, d.list)
+		l, err := d.startGateway(i, 1, dispatch.Snapshot, d.list)
 		if err != nil {
 			return nil, err
 		}
@@ -372,7 +372,7 @@
 }
 
 // tell tells a gateway of nodes and notes when. The guard of drains can be withheld.
-func (l *life) tell(kind dispatch.ListKind, list map[string]listed) {
+func (l *life) tell(kind dispatch.EndpointUpdateKind, list map[string]listed) {
 	var nodes []forwarder.Node
 	var told []string
 	ids := make([]string, 0, len(list))
@@ -382,8 +382,8 @@
 	slices.Sort(ids)
 	for _, id := range ids {
 		n := list[id]
-		if n.state != dispatch.Serving {
-			if kind == dispatch.Changes {
+		if n.state != dispatch.Ready {
+			if kind == dispatch.Delta {
 				told = append(told, id)
 			}
 			if l.d.o.Withhold == "drains" {
@@ -400,7 +400,7 @@
 	l.d.mu.Unlock()
 }
 
-func (d *day) startGateway(i, n int, kind dispatch.ListKind, list map[string]listed) (*life, error) {
+func (d *day) startGateway(i, n int, kind dispatch.EndpointUpdateKind, list map[string]listed) (*life, error) {
 	s := site(d.o, i)
 	s.Name = fmt.Sprintf("g%d.%d", i, n)
 	withhold(&s, d.o.Withhold)
@@ -437,7 +437,7 @@
 		wait := time.Duration((20 + 180*d.random()) * float64(time.Millisecond))
 		d.wg.Go(func() {
 			if d.sleep(wait) {
-				l.tell(dispatch.Changes, changes)
+				l.tell(dispatch.Delta, changes)
 			}
 		})
 	}
@@ -578,7 +578,7 @@
 	d.mu.Lock()
 	old := clone(d.old)
 	d.mu.Unlock()
-	n, err := d.startGateway(i, 2+int(d.random()*1e6), dispatch.Persisted, old)
+	n, err := d.startGateway(i, 2+int(d.random()*1e6), dispatch.Cached, old)
 	if err != nil {
 		return
 	}
@@ -587,7 +587,7 @@
 		d.mu.Lock()
 		list := clone(d.list)
 		d.mu.Unlock()
-		n.tell(dispatch.Complete, list)
+		n.tell(dispatch.Snapshot, list)
 	}
 }
 
--- a/lab/schedulereplay/schedulereplay.go
+++ b/lab/schedulereplay/schedulereplay.go
@@ -170,10 +170,10 @@
 		p.nodes[name] = n
 		p.work.Go(func() { p.accept(n) })
 		if first {
-			list = append(list, p.entry(name, dispatch.Serving))
+			list = append(list, p.entry(name, dispatch.Ready))
 		}
 	}
-	p.g.SetNodes(dispatch.Complete, list)
+	p.g.SetNodes(dispatch.Snapshot, list)
 	ln, err := gateway.Listen("127.0.0.1:0")
 	if err != nil {
 		return err
@@ -281,13 +281,13 @@
 	case modelcheck.DialOK, modelcheck.Follow, modelcheck.Follow2, modelcheck.Fire, modelcheck.Before, modelcheck.Reach:
 		return nil // by itself; waited for where it matters
 	case modelcheck.Drain:
-		p.g.SetNodes(dispatch.Changes, []forwarder.Node{p.entry(s.Node, dispatch.Draining)})
+		p.g.SetNodes(dispatch.Delta, []forwarder.Node{p.entry(s.Node, dispatch.Draining)})
 		return nil
 	case modelcheck.Remove:
-		p.g.SetNodes(dispatch.Changes, []forwarder.Node{p.entry(s.Node, dispatch.Removed)})
+		p.g.SetNodes(dispatch.Delta, []forwarder.Node{p.entry(s.Node, dispatch.Removed)})
 		return nil
 	case modelcheck.List:
-		p.g.SetNodes(dispatch.Changes, []forwarder.Node{p.entry(s.Node, dispatch.Serving)})
+		p.g.SetNodes(dispatch.Delta, []forwarder.Node{p.entry(s.Node, dispatch.Ready)})
 		return nil
 	}
 	text, isAnswer := answers[s.Move.Kind]
--- a/respserver/client.go
+++ b/respserver/client.go
@@ -192,7 +192,7 @@
 	f.tasks[t.id], f.ids[string(t.cmd.ID)] = t, t
 	cl.queue = append(cl.queue, t.entry)
 	t.cmd.Request.ID = t.id
-	f.tell(forwarder.Begin{Request: t.cmd.Request})
+	f.tell(forwarder.StartRequest{Request: t.cmd.Request})
 }
 
 // say answers a command with a line, in its turn.
@@ -281,7 +281,7 @@
 			f.held -= len(e.reply)
 		} else {
 			f.forget(e.task)
-			f.tell(forwarder.Gone{ID: e.task.id})
+			f.tell(forwarder.ClientCanceled{ID: e.task.id})
 		}
 	}
 }
--- a/respserver/config.go
+++ b/respserver/config.go
@@ -149,8 +149,8 @@
 		calls = min(calls, m)
 	}
 	return forwarder.Config{
-		Choice: c.Settings.Choice, Seed: c.Seed, ConnsPerNode: max(c.nodeConns()/2, 1), Conns: c.nodeConns(), Rest: restFor,
-		IdleFor: idle * 6 / 10, MaxAge: maxAge, Connect: connect, Margin: margin, MaxCalls: calls,
+		Dispatch: c.Settings.Choice, Seed: c.Seed, MaxConnsPerNode: max(c.nodeConns()/2, 1), MaxConns: c.nodeConns(), ReuseDelay: restFor,
+		IdleTimeout: idle * 6 / 10, MaxConnAge: maxAge, DialTimeout: connect, ResponseMargin: margin, MaxRequests: calls,
 	}
 }
 
--- a/respserver/node.go
+++ b/respserver/node.go
@@ -29,7 +29,7 @@
 		k.c, err = f.loop.Connect(to, k)
 	}
 	if err != nil {
-		f.tell(forwarder.Dialed{Conn: a.Conn})
+		f.tell(forwarder.DialCompleted{Conn: a.Conn})
 		return
 	}
 	k.c.Assign(f.flows.nodes)
@@ -40,24 +40,24 @@
 // OnOpen tells the forwarder that the connection is there.
 func (k *nodeConn) OnOpen(*eventloop.Conn) {
 	k.opened = true
-	k.f.tell(forwarder.Dialed{Conn: k.id, OK: true})
+	k.f.tell(forwarder.DialCompleted{Conn: k.id, OK: true})
 }
 
 // send writes a request. A connection on which something came since its last answer is of no
 // use: that would be taken for the answer of this one.
-func (k *nodeConn) send(t *task, a forwarder.Send) {
+func (k *nodeConn) send(t *task, a forwarder.SendRequest) {
 	if k.used && !k.c.Quiet() {
-		k.lose(forwarder.Lost{Conn: k.id, Stale: true})
+		k.lose(forwarder.ConnectionLost{Conn: k.id, Stale: true})
 		return
 	}
 	k.task, k.used = t, true
-	k.f.scratch = t.cmd.AppendTo(k.f.scratch[:0], a.Until-k.f.now())
+	k.f.scratch = t.cmd.AppendTo(k.f.scratch[:0], a.Deadline-k.f.now())
 	k.c.Write(k.f.scratch)
 	k.written = k.c.Open() && k.c.Pending() == 0
 }
 
 // lose gives up a connection.
-func (k *nodeConn) lose(why forwarder.Lost) {
+func (k *nodeConn) lose(why forwarder.ConnectionLost) {
 	delete(k.f.nodes, k.id)
 	k.task = nil
 	k.c.Close()
@@ -67,12 +67,12 @@
 // OnData reads an answer. It is whole before anything is made of it.
 func (k *nodeConn) OnData(_ *eventloop.Conn, b []byte) int {
 	if k.task == nil { // nobody has asked
-		k.lose(forwarder.Lost{Conn: k.id})
+		k.lose(forwarder.ConnectionLost{Conn: k.id})
 		return 0
 	}
 	n, err := k.f.answer.Read(b)
 	if err != nil {
-		k.lose(forwarder.Lost{Conn: k.id})
+		k.lose(forwarder.ConnectionLost{Conn: k.id})
 		return 0
 	}
 	if n == 0 {
@@ -80,15 +80,15 @@
 	}
 	value, word, ok := objectcommand.Word(&k.f.answer)
 	if !ok {
-		k.lose(forwarder.Lost{Conn: k.id})
+		k.lose(forwarder.ConnectionLost{Conn: k.id})
 		return 0
 	}
 	reuse := n == len(b) && k.written && !k.c.Left()
-	if word.Status == dispatch.Errored {
+	if word.Result == dispatch.ServerError {
 		reuse = false // it may be noise in the form of an error
 	}
 	k.task, k.value = nil, value
-	k.f.tell(forwarder.Answered{Conn: k.id, Word: word, Reuse: reuse})
+	k.f.tell(forwarder.ResponseCompleted{Conn: k.id, Info: word, Reuse: reuse})
 	k.value = nil
 	return n
 }
@@ -103,8 +103,8 @@
 	}
 	delete(k.f.nodes, k.id)
 	if !k.opened {
-		k.f.tell(forwarder.Dialed{Conn: k.id})
+		k.f.tell(forwarder.DialCompleted{Conn: k.id})
 		return
 	}
-	k.f.tell(forwarder.Lost{Conn: k.id, Unsent: k.task != nil && !k.written})
+	k.f.tell(forwarder.ConnectionLost{Conn: k.id, Unsent: k.task != nil && !k.written})
 }
--- a/respserver/server.go
+++ b/respserver/server.go
@@ -31,7 +31,7 @@
 	log   *zap.Logger
 	terms *objectcommand.Terms
 	loop  *eventloop.Loop
-	x     *forwarder.Exchange
+	x     *forwarder.Forwarder
 	start time.Time
 	epoch time.Duration // of the start, by the Unix clock
 
@@ -116,7 +116,7 @@
 
 // Run serves until Stop has let it end.
 func (f *Front) Run() error {
-	f.tell(forwarder.Nodes{Kind: dispatch.Persisted, Nodes: f.cfg.Known.Nodes})
+	f.tell(forwarder.EndpointUpdate{Kind: dispatch.Cached, Nodes: f.cfg.Known.Nodes})
 	return f.loop.Run()
 }
 
@@ -143,28 +143,28 @@
 	switch a := a.(type) {
 	case forwarder.Dial:
 		f.dial(a)
-	case forwarder.Send:
+	case forwarder.SendRequest:
 		if k, t := f.nodes[a.Conn], f.tasks[a.ID]; k != nil && t != nil {
 			k.send(t, a)
 		}
-	case forwarder.Close:
+	case forwarder.CloseConn:
 		if k := f.nodes[a.Conn]; k != nil {
 			delete(f.nodes, a.Conn)
 			k.c.Close()
 		}
-	case forwarder.Deliver:
+	case forwarder.ForwardResponse:
 		if t, k := f.tasks[a.ID], f.nodes[a.Conn]; t != nil && k != nil {
 			f.scratch = resp.AppendBulk(f.scratch[:0], k.value)
 			f.finish(t, f.scratch)
 		}
-	case forwarder.Refuse:
+	case forwarder.Reject:
 		if t := f.tasks[a.ID]; t != nil {
-			f.finish(t, f.busyAnswer(a.After))
+			f.finish(t, f.busyAnswer(a.RetryAfter))
 		}
 	case forwarder.Fail:
 		if t := f.tasks[a.ID]; t != nil {
 			text := "ERR failed"
-			if a.Late {
+			if a.TimedOut {
 				text = "ERR failed: no answer in time"
 			}
 			f.scratch = resp.AppendLine(f.scratch[:0], resp.Failure, text)
@@ -172,7 +172,7 @@
 		}
 	case forwarder.SetTimer:
 		f.wake = a.At
-	case forwarder.Ask:
+	case forwarder.PollDiscovery:
 		f.ask()
 	}
 }
@@ -221,12 +221,12 @@
 		if f.nodes[k.id] == k && !k.opened {
 			delete(f.nodes, k.id)
 			k.c.Close()
-			f.tell(forwarder.Dialed{Conn: k.id})
+			f.tell(forwarder.DialCompleted{Conn: k.id})
 		}
 	}
 	if now >= f.wake {
 		f.wake = math.MaxInt64
-		f.tell(forwarder.Fired{})
+		f.tell(forwarder.TimerFired{})
 	}
 	if now >= f.sweepAt {
 		f.sweepAt = now + sweepEvery
@@ -280,11 +280,11 @@
 		return
 	}
 	f.version = d.Version
-	kind := dispatch.Changes
+	kind := dispatch.Delta
 	if d.Full {
-		kind = dispatch.Complete
+		kind = dispatch.Snapshot
 	}
-	f.tell(forwarder.Nodes{Kind: kind, Nodes: d.Nodes})
+	f.tell(forwarder.EndpointUpdate{Kind: kind, Nodes: d.Nodes})
 }
 
 func (f *Front) watchEnded(w *watch, err error) {
@@ -295,7 +295,7 @@
 	case f.watch:
 		f.watch = nil
 		f.log.Info("watch of discovery ended", zap.Error(err))
-		f.tell(forwarder.Nodes{Kind: dispatch.Failed})
+		f.tell(forwarder.EndpointUpdate{Kind: dispatch.PollFailed})
 	}
 }
 
@@ -389,7 +389,7 @@
 		for _, e := range slices.Clone(cl.queue) {
 			if t := e.task; t != nil && !e.done {
 				f.finish(t, resp.AppendLine(nil, resp.Failure, "ERR failed: the dispatcher ends"))
-				f.tell(forwarder.Abandon{ID: t.id})
+				f.tell(forwarder.AbortRequest{ID: t.id})
 			}
 		}
 	}
--- a/trace/record.go
+++ b/trace/record.go
@@ -151,77 +151,77 @@
 
 func encodeConfig(c *dispatch.Config) configRecord {
 	return configRecord{
-		Me:            c.Me,
-		Peers:         c.Peers,
-		Cancel:        c.Cancel,
-		AskDiscovery:  c.AskDiscovery,
+		Me:            c.DispatcherIndex,
+		Peers:         c.DispatcherCount,
+		Cancel:        c.CancelAttempts,
+		AskDiscovery:  c.PollDiscovery,
 		MaxRetryAfter: c.MaxRetryAfter,
 		MaxAttempts:   c.MaxAttempts,
-		Round:         c.Round,
+		Round:         c.RoundTrip,
 		Classes:       convert(c.Classes, encodeClass),
 		Plans:         convert(c.Plans, encodePlan),
-		UsualUnits:    c.UsualUnits,
-		LargestUnits:  c.LargestUnits,
+		UsualUnits:    c.MeanUnits,
+		LargestUnits:  c.MaxUnits,
 		Cold: coldRecord{
-			From:       c.Cold.From,
-			WarmUp:     c.Cold.WarmUp,
-			Multiple:   c.Cold.Multiple,
-			Span:       c.Cold.Span,
-			YoungLimit: c.Cold.YoungLimit,
+			From:       c.SlowStart.InitialCapacity,
+			WarmUp:     c.SlowStart.WarmUp,
+			Multiple:   c.SlowStart.OverloadFactor,
+			Span:       c.SlowStart.Window,
+			YoungLimit: c.SlowStart.InitialUnits,
 		},
-		Budget: budgetRecord{Free: c.Budget.Free, Ratio: c.Budget.Ratio, Span: c.Budget.Span},
-		Settle: c.Settle,
+		Budget: budgetRecord{Free: c.RetryBudget.MinRetries, Ratio: c.RetryBudget.Ratio, Span: c.RetryBudget.Window},
+		Settle: c.Quiescence,
 	}
 }
 
 func (r *configRecord) decode() dispatch.Config {
 	return dispatch.Config{
-		Me:            r.Me,
-		Peers:         r.Peers,
-		Cancel:        r.Cancel,
-		AskDiscovery:  r.AskDiscovery,
-		MaxRetryAfter: r.MaxRetryAfter,
-		MaxAttempts:   r.MaxAttempts,
-		Round:         r.Round,
-		Classes:       convert(r.Classes, classRecord.decode),
-		Plans:         convert(r.Plans, planRecord.decode),
-		UsualUnits:    r.UsualUnits,
-		LargestUnits:  r.LargestUnits,
-		Cold: dispatch.ColdRule{
-			From:       r.Cold.From,
-			WarmUp:     r.Cold.WarmUp,
-			Multiple:   r.Cold.Multiple,
-			Span:       r.Cold.Span,
-			YoungLimit: r.Cold.YoungLimit,
+		DispatcherIndex: r.Me,
+		DispatcherCount: r.Peers,
+		CancelAttempts:  r.Cancel,
+		PollDiscovery:   r.AskDiscovery,
+		MaxRetryAfter:   r.MaxRetryAfter,
+		MaxAttempts:     r.MaxAttempts,
+		RoundTrip:       r.Round,
+		Classes:         convert(r.Classes, classRecord.decode),
+		Plans:           convert(r.Plans, planRecord.decode),
+		MeanUnits:       r.UsualUnits,
+		MaxUnits:        r.LargestUnits,
+		SlowStart: dispatch.SlowStart{
+			InitialCapacity: r.Cold.From,
+			WarmUp:          r.Cold.WarmUp,
+			OverloadFactor:  r.Cold.Multiple,
+			Window:          r.Cold.Span,
+			InitialUnits:    r.Cold.YoungLimit,
 		},
-		Budget: dispatch.BudgetRule{Free: r.Budget.Free, Ratio: r.Budget.Ratio, Span: r.Budget.Span},
-		Settle: r.Settle,
+		RetryBudget: dispatch.RetryBudget{MinRetries: r.Budget.Free, Ratio: r.Budget.Ratio, Window: r.Budget.Span},
+		Quiescence:  r.Settle,
 	}
 }
 
 func encodeClass(c dispatch.Class) classRecord {
 	return classRecord{
 		Name:     c.Name,
-		Aim:      c.Aim,
+		Aim:      c.LatencyObjective,
 		Deadline: c.Deadline,
-		Worth:    c.Worth,
-		Effect:   int(c.Effect),
-		Group:    int(c.Group),
-		Window:   c.Window,
-		InTurn:   c.InTurn,
+		Worth:    c.PriorityWeight,
+		Effect:   int(c.Idempotency),
+		Group:    int(c.DedupScope),
+		Window:   c.DedupWindow,
+		InTurn:   c.Ordered,
 	}
 }
 
 func (r classRecord) decode() dispatch.Class {
 	return dispatch.Class{
-		Name:     r.Name,
-		Aim:      r.Aim,
-		Deadline: r.Deadline,
-		Worth:    r.Worth,
-		Effect:   dispatch.Effect(r.Effect),
-		Group:    dispatch.Group(r.Group),
-		Window:   r.Window,
-		InTurn:   r.InTurn,
+		Name:             r.Name,
+		LatencyObjective: r.Aim,
+		Deadline:         r.Deadline,
+		PriorityWeight:   r.Worth,
+		Idempotency:      dispatch.Idempotency(r.Effect),
+		DedupScope:       dispatch.DedupScope(r.Group),
+		DedupWindow:      r.Window,
+		Ordered:          r.InTurn,
 	}
 }
 
@@ -231,7 +231,7 @@
 		Reserve: p.Reserve,
 		Weight:  p.Weight,
 		Price:   p.Price,
-		Limit:   p.Limit,
+		Limit:   p.RateLimit,
 		Burst:   p.Burst,
 		Slack:   p.Slack,
 	}
@@ -239,13 +239,13 @@
 
 func (r planRecord) decode() dispatch.Plan {
 	return dispatch.Plan{
-		Name:    r.Name,
-		Reserve: r.Reserve,
-		Weight:  r.Weight,
-		Price:   r.Price,
-		Limit:   r.Limit,
-		Burst:   r.Burst,
-		Slack:   r.Slack,
+		Name:      r.Name,
+		Reserve:   r.Reserve,
+		Weight:    r.Weight,
+		Price:     r.Price,
+		RateLimit: r.Limit,
+		Burst:     r.Burst,
+		Slack:     r.Slack,
 	}
 }
 
@@ -280,50 +280,50 @@
 		Key:    q.Key,
 		Shard:  int(q.Shard),
 		Units:  q.Units,
-		Hosts:  q.Hosts,
-		Left:   q.Left,
+		Hosts:  q.Dispatchers,
+		Left:   q.Timeout,
 	}
 }
 
 func (r *requestRecord) decode() dispatch.Request {
 	return dispatch.Request{
-		ID:     dispatch.RequestID(r.ID),
-		Class:  r.Class,
-		Plan:   r.Plan,
-		Volume: dispatch.VolumeID(r.Volume),
-		Key:    r.Key,
-		Shard:  dispatch.Shard(r.Shard),
-		Units:  r.Units,
-		Hosts:  r.Hosts,
-		Left:   r.Left,
+		ID:          dispatch.RequestID(r.ID),
+		Class:       r.Class,
+		Plan:        r.Plan,
+		Volume:      dispatch.VolumeID(r.Volume),
+		Key:         r.Key,
+		Shard:       dispatch.Shard(r.Shard),
+		Units:       r.Units,
+		Dispatchers: r.Hosts,
+		Timeout:     r.Left,
 	}
 }
 
-func encodeOutcome(o *dispatch.Outcome) *outcomeRecord {
+func encodeOutcome(o *dispatch.AttemptCompleted) *outcomeRecord {
 	return &outcomeRecord{
 		ID:        uint64(o.ID),
 		Attempt:   o.Attempt,
 		Node:      string(o.Node),
-		Status:    int(o.Status),
-		Concluded: o.Concluded,
-		Took:      o.Took,
-		Use:       o.Use,
-		Elsewhere: o.Elsewhere,
-		Report:    o.Report,
+		Status:    int(o.Result),
+		Concluded: o.Responded,
+		Took:      o.Latency,
+		Use:       o.QuotaUsage,
+		Elsewhere: o.PeerUnits,
+		Report:    o.LoadReport,
 	}
 }
 
-func (r *outcomeRecord) decode() dispatch.Outcome {
-	return dispatch.Outcome{
-		ID:        dispatch.RequestID(r.ID),
-		Attempt:   r.Attempt,
-		Node:      dispatch.NodeID(r.Node),
-		Status:    dispatch.Status(r.Status),
-		Concluded: r.Concluded,
-		Took:      r.Took,
-		Use:       r.Use,
-		Elsewhere: r.Elsewhere,
-		Report:    r.Report,
+func (r *outcomeRecord) decode() dispatch.AttemptCompleted {
+	return dispatch.AttemptCompleted{
+		ID:         dispatch.RequestID(r.ID),
+		Attempt:    r.Attempt,
+		Node:       dispatch.NodeID(r.Node),
+		Result:     dispatch.AttemptResult(r.Status),
+		Responded:  r.Concluded,
+		Latency:    r.Took,
+		QuotaUsage: r.Use,
+		PeerUnits:  r.Elsewhere,
+		LoadReport: r.Report,
 	}
 }
 
@@ -331,17 +331,17 @@
 func encodeEvent(now time.Duration, ev dispatch.Event, actions []dispatch.Action) eventRecord {
 	r := eventRecord{Now: now, Actions: renderActions(actions)}
 	switch e := ev.(type) {
-	case dispatch.NodeList:
+	case dispatch.EndpointUpdate:
 		r.List = &listRecord{Kind: int(e.Kind), Nodes: convert(e.Nodes, encodeNode)}
 	case dispatch.Request:
 		r.Request = encodeRequest(&e)
-	case dispatch.Outcome:
+	case dispatch.AttemptCompleted:
 		r.Outcome = encodeOutcome(&e)
-	case dispatch.Gone:
+	case dispatch.ClientCanceled:
 		r.Gone = &goneRecord{ID: uint64(e.ID)}
-	case dispatch.Measured:
+	case dispatch.CostCorrection:
 		r.Measured = &measuredRecord{Volume: string(e.Volume), Node: string(e.Node), Units: e.Units}
-	case dispatch.Fired:
+	case dispatch.TimerFired:
 		r.Fired = &firedRecord{Token: e.Token}
 	}
 	return r
@@ -354,17 +354,17 @@
 func (r *eventRecord) event() (dispatch.Event, error) {
 	switch {
 	case r.List != nil:
-		return dispatch.NodeList{Kind: dispatch.ListKind(r.List.Kind), Nodes: convert(r.List.Nodes, nodeRecord.decode)}, nil
+		return dispatch.EndpointUpdate{Kind: dispatch.EndpointUpdateKind(r.List.Kind), Nodes: convert(r.List.Nodes, nodeRecord.decode)}, nil
 	case r.Request != nil:
 		return r.Request.decode(), nil
 	case r.Outcome != nil:
 		return r.Outcome.decode(), nil
 	case r.Gone != nil:
-		return dispatch.Gone{ID: dispatch.RequestID(r.Gone.ID)}, nil
+		return dispatch.ClientCanceled{ID: dispatch.RequestID(r.Gone.ID)}, nil
 	case r.Measured != nil:
-		return dispatch.Measured{Volume: dispatch.VolumeID(r.Measured.Volume), Node: dispatch.NodeID(r.Measured.Node), Units: r.Measured.Units}, nil
+		return dispatch.CostCorrection{Volume: dispatch.VolumeID(r.Measured.Volume), Node: dispatch.NodeID(r.Measured.Node), Units: r.Measured.Units}, nil
 	case r.Fired != nil:
-		return dispatch.Fired{Token: r.Fired.Token}, nil
+		return dispatch.TimerFired{Token: r.Fired.Token}, nil
 	}
 	return nil, errNoEvent
 }
@@ -392,13 +392,13 @@
 
 func renderAction(a dispatch.Action) string {
 	switch a := a.(type) {
-	case dispatch.Attempt:
-		return fmt.Sprintf("choice.Attempt{ID:%d Node:%s Until:%v Held:%s}", uint64(a.ID), string(a.Node), a.Until, renderHeld(a.Held))
-	case dispatch.Refuse:
-		return fmt.Sprintf("choice.Refuse{ID:%d After:%v Held:%s}", uint64(a.ID), a.After, renderHeld(a.Held))
+	case dispatch.SendAttempt:
+		return fmt.Sprintf("choice.Attempt{ID:%d Node:%s Until:%v Held:%s}", uint64(a.ID), string(a.Node), a.Deadline, renderHeld(a.QueueTime))
+	case dispatch.Reject:
+		return fmt.Sprintf("choice.Refuse{ID:%d After:%v Held:%s}", uint64(a.ID), a.RetryAfter, renderHeld(a.QueueTime))
 	case dispatch.Fail:
-		return fmt.Sprintf("choice.Fail{ID:%d Held:%s}", uint64(a.ID), renderHeld(a.Held))
-	case dispatch.Cancel:
+		return fmt.Sprintf("choice.Fail{ID:%d Held:%s}", uint64(a.ID), renderHeld(a.QueueTime))
+	case dispatch.CancelAttempt:
 		return fmt.Sprintf("choice.Cancel{ID:%d Attempt:%d}", uint64(a.ID), a.Attempt)
 	case dispatch.SetTimer:
 		return fmt.Sprintf("choice.SetTimer{At:%v Token:%s}", a.At, a.Token)
@@ -408,6 +408,6 @@
 	return fmt.Sprintf("unknown action %T", a)
 }
 
-func renderHeld(h dispatch.Held) string {
-	return fmt.Sprintf("{Line:%v Limit:%v Cold:%v Suspect:%v}", h.Line, h.Limit, h.Cold, h.Suspect)
+func renderHeld(h dispatch.QueueTime) string {
+	return fmt.Sprintf("{Line:%v Limit:%v Cold:%v Suspect:%v}", h.Concurrency, h.RateLimit, h.SlowStart, h.Ejected)
 }
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -12,9 +12,9 @@
 
 func config() dispatch.Config {
 	return dispatch.Config{
-		Me: 0, Peers: 2, MaxRetryAfter: time.Second, UsualUnits: 1, LargestUnits: 4,
-		Classes: []dispatch.Class{{Name: "read", Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1}},
-		Plans:   []dispatch.Plan{{Name: "p", Reserve: 20, Weight: 1, Price: 1, Limit: 100, Burst: 50, Slack: 10}},
+		DispatcherIndex: 0, DispatcherCount: 2, MaxRetryAfter: time.Second, MeanUnits: 1, MaxUnits: 4,
+		Classes: []dispatch.Class{{Name: "read", LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1}},
+		Plans:   []dispatch.Plan{{Name: "p", Reserve: 20, Weight: 1, Price: 1, RateLimit: 100, Burst: 50, Slack: 10}},
 	}
 }
 
@@ -32,7 +32,7 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	now := time.Duration(0)
 	type attempt struct {
-		dispatch.Attempt
+		dispatch.SendAttempt
 		n int
 	}
 	var out1 []attempt
@@ -40,29 +40,29 @@
 		acts := d.Handle(now, ev)
 		w.Record(now, ev, acts)
 		for _, a := range acts {
-			if a, ok := a.(dispatch.Attempt); ok {
+			if a, ok := a.(dispatch.SendAttempt); ok {
 				out1 = append(out1, attempt{a, 0})
 			}
 		}
 	}
-	tell(dispatch.NodeList{Kind: dispatch.Complete, Nodes: []dispatch.Node{{ID: "a"}, {ID: "b", Shard: 1}}})
+	tell(dispatch.EndpointUpdate{Kind: dispatch.Snapshot, Nodes: []dispatch.Node{{ID: "a"}, {ID: "b", Shard: 1}}})
 	for i := range n {
 		now += time.Duration(rng.IntN(5)) * time.Millisecond
 		switch {
 		case rng.IntN(2) == 0:
 			tell(dispatch.Request{
 				ID: dispatch.RequestID(i + 1), Volume: dispatch.VolumeID(fmt.Sprint(rng.IntN(5))), Shard: dispatch.Shard(rng.IntN(2)),
-				Units: rng.Float64() * 4, Hosts: 1, Left: time.Second,
+				Units: rng.Float64() * 4, Dispatchers: 1, Timeout: time.Second,
 			})
 		case len(out1) > 0:
 			a := out1[0]
 			out1 = out1[1:]
-			tell(dispatch.Outcome{
-				ID: a.ID, Node: a.Node, Status: dispatch.Served, Concluded: true, Took: 3 * time.Millisecond,
-				Use: 1 + 100*rng.Float64(), Report: dispatch.Report{"inflight": rng.Float64()},
+			tell(dispatch.AttemptCompleted{
+				ID: a.ID, Node: a.Node, Result: dispatch.OK, Responded: true, Latency: 3 * time.Millisecond,
+				QuotaUsage: 1 + 100*rng.Float64(), LoadReport: dispatch.LoadReport{"inflight": rng.Float64()},
 			})
 		default:
-			tell(dispatch.Fired{Token: "wake"})
+			tell(dispatch.TimerFired{Token: "wake"})
 		}
 	}
 	if err := w.Close(); err != nil {
@@ -82,7 +82,7 @@
 func TestReplayFindsAnotherSeed(t *testing.T) {
 	var out bytes.Buffer
 	w, _ := NewWriter(&out, config(), 1, 10)
-	w.Record(0, dispatch.Gone{ID: 1}, []dispatch.Action{dispatch.Fail{ID: 1}})
+	w.Record(0, dispatch.ClientCanceled{ID: 1}, []dispatch.Action{dispatch.Fail{ID: 1}})
 	w.Close()
 	res, err := Replay(&out)
 	if err != nil || res.Split == nil || !strings.Contains(fmt.Sprint(res.Split.Want), "Fail") {
@@ -110,7 +110,7 @@
 		t.Fatal(err)
 	}
 	for range 1 << 14 { // more than the queue and the first flush hold
-		w.Record(0, dispatch.Gone{ID: 1}, nil)
+		w.Record(0, dispatch.ClientCanceled{ID: 1}, nil)
 	}
 	close(block)
 	if err := w.Close(); err != ErrFull && !strings.Contains(fmt.Sprint(err), ErrFull.Error()) {
