--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -86,7 +86,7 @@
 	d.now = max(now, d.now)
 	if !d.started {
 		d.started, d.born, d.wakeAt = true, d.now, math.MaxInt64
-		d.at(d.now+controlEvery, &task{kind: doControl})
+		d.at(d.now+controlEvery, task{kind: doControl})
 		if d.cfg.PollDiscovery {
 			d.act(Watch{On: true})
 		}
@@ -235,11 +235,11 @@
 		case whose == ofVolume:
 			f.park(d.now)
 			f.settle()
-			d.at(at, &task{kind: doUnpark, flow: f})
+			d.at(at, task{kind: doUnpark, flow: f})
 		default:
 			if n.wake <= d.now || at < n.wake {
 				n.wake = at
-				d.at(at, &task{kind: doPump, node: n})
+				d.at(at, task{kind: doPump, node: n})
 			}
 			n.block(d.now, n.until >= at)
 			return
@@ -252,7 +252,7 @@
 // control scales each weight by 100 over the volume's latest use figure, within
 // the clamp. A figure acts once; without a fresh one the weight stays.
 func (d *Dispatcher) control() {
-	d.at(d.now+controlEvery, &task{kind: doControl})
+	d.at(d.now+controlEvery, task{kind: doControl})
 	for _, v := range d.volOrder {
 		if v.use <= 0 {
 			continue
@@ -443,7 +443,7 @@
 		if n.bad >= suspectAfter {
 			back := min(backoffMin<<min(n.bad-suspectAfter, 8), backoffMax)
 			n.until = d.now + time.Duration(float64(back)*(0.75+0.5*d.rng.Float64()))
-			d.at(n.until, &task{kind: doPump, node: n})
+			d.at(n.until, task{kind: doPump, node: n})
 		}
 	}
 }
@@ -687,7 +687,7 @@
 	switch {
 	case d.turns[t.key] != t || some && t.line[0].state != waiting:
 	case d.now < t.rest:
-		d.at(t.rest, &task{kind: doTurn, turn: t})
+		d.at(t.rest, task{kind: doTurn, turn: t})
 	case some:
 		d.place(t.line[0])
 	default:
@@ -843,7 +843,7 @@
 		return
 	}
 	r.state, r.node = resting, n
-	d.at(d.now+gap, &task{kind: doAgain, req: r})
+	d.at(d.now+gap, task{kind: doAgain, req: r})
 }
 
 // onMeasured charges a volume's tag, limit and reserve for what was taken for less than it
@@ -884,7 +884,7 @@
 	if e.Kind == PollFailed {
 		gap := min(callMin<<min(d.calls, 8), callMax)
 		d.calls++
-		d.at(d.now+time.Duration(float64(gap)*(0.5+d.rng.Float64())), &task{kind: doWatch})
+		d.at(d.now+time.Duration(float64(gap)*(0.5+d.rng.Float64())), task{kind: doWatch})
 		return
 	}
 	d.calls = 0
@@ -960,8 +960,11 @@
 }
 
 func (d *Dispatcher) runAgenda() {
-	for len(d.agenda) > 0 && d.agenda[0].at <= d.now {
-		t := heap.Pop(&d.agenda).(*task)
+	for {
+		t, due := d.agenda.PopDue(d.now)
+		if !due {
+			return
+		}
 		switch t.kind {
 		case doControl:
 			d.control()
--- a/dispatch/odd_test.go
+++ b/dispatch/odd_test.go
@@ -149,7 +149,7 @@
 		d.Handle(now, ClientCanceled{ID: 2*i + 2})
 		d.Handle(now, AttemptCompleted{ID: 2*i + 1, Node: "a", Result: OK, Responded: true, Latency: time.Millisecond})
 	}
-	if n := len(d.agenda); n > 10 {
+	if n := d.agenda.Len(); n > 10 {
 		t.Fatalf("%d tasks in the agenda", n)
 	}
 }
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -553,10 +553,10 @@
 		r.at(20 * ms)
 	}
 	d := r.d
-	if len(d.reqs) > 50 || len(d.turns) > 50 || len(d.vols) > 4000 || len(d.nodes) > 5 || len(d.agenda) > 500 ||
+	if len(d.reqs) > 50 || len(d.turns) > 50 || len(d.vols) > 4000 || len(d.nodes) > 5 || d.agenda.Len() > 500 ||
 		len(d.taken) > 300 || len(d.order) > 5 {
 		t.Errorf("kept: %d requests, %d keys, %d volumes, %d nodes, %d tasks, %d taken", len(d.reqs), len(d.turns),
-			len(d.vols), len(d.nodes), len(d.agenda), len(d.taken))
+			len(d.vols), len(d.nodes), d.agenda.Len(), len(d.taken))
 	}
 }
 
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -3,7 +3,7 @@
 package dispatch
 
 import (
-	"container/heap"
+	"chalkstand/internal/timerqueue"
 	"math"
 	"math/rand/v2"
 	"slices"
@@ -39,9 +39,9 @@
 	doubtAt         time.Duration // send of the first attempt that may have run
 	doubtZone       int
 	doubtShard      Shard
-	expiry          *task     // while it is held or waits for its turn
-	held            QueueTime // in queues that it has left
-	queued          stand     // when it joined its queue
+	expiry          *timerqueue.Timer[task] // while it is held or waits for its turn
+	held            QueueTime               // in queues that it has left
+	queued          stand                   // when it joined its queue
 }
 
 // stand is a moment, with what had stood in the way of a flow until then.
@@ -135,7 +135,7 @@
 	reqs      map[RequestID]*request
 	turns     map[string]*turn
 	maxLeft   []time.Duration // by class: the longest time a client left us
-	agenda    agenda
+	agenda    timerqueue.Queue[task]
 	wakeAt    time.Duration
 	seq       uint64
 	taken     []time.Duration // of requests, within the budget's span
@@ -190,30 +190,11 @@
 )
 
 type task struct {
-	at   time.Duration
-	seq  uint64
 	kind taskKind
 	req  *request
 	flow *flow
 	node *node
 	turn *turn
-	pos  int // in the agenda, -1 when out of it
-}
-
-type agenda []*task
-
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
-}
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i]; a[i].pos = i; a[j].pos = j }
-func (a *agenda) Push(x any)   { t := x.(*task); t.pos = len(*a); *a = append(*a, t) }
-func (a *agenda) Pop() any {
-	old := *a
-	t := old[len(old)-1]
-	old[len(old)-1] = nil
-	*a, t.pos = old[:len(old)-1], -1
-	return t
 }
 
 func (d *Dispatcher) act(a Action) { d.acts = append(d.acts, a) }
@@ -244,18 +225,15 @@
 
 func decay(dt, span time.Duration) float64 { return math.Exp(-dt.Seconds() / span.Seconds()) }
 
-func (d *Dispatcher) at(when time.Duration, t *task) {
-	d.seq++
-	t.at, t.seq = max(when, d.now+time.Microsecond), d.seq
-	heap.Push(&d.agenda, t)
+func (d *Dispatcher) at(when time.Duration, t task) *timerqueue.Timer[task] {
+	return d.agenda.Add(max(when, d.now+time.Microsecond), t)
 }
 
 // expire has r refused at a time, unless it leaves before. What has left is taken
 // from the agenda, which would else hold every request until its aim has passed.
 func (d *Dispatcher) expire(r *request, when time.Duration) {
 	d.unexpire(r)
-	r.expiry = &task{kind: doExpire, req: r}
-	d.at(when, r.expiry)
+	r.expiry = d.at(when, task{kind: doExpire, req: r})
 }
 
 // The accounts of what holds requests: told with each attempt, decided on by none.
@@ -316,9 +294,7 @@
 }
 
 func (d *Dispatcher) unexpire(r *request) {
-	if t := r.expiry; t != nil && t.pos >= 0 {
-		heap.Remove(&d.agenda, t.pos)
-	}
+	d.agenda.Remove(r.expiry)
 	r.expiry = nil
 }
 
@@ -331,8 +307,8 @@
 }
 
 func (d *Dispatcher) arm() {
-	if len(d.agenda) > 0 && d.agenda[0].at < d.wakeAt {
-		d.wakeAt = d.agenda[0].at
+	if at, pending := d.agenda.Next(); pending && at < d.wakeAt {
+		d.wakeAt = at
 		d.act(SetTimer{At: d.wakeAt, Token: "wake"})
 	}
 }
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -3,7 +3,7 @@
 import (
 	"chalkstand/attribution"
 	"chalkstand/dispatch"
-	"container/heap"
+	"chalkstand/internal/timerqueue"
 	"fmt"
 	"math"
 	"slices"
@@ -25,7 +25,7 @@
 	nodes         map[dispatch.NodeID]*node
 	order         []*node // by id
 	lastID        ConnID
-	timers        timers
+	timers        timerqueue.Queue[timer]
 	seq           uint64
 	wakeAt        time.Duration // what SetTimer asked for
 	dispatchTimer struct {      // the dispatcher's own timer
@@ -60,7 +60,7 @@
 	sentAt   time.Duration
 	bodySent bool
 	late     bool // the last attempt ended by time
-	timer    *timer
+	timer    *timerqueue.Timer[timer]
 	units    float64       // that the dispatcher charges for it
 	settled  bool          // the dispatcher has given the final word
 	doubt    bool          // an attempt may have run
@@ -505,7 +505,7 @@
 func (x *Forwarder) carry(k *conn, c *call) {
 	k.state, k.call, c.conn, c.stage = busy, c, k, out
 	x.sent(c, k.node)
-	x.act(SendRequest{Conn: k.id, Loop: k.lane, ID: c.req.ID, Node: k.node.ID, Attempt: c.attempt, Deadline: c.timer.at})
+	x.act(SendRequest{Conn: k.id, Loop: k.lane, ID: c.req.ID, Node: k.node.ID, Attempt: c.attempt, Deadline: c.timer.At()})
 }
 
 func (x *Forwarder) onDialed(e DialCompleted) {
@@ -560,7 +560,7 @@
 	k.node.idle = append(k.node.idle, k)
 	if !k.watch {
 		k.watch = true
-		x.at(x.now+x.cfg.IdleTimeout, &timer{conn: k})
+		x.timers.Add(x.now+x.cfg.IdleTimeout, timer{conn: k})
 	}
 }
 
@@ -659,7 +659,7 @@
 	case out:
 		n := k.node
 		switch {
-		case e.Stale && n.State == dispatch.Ready && x.now < c.timer.at && !x.tooLate(c):
+		case e.Stale && n.State == dispatch.Ready && x.now < c.timer.At() && !x.tooLate(c):
 			// An idle connection that the node had closed, or that holds what is no answer: the
 			// attempt has not begun, and goes on with another. Each takes one idle connection
 			// out, so this ends.
@@ -729,68 +729,42 @@
 
 // ---- Time.
 
+// timer is what falls due: the present attempt of a call, or a look at an idle connection.
 type timer struct {
-	at   time.Duration
-	seq  uint64
-	pos  int
 	call *call
 	conn *conn
 }
 
-type timers []*timer
-
-func (t timers) Len() int { return len(t) }
-func (t timers) Less(i, j int) bool {
-	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].seq < t[j].seq
-}
-func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i]; t[i].pos = i; t[j].pos = j }
-func (t *timers) Push(v any)   { m := v.(*timer); m.pos = len(*t); *t = append(*t, m) }
-func (t *timers) Pop() any {
-	old := *t
-	v := old[len(old)-1]
-	old[len(old)-1] = nil
-	*t = old[:len(old)-1]
-	return v
-}
-
-func (x *Forwarder) at(when time.Duration, t *timer) *timer {
-	x.seq++
-	t.at, t.seq = when, x.seq
-	heap.Push(&x.timers, t)
-	return t
-}
-
 // callTimer sets when the present attempt is given up.
 func (x *Forwarder) callTimer(c *call, when time.Duration) {
 	x.stop(c)
-	c.timer = x.at(when, &timer{call: c})
+	c.timer = x.timers.Add(when, timer{call: c})
 }
 
 // stop takes a call's timer away.
 func (x *Forwarder) stop(c *call) {
-	if c.timer != nil {
-		heap.Remove(&x.timers, c.timer.pos)
-		c.timer = nil
-	}
+	x.timers.Remove(c.timer)
+	c.timer = nil
 }
 
 // expire handles what is due.
 func (x *Forwarder) expire() {
 	for {
-		switch {
-		case x.dispatchTimer.set && x.dispatchTimer.at <= x.now:
+		if x.dispatchTimer.set && x.dispatchTimer.at <= x.now {
 			x.dispatchTimer.set = false
 			x.tell(dispatch.TimerFired{Token: x.dispatchTimer.token})
-		case len(x.timers) > 0 && x.timers[0].at <= x.now:
-			t := heap.Pop(&x.timers).(*timer)
-			if t.call != nil {
-				t.call.timer = nil
-				x.expireCall(t.call)
-			} else {
-				x.expireConn(t.conn)
-			}
-		default:
+			x.settle()
+			continue
+		}
+		t, due := x.timers.PopDue(x.now)
+		switch {
+		case !due:
 			return
+		case t.call != nil:
+			t.call.timer = nil
+			x.expireCall(t.call)
+		default:
+			x.expireConn(t.conn)
 		}
 		x.settle()
 	}
@@ -806,7 +780,7 @@
 		x.close(k)
 	default:
 		k.watch = true
-		x.at(k.since+x.cfg.IdleTimeout, &timer{conn: k})
+		x.timers.Add(k.since+x.cfg.IdleTimeout, timer{conn: k})
 	}
 }
 
@@ -840,8 +814,8 @@
 // arm asks for the next Fired, where it is earlier than what was asked for.
 func (x *Forwarder) arm() {
 	next := time.Duration(math.MaxInt64)
-	if len(x.timers) > 0 {
-		next = x.timers[0].at
+	if at, pending := x.timers.Next(); pending {
+		next = at
 	}
 	if x.dispatchTimer.set {
 		next = min(next, x.dispatchTimer.at)
--- a/internal/modelcheck/fingerprint.go
+++ b/internal/modelcheck/fingerprint.go
@@ -38,46 +38,152 @@
 // fields says how durations, and what else needs it, are taken. A duration that is
 // not here stops the walk with a panic: it has to be decided on.
 var fields = map[string]treat{
-	"modelcheck.World.spec": skip, "modelcheck.World.cfg": skip, "modelcheck.World.now": skip, "modelcheck.World.wake": near, "modelcheck.World.seen": skip,
-	"modelcheck.World.first": skip, "modelcheck.World.log": skip,
-	"modelcheck.World.told": mark, "modelcheck.call.due": due, "modelcheck.call.doubt": moment, "modelcheck.call.rest": due,
-	"modelcheck.listed.started": moment, "modelcheck.listed.place": skip, "modelcheck.call.ask": skip, "modelcheck.call.end": skip, "modelcheck.conn.id": rank,
-	"modelcheck.rules.took": moment, "modelcheck.rules.extra": moment,
+	"modelcheck.World.spec":  skip,
+	"modelcheck.World.cfg":   skip,
+	"modelcheck.World.now":   skip,
+	"modelcheck.World.wake":  near,
+	"modelcheck.World.seen":  skip,
+	"modelcheck.World.first": skip,
+	"modelcheck.World.log":   skip,
+	"modelcheck.World.told":  mark,
+
+	"modelcheck.call.due":   due,
+	"modelcheck.call.doubt": moment,
+	"modelcheck.call.rest":  due,
+
+	"modelcheck.listed.started": moment,
+	"modelcheck.listed.place":   skip,
+
+	"modelcheck.call.ask": skip,
+	"modelcheck.call.end": skip,
+
+	"modelcheck.conn.id": rank,
+
+	"modelcheck.rules.took":  moment,
+	"modelcheck.rules.extra": moment,
+
+	"upstreamhttp.Reader.Limits":   skip,
+	"upstreamhttp.Reader.Response": skip, // its parts that matter follow from state and scan
+
+	"forwarder.Forwarder.cfg":              skip,
+	"forwarder.Forwarder.now":              skip,
+	"forwarder.Forwarder.lastID":           skip,
+	"forwarder.Forwarder.seq":              skip,
+	"forwarder.Forwarder.acts":             skip,
+	"forwarder.Forwarder.wakeAt":           near,
+	"forwarder.Forwarder.dispatchTimer.at": near,
+	"forwarder.Forwarder.order":            skip, // follows from nodes
+
+	"forwarder.call.class":    skip,
+	"forwarder.call.deadline": due,
+	"forwarder.call.sentAt":   moment,
+	"forwarder.call.headAt":   moment,
+	"forwarder.call.doubtAt":  moment,
+	// Accounts: told, decided on by nothing.
+	"forwarder.call.span":     skip,
+	"forwarder.call.begun":    skip,
+	"forwarder.call.behind":   skip,
+	"forwarder.call.occupies": skip,
+	"forwarder.call.ahead":    skip,
+	"forwarder.call.told":     skip,
+	"forwarder.call.entry":    skip,
+	"forwarder.call.untold":   skip,
 
-	"upstreamhttp.Reader.Limits": skip, "upstreamhttp.Reader.Response": skip, // its parts that matter follow from state and scan
+	"forwarder.node.out": skip,
 
-	"forwarder.Forwarder.cfg": skip, "forwarder.Forwarder.now": skip, "forwarder.Forwarder.lastID": skip, "forwarder.Forwarder.seq": skip, "forwarder.Forwarder.acts": skip,
-	"forwarder.Forwarder.wakeAt": near, "forwarder.Forwarder.dispatchTimer.at": near, "forwarder.Forwarder.order": skip, // follows from nodes
-	"forwarder.call.class": skip, "forwarder.call.deadline": due, "forwarder.call.sentAt": moment, "forwarder.call.headAt": moment, "forwarder.call.doubtAt": moment,
-	// Accounts: told, decided on by nothing.
-	"forwarder.call.span": skip, "forwarder.call.begun": skip, "forwarder.call.behind": skip, "forwarder.call.occupies": skip, "forwarder.call.ahead": skip,
-	"forwarder.call.told": skip, "forwarder.call.entry": skip, "forwarder.call.untold": skip, "forwarder.node.out": skip, "forwarder.ResponseInfo.HasTiming": skip, "forwarder.ResponseInfo.QueueTime": skip, "forwarder.ResponseInfo.ServiceTime": skip,
-	"forwarder.conn.id": rank, "forwarder.conn.born": moment, "forwarder.conn.since": moment,
-	"forwarder.timer.at": near, "forwarder.timer.seq": skip, "forwarder.timer.pos": skip,
-	"forwarder.RequestAttributed.Entry": skip, "forwarder.Dial.Conn": rank, "forwarder.SendRequest.Conn": rank, "forwarder.SendRequest.Deadline": due, "forwarder.CloseConn.Conn": rank, "forwarder.ForwardResponse.Conn": rank,
-	"forwarder.DiscardResponse.Conn": rank, "forwarder.Dial.Timeout": span, "forwarder.Reject.RetryAfter": span, "forwarder.SetTimer.At": moment,
-
-	"dispatch.Node.Started": moment, "dispatch.Request.Timeout": skip, // only on arrival
-	"dispatch.request.class": skip, "dispatch.request.seq": rank, "dispatch.request.sentAt": moment, "dispatch.request.deadline": due, "dispatch.request.aimAt": due,
-	"dispatch.request.doubtAt": moment, "dispatch.request.held": skip, "dispatch.request.queued": skip, // accounts
-	"dispatch.volume.plan": skip, "dispatch.volume.tokensAt": moment, "dispatch.volume.reserveAt": moment, "dispatch.volume.seen": skip, // forgotten after 30 s
-	"dispatch.node.lat": skip, "dispatch.node.base": skip, // taken as they have faded: learned
-	"dispatch.node.done": skip, // it raises depth from 20 answers a second on
-
-	"dispatch.node.sentAt": moment, "dispatch.node.missedAt": moment, "dispatch.node.heardAt": moment, "dispatch.node.latAt": skip, "dispatch.node.until": due, "dispatch.node.wake": due,
-	"dispatch.node.debtAt": moment, "dispatch.node.blocked": skip, "dispatch.node.blockedAt": skip, "dispatch.node.pausing": skip, "dispatch.node.coldSum": skip,
+	"forwarder.ResponseInfo.HasTiming":   skip,
+	"forwarder.ResponseInfo.QueueTime":   skip,
+	"forwarder.ResponseInfo.ServiceTime": skip,
+
+	"forwarder.conn.id":    rank,
+	"forwarder.conn.born":  moment,
+	"forwarder.conn.since": moment,
+
+	"timerqueue.Timer.at":    near,
+	"timerqueue.Timer.seq":   skip,
+	"timerqueue.Timer.index": skip,
+
+	"timerqueue.Queue.seq": skip,
+
+	"forwarder.RequestAttributed.Entry": skip,
+
+	"forwarder.Dial.Conn": rank,
+
+	"forwarder.SendRequest.Conn":     rank,
+	"forwarder.SendRequest.Deadline": due,
+
+	"forwarder.CloseConn.Conn": rank,
+
+	"forwarder.ForwardResponse.Conn": rank,
+
+	"forwarder.DiscardResponse.Conn": rank,
+
+	"forwarder.Dial.Timeout": span,
+
+	"forwarder.Reject.RetryAfter": span,
+
+	"forwarder.SetTimer.At": moment,
+
+	"dispatch.Node.Started": moment,
+
+	"dispatch.Request.Timeout": skip, // only on arrival
+
+	"dispatch.request.class":    skip,
+	"dispatch.request.seq":      rank,
+	"dispatch.request.sentAt":   moment,
+	"dispatch.request.deadline": due,
+	"dispatch.request.aimAt":    due,
+	"dispatch.request.doubtAt":  moment,
+	"dispatch.request.held":     skip,
+	"dispatch.request.queued":   skip, // accounts
+
+	"dispatch.volume.plan":      skip,
+	"dispatch.volume.tokensAt":  moment,
+	"dispatch.volume.reserveAt": moment,
+	"dispatch.volume.seen":      skip, // forgotten after 30 s
+
+	"dispatch.node.lat":        skip,
+	"dispatch.node.base":       skip, // taken as they have faded: learned
+	"dispatch.node.done":       skip, // it raises depth from 20 answers a second on
+	"dispatch.node.sentAt":     moment,
+	"dispatch.node.missedAt":   moment,
+	"dispatch.node.heardAt":    moment,
+	"dispatch.node.latAt":      skip,
+	"dispatch.node.until":      due,
+	"dispatch.node.wake":       due,
+	"dispatch.node.debtAt":     moment,
+	"dispatch.node.blocked":    skip,
+	"dispatch.node.blockedAt":  skip,
+	"dispatch.node.pausing":    skip,
+	"dispatch.node.coldSum":    skip,
 	"dispatch.node.suspectSum": skip, // accounts
-	"dispatch.meter.at":        moment, "dispatch.turn.rest": due,
-	"dispatch.Dispatcher.cfg": skip, "dispatch.Dispatcher.now": skip, "dispatch.Dispatcher.born": moment, "dispatch.Dispatcher.tightest": skip, "dispatch.Dispatcher.maxLeft": span,
-	"dispatch.Dispatcher.wakeAt": near, "dispatch.Dispatcher.seq": skip, "dispatch.Dispatcher.taken": moment, "dispatch.Dispatcher.extra": moment,
-	"dispatch.Dispatcher.acts": skip, "dispatch.Dispatcher.bestValue": skip, "dispatch.Dispatcher.order": skip, "dispatch.Dispatcher.volOrder": skip,
-	"dispatch.flow.parkedAt": skip, "dispatch.flow.parkedSum": skip, "dispatch.flow.pos": skip, // accounts, and a place in the heap that follows from its order
-	"dispatch.task.at": near, "dispatch.task.seq": skip, "dispatch.task.pos": skip,
+
+	"dispatch.meter.at": moment,
+
+	"dispatch.turn.rest": due,
+
+	"dispatch.Dispatcher.cfg":       skip,
+	"dispatch.Dispatcher.now":       skip,
+	"dispatch.Dispatcher.born":      moment,
+	"dispatch.Dispatcher.tightest":  skip,
+	"dispatch.Dispatcher.maxLeft":   span,
+	"dispatch.Dispatcher.wakeAt":    near,
+	"dispatch.Dispatcher.seq":       skip,
+	"dispatch.Dispatcher.taken":     moment,
+	"dispatch.Dispatcher.extra":     moment,
+	"dispatch.Dispatcher.acts":      skip,
+	"dispatch.Dispatcher.bestValue": skip,
+	"dispatch.Dispatcher.order":     skip,
+	"dispatch.Dispatcher.volOrder":  skip,
+
+	"dispatch.flow.parkedAt":  skip,
+	"dispatch.flow.parkedSum": skip,
+	"dispatch.flow.pos":       skip, // accounts, and a place in the heap that follows from its order
 }
 
 // sorted are the heaps: what they hold matters, in the order in which it comes out.
 var heaps = map[string][]string{
-	"forwarder.timers": {"at", "seq"}, "dispatch.agenda": {"at", "seq"}, "dispatch.flowHeap": {"start"},
+	"timerqueue.timerHeap": {"at", "seq"}, "dispatch.flowHeap": {"start"},
 }
 
 var durationType = reflect.TypeFor[time.Duration]()
@@ -218,7 +324,8 @@
 		return "forwarder.Forwarder.dispatchTimer"
 	}
 	path := t.PkgPath()
-	return path[strings.LastIndexByte(path, '/')+1:] + "." + t.Name()
+	name, _, _ := strings.Cut(t.Name(), "[") // without type arguments
+	return path[strings.LastIndexByte(path, '/')+1:] + "." + name
 }
 
 func (p *printer) walk(v reflect.Value, how treat) {
@@ -325,7 +432,8 @@
 	// The controller acts on figures of use, and nodes here give none.
 	idx = slices.DeleteFunc(idx, func(i int) bool {
 		e := v.Index(i).Elem()
-		return e.Type().Name() == "task" && e.FieldByName("kind").Int() == doControl
+		timer := e.FieldByName("Value")
+		return timer.IsValid() && timer.Type().Name() == "task" && timer.FieldByName("kind").Int() == doControl
 	})
 	slices.SortFunc(idx, func(a, b int) int {
 		x, y := v.Index(a).Elem(), v.Index(b).Elem()
--- a/layering_test.go
+++ b/layering_test.go
@@ -17,7 +17,7 @@
 var layers = map[string]int{
 	"dispatch": 1, "forwarder": 1, "placement": 1, "costmodel": 1, "attribution": 1, "fairshare": 1,
 	"internal/http1": 2, "internal/sigv4": 2, "internal/objectapi": 2, "internal/payload": 2, "internal/upstreamhttp": 2,
-	"overload": 1, "internal/simwire": 2, "internal/resp": 2, "internal/objectcommand": 2, "internal/endpoints": 2,
+	"overload": 1, "internal/timerqueue": 1, "internal/simwire": 2, "internal/resp": 2, "internal/objectcommand": 2, "internal/endpoints": 2,
 }
 
 // upward are imports against the order of the layers that stand for a reason.
