--- a/attribution/accounts_test.go
+++ b/attribution/accounts_test.go
@@ -17,20 +17,20 @@
 func TestSpanSumsExactly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(rapid.Int64Range(0, 1e12).Draw(t, "start"))
-		s := Begin(now, Gateway)
+		s := StartSpan(now, Gateway)
 		first, latest := now, now
 		for _, step := range rapid.SliceOf(rapid.Int64Range(-1e6, 1e9)).Draw(t, "steps") {
 			now += time.Duration(step) // clocks that go back change nothing
-			s.To(now, Cause(rapid.IntRange(0, Causes-1).Draw(t, "cause")))
+			s.Enter(now, Component(rapid.IntRange(0, Components-1).Draw(t, "cause")))
 			latest = max(latest, now)
-			s.Move(Cause(rapid.IntRange(0, Causes-1).Draw(t, "from")), Cause(rapid.IntRange(0, Causes-1).Draw(t, "to")), time.Duration(step))
+			s.Move(Component(rapid.IntRange(0, Components-1).Draw(t, "from")), Component(rapid.IntRange(0, Components-1).Draw(t, "to")), time.Duration(step))
 		}
-		if s.Parts.Total() != s.Took() || s.Took() != latest-first {
-			t.Fatalf("parts %v, took %v, time %v", s.Parts.Total(), s.Took(), latest-first)
+		if s.Parts.Total() != s.Elapsed() || s.Elapsed() != latest-first {
+			t.Fatalf("parts %v, took %v, time %v", s.Parts.Total(), s.Elapsed(), latest-first)
 		}
 		for c, d := range s.Parts {
 			if d < 0 {
-				t.Fatalf("%v: %v", Cause(c), d)
+				t.Fatalf("%v: %v", Component(c), d)
 			}
 		}
 	})
@@ -38,8 +38,8 @@
 
 func TestCausesHaveNames(t *testing.T) {
 	seen := map[string]bool{}
-	for c := range Cause(Causes) {
-		back, ok := CauseNamed(c.String())
+	for c := range Component(Components) {
+		back, ok := ParseComponent(c.String())
 		if !ok || back != c || seen[c.String()] {
 			t.Errorf("%d is %q", c, c)
 		}
@@ -214,9 +214,9 @@
 	}
 }
 
-func books(t *testing.T, volumes, pairs int) *Books {
+func books(t *testing.T, volumes, pairs int) *Aggregator {
 	t.Helper()
-	b, err := NewBooks(Config{Resolutions: []Resolution{{time.Second, 10}, {10 * time.Second, 10}, {time.Minute, 10}}, Volumes: volumes, Pairs: pairs})
+	b, err := NewAggregator(Config{Resolutions: []Resolution{{time.Second, 10}, {10 * time.Second, 10}, {time.Minute, 10}}, Volumes: volumes, Pairs: pairs})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -236,9 +236,9 @@
 		for range 4000 {
 			now += time.Duration(rng.IntN(2000)) * time.Microsecond
 			e := Entry{Volume: fmt.Sprint("v", rng.IntN(1+rng.IntN(300))), Ended: now}
-			e.Parts[rng.IntN(Causes)] = time.Duration(rng.IntN(5000)) * time.Microsecond
-			e.Parts[Others] = time.Duration(rng.IntN(3000)) * time.Microsecond
-			e.Behind = []Blame{{fmt.Sprint("v", rng.IntN(40)), e.Parts[Others]}}
+			e.Parts[rng.IntN(Components)] = time.Duration(rng.IntN(5000)) * time.Microsecond
+			e.Parts[QueuedBehindOthers] = time.Duration(rng.IntN(3000)) * time.Microsecond
+			e.Behind = []Contribution{{fmt.Sprint("v", rng.IntN(40)), e.Parts[QueuedBehindOthers]}}
 			truth[e.Volume] += e.Parts.Total()
 			total += e.Parts.Total()
 			n++
@@ -251,7 +251,7 @@
 		sum, count := w.Rest.Parts.Total(), w.Rest.Requests
 		for c, d := range w.Rest.Parts {
 			if d < 0 {
-				t.Fatalf("the rest has %v of %v", d, Cause(c))
+				t.Fatalf("the rest has %v of %v", d, Component(c))
 			}
 		}
 		for _, l := range w.Volumes {
@@ -283,7 +283,7 @@
 		}
 		if i%4 == 3 && i > 20 {
 			e := Entry{Volume: "review", Ended: now}
-			e.Parts[Others] = 40 * ms
+			e.Parts[QueuedBehindOthers] = 40 * ms
 			e.Behind = o.Between(now-40*ms, now)
 			b.Add(e)
 		}
@@ -298,7 +298,7 @@
 	b := books(t, 4, 4)
 	add := func(at time.Duration, v string, d time.Duration) {
 		e := Entry{Volume: v, Ended: at}
-		e.Parts[NodeTime] = d
+		e.Parts[NodeUnknown] = d
 		b.Add(e)
 	}
 	add(500*ms, "a", 10*ms)
@@ -309,26 +309,26 @@
 	if w, _ := b.Over(8600*ms, 9*time.Second); w.All.Requests != 2 || w.Corrected {
 		t.Fatalf("%+v", w)
 	}
-	correct := func(at time.Duration, from, to Cause, d time.Duration) (int, bool) {
-		return b.Correct(Correction{Volume: "a", Ended: at, From: from, To: []Moved{{to, d}}})
+	correct := func(at time.Duration, from, to Component, d time.Duration) (int, bool) {
+		return b.Correct(Correction{Volume: "a", Ended: at, From: from, To: []ComponentTime{{to, d}}})
 	}
 	// A report that is late by eight seconds: the slot is closed, is put right, says so.
 	b.Advance(8600 * ms)
-	if n, late := correct(500*ms, NodeTime, NodeQueue, 4*ms); n != 2 || !late {
+	if n, late := correct(500*ms, NodeUnknown, NodeQueue, 4*ms); n != 2 || !late {
 		t.Fatalf("held in %d resolutions, late %v", n, late)
 	}
-	if n, late := correct(8500*ms, NodeTime, NodeQueue, 0); n != 1 || late {
+	if n, late := correct(8500*ms, NodeUnknown, NodeQueue, 0); n != 1 || late {
 		t.Fatalf("an open slot: %d resolutions, late %v", n, late)
 	}
 	w, _ := b.Over(8600*ms, 9*time.Second)
-	if !w.Corrected || w.All.Parts[NodeQueue] != 4*ms || w.Volumes[0].Parts[NodeTime] != 26*ms || w.All.Parts.Total() != 30*ms {
+	if !w.Corrected || w.All.Parts[NodeQueue] != 4*ms || w.Volumes[0].Parts[NodeUnknown] != 26*ms || w.All.Parts.Total() != 30*ms {
 		t.Fatalf("%+v", w)
 	}
 	// More than is there cannot be moved, and what has left the ring is not touched.
-	correct(500*ms, NodeTime, NodeWork, time.Hour)
+	correct(500*ms, NodeUnknown, NodeService, time.Hour)
 	add(20*time.Second, "b", ms)
 	b.Advance(20 * time.Second)
-	if n, late := correct(500*ms, NodeWork, NodeQueue, ms); n != 2 || !late {
+	if n, late := correct(500*ms, NodeService, NodeQueue, ms); n != 2 || !late {
 		t.Fatalf("held in %d resolutions, late %v", n, late)
 	}
 	if w, _ := b.Over(20*time.Second, 5*time.Second); w.All.Requests != 1 || w.Volumes[0].Volume != "b" {
@@ -341,7 +341,7 @@
 		t.Fatal("a window that no resolution reaches is told")
 	}
 	for _, c := range []Config{{}, {Resolutions: []Resolution{{time.Second, 5}, {1500 * ms, 5}}, Volumes: 1, Pairs: 1}, {Resolutions: []Resolution{{0, 5}}, Volumes: 1, Pairs: 1}, {Resolutions: []Resolution{{time.Second, 1}}, Volumes: 1, Pairs: 1}} {
-		if _, err := NewBooks(c); err == nil {
+		if _, err := NewAggregator(c); err == nil {
 			t.Errorf("%+v is taken", c)
 		}
 	}
@@ -378,7 +378,7 @@
 }
 
 func BenchmarkBooksAdd(b *testing.B) {
-	k, _ := NewBooks(DefaultConfig())
+	k, _ := NewAggregator(DefaultConfig())
 	names := make([]string, 100_000)
 	for i := range names {
 		names[i] = fmt.Sprint("volume-", i)
@@ -388,8 +388,8 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		e := Entry{Volume: names[zipf.Uint64()], Ended: time.Duration(i) * 50 * time.Microsecond}
-		e.Parts[NodeTime], e.Parts[Others] = ms, ms
-		e.Behind = []Blame{{names[zipf.Uint64()], ms}}
+		e.Parts[NodeUnknown], e.Parts[QueuedBehindOthers] = ms, ms
+		e.Behind = []Contribution{{names[zipf.Uint64()], ms}}
 		k.Add(e)
 	}
 }
--- a/attribution/books.go
+++ b/attribution/books.go
@@ -52,11 +52,11 @@
 	return nil
 }
 
-// Books are the accounts of one gateway: who waited how long, for what, behind
+// Aggregator are the accounts of one gateway: who waited how long, for what, behind
 // whom, over sliding windows, in memory that does not grow with the volumes. A
 // request is entered in the finest slot; a slot that is closed is entered as a
 // whole in the next coarser one. They are not safe for concurrent use.
-type Books struct {
+type Aggregator struct {
 	cfg   Config
 	rings [][]*page
 	// closed is told of each slot of the second resolution (the first, where there
@@ -64,12 +64,12 @@
 	closed func(ring int, p *page)
 }
 
-// NewBooks returns empty books.
-func NewBooks(cfg Config) (*Books, error) {
+// NewAggregator returns empty books.
+func NewAggregator(cfg Config) (*Aggregator, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
-	b := &Books{cfg: cfg}
+	b := &Aggregator{cfg: cfg}
 	for _, r := range cfg.Resolutions {
 		b.rings = append(b.rings, make([]*page, r.Slots))
 	}
@@ -77,14 +77,14 @@
 }
 
 // distRing is the finest resolution that has distributions.
-func (b *Books) distRing() int { return min(1, len(b.rings)-1) }
+func (b *Aggregator) distRing() int { return min(1, len(b.rings)-1) }
 
-func (b *Books) newPage(index int64) *page {
+func (b *Aggregator) newPage(index int64) *page {
 	return newPage(index, b.cfg.Volumes, b.cfg.Pairs)
 }
 
 // held returns the page of a time in one ring, nil where there is none.
-func (b *Books) held(ring int, at time.Duration) *page {
+func (b *Aggregator) held(ring int, at time.Duration) *page {
 	i := b.index(ring, at)
 	p := b.rings[ring][i%int64(len(b.rings[ring]))]
 	if p == nil || p.index != i {
@@ -93,13 +93,13 @@
 	return p
 }
 
-func (b *Books) index(ring int, at time.Duration) int64 {
+func (b *Aggregator) index(ring int, at time.Duration) int64 {
 	return int64(max(at, 0) / b.cfg.Resolutions[ring].Slot)
 }
 
 // page returns the page of a time in one ring, made where there is none; nil when
 // that time has left the ring.
-func (b *Books) page(ring int, at time.Duration) *page {
+func (b *Aggregator) page(ring int, at time.Duration) *page {
 	i := b.index(ring, at)
 	place := &b.rings[ring][i%int64(len(b.rings[ring]))]
 	switch p := *place; {
@@ -123,7 +123,7 @@
 }
 
 // roll closes a page: from here on it is part of a coarser one too.
-func (b *Books) roll(ring int, p *page) {
+func (b *Aggregator) roll(ring int, p *page) {
 	if p.rolled {
 		return
 	}
@@ -148,7 +148,7 @@
 }
 
 // Advance closes the slots that ended longer ago than the settling time.
-func (b *Books) Advance(now time.Duration) {
+func (b *Aggregator) Advance(now time.Duration) {
 	for ring, r := range b.cfg.Resolutions[:len(b.cfg.Resolutions)-1] {
 		var due []*page
 		for _, p := range b.rings[ring] {
@@ -164,7 +164,7 @@
 }
 
 // Add enters a request.
-func (b *Books) Add(e Entry) {
+func (b *Aggregator) Add(e Entry) {
 	for ring := range b.rings {
 		p := b.page(ring, e.Ended)
 		if p == nil {
@@ -198,23 +198,23 @@
 // Correction moves time of a request that was entered before from one cause to
 // others, as a report that came late tells.
 type Correction struct {
-	Volume string        `json:"volume"`
-	Ended  time.Duration `json:"ended_ns"`
-	From   Cause         `json:"from"`
-	Had    time.Duration `json:"had_ns"` // that the request had under From before
-	To     []Moved       `json:"to"`
-	Behind []Blame       `json:"behind,omitempty"` // of what was moved to waiting
+	Volume string          `json:"volume"`
+	Ended  time.Duration   `json:"ended_ns"`
+	From   Component       `json:"from"`
+	Had    time.Duration   `json:"had_ns"` // that the request had under From before
+	To     []ComponentTime `json:"to"`
+	Behind []Contribution  `json:"behind,omitempty"` // of what was moved to waiting
 }
 
-// Moved is time that is put down to a cause instead.
-type Moved struct {
-	Cause Cause         `json:"cause"`
-	Time  time.Duration `json:"ns"`
+// ComponentTime is time that is put down to a cause instead.
+type ComponentTime struct {
+	Component Component     `json:"cause"`
+	Time      time.Duration `json:"ns"`
 }
 
 // Correct applies a correction. It returns in how many resolutions the request's
 // slot was held, and whether one of them had been closed; such a slot is marked.
-func (b *Books) Correct(c Correction) (held int, late bool) {
+func (b *Aggregator) Correct(c Correction) (held int, late bool) {
 	for ring := range b.rings {
 		p := b.held(ring, c.Ended)
 		if p == nil {
@@ -247,7 +247,7 @@
 
 // Over sums the slots that lie in the last span, by the finest resolution that
 // reaches so far. It returns false when none does.
-func (b *Books) Over(now, span time.Duration) (Window, bool) {
+func (b *Aggregator) Over(now, span time.Duration) (Window, bool) {
 	ring, ok := b.reach(span)
 	if !ok {
 		return Window{}, false
@@ -270,7 +270,7 @@
 
 // Pages returns the slots of the last span one by one, those with requests only,
 // by the finest resolution that reaches so far.
-func (b *Books) Pages(now, span time.Duration) ([]Window, bool) {
+func (b *Aggregator) Pages(now, span time.Duration) ([]Window, bool) {
 	ring, ok := b.reach(span)
 	if !ok {
 		return nil, false
@@ -297,19 +297,19 @@
 
 // lendDists gives a slot that is too fine to have distributions those of the coarser
 // slot that it is the last one of, so that a sum over the slots has them once.
-func (b *Books) lendDists(w *Window) {
+func (b *Aggregator) lendDists(w *Window) {
 	if p := b.held(b.distRing(), w.From); p != nil {
 		w.Dists = p.tellDists()
 	}
 }
 
 // Reach returns the longest span that Over can tell of.
-func (b *Books) Reach() time.Duration {
+func (b *Aggregator) Reach() time.Duration {
 	r := b.cfg.Resolutions[len(b.cfg.Resolutions)-1]
 	return r.Slot * time.Duration(r.Slots-1)
 }
 
-func (b *Books) reach(span time.Duration) (int, bool) {
+func (b *Aggregator) reach(span time.Duration) (int, bool) {
 	for ring, r := range b.cfg.Resolutions {
 		if span > 0 && span <= r.Slot*time.Duration(r.Slots-1) {
 			return ring, true
@@ -320,7 +320,7 @@
 
 // gather adds to sum what a slot holds, with what finer slots hold that are not
 // closed yet.
-func (b *Books) gather(ring int, index int64, sum *page) {
+func (b *Aggregator) gather(ring int, index int64, sum *page) {
 	slot := b.cfg.Resolutions[ring].Slot
 	from := time.Duration(index) * slot
 	if p := b.held(ring, from); p != nil {
@@ -343,7 +343,7 @@
 }
 
 // Behind implements Witness.
-func (b *Books) Behind(now, span time.Duration, volume string) (waited, caused, within time.Duration) {
+func (b *Aggregator) Behind(now, span time.Duration, volume string) (waited, caused, within time.Duration) {
 	w, ok := b.Over(now, span)
 	if !ok {
 		return 0, 0, 0
@@ -360,12 +360,12 @@
 	return waited, caused, within
 }
 
-// Line is one volume's account over a window.
-type Line struct {
+// VolumeSummary is one volume's account over a window.
+type VolumeSummary struct {
 	Volume   string          `json:"volume,omitempty"`
 	Requests int64           `json:"requests"`
 	Outcomes [Outcomes]int64 `json:"outcomes"` // answered, refused, failed, cut, gone
-	Parts    Split           `json:"parts_ns"`
+	Parts    Breakdown       `json:"parts_ns"`
 	// Missing is the most of its time that may be among the rest, from slots in
 	// which it was not kept.
 	Missing time.Duration `json:"missing_ns,omitempty"`
@@ -373,17 +373,17 @@
 
 // Window is what the books tell of a time.
 type Window struct {
-	From      time.Duration  `json:"from_ns"` // since the gateway's start
-	To        time.Duration  `json:"to_ns"`
-	Slot      time.Duration  `json:"slot_ns"`
-	All       Line           `json:"all"`
-	Volumes   []Line         `json:"volumes"` // the heaviest first
-	Rest      Line           `json:"rest"`    // of volumes that no line names
-	Pairs     []Item[Pair]   `json:"pairs"`
-	PairError time.Duration  `json:"pair_error_ns"` // no pair that is not named has more
-	Behind    time.Duration  `json:"behind_ns"`     // all time behind others
-	Corrected bool           `json:"corrected,omitempty"`
-	Dists     []Distribution `json:"distributions,omitempty"`
+	From      time.Duration   `json:"from_ns"` // since the gateway's start
+	To        time.Duration   `json:"to_ns"`
+	Slot      time.Duration   `json:"slot_ns"`
+	All       VolumeSummary   `json:"all"`
+	Volumes   []VolumeSummary `json:"volumes"` // the heaviest first
+	Rest      VolumeSummary   `json:"rest"`    // of volumes that no line names
+	Pairs     []Item[Pair]    `json:"pairs"`
+	PairError time.Duration   `json:"pair_error_ns"` // no pair that is not named has more
+	Behind    time.Duration   `json:"behind_ns"`     // all time behind others
+	Corrected bool            `json:"corrected,omitempty"`
+	Dists     []Distribution  `json:"distributions,omitempty"`
 }
 
 // Sum makes one window of several, with room for so many volumes, pairs and
@@ -402,10 +402,10 @@
 }
 
 // Of returns a volume's line, and false where it has none of its own.
-func (w *Window) Of(volume string) (Line, bool) {
-	i := slices.IndexFunc(w.Volumes, func(l Line) bool { return l.Volume == volume })
+func (w *Window) Of(volume string) (VolumeSummary, bool) {
+	i := slices.IndexFunc(w.Volumes, func(l VolumeSummary) bool { return l.Volume == volume })
 	if i < 0 {
-		return Line{}, false
+		return VolumeSummary{}, false
 	}
 	return w.Volumes[i], true
 }
@@ -419,7 +419,7 @@
 	return w.Dists[i], true
 }
 
-func byTotal(a, b Line) int {
+func byTotal(a, b VolumeSummary) int {
 	if x, y := a.Parts.Total(), b.Parts.Total(); x != y {
 		return int(min(max(y-x, -1), 1))
 	}
--- a/attribution/cause.go
+++ b/attribution/cause.go
@@ -10,64 +10,64 @@
 	"time"
 )
 
-// Cause is what a request's time is put down to. Every moment of a request belongs
+// Component is what a request's time is put down to. Every moment of a request belongs
 // to exactly one.
-type Cause uint8
+type Component uint8
 
 // The causes.
 const (
-	Gateway   Cause = iota // in the gateway itself: parsing, deciding, writing
-	BodyIn                 // its body comes in, at the client's pace
-	Held                   // held, and not told for what: its client left first
-	Others                 // held at its node while requests of other volumes were out
-	Own                    // held while requests of its own volume were out
-	Limit                  // held by its volume's limit
-	ColdNode               // held by the guard of a cold node
-	Suspect                // held by the pause of a suspect node
-	Turn                   // waits for its key's turn, or for the key to rest
-	Pause                  // between attempts
-	Lost                   // in attempts that brought no answer
-	Connect                // for a connection to its node
-	NodeQueue              // at the node, waiting (as the node's report tells)
-	NodeWork               // at the node, in service
-	NodeTime               // at the node, not told which of the two
-	BodyOut                // its answer passes to the client
-	Client                 // the client takes its answer, at its own pace
-	Loop                   // its head waits for a turn on its event loop
+	Gateway            Component = iota // in the gateway itself: parsing, deciding, writing
+	RequestBody                         // its body comes in, at the client's pace
+	QueuedUnknown                       // held, and not told for what: its client left first
+	QueuedBehindOthers                  // held at its node while requests of other volumes were out
+	QueuedBehindOwn                     // held while requests of its own volume were out
+	RateLimited                         // held by its volume's limit
+	SlowStart                           // held by the guard of a cold node
+	Ejected                             // held by the pause of a suspect node
+	KeyOrder                            // waits for its key's turn, or for the key to rest
+	RetryBackoff                        // between attempts
+	FailedAttempts                      // in attempts that brought no answer
+	Dialing                             // for a connection to its node
+	NodeQueue                           // at the node, waiting (as the node's report tells)
+	NodeService                         // at the node, in service
+	NodeUnknown                         // at the node, not told which of the two
+	ResponseBody                        // its answer passes to the client
+	SlowClient                          // the client takes its answer, at its own pace
+	EventLoop                           // its head waits for a turn on its event loop
 	causes
 )
 
-// Causes is how many causes there are.
-const Causes = int(causes)
+// Components is how many causes there are.
+const Components = int(causes)
 
-var causeNames = [Causes]string{
+var causeNames = [Components]string{
 	"gateway", "body_in", "held_untold", "behind_others", "behind_own", "limit", "cold_node", "suspect_node", "turn", "pause",
 	"lost_attempts", "connect", "node_queue", "node_work", "node_unknown", "body_out", "slow_client", "loop",
 }
 
 // String returns the cause's name in reports.
-func (c Cause) String() string {
+func (c Component) String() string {
 	if c >= causes {
 		return "unknown"
 	}
 	return causeNames[c]
 }
 
-// CauseNamed finds a cause by its name.
-func CauseNamed(name string) (Cause, bool) {
+// ParseComponent finds a cause by its name.
+func ParseComponent(name string) (Component, bool) {
 	for i, n := range causeNames {
 		if n == name {
-			return Cause(i), true
+			return Component(i), true
 		}
 	}
 	return 0, false
 }
 
-// Split is time by cause.
-type Split [Causes]time.Duration
+// Breakdown is time by cause.
+type Breakdown [Components]time.Duration
 
 // Total returns the sum over all causes.
-func (s *Split) Total() time.Duration {
+func (s *Breakdown) Total() time.Duration {
 	var t time.Duration
 	for _, d := range s {
 		t += d
@@ -76,7 +76,7 @@
 }
 
 // Add adds another split.
-func (s *Split) Add(o *Split) {
+func (s *Breakdown) Add(o *Breakdown) {
 	for i, d := range o {
 		s[i] += d
 	}
@@ -85,21 +85,21 @@
 // Span follows one request. Its parts always sum to the time from its start to the
 // last change of cause: each change puts the time since the one before to one cause.
 type Span struct {
-	Parts Split
+	Parts Breakdown
 	start time.Duration
 	since time.Duration
-	cause Cause
+	cause Component
 }
 
-// Begin starts a span.
-func Begin(now time.Duration, c Cause) Span { return Span{start: now, since: now, cause: c} }
+// StartSpan starts a span.
+func StartSpan(now time.Duration, c Component) Span { return Span{start: now, since: now, cause: c} }
 
-// Cause returns the present cause.
-func (s *Span) Cause() Cause { return s.cause }
+// Component returns the present cause.
+func (s *Span) Component() Component { return s.cause }
 
-// To puts the time since the last change down to the present cause, and goes on
+// Enter puts the time since the last change down to the present cause, and goes on
 // with another. A clock that goes back changes nothing.
-func (s *Span) To(now time.Duration, c Cause) {
+func (s *Span) Enter(now time.Duration, c Component) {
 	if now > s.since {
 		s.Parts[s.cause] += now - s.since
 		s.since = now
@@ -107,17 +107,17 @@
 	s.cause = c
 }
 
-// Took returns the time accounted for so far.
-func (s *Span) Took() time.Duration { return s.since - s.start }
+// Elapsed returns the time accounted for so far.
+func (s *Span) Elapsed() time.Duration { return s.since - s.start }
 
-// Account returns the account up to the last change of cause.
-func (s *Span) Account(volume string, o Outcome) Entry {
+// Finish returns the account up to the last change of cause.
+func (s *Span) Finish(volume string, o Outcome) Entry {
 	return Entry{Volume: volume, Started: s.start, Ended: s.since, Outcome: o, Parts: s.Parts}
 }
 
 // Move puts time that was accounted to one cause down to another, as a late report
 // tells; no more than is there. It returns what was moved.
-func (s *Span) Move(from, to Cause, d time.Duration) time.Duration {
+func (s *Span) Move(from, to Component, d time.Duration) time.Duration {
 	d = min(max(d, 0), s.Parts[from])
 	s.Parts[from] -= d
 	s.Parts[to] += d
@@ -125,11 +125,11 @@
 }
 
 // MarshalText writes the cause's name.
-func (c Cause) MarshalText() ([]byte, error) { return []byte(c.String()), nil }
+func (c Component) MarshalText() ([]byte, error) { return []byte(c.String()), nil }
 
 // UnmarshalText reads a cause's name.
-func (c *Cause) UnmarshalText(b []byte) error {
-	got, ok := CauseNamed(string(b))
+func (c *Component) UnmarshalText(b []byte) error {
+	got, ok := ParseComponent(string(b))
 	if !ok {
 		return fmt.Errorf("attribution: no cause is called %q", b)
 	}
@@ -139,23 +139,23 @@
 
 // MarshalJSON writes the times that are not zero, by the causes' names, in
 // nanoseconds.
-func (s Split) MarshalJSON() ([]byte, error) {
-	m := make(map[Cause]time.Duration, Causes)
+func (s Breakdown) MarshalJSON() ([]byte, error) {
+	m := make(map[Component]time.Duration, Components)
 	for c, d := range s {
 		if d != 0 {
-			m[Cause(c)] = d
+			m[Component(c)] = d
 		}
 	}
 	return json.Marshal(m)
 }
 
 // UnmarshalJSON reads what MarshalJSON writes.
-func (s *Split) UnmarshalJSON(b []byte) error {
-	var m map[Cause]time.Duration
+func (s *Breakdown) UnmarshalJSON(b []byte) error {
+	var m map[Component]time.Duration
 	if err := json.Unmarshal(b, &m); err != nil {
 		return err
 	}
-	*s = Split{}
+	*s = Breakdown{}
 	for c, d := range m {
 		s[c] = d
 	}
@@ -167,11 +167,11 @@
 
 // The outcomes.
 const (
-	Answered Outcome = iota // by its node
-	Refused                 // by the gateway; trying again was harmless
-	Failed                  // by the gateway, with nothing promised
-	Cut                     // its answer broke off
-	Left                    // the client left before
+	Completed Outcome = iota // by its node
+	Rejected                 // by the gateway; trying again was harmless
+	Failed                   // by the gateway, with nothing promised
+	Aborted                  // its answer broke off
+	Canceled                 // the client left before
 	outcomes
 )
 
--- a/attribution/dist.go
+++ b/attribution/dist.go
@@ -13,8 +13,8 @@
 const (
 	longest    = 30 * time.Minute
 	digits     = 2
-	whole      = Causes // the index of the time over all causes
-	histograms = Causes + 1
+	whole      = Components // the index of the time over all causes
+	histograms = Components + 1
 )
 
 // PercentileError is how far a told percentile may be off, as a share of it.
@@ -69,7 +69,7 @@
 	record(d.gone[i], t)
 }
 
-func (d *dist) add(s *Split) {
+func (d *dist) add(s *Breakdown) {
 	d.record(whole, s.Total())
 	for c, t := range s {
 		if t > 0 {
@@ -84,7 +84,7 @@
 	left := c.Had
 	for _, m := range c.To {
 		if m.Time > 0 {
-			d.record(int(m.Cause), m.Time)
+			d.record(int(m.Component), m.Time)
 			left -= m.Time
 		}
 	}
@@ -211,7 +211,7 @@
 
 // CausePercentile returns the same for the time under one cause, over all requests,
 // those without that cause included.
-func (d *Distribution) CausePercentile(c Cause, share float64) time.Duration {
+func (d *Distribution) CausePercentile(c Component, share float64) time.Duration {
 	return percentile(d.Causes[c.String()], d.Whole.Count(), share)
 }
 
@@ -229,9 +229,9 @@
 // tell returns what is told of the distributions.
 func (d *dist) tell(volume string) Distribution {
 	t := Distribution{Volume: volume, Whole: d.bins(whole), Causes: map[string]Bins{}}
-	for c := range Causes {
+	for c := range Components {
 		if b := d.bins(c); len(b.At) > 0 {
-			t.Causes[Cause(c).String()] = b
+			t.Causes[Component(c).String()] = b
 		}
 	}
 	return t
@@ -241,7 +241,7 @@
 	d := &dist{}
 	d.packed[whole] = t.Whole
 	for name, b := range t.Causes {
-		if c, ok := CauseNamed(name); ok {
+		if c, ok := ParseComponent(name); ok {
 			d.packed[c] = b
 		}
 	}
--- a/attribution/journey.go
+++ b/attribution/journey.go
@@ -8,63 +8,65 @@
 
 // Entry is the account of a request that has its end.
 type Entry struct {
-	Volume  string
-	Started time.Duration
-	Ended   time.Duration
-	Outcome Outcome
-	Parts   Split
-	Behind  []Blame // whom it waited behind; may name the volume itself
-	Untold  []Untold
+	Volume     string
+	Started    time.Duration
+	Ended      time.Duration
+	Outcome    Outcome
+	Parts      Breakdown
+	Behind     []Contribution // whom it waited behind; may name the volume itself
+	Unreported []Unreported
 }
 
-// Untold is an attempt of which its node has not told how its time there divides.
+// Unreported is an attempt of which its node has not told how its time there divides.
 // A report that comes later can still tell.
-type Untold struct {
+type Unreported struct {
 	Call    uint64 // the request to the node
 	Attempt int
-	Unknown time.Duration // of Parts[NodeTime]
-	Ahead   []Share       // whose requests were out at the node when this was sent
+	Unknown time.Duration   // of Parts[NodeTime]
+	Ahead   []InFlightUnits // whose requests were out at the node when this was sent
 }
 
 // Move puts time of one cause down to another, no more than is there, and returns
 // what was moved.
-func (e *Entry) Move(from, to Cause, d time.Duration) time.Duration {
+func (e *Entry) Move(from, to Component, d time.Duration) time.Duration {
 	d = min(max(d, 0), e.Parts[from])
 	e.Parts[from] -= d
 	e.Parts[to] += d
-	if from == NodeTime {
-		left := e.Parts[NodeTime]
-		for i := range e.Untold {
-			e.Untold[i].Unknown = min(e.Untold[i].Unknown, left)
-			left -= e.Untold[i].Unknown
+	if from == NodeUnknown {
+		left := e.Parts[NodeUnknown]
+		for i := range e.Unreported {
+			e.Unreported[i].Unknown = min(e.Unreported[i].Unknown, left)
+			left -= e.Unreported[i].Unknown
 		}
 	}
 	return d
 }
 
-// Journey is the account of a client's request, which may need several requests to
+// ClientSpan is the account of a client's request, which may need several requests to
 // nodes, one after the other or at a time. Its time is that of its own causes where
 // no request to a node accounts for it. Where several do, each moment counts once:
 // for the one that ended first.
-type Journey struct {
+type ClientSpan struct {
 	span   Span
-	behind []Blame
-	untold []Untold
+	behind []Contribution
+	untold []Unreported
 }
 
-// SetOut starts a journey.
-func SetOut(now time.Duration, c Cause) Journey { return Journey{span: Begin(now, c)} }
+// StartClientSpan starts a journey.
+func StartClientSpan(now time.Duration, c Component) ClientSpan {
+	return ClientSpan{span: StartSpan(now, c)}
+}
 
-// Waited tells that the journey so far was a wait behind others, for such times each.
-func (j *Journey) Waited(behind []Blame) { j.behind = behind }
+// WaitedBehind tells that the journey so far was a wait behind others, for such times each.
+func (j *ClientSpan) WaitedBehind(behind []Contribution) { j.behind = behind }
 
-// To goes on with another cause.
-func (j *Journey) To(now time.Duration, c Cause) { j.span.To(now, c) }
+// Enter goes on with another cause.
+func (j *ClientSpan) Enter(now time.Duration, c Component) { j.span.Enter(now, c) }
 
-// Through puts a request to a node in. What goes before it is the journey's own
+// Include puts a request to a node in. What goes before it is the journey's own
 // time; what comes after it, in the gateway.
-func (j *Journey) Through(e *Entry) {
-	j.span.To(e.Started, j.span.cause)
+func (j *ClientSpan) Include(e *Entry) {
+	j.span.Enter(e.Started, j.span.cause)
 	part, whole := e.Ended-j.span.since, e.Ended-e.Started
 	if part <= 0 {
 		return
@@ -81,12 +83,12 @@
 	} else {
 		j.behind = append(slices.Clip(j.behind), behind...)
 	}
-	unknown := parts[NodeTime]
-	if j.untold == nil && len(e.Untold) == 1 && e.Untold[0].Unknown <= unknown { // as nearly always
-		j.untold = e.Untold[:1:1]
+	unknown := parts[NodeUnknown]
+	if j.untold == nil && len(e.Unreported) == 1 && e.Unreported[0].Unknown <= unknown { // as nearly always
+		j.untold = e.Unreported[:1:1]
 		return
 	}
-	for _, u := range e.Untold {
+	for _, u := range e.Unreported {
 		if u.Unknown = min(u.Unknown, unknown); u.Unknown > 0 {
 			unknown -= u.Unknown
 			j.untold = append(j.untold, u)
@@ -96,9 +98,9 @@
 
 // scaled takes the part of an account that no other accounts for: of each cause
 // its share. The parts sum exactly; what rounding leaves goes to the largest.
-func scaled(e *Entry, part, whole time.Duration) (Split, []Blame) {
+func scaled(e *Entry, part, whole time.Duration) (Breakdown, []Contribution) {
 	f := float64(part) / float64(whole)
-	var s Split
+	var s Breakdown
 	left, big := part, 0
 	for c, d := range e.Parts {
 		s[c] = min(time.Duration(f*float64(d)), left)
@@ -108,23 +110,23 @@
 		}
 	}
 	s[big] += left
-	behind := make([]Blame, len(e.Behind))
+	behind := make([]Contribution, len(e.Behind))
 	for i, b := range e.Behind {
-		behind[i] = Blame{b.Volume, time.Duration(f * float64(b.Time))}
+		behind[i] = Contribution{b.Volume, time.Duration(f * float64(b.Time))}
 	}
 	return s, behind
 }
 
 // End ends the journey and returns its account, whose parts sum to its time.
-func (j *Journey) End(now time.Duration, volume string, o Outcome) Entry {
-	j.span.To(now, Gateway)
-	e := j.span.Account(volume, o)
-	e.Behind, e.Untold = j.behind, j.untold
+func (j *ClientSpan) End(now time.Duration, volume string, o Outcome) Entry {
+	j.span.Enter(now, Gateway)
+	e := j.span.Finish(volume, o)
+	e.Behind, e.Unreported = j.behind, j.untold
 	return e
 }
 
-// Share is what a volume has out at a node, in units.
-type Share struct {
+// InFlightUnits is what a volume has out at a node, in units.
+type InFlightUnits struct {
 	Volume string
 	Units  float64
 	count  int
@@ -132,7 +134,7 @@
 
 // Divide divides a wait among those who were ahead, by their units. The parts sum
 // to the whole; it is nobody's where nobody was.
-func Divide(ahead []Share, d time.Duration) []Blame {
+func Divide(ahead []InFlightUnits, d time.Duration) []Contribution {
 	if d <= 0 {
 		return nil
 	}
@@ -141,13 +143,13 @@
 		units += s.Units
 	}
 	if units <= 0 {
-		return []Blame{{"", d}}
+		return []Contribution{{"", d}}
 	}
-	sum := make([]Share, len(ahead))
+	sum := make([]InFlightUnits, len(ahead))
 	for i, s := range ahead {
-		sum[i] = Share{Volume: s.Volume, Units: d.Seconds() * s.Units / units}
+		sum[i] = InFlightUnits{Volume: s.Volume, Units: d.Seconds() * s.Units / units}
 	}
 	return exact(sum, 0, d)
 }
 
-func compareShare(s Share, v string) int { return strings.Compare(s.Volume, v) }
+func compareShare(s InFlightUnits, v string) int { return strings.Compare(s.Volume, v) }
--- a/attribution/keeper.go
+++ b/attribution/keeper.go
@@ -6,39 +6,39 @@
 	"time"
 )
 
-// Keeper keeps the books of a gateway's requests and puts late reports where they
+// Collector keeps the books of a gateway's requests and puts late reports where they
 // belong. It is told of events with the time and returns actions; it is not safe
 // for concurrent use.
-type Keeper struct {
-	books  *Books
+type Collector struct {
+	books  *Aggregator
 	now    time.Duration
-	await  *ring[callKey, awaited] // requests whose nodes have not told
-	early  *ring[callKey, Told]    // reports of requests that are not entered yet
+	await  *ring[callKey, awaited]    // requests whose nodes have not told
+	early  *ring[callKey, NodeReport] // reports of requests that are not entered yet
 	counts Counts
 	acts   []Action
 }
 
-// KeeperConfig bounds a keeper.
-type KeeperConfig struct {
+// CollectorConfig bounds a keeper.
+type CollectorConfig struct {
 	Config
 	Late  int // ended requests that are remembered for late reports
 	Early int // reports that wait for their request's end
 }
 
-// DefaultKeeperConfig returns the defaults.
-func DefaultKeeperConfig() KeeperConfig {
-	return KeeperConfig{Config: DefaultConfig(), Late: 8192, Early: 1024}
+// DefaultCollectorConfig returns the defaults.
+func DefaultCollectorConfig() CollectorConfig {
+	return CollectorConfig{Config: DefaultConfig(), Late: 8192, Early: 1024}
 }
 
 // Counts are what a keeper has seen since its start.
 type Counts struct {
-	Entered   int64 `json:"entered"`
-	Untold    int64 `json:"untold"`    // attempts whose nodes had not told by the request's end
-	ToldLate  int64 `json:"told_late"` // of these, told since
-	Corrected int64 `json:"corrected"` // of these, in slots that had been closed
-	Unplaced  int64 `json:"unplaced"`  // reports whose request is not known, or no longer
-	Overdue   int64 `json:"overdue"`   // entries of slots that had been closed, and perhaps saved, before
-	Lost      int64 `json:"lost"`      // entries that could not be handed over
+	Entered      int64 `json:"entered"`
+	Unreported   int64 `json:"untold"`    // attempts whose nodes had not told by the request's end
+	ReportedLate int64 `json:"told_late"` // of these, told since
+	Corrected    int64 `json:"corrected"` // of these, in slots that had been closed
+	Unplaced     int64 `json:"unplaced"`  // reports whose request is not known, or no longer
+	Overdue      int64 `json:"overdue"`   // entries of slots that had been closed, and perhaps saved, before
+	Lost         int64 `json:"lost"`      // entries that could not be handed over
 }
 
 // Event is something that a keeper hears.
@@ -47,12 +47,12 @@
 // Batch is what has come together: entries and late reports, in any order.
 type Batch struct {
 	Entries []Entry
-	Told    []Told
+	Reports []NodeReport
 	Lost    int64 // entries that had to be thrown away before this batch
 }
 
-// Told is a node's report, after its answer, of how an attempt's time there divides.
-type Told struct {
+// NodeReport is a node's report, after its answer, of how an attempt's time there divides.
+type NodeReport struct {
 	Call    uint64
 	Attempt int
 	Queue   time.Duration
@@ -65,22 +65,22 @@
 func (Batch) keeperEvent() {}
 func (Tick) keeperEvent()  {}
 
-// Finish closes all slots: nothing more will come.
-type Finish struct{}
+// Flush closes all slots: nothing more will come.
+type Flush struct{}
 
-func (Finish) keeperEvent() {}
+func (Flush) keeperEvent() {}
 
 // Action is something that a keeper wants done.
 type Action interface{ keeperAction() }
 
-// Closed tells that a slot is complete and can be saved. A Fixed may follow.
-type Closed struct{ Window Window }
+// SlotClosed tells that a slot is complete and can be saved. A Fixed may follow.
+type SlotClosed struct{ Window Window }
 
-// Fixed tells of a correction to a slot that was told as Closed.
-type Fixed struct{ Correction Correction }
+// SlotCorrected tells of a correction to a slot that was told as Closed.
+type SlotCorrected struct{ Correction Correction }
 
-func (Closed) keeperAction() {}
-func (Fixed) keeperAction()  {}
+func (SlotClosed) keeperAction()    {}
+func (SlotCorrected) keeperAction() {}
 
 type callKey struct {
 	call    uint64
@@ -92,40 +92,40 @@
 	ended   time.Duration
 	unknown time.Duration
 	had     *time.Duration // the request's whole time at nodes that is not told
-	ahead   []Share
+	ahead   []InFlightUnits
 }
 
-// NewKeeper returns a keeper of empty books.
-func NewKeeper(cfg KeeperConfig) (*Keeper, error) {
+// NewCollector returns a keeper of empty books.
+func NewCollector(cfg CollectorConfig) (*Collector, error) {
 	if cfg.Late < 1 || cfg.Early < 1 {
 		return nil, fmt.Errorf("attribution: want room for at least 1 late and 1 early report")
 	}
-	b, err := NewBooks(cfg.Config)
+	b, err := NewAggregator(cfg.Config)
 	if err != nil {
 		return nil, err
 	}
-	k := &Keeper{books: b, await: newRing[callKey, awaited](cfg.Late), early: newRing[callKey, Told](cfg.Early)}
+	k := &Collector{books: b, await: newRing[callKey, awaited](cfg.Late), early: newRing[callKey, NodeReport](cfg.Early)}
 	b.closed = func(ring int, p *page) {
 		slot := cfg.Resolutions[ring].Slot
 		at := time.Duration(p.index) * slot
-		k.acts = append(k.acts, Closed{p.window(at, at+slot, slot)})
+		k.acts = append(k.acts, SlotClosed{p.window(at, at+slot, slot)})
 	}
 	return k, nil
 }
 
-// Books returns the books, for reading between events.
-func (k *Keeper) Books() *Books { return k.books }
+// Aggregator returns the books, for reading between events.
+func (k *Collector) Aggregator() *Aggregator { return k.books }
 
 // Counts returns what was seen so far.
-func (k *Keeper) Counts() Counts { return k.counts }
+func (k *Collector) Counts() Counts { return k.counts }
 
 // Handle takes an event and returns what is to be done. The slice is the caller's
 // until the next call.
-func (k *Keeper) Handle(now time.Duration, ev Event) []Action {
+func (k *Collector) Handle(now time.Duration, ev Event) []Action {
 	k.acts = k.acts[:0]
 	k.now = max(now, k.now)
 	until := k.now
-	if _, ok := ev.(Finish); ok {
+	if _, ok := ev.(Flush); ok {
 		until = math.MaxInt64
 	}
 	k.books.Advance(until)
@@ -134,7 +134,7 @@
 		for i := range b.Entries {
 			k.enter(&b.Entries[i])
 		}
-		for _, t := range b.Told {
+		for _, t := range b.Reports {
 			k.told(t)
 		}
 	}
@@ -143,9 +143,9 @@
 
 // enter puts a request into the books. Reports that came before it are applied to
 // the entry itself; for those that may come later it is remembered.
-func (k *Keeper) enter(e *Entry) {
+func (k *Collector) enter(e *Entry) {
 	k.counts.Entered++
-	wait := e.Untold
+	wait := e.Unreported
 	if len(k.early.at) > 0 {
 		wait = k.toldEarly(e)
 	}
@@ -156,39 +156,39 @@
 	if len(wait) == 0 {
 		return
 	}
-	had := e.Parts[NodeTime]
+	had := e.Parts[NodeUnknown]
 	for _, u := range wait {
-		k.counts.Untold++
+		k.counts.Unreported++
 		k.await.put(callKey{u.Call, u.Attempt}, awaited{e.Volume, e.Ended, u.Unknown, &had, u.Ahead})
 	}
 }
 
 // toldEarly applies the reports that came before their request and returns the
 // attempts that are still untold.
-func (k *Keeper) toldEarly(e *Entry) (wait []Untold) {
-	for _, u := range e.Untold {
+func (k *Collector) toldEarly(e *Entry) (wait []Unreported) {
+	for _, u := range e.Unreported {
 		t, ok := k.early.take(callKey{u.Call, u.Attempt})
 		if !ok {
 			wait = append(wait, u)
 			continue
 		}
 		queue, work := t.within(u.Unknown)
-		e.Move(NodeTime, NodeQueue, queue)
-		e.Move(NodeTime, NodeWork, work)
+		e.Move(NodeUnknown, NodeQueue, queue)
+		e.Move(NodeUnknown, NodeService, work)
 		e.Behind = append(e.Behind, Divide(u.Ahead, queue)...)
 	}
 	return wait
 }
 
 // within bounds what a report tells by the time that the attempt took.
-func (t Told) within(unknown time.Duration) (queue, work time.Duration) {
+func (t NodeReport) within(unknown time.Duration) (queue, work time.Duration) {
 	queue = min(max(t.Queue, 0), unknown)
 	return queue, min(max(t.Work, 0), unknown-queue)
 }
 
 // told puts a late report on its request and slot. One that is told twice counts
 // once.
-func (k *Keeper) told(t Told) {
+func (k *Collector) told(t NodeReport) {
 	key := callKey{t.Call, t.Attempt}
 	a, ok := k.await.take(key)
 	if !ok {
@@ -198,24 +198,24 @@
 		return
 	}
 	queue, work := t.within(a.unknown)
-	c := Correction{Volume: a.volume, Ended: a.ended, From: NodeTime, Had: *a.had, Behind: Divide(a.ahead, queue)}
-	for _, m := range []Moved{{NodeQueue, queue}, {NodeWork, work}} {
+	c := Correction{Volume: a.volume, Ended: a.ended, From: NodeUnknown, Had: *a.had, Behind: Divide(a.ahead, queue)}
+	for _, m := range []ComponentTime{{NodeQueue, queue}, {NodeService, work}} {
 		if m.Time > 0 {
 			c.To = append(c.To, m)
 		}
 	}
 	*a.had -= queue + work
-	k.counts.ToldLate++
+	k.counts.ReportedLate++
 	if _, late := k.books.Correct(c); late {
 		k.counts.Corrected++
 	}
 	if k.wasClosed(a.ended) {
-		k.acts = append(k.acts, Fixed{c})
+		k.acts = append(k.acts, SlotCorrected{c})
 	}
 }
 
 // wasClosed tells whether the slot of a time was told as Closed.
-func (k *Keeper) wasClosed(at time.Duration) bool {
+func (k *Collector) wasClosed(at time.Duration) bool {
 	p := k.books.held(k.books.distRing(), at)
 	return p != nil && p.rolled
 }
--- a/attribution/keeper_test.go
+++ b/attribution/keeper_test.go
@@ -19,42 +19,42 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(rapid.Int64Range(0, 1e9).Draw(t, "start"))
 		start := now
-		j := SetOut(now, Gateway)
+		j := StartClientSpan(now, Gateway)
 		n := rapid.IntRange(0, 6).Draw(t, "calls")
 		for i := range n {
 			now += time.Duration(rapid.Int64Range(0, 1e6).Draw(t, "later"))
-			j.To(now, []Cause{Gateway, BodyIn}[i%2])
+			j.Enter(now, []Component{Gateway, RequestBody}[i%2])
 			e := Entry{Started: max(start, now-time.Duration(rapid.Int64Range(0, 3e6).Draw(t, "long"))), Ended: now}
 			left := e.Ended - e.Started
 			for left > 0 {
 				d := time.Duration(rapid.Int64Range(1, int64(left)).Draw(t, "part"))
-				e.Parts[rapid.IntRange(0, Causes-1).Draw(t, "cause")] += d
+				e.Parts[rapid.IntRange(0, Components-1).Draw(t, "cause")] += d
 				left -= d
 			}
-			if d := e.Parts[Others]; d > 0 {
-				e.Behind = []Blame{{"a", d / 2}, {"b", d - d/2}}
+			if d := e.Parts[QueuedBehindOthers]; d > 0 {
+				e.Behind = []Contribution{{"a", d / 2}, {"b", d - d/2}}
 			}
-			e.Untold = []Untold{{Call: uint64(i), Unknown: e.Parts[NodeTime]}}
-			j.Through(&e)
+			e.Unreported = []Unreported{{Call: uint64(i), Unknown: e.Parts[NodeUnknown]}}
+			j.Include(&e)
 		}
 		now += time.Duration(rapid.Int64Range(0, 1e6).Draw(t, "tail"))
-		e := j.End(now, "v", Answered)
+		e := j.End(now, "v", Completed)
 		var behind, unknown time.Duration
 		for _, b := range e.Behind {
 			behind += b.Time
 		}
-		for _, u := range e.Untold {
+		for _, u := range e.Unreported {
 			unknown += u.Unknown
 		}
 		if e.Parts.Total() != now-start || e.Ended-e.Started != now-start {
 			t.Fatalf("%v of %v: %v", e.Parts.Total(), now-start, e.Parts)
 		}
-		if behind > e.Parts[Others] || unknown > e.Parts[NodeTime] {
-			t.Fatalf("behind %v of %v, untold %v of %v", behind, e.Parts[Others], unknown, e.Parts[NodeTime])
+		if behind > e.Parts[QueuedBehindOthers] || unknown > e.Parts[NodeUnknown] {
+			t.Fatalf("behind %v of %v, untold %v of %v", behind, e.Parts[QueuedBehindOthers], unknown, e.Parts[NodeUnknown])
 		}
 		for c, d := range e.Parts {
 			if d < 0 {
-				t.Fatalf("%v: %v", Cause(c), d)
+				t.Fatalf("%v: %v", Component(c), d)
 			}
 		}
 	})
@@ -62,9 +62,9 @@
 
 func TestDivideSumsExactly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var ahead []Share
+		var ahead []InFlightUnits
 		for i := range rapid.IntRange(0, 8).Draw(t, "n") {
-			ahead = append(ahead, Share{Volume: fmt.Sprint(i), Units: rapid.Float64Range(1e-3, 1e3).Draw(t, "units")})
+			ahead = append(ahead, InFlightUnits{Volume: fmt.Sprint(i), Units: rapid.Float64Range(1e-3, 1e3).Draw(t, "units")})
 		}
 		d := time.Duration(rapid.Int64Range(0, 1e12).Draw(t, "wait"))
 		var sum time.Duration
@@ -77,14 +77,14 @@
 	})
 }
 
-func keeper(t testing.TB, change func(*KeeperConfig)) *Keeper {
+func keeper(t testing.TB, change func(*CollectorConfig)) *Collector {
 	t.Helper()
-	cfg := DefaultKeeperConfig()
+	cfg := DefaultCollectorConfig()
 	cfg.Resolutions = []Resolution{{time.Second, 30}, {10 * time.Second, 30}, {time.Minute, 10}}
 	if change != nil {
 		change(&cfg)
 	}
-	k, err := NewKeeper(cfg)
+	k, err := NewCollector(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,75 +94,75 @@
 // untold is an entry of 30 ms at its node, of which the node has not told.
 func untold(volume string, call uint64, ended time.Duration) Entry {
 	e := Entry{Volume: volume, Started: ended - 30*ms, Ended: ended}
-	e.Parts[NodeTime] = 30 * ms
-	e.Untold = []Untold{{Call: call, Unknown: 30 * ms, Ahead: []Share{{Volume: "flood", Units: 3}, {Volume: volume, Units: 1}}}}
+	e.Parts[NodeUnknown] = 30 * ms
+	e.Unreported = []Unreported{{Call: call, Unknown: 30 * ms, Ahead: []InFlightUnits{{Volume: "flood", Units: 3}, {Volume: volume, Units: 1}}}}
 	return e
 }
 
 // A report is put on its request, whenever it comes: before the entry, after it,
 // after the slot was closed and saved, or never. Told twice it counts once.
 func TestLateReports(t *testing.T) {
-	report := Told{Call: 7, Queue: 20 * ms, Work: 8 * ms}
-	want := func(name string, k *Keeper, corrected bool) {
+	report := NodeReport{Call: 7, Queue: 20 * ms, Work: 8 * ms}
+	want := func(name string, k *Collector, corrected bool) {
 		t.Helper()
-		w, _ := k.Books().Over(k.now, 20*time.Second)
+		w, _ := k.Aggregator().Over(k.now, 20*time.Second)
 		l, _ := w.Of("v")
-		if l.Parts[NodeQueue] != 20*ms || l.Parts[NodeWork] != 8*ms || l.Parts[NodeTime] != 2*ms || w.Corrected != corrected {
+		if l.Parts[NodeQueue] != 20*ms || l.Parts[NodeService] != 8*ms || l.Parts[NodeUnknown] != 2*ms || w.Corrected != corrected {
 			t.Fatalf("%s: %v, corrected %v", name, l.Parts, w.Corrected)
 		}
 		if len(w.Pairs) != 1 || w.Pairs[0].Key != (Pair{"v", "flood"}) || time.Duration(w.Pairs[0].Count) != 15*ms {
 			t.Fatalf("%s: %+v", name, w.Pairs)
 		}
 		d, ok := w.Dist("v")
-		if !ok || d.CausePercentile(NodeQueue, 0.5) < 19*ms || d.CausePercentile(NodeTime, 0.5) > 2100*time.Microsecond || d.Causes["node_unknown"].Count() != 1 {
+		if !ok || d.CausePercentile(NodeQueue, 0.5) < 19*ms || d.CausePercentile(NodeUnknown, 0.5) > 2100*time.Microsecond || d.Causes["node_unknown"].Count() != 1 {
 			t.Fatalf("%s: distributions %+v", name, d)
 		}
 	}
 	early := keeper(t, nil)
-	early.Handle(500*ms, Batch{Told: []Told{report}})
+	early.Handle(500*ms, Batch{Reports: []NodeReport{report}})
 	early.Handle(600*ms, Batch{Entries: []Entry{untold("v", 7, 550*ms)}})
 	want("before the entry", early, false)
 
 	after := keeper(t, nil)
-	after.Handle(600*ms, Batch{Entries: []Entry{untold("v", 7, 550*ms)}, Told: []Told{report}})
-	after.Handle(700*ms, Batch{Told: []Told{report}})
+	after.Handle(600*ms, Batch{Entries: []Entry{untold("v", 7, 550*ms)}, Reports: []NodeReport{report}})
+	after.Handle(700*ms, Batch{Reports: []NodeReport{report}})
 	want("after it", after, false)
-	if c := after.Counts(); c.Untold != 1 || c.ToldLate != 1 || c.Corrected != 0 {
+	if c := after.Counts(); c.Unreported != 1 || c.ReportedLate != 1 || c.Corrected != 0 {
 		t.Fatalf("%+v", c)
 	}
 
 	late := keeper(t, nil)
 	late.Handle(600*ms, Batch{Entries: []Entry{untold("v", 7, 550*ms)}})
 	acts := slices.Clone(late.Handle(12*time.Second, Tick{}))
-	if len(acts) != 1 || acts[0].(Closed).Window.All.Parts[NodeTime] != 30*ms {
+	if len(acts) != 1 || acts[0].(SlotClosed).Window.All.Parts[NodeUnknown] != 30*ms {
 		t.Fatalf("a slot that closed: %+v", acts)
 	}
-	saved := acts[0].(Closed).Window
-	acts = late.Handle(13*time.Second, Batch{Told: []Told{report}})
+	saved := acts[0].(SlotClosed).Window
+	acts = late.Handle(13*time.Second, Batch{Reports: []NodeReport{report}})
 	if len(acts) != 1 {
 		t.Fatalf("%+v", acts)
 	}
 	want("after the slot was saved", late, true)
-	fixed := saved.Apply(acts[0].(Fixed).Correction)
-	w, _ := late.Books().Over(13*time.Second, 20*time.Second)
+	fixed := saved.Apply(acts[0].(SlotCorrected).Correction)
+	w, _ := late.Aggregator().Over(13*time.Second, 20*time.Second)
 	if fixed.All.Parts != w.All.Parts || fixed.Pairs[0] != w.Pairs[0] || !fixed.Corrected || !reflect.DeepEqual(fixed.Dists, w.Dists) {
 		t.Fatalf("the saved slot with its correction is %+v, the books say %+v", fixed, w)
 	}
 
 	never := keeper(t, nil)
-	never.Handle(600*ms, Batch{Entries: []Entry{untold("v", 7, 550*ms)}, Told: []Told{{Call: 7, Attempt: 1, Work: ms}}})
-	if w, _ := never.Books().Over(never.now, time.Second); w.All.Parts[NodeTime] != 30*ms {
+	never.Handle(600*ms, Batch{Entries: []Entry{untold("v", 7, 550*ms)}, Reports: []NodeReport{{Call: 7, Attempt: 1, Work: ms}}})
+	if w, _ := never.Aggregator().Over(never.now, time.Second); w.All.Parts[NodeUnknown] != 30*ms {
 		t.Fatalf("another attempt's report was taken: %v", w.All.Parts)
 	}
 }
 
 // What a report tells is bounded by the time that passed; nothing is made of it.
 func TestReportsThatTellTooMuch(t *testing.T) {
-	for _, r := range []Told{{Call: 7, Queue: time.Hour, Work: time.Hour}, {Call: 7, Queue: -time.Hour, Work: math.MaxInt64}} {
+	for _, r := range []NodeReport{{Call: 7, Queue: time.Hour, Work: time.Hour}, {Call: 7, Queue: -time.Hour, Work: math.MaxInt64}} {
 		k := keeper(t, nil)
-		k.Handle(600*ms, Batch{Entries: []Entry{untold("v", 7, 550*ms)}, Told: []Told{r}})
-		w, _ := k.Books().Over(k.now, time.Second)
-		if p := w.All.Parts; p.Total() != 30*ms || p[NodeTime] != 0 || p[NodeQueue]+p[NodeWork] != 30*ms {
+		k.Handle(600*ms, Batch{Entries: []Entry{untold("v", 7, 550*ms)}, Reports: []NodeReport{r}})
+		w, _ := k.Aggregator().Over(k.now, time.Second)
+		if p := w.All.Parts; p.Total() != 30*ms || p[NodeUnknown] != 0 || p[NodeQueue]+p[NodeService] != 30*ms {
 			t.Fatalf("%+v: %v", r, p)
 		}
 	}
@@ -171,14 +171,14 @@
 // Requests that wait for reports are bounded, and so are reports that wait for
 // requests; what gives way is counted.
 func TestLateIsBounded(t *testing.T) {
-	k := keeper(t, func(c *KeeperConfig) { c.Late, c.Early = 4, 4 })
+	k := keeper(t, func(c *CollectorConfig) { c.Late, c.Early = 4, 4 })
 	for i := range uint64(20) {
 		k.Handle(600*ms, Batch{Entries: []Entry{untold("v", i, 550*ms)}})
 	}
 	for i := range uint64(20) {
-		k.Handle(700*ms, Batch{Told: []Told{{Call: i, Work: 30 * ms}}})
+		k.Handle(700*ms, Batch{Reports: []NodeReport{{Call: i, Work: 30 * ms}}})
 	}
-	if c := k.Counts(); c.ToldLate != 4 || c.Unplaced != 12 || len(k.await.at) != 0 || len(k.early.at) != 4 {
+	if c := k.Counts(); c.ReportedLate != 4 || c.Unplaced != 12 || len(k.await.at) != 0 || len(k.early.at) != 4 {
 		t.Fatalf("%+v, %d await, %d early", c, len(k.await.at), len(k.early.at))
 	}
 }
@@ -186,29 +186,29 @@
 // The same events give the same books, and windows that are told, summed and read
 // back give the sums of the books themselves.
 func TestWindowsToldAndRead(t *testing.T) {
-	play := func(seed uint64) (*Keeper, []Window) {
+	play := func(seed uint64) (*Collector, []Window) {
 		rng := rand.New(rand.NewPCG(seed, 9))
-		k := keeper(t, func(c *KeeperConfig) { c.Volumes, c.Pairs, c.Distributions = 12, 20, 4 })
+		k := keeper(t, func(c *CollectorConfig) { c.Volumes, c.Pairs, c.Distributions = 12, 20, 4 })
 		var closed []Window
 		now := time.Duration(0)
 		for i := range 3000 {
 			now += time.Duration(rng.IntN(30)) * ms
 			e := untold(fmt.Sprint("v", rng.IntN(1+rng.IntN(30))), uint64(i), now)
-			e.Parts[Others] = time.Duration(rng.IntN(40)) * ms
-			e.Behind = []Blame{{fmt.Sprint("v", rng.IntN(30)), e.Parts[Others]}}
+			e.Parts[QueuedBehindOthers] = time.Duration(rng.IntN(40)) * ms
+			e.Behind = []Contribution{{fmt.Sprint("v", rng.IntN(30)), e.Parts[QueuedBehindOthers]}}
 			e.Outcome = Outcome(rng.IntN(Outcomes))
 			b := Batch{Entries: []Entry{e}}
 			if rng.IntN(2) == 0 {
-				b.Told = []Told{{Call: uint64(max(0, i-rng.IntN(50))), Queue: 10 * ms, Work: 10 * ms}}
+				b.Reports = []NodeReport{{Call: uint64(max(0, i-rng.IntN(50))), Queue: 10 * ms, Work: 10 * ms}}
 			}
 			for _, a := range k.Handle(now, b) {
-				if c, ok := a.(Closed); ok {
+				if c, ok := a.(SlotClosed); ok {
 					closed = append(closed, c.Window)
 				}
 			}
 		}
-		for _, a := range k.Handle(now, Finish{}) {
-			if c, ok := a.(Closed); ok {
+		for _, a := range k.Handle(now, Flush{}) {
+			if c, ok := a.(SlotClosed); ok {
 				closed = append(closed, c.Window)
 			}
 		}
@@ -229,7 +229,7 @@
 			t.Fatal(err)
 		}
 		sum := Sum(read, 64, 400, 64)
-		w, ok := k.Books().Over(k.now, 9*time.Minute)
+		w, ok := k.Aggregator().Over(k.now, 9*time.Minute)
 		if !ok || sum.All.Requests != 3000 || sum.All.Parts.Total() != w.All.Parts.Total() || sum.Behind > w.Behind {
 			t.Fatalf("seed %d: %+v beside %+v", seed, sum.All, w.All)
 		}
@@ -240,7 +240,7 @@
 		if total != sum.All.Parts.Total() {
 			t.Fatalf("seed %d: lines and rest %v of %v", seed, total, sum.All.Parts.Total())
 		}
-		pages, ok := k.Books().Pages(k.now, 4*time.Minute)
+		pages, ok := k.Aggregator().Pages(k.now, 4*time.Minute)
 		if !ok || len(pages) < 2 || !reflect.DeepEqual(Sum(pages, 64, 400, 64).All, w.All) {
 			t.Fatalf("seed %d: %d pages", seed, len(pages))
 		}
@@ -252,16 +252,16 @@
 	k := keeper(t, nil)
 	for i := range 40 {
 		e := untold("v", uint64(i), time.Duration(i)*time.Second)
-		e.Behind = []Blame{{"flood", ms}, {"", ms}, {"v", ms}}
+		e.Behind = []Contribution{{"flood", ms}, {"", ms}, {"v", ms}}
 		k.Handle(e.Ended, Batch{Entries: []Entry{e}})
 	}
-	ws, _ := k.Books().Pages(40*time.Second, 4*time.Minute)
+	ws, _ := k.Aggregator().Pages(40*time.Second, 4*time.Minute)
 	sum := Sum(ws, 100, 100, 100)
 	if sum.PairError != 0 || len(sum.Pairs) != 1 || sum.Pairs[0] != (Item[Pair]{Key: Pair{"v", "flood"}, Count: int64(40 * ms)}) || sum.Volumes[0].Missing != 0 {
 		t.Fatalf("%+v", sum)
 	}
-	waited, _, _ := k.Books().Behind(40*time.Second, 4*time.Minute, "v")
-	_, caused, within := k.Books().Behind(40*time.Second, 4*time.Minute, "flood")
+	waited, _, _ := k.Aggregator().Behind(40*time.Second, 4*time.Minute, "v")
+	_, caused, within := k.Aggregator().Behind(40*time.Second, 4*time.Minute, "flood")
 	if waited != 40*ms || caused != 40*ms || within != 0 {
 		t.Fatalf("%v, %v within %v", waited, caused, within)
 	}
@@ -275,14 +275,14 @@
 	var all, others []time.Duration
 	for i := range 5000 {
 		e := Entry{Volume: "v", Ended: time.Duration(i) * 5 * ms}
-		e.Parts[NodeWork] = time.Duration(math.Exp(rng.NormFloat64()*2+2) * float64(ms))
+		e.Parts[NodeService] = time.Duration(math.Exp(rng.NormFloat64()*2+2) * float64(ms))
 		if rng.IntN(3) == 0 {
-			e.Parts[Others] = time.Duration(rng.IntN(1_000_000)) * time.Microsecond
+			e.Parts[QueuedBehindOthers] = time.Duration(rng.IntN(1_000_000)) * time.Microsecond
 		}
-		all, others = append(all, e.Parts.Total()), append(others, e.Parts[Others])
+		all, others = append(all, e.Parts.Total()), append(others, e.Parts[QueuedBehindOthers])
 		k.Handle(e.Ended, Batch{Entries: []Entry{e}})
 	}
-	w, _ := k.Books().Over(k.now, 4*time.Minute)
+	w, _ := k.Aggregator().Over(k.now, 4*time.Minute)
 	d, ok := w.Dist("v")
 	if !ok {
 		t.Fatal("no distributions")
@@ -293,7 +293,7 @@
 		for _, x := range []struct {
 			got    time.Duration
 			sorted []time.Duration
-		}{{d.Percentile(s), all}, {d.CausePercentile(Others, s), others}} {
+		}{{d.Percentile(s), all}, {d.CausePercentile(QueuedBehindOthers, s), others}} {
 			at := int(s * float64(len(x.sorted)))
 			lo, hi := x.sorted[max(at-2, 0)], x.sorted[min(at+2, len(x.sorted)-1)]
 			if x.got.Seconds() < lo.Seconds()*(1-PercentileError)-2e-6 || x.got.Seconds() > hi.Seconds()*(1+PercentileError)+2e-6 {
@@ -305,7 +305,7 @@
 
 // Places for distributions go to the heavy volumes, whoever came first.
 func TestDistributionsAreOfTheHeaviest(t *testing.T) {
-	k := keeper(t, func(c *KeeperConfig) { c.Distributions = 2 })
+	k := keeper(t, func(c *CollectorConfig) { c.Distributions = 2 })
 	for slot := range 3 {
 		for i := range 40 {
 			v, d := fmt.Sprint("light", i%20), ms
@@ -313,11 +313,11 @@
 				v, d = "heavy", 100*ms
 			}
 			e := Entry{Volume: v, Ended: time.Duration(slot)*10*time.Second + time.Duration(i)*50*ms}
-			e.Parts[NodeWork] = d
+			e.Parts[NodeService] = d
 			k.Handle(e.Ended, Batch{Entries: []Entry{e}})
 		}
 	}
-	w, _ := k.Books().Over(k.now, 4*time.Minute)
+	w, _ := k.Aggregator().Over(k.now, 4*time.Minute)
 	d, ok := w.Dist("heavy")
 	if len(w.Dists) > 2 || !ok || d.Whole.Count() < 8 {
 		t.Fatalf("%d distributions, heavy %v: %+v", len(w.Dists), ok, d.Whole)
@@ -326,7 +326,7 @@
 
 // BenchmarkKeeper enters requests of 100,000 volumes and reports what the books hold.
 func BenchmarkKeeper(b *testing.B) {
-	k := keeper(b, func(c *KeeperConfig) { c.Resolutions = DefaultConfig().Resolutions })
+	k := keeper(b, func(c *CollectorConfig) { c.Resolutions = DefaultConfig().Resolutions })
 	rng := rand.New(rand.NewPCG(1, 1))
 	zipf := rand.NewZipf(rng, 1.1, 1, 99_999)
 	names := make([]string, 100_000)
@@ -339,8 +339,8 @@
 		now := time.Duration(i) * 50 * time.Microsecond
 		for j := range batch {
 			batch[j] = untold(names[zipf.Uint64()], uint64(i+j), now)
-			batch[j].Parts[Others] = ms
-			batch[j].Behind = []Blame{{names[zipf.Uint64()], ms}}
+			batch[j].Parts[QueuedBehindOthers] = ms
+			batch[j].Behind = []Contribution{{names[zipf.Uint64()], ms}}
 		}
 		k.Handle(now, Batch{Entries: batch})
 	}
--- a/attribution/occupancy.go
+++ b/attribution/occupancy.go
@@ -16,9 +16,9 @@
 // in each older level merged times as long.
 type Occupancy struct {
 	quantum time.Duration
-	out     []Share   // by volume
-	marks   []float64 // of the clock, up to which each of out is accounted for
-	clock   float64   // seconds for each unit out: what a unit has been put down to
+	out     []InFlightUnits // by volume
+	marks   []float64       // of the clock, up to which each of out is accounted for
+	clock   float64         // seconds for each unit out: what a unit has been put down to
 	units   float64
 	since   time.Duration // accounted for in now up to here
 	now     stretch
@@ -34,14 +34,14 @@
 // stretch is how a time divides: seconds by volume, and time when nothing was out.
 type stretch struct {
 	from, to time.Duration
-	secs     []Share // Units are seconds here; by volume
+	secs     []InFlightUnits // Units are seconds here; by volume
 	idle     time.Duration
 }
 
-func addShare(to []Share, volume string, units float64) []Share {
+func addShare(to []InFlightUnits, volume string, units float64) []InFlightUnits {
 	i, found := slices.BinarySearchFunc(to, volume, compareShare)
 	if !found {
-		to = slices.Insert(to, i, Share{Volume: volume})
+		to = slices.Insert(to, i, InFlightUnits{Volume: volume})
 	}
 	to[i].Units += units
 	return to
@@ -110,7 +110,7 @@
 
 // Sent notes that a request of a volume is out from now on. It returns what was
 // out before it.
-func (o *Occupancy) Sent(now time.Duration, volume string, units float64) []Share {
+func (o *Occupancy) Sent(now time.Duration, volume string, units float64) []InFlightUnits {
 	o.advance(now)
 	ahead := slices.Clone(o.out)
 	units = max(units, minUnits)
@@ -118,7 +118,7 @@
 	if found {
 		o.reckon(i)
 	} else {
-		o.out = slices.Insert(o.out, i, Share{Volume: volume})
+		o.out = slices.Insert(o.out, i, InFlightUnits{Volume: volume})
 		o.marks = slices.Insert(o.marks, i, o.clock)
 	}
 	o.out[i].Units += units
@@ -149,22 +149,22 @@
 	}
 }
 
-// Blame is a part of a wait and the volume it is put down to; "" where nothing was
+// Contribution is a part of a wait and the volume it is put down to; "" where nothing was
 // out, or where it lies before what is still known.
-type Blame struct {
+type Contribution struct {
 	Volume string        `json:"volume"`
 	Time   time.Duration `json:"ns"`
 }
 
 // Between divides the time from one moment to another among those who were out,
 // the volumes in order. The parts sum to the whole exactly.
-func (o *Occupancy) Between(from, to time.Duration) []Blame {
+func (o *Occupancy) Between(from, to time.Duration) []Contribution {
 	o.advance(to)
 	if to <= from {
 		return nil
 	}
 	o.reckonAll()
-	var sum []Share // units as seconds here
+	var sum []InFlightUnits // units as seconds here
 	var nobody, known time.Duration
 	// take adds what a stretch has of the wait, and tells whether an older one may
 	// have more.
@@ -192,17 +192,17 @@
 
 // exact turns shares of seconds into whole times that sum to all: what rounding
 // leaves goes to the largest.
-func exact(sum []Share, nobody, all time.Duration) []Blame {
-	out := make([]Blame, 0, len(sum)+1)
+func exact(sum []InFlightUnits, nobody, all time.Duration) []Contribution {
+	out := make([]Contribution, 0, len(sum)+1)
 	if nobody > 0 {
-		out = append(out, Blame{"", nobody})
+		out = append(out, Contribution{"", nobody})
 	}
 	rest := all - nobody
 	big := -1
 	for _, s := range sum {
 		d := min(time.Duration(s.Units*float64(time.Second)), rest)
 		rest -= d
-		out = append(out, Blame{s.Volume, d})
+		out = append(out, Contribution{s.Volume, d})
 		if big < 0 || d > out[big].Time {
 			big = len(out) - 1
 		}
@@ -210,8 +210,8 @@
 	if rest > 0 && big >= 0 {
 		out[big].Time += rest
 	} else if rest > 0 {
-		out = append(out, Blame{"", rest})
+		out = append(out, Contribution{"", rest})
 	}
-	slices.SortFunc(out, func(a, b Blame) int { return cmp.Compare(a.Volume, b.Volume) })
+	slices.SortFunc(out, func(a, b Contribution) int { return cmp.Compare(a.Volume, b.Volume) })
 	return out
 }
--- a/attribution/page.go
+++ b/attribution/page.go
@@ -9,7 +9,7 @@
 // page is what one slot holds.
 type page struct {
 	index  int64 // of the slot since the clock's zero
-	all    Split
+	all    Breakdown
 	count  int64
 	ends   [Outcomes]int64
 	heavy  *Sketch[string] // volumes by the time of their requests
@@ -24,13 +24,13 @@
 }
 
 type volumePart struct {
-	Split
+	Breakdown
 	count int64
 	ends  [Outcomes]int64
 }
 
 func (v *volumePart) include(o *volumePart) {
-	v.Split.Add(&o.Split)
+	v.Breakdown.Add(&o.Breakdown)
 	v.count += o.count
 	addEnds(&v.ends, &o.ends)
 }
@@ -59,7 +59,7 @@
 
 // blame enters whom a volume waited behind. Time behind itself or behind nobody
 // that is known makes no pair.
-func (p *page) blame(victim string, bs []Blame) {
+func (p *page) blame(victim string, bs []Contribution) {
 	for _, x := range bs {
 		if x.Volume != victim && x.Volume != "" && x.Time > 0 {
 			p.pairs.Add(Pair{victim, x.Volume}, int64(x.Time))
@@ -92,9 +92,9 @@
 		v = &p.rest
 	}
 	for _, m := range c.To {
-		d := min(max(m.Time, 0), p.all[c.From], v.Split[c.From])
-		p.all[c.From], p.all[m.Cause] = p.all[c.From]-d, p.all[m.Cause]+d
-		v.Split[c.From], v.Split[m.Cause] = v.Split[c.From]-d, v.Split[m.Cause]+d
+		d := min(max(m.Time, 0), p.all[c.From], v.Breakdown[c.From])
+		p.all[c.From], p.all[m.Component] = p.all[c.From]-d, p.all[m.Component]+d
+		v.Breakdown[c.From], v.Breakdown[m.Component] = v.Breakdown[c.From]-d, v.Breakdown[m.Component]+d
 	}
 	p.blame(c.Volume, c.Behind)
 }
@@ -129,14 +129,14 @@
 // window tells what the page holds.
 func (p *page) window(from, to, slot time.Duration) Window {
 	w := Window{From: from, To: to, Slot: slot, Behind: p.behind, Corrected: p.fixed, PairError: time.Duration(p.pairs.floor())}
-	w.All = Line{Requests: p.count, Outcomes: p.ends, Parts: p.all}
-	w.Rest = Line{Requests: p.rest.count, Outcomes: p.rest.ends, Parts: p.rest.Split}
+	w.All = VolumeSummary{Requests: p.count, Outcomes: p.ends, Parts: p.all}
+	w.Rest = VolumeSummary{Requests: p.rest.count, Outcomes: p.rest.ends, Parts: p.rest.Breakdown}
 	for _, it := range p.heavy.Top(p.heavy.room) {
 		v := p.parts[it.Key]
 		if v == nil {
 			continue
 		}
-		l := Line{Volume: it.Key, Requests: v.count, Outcomes: v.ends, Parts: v.Split}
+		l := VolumeSummary{Volume: it.Key, Requests: v.count, Outcomes: v.ends, Parts: v.Breakdown}
 		if it.Error > 0 {
 			l.Missing = max(0, time.Duration(it.Count)-l.Parts.Total())
 		}
--- a/cmd/chalkstand/accounts.go
+++ b/cmd/chalkstand/accounts.go
@@ -213,5 +213,5 @@
 			log.Warn("account log", zap.Error(err))
 		}
 	}
-	return []gateway.Option{gateway.WithAccountsLog(save)}, bind, stop, nil
+	return []gateway.Option{gateway.WithAttributionLog(save)}, bind, stop, nil
 }
--- a/cmd/chalkstand/accounts_test.go
+++ b/cmd/chalkstand/accounts_test.go
@@ -34,8 +34,8 @@
 		s.Signed("PUT", "/photos/a", nil, strings.NewReader("x")).Body.Close()
 		kit.ReadAll(t, s.Signed("GET", "/photos/a", nil, nil).Body)
 	}
-	s.G.FlushAccounts()
-	srv := httptest.NewServer(s.G.AccountsHandler())
+	s.G.FlushAttribution()
+	srv := httptest.NewServer(s.G.AttributionHandler())
 	defer srv.Close()
 	admin := "--admin=" + strings.TrimPrefix(srv.URL, "http://")
 
@@ -88,7 +88,7 @@
 	}
 	for _, q := range []string{"?since=x", "?since=-1s", "?slots=maybe", "?span=1m"} {
 		r := httptest.NewRecorder()
-		s.G.AccountsHandler().ServeHTTP(r, httptest.NewRequest("GET", "/accounts"+q, nil))
+		s.G.AttributionHandler().ServeHTTP(r, httptest.NewRequest("GET", "/accounts"+q, nil))
 		if r.Code != 400 {
 			t.Errorf("%s: %d %s", q, r.Code, r.Body)
 		}
--- a/cmd/chalkstand/node.go
+++ b/cmd/chalkstand/node.go
@@ -15,7 +15,7 @@
 func nodeCommand() *cobra.Command {
 	var addr, dir, faults string
 	var linkMiB float64
-	cfg := storagenode.Config{Forget: true}
+	cfg := storagenode.Config{DiscardLog: true}
 	c := &cobra.Command{
 		Use: "node", Short: "Run a stand-in storage node",
 		Long: `Run a stand-in storage node until SIGTERM or SIGINT. It speaks the object API without
@@ -27,7 +27,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			cfg.Link = linkMiB * (1 << 20)
 			data := storagenode.NewDataset("")
-			var orders []storagenode.Order
+			var orders []storagenode.ScriptedFault
 			var err error
 			if dir != "" {
 				if data, err = storagenode.OpenDataset(dir); err != nil {
@@ -40,7 +40,7 @@
 				if err != nil {
 					return err
 				}
-				if orders, err = storagenode.ParseOrders(text); err != nil {
+				if orders, err = storagenode.ParseScript(text); err != nil {
 					return err
 				}
 			}
@@ -49,7 +49,7 @@
 				return err
 			}
 			defer n.Stop()
-			n.Follow(orders)
+			n.RunScript(orders)
 			fmt.Fprintln(cmd.OutOrStdout(), n.Addr())
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 			defer stop()
@@ -70,7 +70,7 @@
 	f.IntVar(&cfg.Queue, "queue", 256, "requests that may wait; more are turned away")
 	f.DurationVar(&cfg.PerUnit, "per-unit", 0, "work of one unit, such as 5ms")
 	f.Float64Var(&cfg.Speed, "speed", 1, "of a core")
-	f.Float64Var(&cfg.ColdFrom, "cold-from", 0, "share of its speed right after the start; 0: born warm")
+	f.Float64Var(&cfg.InitialSpeed, "cold-from", 0, "share of its speed right after the start; 0: born warm")
 	f.DurationVar(&cfg.WarmUp, "warm-up", 0, "until it has its full speed")
 	f.DurationVar(&cfg.ReportEvery, "report-every", 100*time.Millisecond, "how long a load report stays the same")
 	f.DurationVar(&cfg.ReportLate, "report-late", 0, "until a load report is told")
@@ -78,7 +78,7 @@
 	f.BoolVar(&cfg.Timing, "timing", false, "tell with each answer how the request's time here divides (Server-Timing)")
 	f.DurationVar(&cfg.TimingLate, "timing-late", 0, "tell it so much later, with another answer; 0: with its own")
 	f.Float64Var(&cfg.TimingLose, "timing-lose", 0, "share of requests of which it is never told")
-	f.DurationVar(&cfg.Remember, "remember", 30*time.Second, "how long repeats of a keyed write are dropped")
+	f.DurationVar(&cfg.DedupWindow, "remember", 30*time.Second, "how long repeats of a keyed write are dropped")
 	f.Float64Var(&linkMiB, "link", 0, "MiB a second that all its answers together send; 0: no bound")
 	f.IntVar(&cfg.SendBuffer, "send-buffer", 0, "bytes that the kernel holds of each connection's answers; 0: as it likes")
 	return c
--- a/cmd/chalkstand/serve.go
+++ b/cmd/chalkstand/serve.go
@@ -181,7 +181,7 @@
 	}
 	g.SetKeys(s.Keys)
 	if old.Embedded == nil && s.Embedded == nil {
-		g.SetNodes(dispatch.Snapshot, gateway.NodesOf(s.Nodes))
+		g.UpdateEndpoints(dispatch.Snapshot, gateway.EndpointsOf(s.Nodes))
 	}
 	log.Info("settings taken over", zap.Int("keys", len(s.Keys)), zap.Int("nodes", len(s.Nodes)))
 }
@@ -205,7 +205,7 @@
 	for i := range s.Shards {
 		cfg := storagenode.Config{
 			ID: fmt.Sprintf("embedded-%d", i), Shard: i, Cores: e.Cores, Queue: e.Queue, PerUnit: e.PerUnit.D(),
-			ReportEvery: 100 * time.Millisecond, Remember: 30 * time.Second, Forget: true, Timing: true,
+			ReportEvery: 100 * time.Millisecond, DedupWindow: 30 * time.Second, DiscardLog: true, Timing: true,
 		}
 		data := storagenode.NewDataset("")
 		if e.Dir != "" {
@@ -225,7 +225,7 @@
 		nodes = append(nodes, n)
 		list = append(list, forwarder.Node{Addr: n.Addr(), Node: dispatch.Node{ID: dispatch.NodeID(n.ID()), Shard: dispatch.Shard(i)}})
 	}
-	g.SetNodes(dispatch.Snapshot, list)
+	g.UpdateEndpoints(dispatch.Snapshot, list)
 	return stop, nil
 }
 
@@ -238,8 +238,8 @@
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", promhttp.HandlerFor(reg, promhttp.HandlerOpts{}))
 	mux.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") })
-	mux.Handle("/accounts", g.AccountsHandler())
-	mux.Handle("/shares", g.SharesHandler())
+	mux.Handle("/accounts", g.AttributionHandler())
+	mux.Handle("/shares", g.VolumeUsageHandler())
 	srv := &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second}
 	go func() {
 		if err := srv.Serve(ln); err != nil && !errors.Is(err, http.ErrServerClosed) {
--- a/cmd/chalkstand/standins.go
+++ b/cmd/chalkstand/standins.go
@@ -33,25 +33,25 @@
 			if nodes < 1 || nodes > 64 {
 				return fmt.Errorf("standins: --nodes: expected 1 to 64, got %d", nodes)
 			}
-			disc, err := fakediscovery.StartDiscovery()
+			disc, err := fakediscovery.Start()
 			if err != nil {
 				return err
 			}
 			defer disc.Stop()
-			var entries []fakediscovery.Entry
+			var entries []fakediscovery.Endpoint
 			for i := range nodes {
 				n, err := respnode.StartNode()
 				if err != nil {
 					return err
 				}
 				defer n.Stop()
-				n.Usually(respnode.Order{Wait: work})
-				entries = append(entries, fakediscovery.Entry{ID: fmt.Sprintf("s%d", i), Addr: n.Addr(), State: "Ready", Cell: i})
+				n.SetDefault(respnode.Behavior{Delay: work})
+				entries = append(entries, fakediscovery.Endpoint{ID: fmt.Sprintf("s%d", i), Addr: n.Addr(), State: "Ready", Cell: i})
 			}
 			text, err := json.Marshal(map[string]any{
 				"name": "n1", "listen": listen, "discovery": disc.Addr(), "seed": "1",
 				"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 512},
-				"known":  json.RawMessage(fakediscovery.List(1, true, entries...)), "settings": json.RawMessage(fmt.Sprintf(standinSettings, nodes)),
+				"known":  json.RawMessage(fakediscovery.Document(1, true, entries...)), "settings": json.RawMessage(fmt.Sprintf(standinSettings, nodes)),
 			})
 			if err != nil {
 				return err
--- a/cmd/chalkstand/top.go
+++ b/cmd/chalkstand/top.go
@@ -17,7 +17,7 @@
 
 // sharesTold is what /shares answers.
 type sharesTold struct {
-	Shares []gateway.Share `json:"shares"`
+	Shares []gateway.VolumeUsage `json:"shares"`
 	at     time.Time
 }
 
@@ -85,7 +85,7 @@
 
 // showTop writes a table of what was had between two moments.
 func showTop(out io.Writer, before, now *sharesTold, n int) {
-	then := map[string]gateway.Share{}
+	then := map[string]gateway.VolumeUsage{}
 	for _, s := range before.Shares {
 		then[s.Volume] = s
 	}
@@ -94,24 +94,24 @@
 	var sum time.Duration
 	for i := range rows {
 		was := then[rows[i].Volume]
-		if was.Loops <= rows[i].Loops { // else it was forgotten meanwhile, and made anew
-			rows[i].Loops -= was.Loops
+		if was.LoopTime <= rows[i].LoopTime { // else it was forgotten meanwhile, and made anew
+			rows[i].LoopTime -= was.LoopTime
 			rows[i].Bytes -= was.Bytes
 		}
-		sum += rows[i].Loops
+		sum += rows[i].LoopTime
 	}
-	slices.SortStableFunc(rows, func(a, b gateway.Share) int { return cmp.Compare(b.Loops, a.Loops) })
+	slices.SortStableFunc(rows, func(a, b gateway.VolumeUsage) int { return cmp.Compare(b.LoopTime, a.LoopTime) })
 	fmt.Fprintf(out, "%-30s %8s %8s %10s %7s %8s %s\n", now.at.Format(time.TimeOnly), "weight", "share %", "MiB/s", "waits", "streams", "")
 	for i, s := range rows {
-		if i == n || s.Loops == 0 && s.Waits+s.Streams == 0 {
+		if i == n || s.LoopTime == 0 && s.Waiting+s.Streams == 0 {
 			break
 		}
 		paced := ""
-		if s.Paced {
+		if s.RateLimited {
 			paced = "paced"
 		}
-		fmt.Fprintf(out, "%-30s %8g %8.1f %10.1f %7d %8d %s\n", s.Volume, s.Weight, 100*s.Loops.Seconds()/max(sum.Seconds(), 1e-9),
-			float64(s.Bytes)/(1<<20)/took.Seconds(), s.Waits, s.Streams, paced)
+		fmt.Fprintf(out, "%-30s %8g %8.1f %10.1f %7d %8d %s\n", s.Volume, s.Weight, 100*s.LoopTime.Seconds()/max(sum.Seconds(), 1e-9),
+			float64(s.Bytes)/(1<<20)/took.Seconds(), s.Waiting, s.Streams, paced)
 	}
 	fmt.Fprintln(out)
 }
--- a/cmd/chalkstand/top_test.go
+++ b/cmd/chalkstand/top_test.go
@@ -11,11 +11,11 @@
 
 func TestTop(t *testing.T) {
 	at := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	before := &sharesTold{at: at, Shares: []gateway.Share{{Volume: "loans", Weight: 1, Loops: time.Second, Bytes: 1 << 20}, {Volume: "quiet", Weight: 1, Loops: time.Second}}}
-	now := &sharesTold{at: at.Add(2 * time.Second), Shares: []gateway.Share{
-		{Volume: "loans", Weight: 1, Loops: 1200 * time.Millisecond, Bytes: 5 << 20, Waits: 3, Paced: true},
-		{Volume: "photos", Weight: 4, Loops: 800 * time.Millisecond, Bytes: 64 << 20, Streams: 7},
-		{Volume: "quiet", Weight: 1, Loops: time.Second},
+	before := &sharesTold{at: at, Shares: []gateway.VolumeUsage{{Volume: "loans", Weight: 1, LoopTime: time.Second, Bytes: 1 << 20}, {Volume: "quiet", Weight: 1, LoopTime: time.Second}}}
+	now := &sharesTold{at: at.Add(2 * time.Second), Shares: []gateway.VolumeUsage{
+		{Volume: "loans", Weight: 1, LoopTime: 1200 * time.Millisecond, Bytes: 5 << 20, Waiting: 3, RateLimited: true},
+		{Volume: "photos", Weight: 4, LoopTime: 800 * time.Millisecond, Bytes: 64 << 20, Streams: 7},
+		{Volume: "quiet", Weight: 1, LoopTime: time.Second},
 	}}
 	var out strings.Builder
 	showTop(&out, before, now, 20)
--- a/fairshare/bench_test.go
+++ b/fairshare/bench_test.go
@@ -14,7 +14,7 @@
 		b.Run(fmt.Sprintf("share/%d", n), func(b *testing.B) {
 			s := scheduler(b, Config{Window: time.Second, Flows: n}, 0)
 			for i := range n {
-				f := s.Flow(0, fmt.Sprint(i), Terms{Weight: float64(1 + i%7)}, NewAccount(4))
+				f := s.Flow(0, fmt.Sprint(i), FlowConfig{Weight: float64(1 + i%7)}, NewSharedUsage(4))
 				for range 4 {
 					s.Push(0, f, i)
 				}
--- a/fairshare/gate.go
+++ b/fairshare/gate.go
@@ -32,11 +32,11 @@
 	c      GateConfig
 	s      *Scheduler[T]
 	out    int
-	leases []*Lease[T] // by when they were given
+	leases []*Grant[T] // by when they were given
 }
 
-// Lease is a stream's leave to move a quantum.
-type Lease[T any] struct {
+// Grant is a stream's leave to move a quantum.
+type Grant[T any] struct {
 	Item  T
 	flow  *Flow[T] // nil: ended
 	until time.Duration
@@ -61,19 +61,19 @@
 	return &Gate[T]{c: c, s: s}, nil
 }
 
-// Ask has a stream of a flow wait for its leave.
-func (g *Gate[T]) Ask(now time.Duration, name string, t Terms, item T) {
+// Request has a stream of a flow wait for its leave.
+func (g *Gate[T]) Request(now time.Duration, name string, t FlowConfig, item T) {
 	t.Rate = 0 // what a limit in bytes is kept by, is the loop
 	f := g.s.Flow(now, name, t, nil)
 	if f.terms.Weight != t.valid().Weight && f != g.s.others {
-		g.s.Set(now, f, t)
+		g.s.Configure(now, f, t)
 	}
 	g.s.Push(now, f, item)
 }
 
-// Grant gives leave to the stream whose turn it is, if there is a place. It is charged
+// NextGrant gives leave to the stream whose turn it is, if there is a place. It is charged
 // for the quantum at once, so that those beside it are chosen by what is out too.
-func (g *Gate[T]) Grant(now time.Duration) (*Lease[T], bool) {
+func (g *Gate[T]) NextGrant(now time.Duration) (*Grant[T], bool) {
 	if g.out >= g.c.Depth+g.s.Len()/g.c.Crowd {
 		return nil, false
 	}
@@ -82,7 +82,7 @@
 		return nil, false
 	}
 	g.s.Done(now, f, Cost{Bytes: g.c.Quantum})
-	l := &Lease[T]{Item: item, flow: f, until: now + g.c.Lease}
+	l := &Grant[T]{Item: item, flow: f, until: now + g.c.Lease}
 	g.out++
 	g.leases = append(g.leases, l)
 	return l, true
@@ -90,7 +90,7 @@
 
 // Done takes a lease back from a stream that has moved so many bytes under it, and has
 // no more to move for now.
-func (g *Gate[T]) Done(now time.Duration, l *Lease[T], bytes int) {
+func (g *Gate[T]) Done(now time.Duration, l *Grant[T], bytes int) {
 	if l.flow == nil {
 		return // given back before
 	}
@@ -98,9 +98,9 @@
 	g.end(l)
 }
 
-// Lapsed returns a lease that has ended by time, until there is none. It was charged
+// Expired returns a lease that has ended by time, until there is none. It was charged
 // in full.
-func (g *Gate[T]) Lapsed(now time.Duration) (*Lease[T], bool) {
+func (g *Gate[T]) Expired(now time.Duration) (*Grant[T], bool) {
 	g.trim()
 	if len(g.leases) == 0 || g.leases[0].until > now {
 		return nil, false
@@ -110,7 +110,7 @@
 	return l, true
 }
 
-func (g *Gate[T]) end(l *Lease[T]) {
+func (g *Gate[T]) end(l *Grant[T]) {
 	l.flow = nil
 	g.out--
 	g.trim()
@@ -127,8 +127,8 @@
 	}
 }
 
-// Wake returns when the next place is freed by time, where somebody waits for it.
-func (g *Gate[T]) Wake() (time.Duration, bool) {
+// NextWake returns when the next place is freed by time, where somebody waits for it.
+func (g *Gate[T]) NextWake() (time.Duration, bool) {
 	if g.s.Len() == 0 || len(g.leases) == 0 {
 		return 0, false
 	}
--- a/fairshare/scheduler.go
+++ b/fairshare/scheduler.go
@@ -51,14 +51,14 @@
 	return nil
 }
 
-// Terms are what a flow may have.
-type Terms struct {
+// FlowConfig are what a flow may have.
+type FlowConfig struct {
 	Weight float64 // over 0
 	Rate   float64 // bytes a second; 0: no limit
 	Burst  float64 // bytes that may go at once after a rest
 }
 
-func (t Terms) valid() Terms {
+func (t FlowConfig) valid() FlowConfig {
 	if !(t.Weight > 0) || math.IsInf(t.Weight, 0) {
 		t.Weight = 1
 	}
@@ -78,7 +78,7 @@
 // Flow is a volume on one loop.
 type Flow[T any] struct {
 	name   string
-	terms  Terms
+	terms  FlowConfig
 	start  float64 // tag of its next turn, while it has one to come
 	finish float64 // of its last turn
 	items  lot[T]
@@ -92,11 +92,11 @@
 
 	gone    bool // forgotten by its scheduler
 	touched bool // in the scheduler's list of those that had something since the last Sync
-	account *Account
-	seen    Served // of the account, from other loops
-	told    Served // of this loop's part, not yet in the account
+	account *SharedUsage
+	seen    Usage // of the account, from other loops
+	told    Usage // of this loop's part, not yet in the account
 
-	had Served
+	had Usage
 }
 
 type state uint8
@@ -108,8 +108,8 @@
 	pacing        // waits for its limit
 )
 
-// Served is what was had.
-type Served struct {
+// Usage is what was had.
+type Usage struct {
 	Cost  float64 // nanoseconds
 	Bytes int64
 }
@@ -120,14 +120,14 @@
 // Weight returns the flow's weight.
 func (f *Flow[T]) Weight() float64 { return f.terms.Weight }
 
-// Waits returns how many items wait.
-func (f *Flow[T]) Waits() int { return f.items.n }
+// Waiting returns how many items wait.
+func (f *Flow[T]) Waiting() int { return f.items.n }
 
-// Had returns what the flow had on this loop since it was made.
-func (f *Flow[T]) Had() Served { return f.had }
+// Usage returns what the flow had on this loop since it was made.
+func (f *Flow[T]) Usage() Usage { return f.had }
 
-// Paced tells until when the flow waits for its limit.
-func (f *Flow[T]) Paced() (time.Duration, bool) { return f.until, f.state == pacing }
+// RateLimitedUntil tells until when the flow waits for its limit.
+func (f *Flow[T]) RateLimitedUntil() (time.Duration, bool) { return f.until, f.state == pacing }
 
 // Scheduler says whose turn it is on one loop. It is not safe for concurrent use.
 type Scheduler[T any] struct {
@@ -157,7 +157,7 @@
 	s := &Scheduler[T]{cfg: cfg, loop: loop, flows: map[string]*Flow[T]{}}
 	s.ready.less = func(a, b *Flow[T]) bool { return a.start < b.start || a.start == b.start && a.seq < b.seq }
 	s.paced.less = func(a, b *Flow[T]) bool { return a.until < b.until || a.until == b.until && a.seq < b.seq }
-	s.others = &Flow[T]{name: "others", terms: Terms{Weight: 1}.valid()}
+	s.others = &Flow[T]{name: "others", terms: FlowConfig{Weight: 1}.valid()}
 	return s, nil
 }
 
@@ -179,7 +179,7 @@
 // the flows of that name on other loops. Where there are as many as may be, one that
 // rests and is not behind is forgotten; is there none, the name shares a flow with
 // all others beyond the bound.
-func (s *Scheduler[T]) Flow(now time.Duration, name string, t Terms, a *Account) *Flow[T] {
+func (s *Scheduler[T]) Flow(now time.Duration, name string, t FlowConfig, a *SharedUsage) *Flow[T] {
 	if f := s.flows[name]; f != nil {
 		return f
 	}
@@ -222,9 +222,9 @@
 	return false
 }
 
-// Set gives a flow other terms. What it is behind, or ahead, was counted by the weight
+// Configure gives a flow other terms. What it is behind, or ahead, was counted by the weight
 // that it had, and is counted by the new one from here on.
-func (s *Scheduler[T]) Set(now time.Duration, f *Flow[T], t Terms) {
+func (s *Scheduler[T]) Configure(now time.Duration, f *Flow[T], t FlowConfig) {
 	t = t.valid()
 	s.refill(now, f)
 	ratio := f.terms.Weight / t.Weight
@@ -386,8 +386,8 @@
 	s.most = max(s.most, to)
 }
 
-// Wake returns when the first of the flows that wait for their limits may go on.
-func (s *Scheduler[T]) Wake() (time.Duration, bool) {
+// NextWake returns when the first of the flows that wait for their limits may go on.
+func (s *Scheduler[T]) NextWake() (time.Duration, bool) {
 	if len(s.paced.a) == 0 {
 		return 0, false
 	}
@@ -420,9 +420,9 @@
 }
 
 func (s *Scheduler[T]) publish(f *Flow[T]) {
-	if f.account != nil && f.told != (Served{}) {
+	if f.account != nil && f.told != (Usage{}) {
 		f.account.add(s.loop, f.told)
-		f.told = Served{}
+		f.told = Usage{}
 	}
 }
 
--- a/fairshare/share_test.go
+++ b/fairshare/share_test.go
@@ -31,7 +31,7 @@
 		var fs []*Flow[int]
 		var largest []float64
 		for i := range n {
-			fs = append(fs, s.Flow(0, fmt.Sprint(i), Terms{Weight: rapid.Float64Range(0.1, 20).Draw(t, "weight")}, nil))
+			fs = append(fs, s.Flow(0, fmt.Sprint(i), FlowConfig{Weight: rapid.Float64Range(0.1, 20).Draw(t, "weight")}, nil))
 			largest = append(largest, rapid.Float64Range(10, 1e6).Draw(t, "largest"))
 		}
 		s.Push(0, fs[0], 0)
@@ -41,7 +41,7 @@
 		for range rapid.IntRange(1, 300).Draw(t, "turns") {
 			if i := rapid.IntRange(0, n-1).Draw(t, "who"); i > 1 {
 				if rapid.Bool().Draw(t, "moves") {
-					s.Set(0, fs[i], Terms{Weight: rapid.Float64Range(0.1, 20).Draw(t, "new weight")})
+					s.Configure(0, fs[i], FlowConfig{Weight: rapid.Float64Range(0.1, 20).Draw(t, "new weight")})
 				}
 				s.Push(0, fs[i], i)
 			}
@@ -70,7 +70,7 @@
 func serve(s *Scheduler[int], fs []*Flow[int], cost time.Duration, turns int) []float64 {
 	had := make([]float64, len(fs))
 	for i, f := range fs {
-		if f != nil && f.Waits() == 0 {
+		if f != nil && f.Waiting() == 0 {
 			s.Push(0, f, i)
 		}
 	}
@@ -89,7 +89,7 @@
 func TestSharesByWeight(t *testing.T) {
 	for _, w := range []float64{1, 4, 16} {
 		s := scheduler(t, cfg, 0)
-		a, b := s.Flow(0, "a", Terms{Weight: w}, nil), s.Flow(0, "b", Terms{Weight: 1}, nil)
+		a, b := s.Flow(0, "a", FlowConfig{Weight: w}, nil), s.Flow(0, "b", FlowConfig{Weight: 1}, nil)
 		had := serve(s, []*Flow[int]{a, b}, time.Microsecond, 10000)
 		if got := had[0] / had[1]; math.Abs(got/w-1) > 0.01 {
 			t.Errorf("%g to 1: had %.3f to 1", w, got)
@@ -100,7 +100,7 @@
 // A crowd is one flow, and who was away saved nothing up.
 func TestCrowdAndAbsence(t *testing.T) {
 	s := scheduler(t, cfg, 0)
-	a, b := s.Flow(0, "a", Terms{Weight: 1}, nil), s.Flow(0, "b", Terms{Weight: 1}, nil)
+	a, b := s.Flow(0, "a", FlowConfig{Weight: 1}, nil), s.Flow(0, "b", FlowConfig{Weight: 1}, nil)
 	for range 1000 {
 		s.Push(0, b, 1)
 	}
@@ -110,7 +110,7 @@
 		t.Errorf("one beside a thousand had %v of 100 turns", had[0]/1e3)
 	}
 	// One item of a flow that is not behind goes next.
-	c := s.Flow(0, "c", Terms{Weight: 1}, nil)
+	c := s.Flow(0, "c", FlowConfig{Weight: 1}, nil)
 	s.Push(0, c, 7)
 	seen := 0
 	for i := -1; i != 7; seen++ {
@@ -129,14 +129,14 @@
 // A weight that moves is that of what comes; what was had counts by the old one.
 func TestWeightMoves(t *testing.T) {
 	s := scheduler(t, cfg, 0)
-	fs := []*Flow[int]{s.Flow(0, "a", Terms{Weight: 1}, nil), s.Flow(0, "b", Terms{Weight: 1}, nil)}
+	fs := []*Flow[int]{s.Flow(0, "a", FlowConfig{Weight: 1}, nil), s.Flow(0, "b", FlowConfig{Weight: 1}, nil)}
 	serve(s, fs, time.Millisecond, 101)
-	s.Set(0, fs[0], Terms{Weight: 9})
+	s.Configure(0, fs[0], FlowConfig{Weight: 9})
 	had := serve(s, fs, time.Millisecond, 100)
 	if had[0] < 88e6 || had[0] > 92e6 {
 		t.Errorf("had %v of 100 after its weight rose to nine tenths", had[0]/1e6)
 	}
-	s.Set(0, fs[0], Terms{Weight: 1})
+	s.Configure(0, fs[0], FlowConfig{Weight: 1})
 	if had = serve(s, fs, time.Millisecond, 100); had[0] < 48e6 || had[0] > 52e6 {
 		t.Errorf("had %v of 100 after its weight fell to half", had[0]/1e6)
 	}
@@ -145,13 +145,13 @@
 // A debt made by an old weight is paid by the new one.
 func TestDebtMovesWithTheWeight(t *testing.T) {
 	s := scheduler(t, cfg, 0)
-	a, b := s.Flow(0, "a", Terms{Weight: 1}, nil), s.Flow(0, "b", Terms{Weight: 1}, nil)
+	a, b := s.Flow(0, "a", FlowConfig{Weight: 1}, nil), s.Flow(0, "b", FlowConfig{Weight: 1}, nil)
 	s.Push(0, a, 0)
 	s.Push(0, b, 1)
 	_, f, _ := s.Next(0)
 	s.Push(0, f, 0)
 	s.Done(0, f, Cost{Work: 100 * time.Millisecond})
-	s.Set(0, a, Terms{Weight: 10})
+	s.Configure(0, a, FlowConfig{Weight: 10})
 	turns := 0
 	for i, f, _ := s.Next(0); i != 0; i, f, _ = s.Next(0) {
 		s.Push(0, f, i)
@@ -168,7 +168,7 @@
 	c := cfg
 	c.Window = 10 * time.Millisecond
 	s := scheduler(t, c, 0)
-	fs := []*Flow[int]{s.Flow(0, "a", Terms{Weight: 1}, nil), s.Flow(0, "b", Terms{Weight: 1}, nil)}
+	fs := []*Flow[int]{s.Flow(0, "a", FlowConfig{Weight: 1}, nil), s.Flow(0, "b", FlowConfig{Weight: 1}, nil)}
 	s.Push(0, fs[0], 0)
 	_, f, _ := s.Next(0)
 	s.Push(0, f, 0)
@@ -183,8 +183,8 @@
 // beyond the burst.
 func TestLimit(t *testing.T) {
 	s := scheduler(t, cfg, 0)
-	f := s.Flow(0, "a", Terms{Weight: 1, Rate: 1000, Burst: 500}, nil)
-	g := s.Flow(0, "b", Terms{Weight: 1}, nil)
+	f := s.Flow(0, "a", FlowConfig{Weight: 1, Rate: 1000, Burst: 500}, nil)
+	g := s.Flow(0, "b", FlowConfig{Weight: 1}, nil)
 	s.Push(0, f, 0)
 	s.Push(0, g, 1)
 	moved, others := 0, 0
@@ -211,11 +211,11 @@
 	if d := s.Delay(10*time.Second, f, 1000); d < 900*time.Millisecond || d > 1200*time.Millisecond {
 		t.Errorf("one more waits %v behind 1000 bytes", d)
 	}
-	if at, ok := s.Wake(); !ok || at < 10*time.Second || at > 10100*time.Millisecond {
+	if at, ok := s.NextWake(); !ok || at < 10*time.Second || at > 10100*time.Millisecond {
 		t.Errorf("wakes at %v, %v", at, ok)
 	}
-	s.Set(10*time.Second, f, Terms{Weight: 1})
-	if _, ok := f.Paced(); ok {
+	s.Configure(10*time.Second, f, FlowConfig{Weight: 1})
+	if _, ok := f.RateLimitedUntil(); ok {
 		t.Error("paced without a limit")
 	}
 }
@@ -232,12 +232,12 @@
 		{"a on three, b on two", [2][]int{{0, 1, 2}, {2, 3}}, 0.75},
 		{"all on one", [2][]int{{0}, {0}}, 0.8},
 	} {
-		accounts := [2]*Account{NewAccount(4), NewAccount(4)}
+		accounts := [2]*SharedUsage{NewSharedUsage(4), NewSharedUsage(4)}
 		var loops []*Scheduler[int]
 		for l := range 4 {
 			s := scheduler(t, Config{Window: 20 * time.Millisecond, Flows: 8}, l)
 			for i, w := range []float64{4, 1} {
-				f := s.Flow(0, fmt.Sprint(i), Terms{Weight: w}, accounts[i])
+				f := s.Flow(0, fmt.Sprint(i), FlowConfig{Weight: w}, accounts[i])
 				for _, on := range x.on[i] {
 					if on == l {
 						s.Push(0, f, i)
@@ -270,17 +270,17 @@
 	c := cfg
 	c.Flows = 2
 	s := scheduler(t, c, 0)
-	a, b := s.Flow(0, "a", Terms{Weight: 1}, nil), s.Flow(0, "b", Terms{Weight: 1}, nil)
+	a, b := s.Flow(0, "a", FlowConfig{Weight: 1}, nil), s.Flow(0, "b", FlowConfig{Weight: 1}, nil)
 	s.Push(0, a, 1)
 	s.Push(0, b, 2)
-	if f := s.Flow(0, "c", Terms{Weight: 1}, nil); f.Name() != "others" {
+	if f := s.Flow(0, "c", FlowConfig{Weight: 1}, nil); f.Name() != "others" {
 		t.Errorf("a third of two flows is %s", f.Name())
 	}
 	for range 2 {
 		_, f, _ := s.Next(0)
 		s.Done(0, f, Cost{})
 	}
-	if f := s.Flow(0, "c", Terms{Weight: 1}, nil); f.Name() != "c" || len(s.list) != 2 {
+	if f := s.Flow(0, "c", FlowConfig{Weight: 1}, nil); f.Name() != "c" || len(s.list) != 2 {
 		t.Errorf("a flow that rests does not give way: %s, %d flows", f.Name(), len(s.list))
 	}
 	for _, f := range []*Flow[int]{a, b} {
@@ -299,7 +299,7 @@
 // After a time without work all start level: a debt is owed to those who wait.
 func TestIdleForgives(t *testing.T) {
 	s := scheduler(t, cfg, 0)
-	a, b := s.Flow(0, "a", Terms{Weight: 1}, nil), s.Flow(0, "b", Terms{Weight: 1}, nil)
+	a, b := s.Flow(0, "a", FlowConfig{Weight: 1}, nil), s.Flow(0, "b", FlowConfig{Weight: 1}, nil)
 	s.Push(0, a, 0)
 	_, f, _ := s.Next(0)
 	s.Done(0, f, Cost{Work: 100 * time.Millisecond})
@@ -317,16 +317,16 @@
 	c := cfg
 	c.Flows = 1
 	s := scheduler(t, c, 0)
-	old := s.Flow(0, "a", Terms{Weight: 1}, nil)
-	s.Flow(0, "b", Terms{Weight: 1}, nil)
-	again := s.Flow(0, "a", Terms{Weight: 1}, nil)
+	old := s.Flow(0, "a", FlowConfig{Weight: 1}, nil)
+	s.Flow(0, "b", FlowConfig{Weight: 1}, nil)
+	again := s.Flow(0, "a", FlowConfig{Weight: 1}, nil)
 	if old == again {
 		t.Fatal("not forgotten")
 	}
 	s.Push(0, old, 1)
 	s.Push(0, again, 2)
-	if again.Waits() != 2 {
-		t.Errorf("%d items in the flow, want both", again.Waits())
+	if again.Waiting() != 2 {
+		t.Errorf("%d items in the flow, want both", again.Waiting())
 	}
 }
 
@@ -352,16 +352,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		names, terms := []string{"a", "b"}, []Terms{{Weight: 4}, {Weight: 1}}
+		names, terms := []string{"a", "b"}, []FlowConfig{{Weight: 4}, {Weight: 1}}
 		for i, streams := range []int{4, 64} {
 			for range streams {
-				g.Ask(0, names[i], terms[i], i)
+				g.Request(0, names[i], terms[i], i)
 			}
 		}
-		var out []*Lease[int]
+		var out []*Grant[int]
 		had := [2]int{}
 		for range 10000 {
-			for l, ok := g.Grant(0); ok; l, ok = g.Grant(0) {
+			for l, ok := g.NextGrant(0); ok; l, ok = g.NextGrant(0) {
 				out = append(out, l)
 			}
 			if len(out) != depth {
@@ -371,7 +371,7 @@
 			out = out[1:]
 			had[l.Item] += 64
 			g.Done(0, l, 64)
-			g.Ask(0, names[l.Item], terms[l.Item], l.Item)
+			g.Request(0, names[l.Item], terms[l.Item], l.Item)
 		}
 		if r := float64(had[0]) / float64(had[1]); r < 3.9 || r > 4.1 {
 			t.Errorf("depth %d: %.2f to 1, want 4", depth, r)
@@ -383,24 +383,24 @@
 // ends early is charged for what it moved; what is given back twice counts once.
 func TestLeasesLapse(t *testing.T) {
 	g, _ := NewGate[int](GateConfig{Depth: 1, Crowd: 1000, Quantum: 1000, Lease: time.Millisecond, Window: time.Second, Flows: 8})
-	ask := func(name string, item int) { g.Ask(0, name, Terms{Weight: 1}, item) }
+	ask := func(name string, item int) { g.Request(0, name, FlowConfig{Weight: 1}, item) }
 	ask("slow", 1)
-	slow, _ := g.Grant(0)
+	slow, _ := g.NextGrant(0)
 	ask("b", 2)
-	if _, ok := g.Grant(0); ok {
+	if _, ok := g.NextGrant(0); ok {
 		t.Fatal("two have leave, depth 1")
 	}
-	if at, ok := g.Wake(); !ok || at != time.Millisecond {
+	if at, ok := g.NextWake(); !ok || at != time.Millisecond {
 		t.Fatalf("wakes at %v, %v", at, ok)
 	}
-	if _, ok := g.Lapsed(time.Millisecond - 1); ok {
+	if _, ok := g.Expired(time.Millisecond - 1); ok {
 		t.Fatal("lapsed early")
 	}
-	if l, ok := g.Lapsed(time.Millisecond); !ok || l != slow {
+	if l, ok := g.Expired(time.Millisecond); !ok || l != slow {
 		t.Fatal("a place is kept by who stands")
 	}
 	g.Done(time.Millisecond, slow, 10) // too late
-	b, ok := g.Grant(time.Millisecond)
+	b, ok := g.NextGrant(time.Millisecond)
 	if !ok || b.Item != 2 || g.out != 1 {
 		t.Fatalf("%v, %d out", ok, g.out)
 	}
@@ -411,13 +411,13 @@
 	if g.out != 0 {
 		t.Fatal("given back twice, counted twice")
 	}
-	if l, _ := g.Grant(time.Millisecond); l.Item != 2 {
+	if l, _ := g.NextGrant(time.Millisecond); l.Item != 2 {
 		t.Error("who moved 10 bytes goes after who had a whole lease")
 	}
-	if _, ok := g.Lapsed(time.Hour); !ok || !func() bool { _, ok := g.Grant(time.Hour); return ok }() {
+	if _, ok := g.Expired(time.Hour); !ok || !func() bool { _, ok := g.NextGrant(time.Hour); return ok }() {
 		t.Error("the next has no leave")
 	}
-	if _, ok := g.Lapsed(2 * time.Hour); !ok || !g.Idle() || g.leases != nil {
+	if _, ok := g.Expired(2 * time.Hour); !ok || !g.Idle() || g.leases != nil {
 		t.Error("not idle, with nothing out")
 	}
 }
@@ -426,10 +426,10 @@
 func TestGateGrowsWithTheCrowd(t *testing.T) {
 	g, _ := NewGate[int](GateConfig{Depth: 2, Crowd: 32, Quantum: 1000, Lease: time.Millisecond, Window: time.Second, Flows: 8})
 	for i := range 320 {
-		g.Ask(0, "a", Terms{Weight: 1}, i)
+		g.Request(0, "a", FlowConfig{Weight: 1}, i)
 	}
 	n := 0
-	for _, ok := g.Grant(0); ok; _, ok = g.Grant(0) {
+	for _, ok := g.NextGrant(0); ok; _, ok = g.NextGrant(0) {
 		n++
 	}
 	if n < 10 || n > 12 {
@@ -452,7 +452,7 @@
 // for ever; what had nothing to do for a while has saved up nothing.
 func TestFinishingBeforeStarting(t *testing.T) {
 	s := scheduler(t, Config{Window: time.Second, Flows: 4, Finishing: 4}, 0)
-	f := s.Flow(0, "a", Terms{Weight: 1}, nil)
+	f := s.Flow(0, "a", FlowConfig{Weight: 1}, nil)
 	for range 100 {
 		s.PushNew(0, f, 1)
 	}
--- a/fake/discovery/discovery.go
+++ b/fake/discovery/discovery.go
@@ -10,19 +10,19 @@
 	"sync"
 )
 
-// Entry is a node as discovery tells it.
-type Entry struct {
+// Endpoint is a node as discovery tells it.
+type Endpoint struct {
 	ID, Addr, State string
 	Cell            int
 	StartedMS       int64
 }
 
-func (e Entry) json() string {
+func (e Endpoint) json() string {
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"a","kind":"m","cell":%d,"state":%q,"weight":1.0,"started_ms":%d}`, e.ID, e.Addr, e.Cell, e.State, e.StartedMS)
 }
 
-// List is a document of discovery.
-func List(version int, full bool, entries ...Entry) string {
+// Document is a document of discovery.
+func Document(version int, full bool, entries ...Endpoint) string {
 	var s []string
 	for _, e := range entries {
 		s = append(s, e.json())
@@ -30,8 +30,8 @@
 	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, full, strings.Join(s, ","))
 }
 
-// Discovery is a stand-in for discovery. Each watch is told what it is given to say.
-type Discovery struct {
+// Server is a stand-in for discovery. Each watch is told what it is given to say.
+type Server struct {
 	srv   *http.Server
 	ln    net.Listener
 	mu    sync.Mutex
@@ -40,40 +40,40 @@
 	fail  int // calls that are answered 503
 }
 
-// StartDiscovery starts discovery on a free port.
-func StartDiscovery() (*Discovery, error) {
+// Start starts discovery on a free port.
+func Start() (*Server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d := &Discovery{ln: ln}
+	d := &Server{ln: ln}
 	d.srv = &http.Server{Handler: d}
 	go d.srv.Serve(ln)
 	return d, nil
 }
 
 // Addr is where it listens.
-func (d *Discovery) Addr() string { return d.ln.Addr().String() }
+func (d *Server) Addr() string { return d.ln.Addr().String() }
 
 // Stop ends it with its watches.
-func (d *Discovery) Stop() { d.srv.Close() }
+func (d *Server) Stop() { d.srv.Close() }
 
-// Fail has so many calls answered 503.
-func (d *Discovery) Fail(calls int) {
+// FailCalls has so many calls answered 503.
+func (d *Server) FailCalls(calls int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fail = calls
 }
 
 // Calls are the versions from which watches were asked for, in order.
-func (d *Discovery) Calls() []string {
+func (d *Server) Calls() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]string(nil), d.since...)
 }
 
-// Tell writes a line to all watches; none are told how many there are.
-func (d *Discovery) Tell(line string) int {
+// Send writes a line to all watches; none are told how many there are.
+func (d *Server) Send(line string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, c := range d.lines {
@@ -82,8 +82,8 @@
 	return len(d.lines)
 }
 
-// End ends all watches.
-func (d *Discovery) End() {
+// EndWatches ends all watches.
+func (d *Server) EndWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, c := range d.lines {
@@ -93,7 +93,7 @@
 }
 
 // ServeHTTP answers a watch.
-func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	d.since = append(d.since, r.FormValue("since"))
 	if d.fail > 0 {
--- a/fake/respnode/node.go
+++ b/fake/respnode/node.go
@@ -14,18 +14,18 @@
 	"time"
 )
 
-// Order is how a node takes one request.
-type Order struct {
-	Wait  time.Duration // before the answer
-	Say   string        // in the place of the answer, as it is; "%v" is the value
-	After string        // sent right behind the answer
-	Hang  bool          // no answer
-	Close bool          // the connection ends instead of an answer, or after Say
-	Reset bool          // it ends by a reset then
-}
-
-// Seen is a command that came whole.
-type Seen struct {
+// Behavior is how a node takes one request.
+type Behavior struct {
+	Delay   time.Duration // before the answer
+	Reply   string        // in the place of the answer, as it is; "%v" is the value
+	Trailer string        // sent right behind the answer
+	Hang    bool          // no answer
+	Close   bool          // the connection ends instead of an answer, or after Say
+	Reset   bool          // it ends by a reset then
+}
+
+// LoggedCommand is a command that came whole.
+type LoggedCommand struct {
 	At    time.Time
 	Words []string
 	Conn  int
@@ -35,9 +35,9 @@
 type Node struct {
 	ln     net.Listener
 	mu     sync.Mutex
-	orders []Order // for the next requests, one each
-	usual  Order
-	seen   []Seen
+	orders []Behavior // for the next requests, one each
+	usual  Behavior
+	seen   []LoggedCommand
 	conns  map[net.Conn]bool
 	opened int
 	wake   chan struct{}
@@ -57,29 +57,29 @@
 // Addr is where it listens.
 func (n *Node) Addr() string { return n.ln.Addr().String() }
 
-// Then has the next requests taken as told, one each.
-func (n *Node) Then(o ...Order) {
+// Next has the next requests taken as told, one each.
+func (n *Node) Next(o ...Behavior) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.orders = append(n.orders, o...)
 }
 
-// Usually has all requests without an order of their own taken as told.
-func (n *Node) Usually(o Order) {
+// SetDefault has all requests without an order of their own taken as told.
+func (n *Node) SetDefault(o Behavior) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.usual = o
 }
 
-// Seen returns the log, and how many connections were opened.
-func (n *Node) Seen() ([]Seen, int) {
+// Log returns the log, and how many connections were opened.
+func (n *Node) Log() ([]LoggedCommand, int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return append([]Seen(nil), n.seen...), n.opened
+	return append([]LoggedCommand(nil), n.seen...), n.opened
 }
 
-// Forget empties the log.
-func (n *Node) Forget() {
+// ClearLog empties the log.
+func (n *Node) ClearLog() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.seen = nil
@@ -89,7 +89,7 @@
 func (n *Node) Await(count int, timeout time.Duration) error {
 	end := time.After(timeout)
 	for {
-		if s, _ := n.Seen(); len(s) >= count {
+		if s, _ := n.Log(); len(s) >= count {
 			return nil
 		}
 		select {
@@ -100,8 +100,8 @@
 	}
 }
 
-// Shout writes text on all open connections, whatever was asked there.
-func (n *Node) Shout(text string) {
+// WriteAll writes text on all open connections, whatever was asked there.
+func (n *Node) WriteAll(text string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.conns {
@@ -149,7 +149,7 @@
 			return
 		}
 		n.mu.Lock()
-		n.seen = append(n.seen, Seen{At: time.Now(), Words: words, Conn: id})
+		n.seen = append(n.seen, LoggedCommand{At: time.Now(), Words: words, Conn: id})
 		o := n.usual
 		if len(n.orders) > 0 {
 			o, n.orders = n.orders[0], n.orders[1:]
@@ -166,8 +166,8 @@
 }
 
 // answer tells whether the connection goes on.
-func (n *Node) answer(c net.Conn, words []string, o Order) bool {
-	time.Sleep(o.Wait)
+func (n *Node) answer(c net.Conn, words []string, o Behavior) bool {
+	time.Sleep(o.Delay)
 	if o.Hang {
 		io.Copy(io.Discard, c)
 		return false
@@ -175,14 +175,14 @@
 	if o.Reset {
 		c.(*net.TCPConn).SetLinger(0)
 	}
-	if o.Say == "" && o.Close {
+	if o.Reply == "" && o.Close {
 		return false
 	}
 	text := fmt.Sprintf("*3\r\n%s$14\r\nused=37,cost=4\r\n$18\r\ninflight=7,queue=2\r\n", Bulk(Value(words)))
-	if o.Say != "" {
-		text = string(bytes.ReplaceAll([]byte(o.Say), []byte("%v"), []byte(Bulk(Value(words)))))
+	if o.Reply != "" {
+		text = string(bytes.ReplaceAll([]byte(o.Reply), []byte("%v"), []byte(Bulk(Value(words)))))
 	}
-	_, err := c.Write([]byte(text + o.After))
+	_, err := c.Write([]byte(text + o.Trailer))
 	return err == nil && !o.Close
 }
 
@@ -238,8 +238,8 @@
 	return strconv.Atoi(line[1 : len(line)-2])
 }
 
-// ReadAnswer reads an answer: a line, or a bulk string with its size's mark.
-func ReadAnswer(in *bufio.Reader) (string, error) {
+// ReadReply reads an answer: a line, or a bulk string with its size's mark.
+func ReadReply(in *bufio.Reader) (string, error) {
 	line, err := in.ReadString('\n')
 	if err != nil || line[0] != '$' {
 		return line, err
--- a/fake/storagenode/node.go
+++ b/fake/storagenode/node.go
@@ -16,24 +16,24 @@
 
 // Config is what a node is like. Zero values make a node that answers at once.
 type Config struct {
-	ID       string
-	Zone     int
-	Shard    int
-	Cores    int           // requests worked on at a time; 0: no bound
-	Speed    float64       // of a core; 0 counts as 1
-	Queue    int           // requests that may wait beside; more are turned away
-	PerUnit  time.Duration // work of one unit at speed 1
-	ColdFrom float64       // share of its speed right after its start; 0: born warm
-	WarmUp   time.Duration // until it has its full speed
+	ID           string
+	Zone         int
+	Shard        int
+	Cores        int           // requests worked on at a time; 0: no bound
+	Speed        float64       // of a core; 0 counts as 1
+	Queue        int           // requests that may wait beside; more are turned away
+	PerUnit      time.Duration // work of one unit at speed 1
+	InitialSpeed float64       // share of its speed right after its start; 0: born warm
+	WarmUp       time.Duration // until it has its full speed
 	// Deferred is the share of a write's work that is put off and done in one go
 	// every DeferEvery, in the way of all else.
 	Deferred   float64
 	DeferEvery time.Duration
 	// A node just started falls over when it is sent more than Multiple times what
 	// it can do at that moment within Span, beyond YoungLimit units. 0: it never does.
-	Multiple   float64
-	Span       time.Duration
-	YoungLimit float64
+	OverloadFactor float64
+	OverloadWindow time.Duration
+	InitialUnits   float64
 	// ReportEvery is how long a load report stays the same; ReportNoise is the
 	// share by which it may be off.
 	ReportEvery time.Duration
@@ -42,12 +42,12 @@
 	// Timing tells how a request's time here divides, in Server-Timing: with its
 	// answer, or where TimingLate is set, with an answer that leaves so much later.
 	// TimingLose is the share that is never told.
-	Timing     bool
-	TimingLate time.Duration
-	TimingLose float64
-	Remember   time.Duration // how long repeats of a keyed write are dropped
-	Forget     bool          // keep no log: for nodes that run for long
-	Seed       uint64
+	Timing      bool
+	TimingLate  time.Duration
+	TimingLose  float64
+	DedupWindow time.Duration // how long repeats of a keyed write are dropped
+	DiscardLog  bool          // keep no log: for nodes that run for long
+	Seed        uint64
 	// Link is what all its answers together send, bytes a second; 0: no bound. SendBuffer is
 	// what the kernel holds of each connection's; 0: as the kernel likes.
 	Link       float64
@@ -59,16 +59,16 @@
 
 // The faults that a node can be told to show.
 const (
-	Stall  FaultKind = iota + 1 // take the request, answer nothing until For has passed, or the client leaves
-	Within                      // stall in the middle of the answer
-	Refuse                      // turn away unseen
-	Broken                      // answer 500 without doing the work
-	Reset                       // reset the connection before the work
-	Lose                        // do the work and answer nothing
-	Half                        // break off in the middle of the answer
-	Slow                        // Factor times the work
-	Pause                       // stand still: all wait until For has passed
-	Die                         // end; of scripts only
+	Stall            FaultKind = iota + 1 // take the request, answer nothing until For has passed, or the client leaves
+	StallInResponse                       // stall in the middle of the answer
+	Reject                                // turn away unseen
+	ServerError                           // answer 500 without doing the work
+	ResetConnection                       // reset the connection before the work
+	LoseResponse                          // do the work and answer nothing
+	TruncateResponse                      // break off in the middle of the answer
+	Slow                                  // Factor times the work
+	Pause                                 // stand still: all wait until For has passed
+	Exit                                  // end; of scripts only
 )
 
 // Fault is one order to fail.
@@ -82,8 +82,8 @@
 	Factor float64
 }
 
-// Entry tells what one request met at a node.
-type Entry struct {
+// LogEntry tells what one request met at a node.
+type LogEntry struct {
 	Node     string
 	Gateway  string
 	Request  uint64
@@ -122,7 +122,7 @@
 	mu       sync.Mutex
 	rng      *rand.Rand
 	faults   []*order
-	log      []*Entry
+	log      []*LogEntry
 	inflight int
 	waiting  int
 	fallen   bool
@@ -133,8 +133,8 @@
 	reported time.Time
 	next     string // that will be told
 	nextAt   time.Time
-	arrived  func(Entry) // told of each arrival
-	untold   []timing    // that are to be told late
+	arrived  func(LogEntry) // told of each arrival
+	untold   []timing       // that are to be told late
 }
 
 type order struct {
@@ -183,8 +183,8 @@
 // Started returns when it was started, since the epoch.
 func (n *Node) Started() time.Duration { return n.started.Sub(n.epoch) }
 
-// Fallen tells whether it was pushed over while it was cold.
-func (n *Node) Fallen() bool {
+// Overloaded tells whether it was pushed over while it was cold.
+func (n *Node) Overloaded() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.fallen
@@ -211,8 +211,8 @@
 	n.faults = append(n.faults, o)
 }
 
-// Heal takes all faults back.
-func (n *Node) Heal() {
+// ClearFaults takes all faults back.
+func (n *Node) ClearFaults() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.faults = nil
@@ -220,18 +220,18 @@
 }
 
 // Log returns a copy of what reached the node.
-func (n *Node) Log() []Entry {
+func (n *Node) Log() []LogEntry {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	out := make([]Entry, len(n.log))
+	out := make([]LogEntry, len(n.log))
 	for i, e := range n.log {
 		out[i] = *e
 	}
 	return out
 }
 
-// Arrivals has f called with the entry of each request as it arrives.
-func (n *Node) Arrivals(f func(Entry)) {
+// OnArrival has f called with the entry of each request as it arrives.
+func (n *Node) OnArrival(f func(LogEntry)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.arrived = f
@@ -260,7 +260,7 @@
 	e := n.arrive(r)
 	watch := context.AfterFunc(r.Context(), func() {
 		at := time.Since(n.epoch)
-		n.note(e, func(x *Entry) { x.Left = at })
+		n.note(e, func(x *LogEntry) { x.Left = at })
 	})
 	defer func() {
 		watch()
@@ -275,28 +275,28 @@
 		kind = f.Kind
 	}
 	switch kind {
-	case Refuse:
+	case Reject:
 		n.turnAway(w, e)
 		return
-	case Reset:
+	case ResetConnection:
 		abort(w)
 		return
 	case Stall:
 		n.hold(r, f)
 		abort(w)
 		return
-	case Broken:
-		n.note(e, func(x *Entry) { x.Status = 500 })
+	case ServerError:
+		n.note(e, func(x *LogEntry) { x.Status = 500 })
 		n.write(w, r, e, failed(objectapi.Errorf("InternalError", "We encountered an internal error."), r.URL.Path), 0, f)
 		return
 	}
 	op, perr := operation(r)
 	if perr != nil {
-		n.note(e, func(x *Entry) { x.BadWords, x.Status = perr.Error(), perr.Status() })
+		n.note(e, func(x *LogEntry) { x.BadWords, x.Status = perr.Error(), perr.Status() })
 		n.write(w, r, e, failed(perr, r.URL.Path), 0, f)
 		return
 	}
-	n.note(e, func(x *Entry) { x.Op = op.Kind })
+	n.note(e, func(x *LogEntry) { x.Op = op.Kind })
 	if !n.work(r, op, e, f) {
 		if n.gone(r) {
 			abort(w)
@@ -306,25 +306,25 @@
 		return
 	}
 	rep := n.once(op, r, e)
-	if kind == Lose {
+	if kind == LoseResponse {
 		n.hold(r, f)
 		abort(w)
 		return
 	}
-	n.note(e, func(x *Entry) { x.Status = rep.status })
+	n.note(e, func(x *LogEntry) { x.Status = rep.status })
 	n.write(w, r, e, rep, kind, f)
 }
 
-func (n *Node) note(e *Entry, f func(*Entry)) {
+func (n *Node) note(e *LogEntry, f func(*LogEntry)) {
 	n.mu.Lock()
 	f(e)
 	n.mu.Unlock()
 }
 
 // arrive logs a request and counts what it adds to a cold node's load.
-func (n *Node) arrive(r *http.Request) *Entry {
+func (n *Node) arrive(r *http.Request) *LogEntry {
 	h := r.Header
-	e := &Entry{Node: n.cfg.ID, Volume: h.Get("x-chalkstand-volume"), Path: r.RequestURI, Key: h.Get("x-chalkstand-key"), Tag: h.Get("x-amz-meta-tag")}
+	e := &LogEntry{Node: n.cfg.ID, Volume: h.Get("x-chalkstand-volume"), Path: r.RequestURI, Key: h.Get("x-chalkstand-key"), Tag: h.Get("x-amz-meta-tag")}
 	e.Units, _ = strconv.ParseFloat(h.Get("x-chalkstand-units"), 64)
 	if p := strings.Split(h.Get("x-chalkstand-request"), "/"); len(p) == 3 {
 		e.Gateway, e.name = p[0], h.Get("x-chalkstand-request")
@@ -336,7 +336,7 @@
 	now := time.Now()
 	e.Arrived = now.Sub(n.epoch)
 	n.inflight++
-	if !n.cfg.Forget {
+	if !n.cfg.DiscardLog {
 		n.log = append(n.log, e)
 	}
 	n.strain(now, e.Units)
@@ -350,19 +350,19 @@
 func (n *Node) strain(now time.Time, units float64) {
 	c := n.cfg
 	age := now.Sub(n.started)
-	if c.Multiple <= 0 || c.PerUnit <= 0 || age > c.WarmUp+c.Span {
+	if c.OverloadFactor <= 0 || c.PerUnit <= 0 || age > c.WarmUp+c.OverloadWindow {
 		return
 	}
 	n.recent = append(n.recent, load{now, units})
 	sum := 0.0
-	for len(n.recent) > 0 && now.Sub(n.recent[0].at) > c.Span {
+	for len(n.recent) > 0 && now.Sub(n.recent[0].at) > c.OverloadWindow {
 		n.recent = n.recent[1:]
 	}
 	for _, l := range n.recent {
 		sum += l.units
 	}
-	can := n.speed(now) * float64(max(c.Cores, 1)) * c.Span.Seconds() / c.PerUnit.Seconds()
-	if sum > max(c.Multiple*can, c.YoungLimit) && !n.fallen {
+	can := n.speed(now) * float64(max(c.Cores, 1)) * c.OverloadWindow.Seconds() / c.PerUnit.Seconds()
+	if sum > max(c.OverloadFactor*can, c.InitialUnits) && !n.fallen {
 		n.fallen = true
 		go n.Stop()
 	}
@@ -371,16 +371,16 @@
 // speed is that of a core by the node's age.
 func (n *Node) speed(now time.Time) float64 {
 	c := n.cfg
-	if c.ColdFrom <= 0 || c.WarmUp <= 0 {
+	if c.InitialSpeed <= 0 || c.WarmUp <= 0 {
 		return c.Speed
 	}
 	grown := min(1, now.Sub(n.started).Seconds()/c.WarmUp.Seconds())
-	return c.Speed * (c.ColdFrom + (1-c.ColdFrom)*grown)
+	return c.Speed * (c.InitialSpeed + (1-c.InitialSpeed)*grown)
 }
 
 // work waits for a core and keeps it for as long as the request takes. False: the
 // queue is full, or nobody waits any more.
-func (n *Node) work(r *http.Request, op objectapi.Operation, e *Entry, f *order) bool {
+func (n *Node) work(r *http.Request, op objectapi.Operation, e *LogEntry, f *order) bool {
 	if n.cfg.PerUnit <= 0 && n.slots == nil {
 		return true
 	}
@@ -421,7 +421,7 @@
 	}
 	ok := n.sleep(max(still, 0) + took)
 	end := time.Now()
-	n.note(e, func(x *Entry) { x.Queued, x.Worked = now.Sub(came), end.Sub(now) })
+	n.note(e, func(x *LogEntry) { x.Queued, x.Worked = now.Sub(came), end.Sub(now) })
 	return ok
 }
 
@@ -484,8 +484,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-func (n *Node) turnAway(w http.ResponseWriter, e *Entry) {
-	n.note(e, func(x *Entry) { x.Status = 503 })
+func (n *Node) turnAway(w http.ResponseWriter, e *LogEntry) {
+	n.note(e, func(x *LogEntry) { x.Status = 503 })
 	w.Header().Set("Retry-After", "1")
 	w.Header().Set("Content-Type", "application/xml")
 	w.WriteHeader(503)
@@ -493,9 +493,9 @@
 }
 
 // once runs the operation, or gives a repeat the answer of the first.
-func (n *Node) once(op objectapi.Operation, r *http.Request, e *Entry) reply {
+func (n *Node) once(op objectapi.Operation, r *http.Request, e *LogEntry) reply {
 	key := r.Header.Get("x-chalkstand-key")
-	if key == "" || n.cfg.Remember <= 0 || !op.Kind.Writes() {
+	if key == "" || n.cfg.DedupWindow <= 0 || !op.Kind.Writes() {
 		n.ran(r, e)
 		return n.data.run(op, r)
 	}
@@ -505,7 +505,7 @@
 	if p != nil && (p.until.IsZero() || now.Before(p.until)) {
 		d.mu.Unlock()
 		io.Copy(io.Discard, r.Body)
-		n.note(e, func(x *Entry) { x.Repeat = true })
+		n.note(e, func(x *LogEntry) { x.Repeat = true })
 		select {
 		case <-p.done:
 		case <-n.ctx.Done():
@@ -518,7 +518,7 @@
 	n.ran(r, e)
 	p.reply = d.run(op, r)
 	d.mu.Lock()
-	p.until = time.Now().Add(n.cfg.Remember)
+	p.until = time.Now().Add(n.cfg.DedupWindow)
 	d.ended = append(d.ended, key)
 	for len(d.ended) > 0 && now.After(d.repeats[d.ended[0]].until) {
 		delete(d.repeats, d.ended[0])
@@ -529,8 +529,8 @@
 	return p.reply
 }
 
-func (n *Node) ran(r *http.Request, e *Entry) {
-	n.note(e, func(x *Entry) { x.Ran = true })
+func (n *Node) ran(r *http.Request, e *LogEntry) {
+	n.note(e, func(x *LogEntry) { x.Ran = true })
 	if n.ledger != nil {
 		h := r.Header
 		u, _ := strconv.ParseFloat(h.Get("x-chalkstand-units"), 64)
@@ -544,7 +544,7 @@
 }
 
 // write sends an answer, whole or with the fault that was ordered.
-func (n *Node) write(w http.ResponseWriter, r *http.Request, e *Entry, rep reply, kind FaultKind, f *order) {
+func (n *Node) write(w http.ResponseWriter, r *http.Request, e *LogEntry, rep reply, kind FaultKind, f *order) {
 	h := w.Header()
 	for k, v := range rep.header {
 		h.Set(k, v)
@@ -574,13 +574,13 @@
 		defer rd.Close()
 		body = rd
 	}
-	if kind != Half && kind != Within {
+	if kind != TruncateResponse && kind != StallInResponse {
 		io.Copy(w, body)
 		return
 	}
 	io.CopyN(w, body, length/2)
 	http.NewResponseController(w).Flush()
-	if kind == Half {
+	if kind == TruncateResponse {
 		abort(w)
 		return
 	}
@@ -616,8 +616,8 @@
 	return rep
 }
 
-// Freeze lets the load report stay as it is for a while.
-func (n *Node) Freeze(d time.Duration) {
+// FreezeReport lets the load report stay as it is for a while.
+func (n *Node) FreezeReport(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.reported = time.Now().Add(d)
--- a/fake/storagenode/script.go
+++ b/fake/storagenode/script.go
@@ -13,12 +13,12 @@
 
 // faultNames are the faults as a script names them.
 var faultNames = map[string]FaultKind{
-	"stall": Stall, "within": Within, "refuse": Refuse, "broken": Broken, "reset": Reset, "lose": Lose, "half": Half,
-	"slow": Slow, "pause": Pause, "die": Die,
+	"stall": Stall, "within": StallInResponse, "refuse": Reject, "broken": ServerError, "reset": ResetConnection, "lose": LoseResponse, "half": TruncateResponse,
+	"slow": Slow, "pause": Pause, "die": Exit,
 }
 
-// Order is one line of a node's script of faults.
-type Order struct {
+// ScriptedFault is one line of a node's script of faults.
+type ScriptedFault struct {
 	AtMS   int     `json:"at_ms"` // since the node's start
 	ForMS  int     `json:"for_ms"`
 	Kind   string  `json:"kind"`
@@ -29,15 +29,15 @@
 	Path   string  `json:"path"`   // that a request's path holds; "": all
 }
 
-// ParseOrders reads a script: a JSON list, comments allowed.
-func ParseOrders(text []byte) ([]Order, error) {
+// ParseScript reads a script: a JSON list, comments allowed.
+func ParseScript(text []byte) ([]ScriptedFault, error) {
 	plain, err := hujson.Standardize(slices.Clone(text))
 	if err != nil {
 		return nil, fmt.Errorf("faults: %w", err)
 	}
 	dec := json.NewDecoder(strings.NewReader(string(plain)))
 	dec.DisallowUnknownFields()
-	var os []Order
+	var os []ScriptedFault
 	if err := dec.Decode(&os); err != nil {
 		return nil, fmt.Errorf("faults: %w", err)
 	}
@@ -52,8 +52,8 @@
 	return os, nil
 }
 
-// Follow shows the faults of a script, each at its time.
-func (n *Node) Follow(os []Order) {
+// RunScript shows the faults of a script, each at its time.
+func (n *Node) RunScript(os []ScriptedFault) {
 	for _, o := range os {
 		f := Fault{Kind: faultNames[o.Kind], Count: o.Count, For: time.Duration(o.ForMS) * time.Millisecond, Share: o.Share, Factor: o.Factor}
 		if o.Method != "" || o.Path != "" {
@@ -63,7 +63,7 @@
 		}
 		go func() {
 			if n.sleep(time.Duration(o.AtMS) * time.Millisecond) {
-				if f.Kind == Die {
+				if f.Kind == Exit {
 					n.Stop()
 					return
 				}
--- a/fake/storagenode/storage_test.go
+++ b/fake/storagenode/storage_test.go
@@ -105,43 +105,43 @@
 
 func TestFaults(t *testing.T) {
 	d := NewDataset("")
-	n := run(t, d, Config{ID: "a", Remember: time.Minute})
+	n := run(t, d, Config{ID: "a", DedupWindow: time.Minute})
 	ask(t, n, "PUT", "/photos", "")
 	ask(t, n, "PUT", "/photos/k", strings.Repeat("x", 100_000))
 	for _, x := range []struct {
 		f    Fault
 		want int
 	}{
-		{Fault{Kind: Refuse}, 503},
-		{Fault{Kind: Broken}, 500},
-		{Fault{Kind: Reset}, 0},
-		{Fault{Kind: Lose, Hold: time.Millisecond}, 0},
+		{Fault{Kind: Reject}, 503},
+		{Fault{Kind: ServerError}, 500},
+		{Fault{Kind: ResetConnection}, 0},
+		{Fault{Kind: LoseResponse, Hold: time.Millisecond}, 0},
 		{Fault{Kind: Stall, Hold: time.Millisecond}, 0},
-		{Fault{Kind: Half}, -200},
-		{Fault{Kind: Within, Hold: time.Millisecond}, 200},
+		{Fault{Kind: TruncateResponse}, -200},
+		{Fault{Kind: StallInResponse, Hold: time.Millisecond}, 200},
 	} {
 		x.f.Count = 1
 		n.Inject(x.f)
 		if s, b := ask(t, n, "GET", "/photos/k", ""); s != x.want {
 			t.Errorf("fault %d: %d %.60s", x.f.Kind, s, b)
 		}
-		n.Heal()
+		n.ClearFaults()
 	}
 	if s, _ := ask(t, n, "GET", "/photos/k", ""); s != 200 {
 		t.Errorf("after all faults: %d", s)
 	}
-	orders, err := ParseOrders([]byte(`[{"kind": "refuse", "method": "GET", "path": "/photos/", "count": 2}, // two
+	orders, err := ParseScript([]byte(`[{"kind": "refuse", "method": "GET", "path": "/photos/", "count": 2}, // two
 		{"kind": "die", "at_ms": 30},]`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.Follow(orders[1:])
+	n.RunScript(orders[1:])
 	<-n.Done()
 	if s, _ := ask(t, n, "GET", "/photos/k", ""); s != 0 {
 		t.Errorf("a dead node answers %d", s)
 	}
 	for _, bad := range []string{`[{"kind": "rain"}]`, `[{"kind": "slow", "speed": 1}]`, `[{"kind": "slow", "share": 2}]`, `{`} {
-		if _, err := ParseOrders([]byte(bad)); err == nil {
+		if _, err := ParseScript([]byte(bad)); err == nil {
 			t.Errorf("%s is taken", bad)
 		}
 	}
--- a/fake/storagenode/stored_test.go
+++ b/fake/storagenode/stored_test.go
@@ -132,15 +132,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	orders, err := ParseOrders(text)
+	orders, err := ParseScript(text)
 	if err != nil || len(orders) != 10 {
 		t.Fatalf("%d orders, %v", len(orders), err)
 	}
-	want := Order{AtMS: 60000, ForMS: 1000, Kind: "stall", Share: 0.5, Method: "GET", Path: "/photos/"}
+	want := ScriptedFault{AtMS: 60000, ForMS: 1000, Kind: "stall", Share: 0.5, Method: "GET", Path: "/photos/"}
 	if orders[0] != want || orders[7].Factor != 2.5 || orders[2].Count != 2 {
 		t.Errorf("%+v", orders)
 	}
-	kinds := []FaultKind{Stall, Within, Refuse, Broken, Reset, Lose, Half, Slow, Pause, Die}
+	kinds := []FaultKind{Stall, StallInResponse, Reject, ServerError, ResetConnection, LoseResponse, TruncateResponse, Slow, Pause, Exit}
 	for i, o := range orders {
 		if faultNames[o.Kind] != kinds[i] {
 			t.Errorf("%q means %v, want %v", o.Kind, faultNames[o.Kind], kinds[i])
--- a/fake/storagenode/timing.go
+++ b/fake/storagenode/timing.go
@@ -22,7 +22,7 @@
 
 // timings returns the Server-Timing of an answer: this request's own, or where the
 // node tells late, those of requests of the same gateway that have become due.
-func (n *Node) timings(e *Entry) string {
+func (n *Node) timings(e *LogEntry) string {
 	if !n.cfg.Timing {
 		return ""
 	}
--- a/forwarder/account.go
+++ b/forwarder/account.go
@@ -26,34 +26,34 @@
 	if !x.cfg.Attribution || c.stage != asked {
 		return
 	}
-	before := c.span.Parts[attribution.Held]
-	c.span.To(x.now, attribution.Held)
-	left := c.span.Parts[attribution.Held] - before
-	part := func(to attribution.Cause, d time.Duration) time.Duration {
-		d = c.span.Move(attribution.Held, to, min(d, left))
+	before := c.span.Parts[attribution.QueuedUnknown]
+	c.span.Enter(x.now, attribution.QueuedUnknown)
+	left := c.span.Parts[attribution.QueuedUnknown] - before
+	part := func(to attribution.Component, d time.Duration) time.Duration {
+		d = c.span.Move(attribution.QueuedUnknown, to, min(d, left))
 		left -= d
 		return d
 	}
-	part(attribution.Limit, h.RateLimit)
-	part(attribution.ColdNode, h.SlowStart)
-	part(attribution.Suspect, h.Ejected)
-	line := part(attribution.Others, h.Concurrency)
+	part(attribution.RateLimited, h.RateLimit)
+	part(attribution.SlowStart, h.SlowStart)
+	part(attribution.Ejected, h.Ejected)
+	line := part(attribution.QueuedBehindOthers, h.Concurrency)
 	if c.attempt < 0 {
-		part(attribution.Turn, left)
+		part(attribution.KeyOrder, left)
 	} else {
-		part(attribution.Pause, left)
+		part(attribution.RetryBackoff, left)
 	}
 	if line <= 0 {
 		return
 	}
 	n := x.holder(c)
 	if n == nil { // its node has gone meanwhile: behind whom is not known
-		c.behind = append(c.behind, attribution.Blame{Time: line})
+		c.behind = append(c.behind, attribution.Contribution{Time: line})
 		return
 	}
 	for _, b := range n.occupancy().Between(x.now-line, x.now) {
 		if b.Volume == string(c.req.Volume) {
-			c.span.Move(attribution.Others, attribution.Own, b.Time)
+			c.span.Move(attribution.QueuedBehindOthers, attribution.QueuedBehindOwn, b.Time)
 		} else {
 			c.behind = append(c.behind, b)
 		}
@@ -73,10 +73,10 @@
 
 // lost puts an attempt's time down as lost: it brought no answer.
 func (x *Forwarder) lost(c *call) {
-	c.span.To(x.now, attribution.Held)
+	c.span.Enter(x.now, attribution.QueuedUnknown)
 	d := x.now - c.begun
-	d -= c.span.Move(attribution.NodeTime, attribution.Lost, d)
-	c.span.Move(attribution.Connect, attribution.Lost, d)
+	d -= c.span.Move(attribution.NodeUnknown, attribution.FailedAttempts, d)
+	c.span.Move(attribution.Dialing, attribution.FailedAttempts, d)
 	x.leaves(c)
 }
 
@@ -90,7 +90,7 @@
 
 // sent notes that a call is out at a node, and who was there before it.
 func (x *Forwarder) sent(c *call, n *node) {
-	c.span.To(x.now, attribution.NodeTime)
+	c.span.Enter(x.now, attribution.NodeUnknown)
 	if x.cfg.Attribution {
 		c.occupies = n
 		c.ahead = n.occupancy().Sent(x.now, string(c.req.Volume), c.req.Units)
@@ -104,8 +104,8 @@
 		return
 	}
 	c.told = true
-	queue := c.span.Move(attribution.NodeTime, attribution.NodeQueue, w.QueueTime)
-	c.span.Move(attribution.NodeTime, attribution.NodeWork, w.ServiceTime)
+	queue := c.span.Move(attribution.NodeUnknown, attribution.NodeQueue, w.QueueTime)
+	c.span.Move(attribution.NodeUnknown, attribution.NodeService, w.ServiceTime)
 	c.behind = append(c.behind, attribution.Divide(c.ahead, queue)...)
 }
 
@@ -114,12 +114,12 @@
 	if !x.cfg.Attribution {
 		return
 	}
-	c.span.To(x.now, attribution.Gateway)
-	c.entry = c.span.Account(string(c.req.Volume), o)
+	c.span.Enter(x.now, attribution.Gateway)
+	c.entry = c.span.Finish(string(c.req.Volume), o)
 	c.entry.Behind = c.behind
-	if unknown := c.entry.Parts[attribution.NodeTime]; unknown > 0 && !c.told {
-		c.untold[0] = attribution.Untold{Call: uint64(c.req.ID), Attempt: c.attempt, Unknown: unknown, Ahead: c.ahead}
-		c.entry.Untold = c.untold[:]
+	if unknown := c.entry.Parts[attribution.NodeUnknown]; unknown > 0 && !c.told {
+		c.untold[0] = attribution.Unreported{Call: uint64(c.req.ID), Attempt: c.attempt, Unknown: unknown, Ahead: c.ahead}
+		c.entry.Unreported = c.untold[:]
 	}
 	x.act(RequestAttributed{ID: c.req.ID, Loop: c.lane, Entry: &c.entry})
 }
@@ -128,13 +128,13 @@
 func outcome(a Action) attribution.Outcome {
 	switch a.(type) {
 	case ForwardResponse:
-		return attribution.Answered
+		return attribution.Completed
 	case Reject:
-		return attribution.Refused
+		return attribution.Rejected
 	case Fail:
 		return attribution.Failed
 	case AbortResponse:
-		return attribution.Cut
+		return attribution.Aborted
 	}
-	return attribution.Left
+	return attribution.Canceled
 }
--- a/forwarder/account_test.go
+++ b/forwarder/account_test.go
@@ -31,7 +31,7 @@
 	r.wait(10 * ms)
 	r.tell(ResponseCompleted{Conn: review.on, Info: served(), Reuse: true})
 	e := got["review"]
-	if e.Parts[attribution.Others] != 30*ms || e.Parts[attribution.NodeTime] != 10*ms || len(e.Behind) != 1 || e.Behind[0] != (attribution.Blame{Volume: "flood", Time: 30 * ms}) {
+	if e.Parts[attribution.QueuedBehindOthers] != 30*ms || e.Parts[attribution.NodeUnknown] != 10*ms || len(e.Behind) != 1 || e.Behind[0] != (attribution.Contribution{Volume: "flood", Time: 30 * ms}) {
 		t.Fatalf("held: %+v", e)
 	}
 	for i := 2; i <= 4; i++ {
@@ -43,7 +43,7 @@
 	r.wait(20 * ms)
 	r.tell(ResponseCompleted{Conn: first.on, Info: served(), Reuse: true})
 	r.tell(ResponseCompleted{Conn: second.on, Info: served(), Reuse: true})
-	if e := got["second"]; e.Parts[attribution.Turn] != 20*ms || e.Parts.Total() != 20*ms {
+	if e := got["second"]; e.Parts[attribution.KeyOrder] != 20*ms || e.Parts.Total() != 20*ms {
 		t.Fatalf("in turn: %+v", e)
 	}
 
@@ -54,7 +54,7 @@
 	r.tell(ConnectionLost{Conn: id})
 	r.wait(40 * ms)
 	r.tell(ResponseCompleted{Conn: again.on, Info: served(), Reuse: true})
-	if e := got["again"]; e.Parts[attribution.Lost] != 15*ms || e.Parts[attribution.Pause] == 0 || e.Parts.Total() != 55*ms {
+	if e := got["again"]; e.Parts[attribution.FailedAttempts] != 15*ms || e.Parts[attribution.RetryBackoff] == 0 || e.Parts.Total() != 55*ms {
 		t.Fatalf("after a lost attempt: %+v", e)
 	}
 
@@ -64,7 +64,7 @@
 	r.tell(ResponseHeaders{Conn: stream.on, Info: served()})
 	r.wait(70 * ms)
 	r.tell(ResponseCompleted{Conn: stream.on, Info: served(), Reuse: true})
-	if e := got["stream"]; e.Parts[attribution.NodeTime] != 5*ms || e.Parts[attribution.BodyOut] != 70*ms {
+	if e := got["stream"]; e.Parts[attribution.NodeUnknown] != 5*ms || e.Parts[attribution.ResponseBody] != 70*ms {
 		t.Fatalf("streaming: %+v", e)
 	}
 }
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -72,12 +72,12 @@
 
 	span     attribution.Span
 	begun    time.Duration // of the present attempt
-	behind   []attribution.Blame
-	occupies *node               // among whose requests out it counts
-	ahead    []attribution.Share // who was out there when it was sent
-	told     bool                // its node told how its time there divides
-	entry    attribution.Entry   // its account, once it has ended
-	untold   [1]attribution.Untold
+	behind   []attribution.Contribution
+	occupies *node                       // among whose requests out it counts
+	ahead    []attribution.InFlightUnits // who was out there when it was sent
+	told     bool                        // its node told how its time there divides
+	entry    attribution.Entry           // its account, once it has ended
+	untold   [1]attribution.Unreported
 }
 
 type connState int
@@ -285,7 +285,7 @@
 		if x.cfg.Attribution {
 			x.act(RequestAttributed{
 				ID: e.Request.ID, Loop: e.Loop,
-				Entry: &attribution.Entry{Volume: string(e.Request.Volume), Started: x.now, Ended: x.now, Outcome: attribution.Refused},
+				Entry: &attribution.Entry{Volume: string(e.Request.Volume), Started: x.now, Ended: x.now, Outcome: attribution.Rejected},
 			})
 		}
 		x.act(Reject{ID: e.Request.ID, Loop: e.Loop, RetryAfter: x.cfg.Dispatch.MaxRetryAfter})
@@ -296,7 +296,7 @@
 		req: e.Request, class: class, lane: e.Loop, attempt: -1, once: e.NotReplayable, units: e.Request.Units,
 		deadline: x.now + e.Request.Timeout - x.cfg.ResponseMargin,
 	}
-	c.span = attribution.Begin(x.now, attribution.Held)
+	c.span = attribution.StartSpan(x.now, attribution.QueuedUnknown)
 	x.calls[c.req.ID] = c
 	x.tell(e.Request)
 }
@@ -316,7 +316,7 @@
 	x.wasHeld(c, a.QueueTime)
 	c.attempt++
 	c.begun, c.told = x.now, false
-	c.span.To(x.now, attribution.Connect)
+	c.span.Enter(x.now, attribution.Dialing)
 	c.stage, c.bodySent, c.late = opening, false, false
 	c.sentAt = x.now
 	until := c.deadline
@@ -574,7 +574,7 @@
 	c := k.call
 	c.stage, c.headAt, c.headWord = passing, x.now, e.Info
 	x.measure(c, e.Info.Units)
-	c.span.To(x.now, attribution.BodyOut)
+	c.span.Enter(x.now, attribution.ResponseBody)
 	x.timed(c, e.Info)
 	x.stop(c)
 	if x.stream(c) {
@@ -623,7 +623,7 @@
 		x.conclude(c, Fail{ID: c.req.ID, Loop: c.lane})
 	case e.Info.Result == dispatch.OK:
 		x.measure(c, e.Info.Units)
-		c.span.To(x.now, attribution.Gateway)
+		c.span.Enter(x.now, attribution.Gateway)
 		x.timed(c, e.Info)
 		x.give(c, dispatch.OK, e.Info, true)
 		x.conclude(c, ForwardResponse{ID: c.req.ID, Loop: c.lane, Conn: k.id})
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -372,7 +372,7 @@
 			for _, b := range e.Behind {
 				behind += b.Time
 			}
-			if e.Parts.Total() != e.Ended-began[e.Volume] || e.Started != began[e.Volume] || behind != e.Parts[attribution.Others]+e.Parts[attribution.NodeQueue] {
+			if e.Parts.Total() != e.Ended-began[e.Volume] || e.Started != began[e.Volume] || behind != e.Parts[attribution.QueuedBehindOthers]+e.Parts[attribution.NodeQueue] {
 				t.Errorf("%s: %v accounted of %v, behind %v: %v", e.Volume, e.Parts.Total(), e.Ended-began[e.Volume], behind, e.Parts)
 			}
 		}
--- a/gateway/accounting.go
+++ b/gateway/accounting.go
@@ -21,10 +21,10 @@
 
 // bookkeeper owns the books of a gateway.
 type bookkeeper struct {
-	keeper *attribution.Keeper
+	keeper *attribution.Collector
 	now    func() time.Duration
 	in     chan attribution.Batch // bounded: what does not fit is counted as lost
-	ask    chan func(time.Duration, *attribution.Keeper)
+	ask    chan func(time.Duration, *attribution.Collector)
 	each   func(attribution.Entry)
 	save   func(attribution.Action)
 	lost   atomic.Int64
@@ -32,15 +32,15 @@
 }
 
 func newBookkeeper(s settings.Accounts, now func() time.Duration, each func(attribution.Entry), save func(attribution.Action)) (*bookkeeper, error) {
-	cfg := attribution.DefaultKeeperConfig()
+	cfg := attribution.DefaultCollectorConfig()
 	cfg.Volumes, cfg.Pairs, cfg.Distributions, cfg.Late = s.Volumes, s.Pairs, s.Distributions, s.Late
-	k, err := attribution.NewKeeper(cfg)
+	k, err := attribution.NewCollector(cfg)
 	if err != nil {
 		return nil, err
 	}
 	return &bookkeeper{
 		keeper: k, now: now, in: make(chan attribution.Batch, s.Batches), each: each, save: save,
-		ask: make(chan func(time.Duration, *attribution.Keeper)), ended: make(chan struct{}),
+		ask: make(chan func(time.Duration, *attribution.Collector)), ended: make(chan struct{}),
 	}, nil
 }
 
@@ -53,7 +53,7 @@
 		select {
 		case batch, ok := <-b.in:
 			if !ok {
-				b.handle(attribution.Finish{})
+				b.handle(attribution.Flush{})
 				return
 			}
 			batch.Lost = b.lost.Swap(0)
@@ -93,8 +93,8 @@
 }
 
 // late puts a report on its way to the books.
-func (l *lane) late(t attribution.Told) {
-	if l.batch.Told = append(l.batch.Told, t); len(l.batch.Told) >= batchEntries {
+func (l *lane) late(t attribution.NodeReport) {
+	if l.batch.Reports = append(l.batch.Reports, t); len(l.batch.Reports) >= batchEntries {
 		l.flushBatch()
 	}
 }
@@ -103,7 +103,7 @@
 // hold up requests.
 func (l *lane) flushBatch() {
 	b := l.g.books
-	if b == nil || len(l.batch.Entries)+len(l.batch.Told) == 0 {
+	if b == nil || len(l.batch.Entries)+len(l.batch.Reports) == 0 {
 		return
 	}
 	select {
@@ -123,28 +123,28 @@
 func (t *transaction) setOut() {
 	c := t.conn
 	now := t.started.Sub(c.lane.g.core.start)
-	waited := c.c.Waited()
-	t.journey = attribution.SetOut(now-waited, attribution.Limit)
-	waited -= c.c.Paced()
-	t.journey.To(now-waited, attribution.Loop)
-	t.journey.To(now, attribution.Gateway)
+	waited := c.c.SliceWait()
+	t.journey = attribution.StartClientSpan(now-waited, attribution.RateLimited)
+	waited -= c.c.RateLimitWait()
+	t.journey.Enter(now-waited, attribution.EventLoop)
+	t.journey.Enter(now, attribution.Gateway)
 	l := c.lane
 	if l.g.books == nil || waited < blamed {
 		return
 	}
-	l.behind = c.c.Behind(l.behind[:0])
-	blames, rest := make([]attribution.Blame, 0, len(l.behind)+1), waited
+	l.behind = c.c.WaitedBehind(l.behind[:0])
+	blames, rest := make([]attribution.Contribution, 0, len(l.behind)+1), waited
 	for _, x := range l.behind {
 		d := min(x.Time, rest)
 		rest -= d
 		if x.Flow != c.vol.flow { // behind others only, as at nodes
-			blames = append(blames, attribution.Blame{Volume: x.Flow.Name(), Time: d})
+			blames = append(blames, attribution.Contribution{Volume: x.Flow.Name(), Time: d})
 		}
 	}
 	if rest > 0 { // looking for events, and what is not remembered
-		blames = append(blames, attribution.Blame{Time: rest})
+		blames = append(blames, attribution.Contribution{Time: rest})
 	}
-	t.journey.Waited(blames)
+	t.journey.WaitedBehind(blames)
 }
 
 // blamed is how long a head must wait for whom it waited behind to be told: who they were costs
@@ -152,9 +152,9 @@
 const blamed = time.Millisecond
 
 // turn goes on with another cause.
-func (t *transaction) turn(c attribution.Cause) {
+func (t *transaction) turn(c attribution.Component) {
 	if t.conn.lane.g.books != nil {
-		t.journey.To(t.at(), c)
+		t.journey.Enter(t.at(), c)
 	}
 }
 
@@ -173,12 +173,12 @@
 		return
 	}
 	if t.up != nil && t.up.call == c {
-		e.Move(attribution.NodeTime, attribution.BodyIn, t.up.fromClient(t.at()))
+		e.Move(attribution.NodeUnknown, attribution.RequestBody, t.up.fromClient(t.at()))
 	}
 	if s := t.stall.take(t.at()); s > 0 {
-		e.Move(attribution.BodyOut, attribution.Client, s)
+		e.Move(attribution.ResponseBody, attribution.SlowClient, s)
 	}
-	t.journey.Through(e)
+	t.journey.Include(e)
 	if t.open--; t.parting && t.open <= 0 {
 		t.book()
 	}
@@ -207,11 +207,11 @@
 	if c.lane.g.books == nil || !t.asked {
 		return
 	}
-	if c.c.Pending() == 0 && (!t.heldUp || c.c.Unsent() == 0) {
+	if c.c.Pending() == 0 && (!t.heldUp || c.c.Unacknowledged() == 0) {
 		t.book()
 		return
 	}
-	t.turn(attribution.Client)
+	t.turn(attribution.SlowClient)
 	c.tail = t
 	if t.heldUp {
 		c.watchTail(t, t.at())
@@ -225,10 +225,10 @@
 	wait := max((t.at()-since)/16, time.Millisecond)
 	l := c.lane
 	time.AfterFunc(wait, func() {
-		l.loop.Do(func() {
+		l.loop.Post(func() {
 			switch {
 			case c.tail != t:
-			case c.c.Open() && c.c.Pending()+c.c.Unsent() > 0:
+			case c.c.Open() && c.c.Pending()+c.c.Unacknowledged() > 0:
 				c.watchTail(t, since)
 			default:
 				c.tailGone()
@@ -289,16 +289,16 @@
 
 // ---- Reading the books.
 
-// Accounts calls f with the books of the gateway's latency accounts, which f may
+// Attribution calls f with the books of the gateway's latency accounts, which f may
 // read until it returns. It returns an error when accounts are not kept or the
 // gateway is closed. f must be quick: reports wait meanwhile.
-func (g *Gateway) Accounts(f func(now time.Duration, k *attribution.Keeper)) error {
+func (g *Gateway) Attribution(f func(now time.Duration, k *attribution.Collector)) error {
 	if g.books == nil {
 		return fmt.Errorf("gateway: no accounts are kept: accounts.on is false in the settings")
 	}
 	done := make(chan struct{})
 	select {
-	case g.books.ask <- func(now time.Duration, k *attribution.Keeper) { f(now, k); close(done) }:
+	case g.books.ask <- func(now time.Duration, k *attribution.Collector) { f(now, k); close(done) }:
 		<-done
 		return nil
 	case <-g.books.ended:
@@ -306,11 +306,11 @@
 	}
 }
 
-// FlushAccounts hands all accounts that are complete over to the books.
-func (g *Gateway) FlushAccounts() {
+// FlushAttribution hands all accounts that are complete over to the books.
+func (g *Gateway) FlushAttribution() {
 	for _, l := range g.lanes {
 		done := make(chan struct{})
-		l.loop.Do(func() { l.flushBatch(); close(done) })
+		l.loop.Post(func() { l.flushBatch(); close(done) })
 		select {
 		case <-done:
 		case <-g.core.done:
@@ -324,9 +324,9 @@
 	return attribution.Run{ID: g.core.nonce, Gateway: g.cfg.Name, Started: g.born}
 }
 
-// AccountsHandler serves the accounts as JSON: GET with since (such as 5m, the
+// AttributionHandler serves the accounts as JSON: GET with since (such as 5m, the
 // default) and slots=1 for each slot apart instead of their sum.
-func (g *Gateway) AccountsHandler() http.Handler {
+func (g *Gateway) AttributionHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		since, slots, err := accountsQuery(r)
 		if err != nil {
@@ -335,14 +335,14 @@
 		}
 		doc := attribution.Document{Version: attribution.Version, Run: g.Run()}
 		reached, most := false, time.Duration(0)
-		err = g.Accounts(func(now time.Duration, k *attribution.Keeper) {
-			doc.Now, doc.Counts, most = now, k.Counts(), k.Books().Reach()
+		err = g.Attribution(func(now time.Duration, k *attribution.Collector) {
+			doc.Now, doc.Counts, most = now, k.Counts(), k.Aggregator().Reach()
 			if slots {
-				doc.Windows, reached = k.Books().Pages(now, since)
+				doc.Windows, reached = k.Aggregator().Pages(now, since)
 				return
 			}
 			var win attribution.Window
-			if win, reached = k.Books().Over(now, since); reached {
+			if win, reached = k.Aggregator().Over(now, since); reached {
 				doc.Windows = []attribution.Window{win}
 			}
 		})
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -79,7 +79,7 @@
 	moved time.Time // when bytes of a streamed answer last came
 
 	gate   *gate                       // of its node
-	lease  *fairshare.Lease[*nodeConn] // to draw on it
+	lease  *fairshare.Grant[*nodeConn] // to draw on it
 	drawn  int                         // bytes, under the lease
 	asking bool                        // for one
 }
@@ -87,8 +87,8 @@
 // send writes a request. The call's source, if any, goes on from here.
 func (k *nodeConn) send(c *call, a forwarder.SendRequest) {
 	k.call, k.res = c, result{}
-	k.c.Assign(k.lane.payer(c.t).flow)
-	if !k.r.Sent(c.method, c.collect) { // cannot happen: it carries nothing else
+	k.c.AssignFlow(k.lane.payer(c.t).flow)
+	if !k.r.RequestSent(c.method, c.collect) { // cannot happen: it carries nothing else
 		k.lose()
 		return
 	}
@@ -116,7 +116,7 @@
 	k.giveBack()
 	r := k.res
 	k.call, k.src, k.res = nil, nil, result{}
-	k.r.Taken()
+	k.r.ResponseTaken()
 	return r
 }
 
@@ -135,7 +135,7 @@
 func (k *nodeConn) resume() {
 	switch {
 	case k.c == nil:
-	case k.r.State() == upstreamhttp.Passing:
+	case k.r.State() == upstreamhttp.Streaming:
 		k.draw()
 	default:
 		k.c.Resume()
@@ -154,7 +154,7 @@
 	if k.lane.conns[k.id] != k {
 		return
 	}
-	if err == eventloop.ErrLeft && k.r.Ended().Kind == upstreamhttp.End {
+	if err == eventloop.ErrPeerClosed && k.r.PeerClosed().Kind == upstreamhttp.ResponseEnd {
 		k.complete(result{kind: streamed, resp: &k.r.Response}) // a body that ends with its connection
 		if k.lane.conns[k.id] != k {
 			return
@@ -185,16 +185,16 @@
 		s := k.r.Next(b[used:])
 		used += s.Used
 		switch s.Kind {
-		case upstreamhttp.Need:
+		case upstreamhttp.NeedMore:
 			return used
-		case upstreamhttp.Fault:
+		case upstreamhttp.ProtocolError:
 			k.lose()
 			return 0
-		case upstreamhttp.Head:
+		case upstreamhttp.Headers:
 			if !k.head() {
 				return used
 			}
-		case upstreamhttp.Data:
+		case upstreamhttp.BodyData:
 			k.moved = k.lane.now()
 			more := k.call.sink.data(s.Body)
 			if k.call == nil { // the sink's client has left
@@ -212,10 +212,10 @@
 			if k.drawn >= k.lane.g.cfg.Share.Draw && !k.giveWay() {
 				return used
 			}
-		case upstreamhttp.Whole:
+		case upstreamhttp.BufferedResponse:
 			k.complete(result{kind: answered, resp: &k.r.Response, body: s.Body})
 			return used
-		case upstreamhttp.End:
+		case upstreamhttp.ResponseEnd:
 			k.complete(result{kind: streamed, resp: &k.r.Response})
 			return used
 		}
@@ -228,7 +228,7 @@
 func (k *nodeConn) head() bool {
 	word := k.word()
 	if k.call.sink == nil || word.Result != dispatch.OK {
-		if k.r.Collect().Kind == upstreamhttp.Fault {
+		if k.r.Buffer().Kind == upstreamhttp.ProtocolError {
 			k.lose()
 			return false
 		}
@@ -254,10 +254,10 @@
 // no other attempt can take its place; it must see that the answer is cut. It does
 // harm to a node that pauses for longer than the limit.
 func (k *nodeConn) check(now time.Time) {
-	if k.c != nil && k.c.Waits() {
+	if k.c != nil && k.c.AwaitsSlice() {
 		k.moved = now // it is this gateway that makes it wait
 	}
-	if k.r.State() == upstreamhttp.Passing && (!k.c.Paused() || k.c.Awaits()) && now.Sub(k.moved) > k.lane.g.cfg.Limits.ClientBody.D() {
+	if k.r.State() == upstreamhttp.Streaming && (!k.c.Paused() || k.c.WantsRead()) && now.Sub(k.moved) > k.lane.g.cfg.Limits.ClientBody.D() {
 		k.lose()
 	}
 }
--- a/gateway/client.go
+++ b/gateway/client.go
@@ -42,7 +42,7 @@
 // speaksFor has the connection's turns count for a volume from here on.
 func (c *clientConn) speaksFor(v *volume) {
 	c.vol = v
-	c.c.Assign(v.flow)
+	c.c.AssignFlow(v.flow)
 }
 
 // transaction is one client request until its answer has left.
@@ -71,7 +71,7 @@
 	status   int
 	then     func(t *transaction) // goes on once the body is held
 
-	journey attribution.Journey
+	journey attribution.ClientSpan
 	stall   stall // of the answer, by the client
 	heldUp  bool  // it was, at least once
 	outcome attribution.Outcome
@@ -83,7 +83,7 @@
 
 func (c *clientConn) set(s clientState) {
 	c.state = s
-	c.c.Starts(s == reading || s == lingering)
+	c.c.SetStarting(s == reading || s == lingering)
 	c.since = c.lane.now()
 }
 
@@ -121,7 +121,7 @@
 		c.ex.from.resume()
 	case c.state == reading && !c.rests():
 		c.c.Resume()
-		c.c.Again()
+		c.c.Redeliver()
 	}
 }
 
@@ -136,7 +136,7 @@
 		if !t.ended {
 			c.lane.g.metrics.gone.Inc()
 			t.ended = true
-			t.outcome = attribution.Left
+			t.outcome = attribution.Canceled
 			c.lane.g.busy.Add(-1)
 			t.abandon()
 			t.part()
@@ -157,7 +157,7 @@
 		c.c.Pause()
 		return 0
 	}
-	if c.c.Left() { // nobody waits for an answer any more: nothing is begun
+	if c.c.PeerClosed() { // nobody waits for an answer any more: nothing is begun
 		return len(b)
 	}
 	if skip := http1.SkipBlank(b); skip > 0 {
@@ -177,7 +177,7 @@
 	r := &c.req
 	t.minor, t.method, t.close, t.expect = r.Minor, string(r.Method), r.Close || c.lane.g.draining.Load(), r.Expect100
 	t.head = t.method == "HEAD"
-	if after, refuse := c.vol.over.Head(c.lane.g.core.now(), c.c.Waited()-c.c.Paced()); refuse {
+	if after, refuse := c.vol.over.Head(c.lane.g.core.now(), c.c.SliceWait()-c.c.RateLimitWait()); refuse {
 		t.overloaded(r, after)
 		return n
 	}
@@ -320,7 +320,7 @@
 	h := http1.AppendHeader([]byte("Content-Type: application/xml\r\n"), "Retry-After", strconv.FormatInt(max(secs, 1), 10))
 	h = http1.AppendHeader(h, "x-chalkstand-retry-after-ms", strconv.FormatInt(after.Milliseconds(), 10))
 	e := objectapi.Errorf("SlowDown", "Please reduce your request rate.")
-	t.outcome = attribution.Refused
+	t.outcome = attribution.Rejected
 	t.reply(503, h, e.Document(t.resource, t.id))
 }
 
@@ -360,7 +360,7 @@
 	}
 	c.set(reading)
 	c.c.Resume()
-	c.c.Again()
+	c.c.Redeliver()
 }
 
 // endWrite closes once all is written. Where the client may still be sending, its
@@ -368,14 +368,14 @@
 // connection under an answer that it has not read.
 func (c *clientConn) endWrite() {
 	c.since = time.Now()
-	c.c.EndWrite()
+	c.c.CloseWrite()
 	c.c.Resume()
 }
 
 // check looks for limits that have passed.
 func (c *clientConn) check(now time.Time) {
 	l := c.lane.g.cfg.Limits
-	if c.c.Waits() {
+	if c.c.AwaitsSlice() {
 		c.since = now // it has something to move, and waits for its turn
 	}
 	waited := now.Sub(c.since)
@@ -384,11 +384,11 @@
 		switch {
 		case c.c.Pending() > 0 && waited > l.ClientBody.D():
 			c.c.Reset()
-		case c.c.Kept() > 0 && waited > l.ClientHead.D():
+		case c.c.Buffered() > 0 && waited > l.ClientHead.D():
 			t := c.open()
 			t.close = true
 			t.fail(objectapi.Errorf("RequestTimeout", "The head of the request did not come in time."), 408)
-		case c.c.Kept() == 0 && waited > l.ClientIdle.D():
+		case c.c.Buffered() == 0 && waited > l.ClientIdle.D():
 			c.c.Close()
 		}
 	case gathering:
@@ -460,7 +460,7 @@
 		return
 	}
 	if cut {
-		t.status, t.outcome = 0, attribution.Cut
+		t.status, t.outcome = 0, attribution.Aborted
 		t.settle()
 		t.book()
 		t.conn.c.Reset()
--- a/gateway/core.go
+++ b/gateway/core.go
@@ -58,7 +58,7 @@
 	for _, l := range c.lanes {
 		if l != from && len(l.acts) > 0 && !l.woken {
 			l.woken = true
-			l.loop.Do(l.follow)
+			l.loop.Post(l.follow)
 		}
 	}
 	c.mu.Unlock()
--- a/gateway/draw.go
+++ b/gateway/draw.go
@@ -65,7 +65,7 @@
 	}
 	k.asking = true
 	v := k.lane.payer(k.call.t)
-	k.gate.Ask(k.lane.g.core.now(), v.name, v.terms, k)
+	k.gate.Request(k.lane.g.core.now(), v.name, v.terms, k)
 	if !k.gate.crowded {
 		k.gate.crowded = true
 		k.lane.crowded = append(k.lane.crowded, k.gate)
@@ -74,7 +74,7 @@
 
 // OnReadable lets a stream ask whose next bytes are there.
 func (k *nodeConn) OnReadable(*eventloop.Conn) {
-	if k.call != nil && k.r.State() == upstreamhttp.Passing && k.lease == nil {
+	if k.call != nil && k.r.State() == upstreamhttp.Streaming && k.lease == nil {
 		k.draw()
 	}
 }
@@ -102,13 +102,13 @@
 func (l *lane) grant(g *gate) {
 	now := l.g.core.now()
 	for {
-		lease, ok := g.Grant(now)
+		lease, ok := g.NextGrant(now)
 		if !ok {
 			return
 		}
 		k := lease.Item
 		k.asking = false
-		if k.lease != nil || k.call == nil || k.c == nil || k.r.State() != upstreamhttp.Passing { // it has ended meanwhile
+		if k.lease != nil || k.call == nil || k.c == nil || k.r.State() != upstreamhttp.Streaming { // it has ended meanwhile
 			g.Done(now, lease, 0)
 			continue
 		}
@@ -122,7 +122,7 @@
 	var first time.Duration
 	any, n := false, 0
 	for _, g := range l.crowded {
-		at, ok := g.Wake()
+		at, ok := g.NextWake()
 		if g.crowded = ok; !ok {
 			continue
 		}
@@ -140,7 +140,7 @@
 // leases ends those that have had their time, and gives leave to those who wait.
 func (l *lane) leases(now time.Duration) {
 	for _, g := range l.crowded {
-		for lease, ok := g.Lapsed(now); ok; lease, ok = g.Lapsed(now) {
+		for lease, ok := g.Expired(now); ok; lease, ok = g.Expired(now) {
 			if k := lease.Item; k.lease == lease {
 				k.lease, k.drawn = nil, 0
 				k.c.Pause()
--- a/gateway/export_test.go
+++ b/gateway/export_test.go
@@ -7,7 +7,7 @@
 func (g *Gateway) Overload(volume string) (release func()) {
 	held, free := make(chan struct{}), make(chan struct{})
 	l := g.lanes[0]
-	l.loop.Do(func() {
+	l.loop.Post(func() {
 		interval := g.cfg.Share.Overload.Interval.D()
 		o := l.volumeOf(volume).over
 		o.Head(0, time.Minute)
--- a/gateway/fanout.go
+++ b/gateway/fanout.go
@@ -381,7 +381,7 @@
 // returns nil where a node's part is no answer.
 func (t *transaction) atLength(work func(objectapi.Pause) any) {
 	l := t.conn.lane
-	l.loop.Work(l.payer(t).flow, func(pause func() bool) {
+	l.loop.RunInSlices(l.payer(t).flow, func(pause func() bool) {
 		alive := func() bool { return !t.ended && pause() && !t.ended }
 		v := work(alive)
 		if t.ended {
--- a/gateway/front.go
+++ b/gateway/front.go
@@ -29,7 +29,7 @@
 	hosts int
 	place *placement.Volume
 	flow  *eventloop.Flow // its share of the lane's loop
-	terms fairshare.Terms
+	terms fairshare.FlowConfig
 	over  *overload.Controller // of the lane's loop, by what it has to do for this volume
 }
 
@@ -180,7 +180,7 @@
 	}
 	t.continueBody()
 	c.set(gathering)
-	t.turn(attribution.BodyIn)
+	t.turn(attribution.RequestBody)
 	if r.None() {
 		c.gather(nil)
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -49,16 +49,16 @@
 	return func(g *Gateway) { g.trace = f }
 }
 
-// WithAccounts has f given the account of each client request that needed a node,
+// WithAttribution has f given the account of each client request that needed a node,
 // one at a time, soon after its end; accounts are kept whatever the settings say.
 // f must not block.
-func WithAccounts(f func(attribution.Entry)) Option {
+func WithAttribution(f func(attribution.Entry)) Option {
 	return func(g *Gateway) { g.eachAccount, g.cfg.Accounts.On = f, true }
 }
 
-// WithAccountsLog has f given the slots of the accounts as they close (Closed) and
+// WithAttributionLog has f given the slots of the accounts as they close (Closed) and
 // later corrections of these (Fixed), in order, one at a time.
-func WithAccountsLog(f func(attribution.Action)) Option {
+func WithAttributionLog(f func(attribution.Action)) Option {
 	return func(g *Gateway) { g.saveAccount = f }
 }
 
@@ -155,13 +155,13 @@
 		go g.books.run()
 	}
 	if len(cfg.Nodes) > 0 {
-		g.SetNodes(dispatch.Snapshot, NodesOf(cfg.Nodes))
+		g.UpdateEndpoints(dispatch.Snapshot, EndpointsOf(cfg.Nodes))
 	}
 	return g, nil
 }
 
-// NodesOf turns the settings' nodes into a list for SetNodes.
-func NodesOf(ns []settings.Node) []forwarder.Node {
+// EndpointsOf turns the settings' nodes into a list for SetNodes.
+func EndpointsOf(ns []settings.Node) []forwarder.Node {
 	var list []forwarder.Node
 	for _, n := range ns {
 		e := forwarder.Node{Addr: n.Addr, Node: dispatch.Node{ID: dispatch.NodeID(n.ID), Shard: dispatch.Shard(n.Shard), Zone: n.Zone, Kind: n.Kind}}
@@ -176,8 +176,8 @@
 // Now returns the gateway's own time: since it was built, never going back.
 func (g *Gateway) Now() time.Duration { return g.core.now() }
 
-// SetNodes tells the gateway of its storage nodes. Times in it are on Now's scale.
-func (g *Gateway) SetNodes(kind dispatch.EndpointUpdateKind, nodes []forwarder.Node) {
+// UpdateEndpoints tells the gateway of its storage nodes. Times in it are on Now's scale.
+func (g *Gateway) UpdateEndpoints(kind dispatch.EndpointUpdateKind, nodes []forwarder.Node) {
 	g.core.tell(nil, forwarder.EndpointUpdate{Kind: kind, Nodes: nodes})
 }
 
@@ -208,7 +208,7 @@
 		ln.Close()
 		first := g.lanes[0]
 		failed := make(chan error, 1)
-		first.loop.Do(func() { failed <- first.loop.Listen(fd, first.strange.flow, g.accept) })
+		first.loop.Post(func() { failed <- first.loop.Listen(fd, first.strange.flow, g.accept) })
 		if err := <-failed; err != nil {
 			return fmt.Errorf("gateway: listener: %w", err)
 		}
@@ -234,7 +234,7 @@
 	if l == g.lanes[0] {
 		l.addClient(fd)
 	} else {
-		l.loop.Do(func() { l.addClient(fd) })
+		l.loop.Post(func() { l.addClient(fd) })
 	}
 }
 
@@ -245,8 +245,8 @@
 func (g *Gateway) Drain(ctx context.Context) error {
 	g.draining.Store(true)
 	for _, l := range g.lanes {
-		l.loop.Do(func() {
-			l.loop.Unlisten()
+		l.loop.Post(func() {
+			l.loop.StopListening()
 			l.closeIdle()
 		})
 	}
@@ -299,7 +299,7 @@
 			return
 		case <-t.C:
 			for _, l := range g.lanes {
-				l.loop.Do(l.sweep)
+				l.loop.Post(l.sweep)
 			}
 		}
 	}
@@ -314,17 +314,17 @@
 	return ln.(*net.TCPListener), nil
 }
 
-// InHand returns how many client requests are taken and not yet answered.
-func (g *Gateway) InHand() int { return int(g.busy.Load()) }
+// InFlight returns how many client requests are taken and not yet answered.
+func (g *Gateway) InFlight() int { return int(g.busy.Load()) }
 
-// HeldBytes returns how many bytes wait in the gateway's own buffers, of all
+// BufferedBytes returns how many bytes wait in the gateway's own buffers, of all
 // connections.
-func (g *Gateway) HeldBytes() int {
+func (g *Gateway) BufferedBytes() int {
 	n := make(chan int, len(g.lanes))
 	for _, l := range g.lanes {
-		l.loop.Do(func() {
+		l.loop.Post(func() {
 			sum := 0
-			l.loop.Each(func(c *eventloop.Conn) { sum += c.Pending() + c.Kept() })
+			l.loop.EachConn(func(c *eventloop.Conn) { sum += c.Pending() + c.Buffered() })
 			n <- sum
 		})
 	}
--- a/gateway/lane.go
+++ b/gateway/lane.go
@@ -31,7 +31,7 @@
 	resting restingClients
 	leaving map[dispatch.RequestID]*call // dropped here, not yet accounted for
 	batch   attribution.Batch            // on its way to the books
-	behind  []eventloop.Turns            // scratch
+	behind  []eventloop.SliceUsage       // scratch
 	scratch []byte
 	swept   time.Time // of the last sweep: the coarse clock of connections
 	date    string    // for answers
@@ -48,10 +48,10 @@
 		g: g, index: forwarder.LoopID(loop.Index), loop: loop, calls: map[dispatch.RequestID]*call{},
 		conns: map[forwarder.ConnID]*nodeConn{}, clients: map[*clientConn]struct{}{}, volumes: map[string]*volume{}, leaving: map[dispatch.RequestID]*call{}, swept: time.Now(),
 	}
-	l.strange = &volume{name: "(newcomers)", terms: fairshare.Terms{Weight: g.cfg.Share.Newcomers}, over: l.newOverload()}
+	l.strange = &volume{name: "(newcomers)", terms: fairshare.FlowConfig{Weight: g.cfg.Share.Newcomers}, over: l.newOverload()}
 	l.strange.flow = loop.Flow(l.strange.name, l.strange.terms, g.shares.account(l.strange.name, g.cfg))
-	loop.Alarm(l.nextAlarm, l.ring)
-	l.house = &volume{name: "(gateway)", terms: fairshare.Terms{Weight: 1}}
+	loop.SetTimer(l.nextAlarm, l.ring)
+	l.house = &volume{name: "(gateway)", terms: fairshare.FlowConfig{Weight: 1}}
 	l.house.flow = loop.Flow(l.house.name, l.house.terms, nil)
 	return l
 }
@@ -180,8 +180,8 @@
 		}
 		if err == nil {
 			if k.c, err = l.loop.Add(fd, k); err == nil {
-				k.c.Assign(l.house.flow)
-				k.c.Receive(l.g.cfg.Share.Receive)
+				k.c.AssignFlow(l.house.flow)
+				k.c.SetReceiveBuffer(l.g.cfg.Share.Receive)
 			}
 		}
 		if err != nil {
@@ -199,7 +199,7 @@
 		return
 	}
 	c.c = k
-	k.Starts(true)
+	k.SetStarting(true)
 	c.speaksFor(l.strange)
 	l.clients[c] = struct{}{}
 }
@@ -215,13 +215,13 @@
 		k.check(now)
 	}
 	l.flushBatch()
-	l.loop.Retry()
+	l.loop.RetryAccept()
 }
 
 // closeIdle closes the connections of clients that have nothing in hand.
 func (l *lane) closeIdle() {
 	for c := range l.clients {
-		if c.state == reading && c.c.Pending() == 0 && c.c.Kept() == 0 {
+		if c.state == reading && c.c.Pending() == 0 && c.c.Buffered() == 0 {
 			c.c.Close()
 		}
 	}
--- a/gateway/overload.go
+++ b/gateway/overload.go
@@ -100,6 +100,6 @@
 	l.leases(now)
 	for c := l.resting.due(now); c != nil; c = l.resting.due(now) {
 		c.c.Resume()
-		c.c.Again()
+		c.c.Redeliver()
 	}
 }
--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -125,7 +125,7 @@
 func TestWaitForTheLoopIsAccountedFor(t *testing.T) {
 	const clients = 100
 	entries := make(chan attribution.Entry, 4*clients)
-	e, all := overloaded(t, clients, 0, kit.Secret, gateway.WithAccounts(func(e attribution.Entry) { entries <- e }))
+	e, all := overloaded(t, clients, 0, kit.Secret, gateway.WithAttribution(func(e attribution.Entry) { entries <- e }))
 	for _, c := range all {
 		if resp := c.answer(t); resp.StatusCode != 200 {
 			t.Error(resp.Status)
@@ -148,9 +148,9 @@
 				behind += b.Time
 			}
 		}
-		if d := x.Parts[attribution.Loop]; d > 0 {
+		if d := x.Parts[attribution.EventLoop]; d > 0 {
 			waited += d
-			if line := d + x.Parts[attribution.Others] + x.Parts[attribution.NodeQueue]; sum > line {
+			if line := d + x.Parts[attribution.QueuedBehindOthers] + x.Parts[attribution.NodeQueue]; sum > line {
 				t.Errorf("waited %v behind others, of %v in line", sum, line)
 			}
 		}
--- a/gateway/shares.go
+++ b/gateway/shares.go
@@ -16,7 +16,7 @@
 // loopOptions are a loop's settings.
 func loopOptions(s *settings.Settings, now func() time.Duration) eventloop.Options {
 	x := s.Share
-	return eventloop.Options{Quantum: x.Quantum, Slice: x.Slice.D(), Now: now, Share: fairshare.Config{
+	return eventloop.Options{Quantum: x.Quantum, Slice: x.Slice.D(), Now: now, FairShare: fairshare.Config{
 		ByteTime: x.ByteTime, Window: x.Window.D(),
 		Flows: x.Flows, Finishing: x.Finishing, Arrival: x.Order == "arrival",
 	}}
@@ -36,12 +36,12 @@
 // and loop; turns do not come here.
 type shares struct {
 	mu  sync.Mutex
-	all map[string]*fairshare.Account
+	all map[string]*fairshare.SharedUsage
 }
 
 // account finds or makes the account of a volume. Beyond the bound there is none: such
 // a volume has its share of each loop by itself.
-func (s *shares) account(name string, cfg *settings.Settings) *fairshare.Account {
+func (s *shares) account(name string, cfg *settings.Settings) *fairshare.SharedUsage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if a := s.all[name]; a != nil {
@@ -51,9 +51,9 @@
 		return nil
 	}
 	if s.all == nil {
-		s.all = map[string]*fairshare.Account{}
+		s.all = map[string]*fairshare.SharedUsage{}
 	}
-	a := fairshare.NewAccount(cfg.LoopCount())
+	a := fairshare.NewSharedUsage(cfg.LoopCount())
 	s.all[name] = a
 	return a
 }
@@ -76,56 +76,56 @@
 	return 0
 }
 
-// Share is what a volume had of the gateway's loops since they first knew it, and what
+// VolumeUsage is what a volume had of the gateway's loops since they first knew it, and what
 // of it waits.
-type Share struct {
-	Volume  string        `json:"volume"`
-	Weight  float64       `json:"weight"`
-	Loops   time.Duration `json:"loops_ns"` // time, bytes at their price
-	Bytes   int64         `json:"bytes"`    // read from clients and nodes
-	Waits   int           `json:"waits"`    // connections that wait for a turn
-	Streams int           `json:"streams"`  // answers that wait for leave to draw on their node
-	Paced   bool          `json:"paced"`    // held by its limit on some loop
+type VolumeUsage struct {
+	Volume      string        `json:"volume"`
+	Weight      float64       `json:"weight"`
+	LoopTime    time.Duration `json:"loops_ns"` // time, bytes at their price
+	Bytes       int64         `json:"bytes"`    // read from clients and nodes
+	Waiting     int           `json:"waits"`    // connections that wait for a turn
+	Streams     int           `json:"streams"`  // answers that wait for leave to draw on their node
+	RateLimited bool          `json:"paced"`    // held by its limit on some loop
 }
 
-// Shares tells what the volumes had, in the order of their names.
-func (g *Gateway) Shares() []Share {
-	parts := make(chan map[string]Share, len(g.lanes))
+// VolumeUsage tells what the volumes had, in the order of their names.
+func (g *Gateway) VolumeUsage() []VolumeUsage {
+	parts := make(chan map[string]VolumeUsage, len(g.lanes))
 	for _, l := range g.lanes {
-		l.loop.Do(func() { parts <- l.shares() })
+		l.loop.Post(func() { parts <- l.shares() })
 	}
-	all := map[string]Share{}
+	all := map[string]VolumeUsage{}
 	for range g.lanes {
 		select {
 		case p := <-parts:
 			for name, x := range p {
 				s := all[name]
-				x.Loops, x.Bytes, x.Waits, x.Streams, x.Paced = x.Loops+s.Loops, x.Bytes+s.Bytes, x.Waits+s.Waits, x.Streams+s.Streams, x.Paced || s.Paced
+				x.LoopTime, x.Bytes, x.Waiting, x.Streams, x.RateLimited = x.LoopTime+s.LoopTime, x.Bytes+s.Bytes, x.Waiting+s.Waiting, x.Streams+s.Streams, x.RateLimited || s.RateLimited
 				all[name] = x
 			}
 		case <-g.core.done:
 			return nil
 		}
 	}
-	var out []Share
+	var out []VolumeUsage
 	for _, x := range all {
 		out = append(out, x)
 	}
-	slices.SortFunc(out, func(a, b Share) int { return cmp.Compare(a.Volume, b.Volume) })
+	slices.SortFunc(out, func(a, b VolumeUsage) int { return cmp.Compare(a.Volume, b.Volume) })
 	return out
 }
 
-func (l *lane) shares() map[string]Share {
-	out := map[string]Share{}
+func (l *lane) shares() map[string]VolumeUsage {
+	out := map[string]VolumeUsage{}
 	l.loop.Flows(func(f *eventloop.Flow) {
-		had := f.Had()
-		_, paced := f.Paced()
-		out[f.Name()] = Share{Volume: f.Name(), Weight: f.Weight(), Loops: time.Duration(had.Cost), Bytes: had.Bytes, Waits: f.Waits(), Paced: paced}
+		had := f.Usage()
+		_, paced := f.RateLimitedUntil()
+		out[f.Name()] = VolumeUsage{Volume: f.Name(), Weight: f.Weight(), LoopTime: time.Duration(had.Cost), Bytes: had.Bytes, Waiting: f.Waiting(), RateLimited: paced}
 	})
 	for _, g := range l.gates {
 		g.Flows(func(f *fairshare.Flow[*nodeConn]) {
 			if s, ok := out[f.Name()]; ok {
-				s.Streams += f.Waits()
+				s.Streams += f.Waiting()
 				out[f.Name()] = s
 			}
 		})
@@ -133,13 +133,13 @@
 	return out
 }
 
-// SharesHandler serves Shares as JSON: {"loops": n, "shares": [...]}.
-func (g *Gateway) SharesHandler() http.Handler {
+// VolumeUsageHandler serves Shares as JSON: {"loops": n, "shares": [...]}.
+func (g *Gateway) VolumeUsageHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		json.NewEncoder(w).Encode(struct {
-			Loops  int     `json:"loops"`
-			Shares []Share `json:"shares"`
-		}{len(g.lanes), g.Shares()})
+			Loops  int           `json:"loops"`
+			Shares []VolumeUsage `json:"shares"`
+		}{len(g.lanes), g.VolumeUsage()})
 	})
 }
--- a/gateway/timing.go
+++ b/gateway/timing.go
@@ -89,7 +89,7 @@
 		return
 	}
 	var last []byte
-	var t attribution.Told
+	var t attribution.NodeReport
 	flush := func() {
 		if last != nil {
 			l.late(t)
@@ -106,7 +106,7 @@
 			if !ok || gw != l.g.cfg.Name {
 				return
 			}
-			last, t = m.desc, attribution.Told{Call: call, Attempt: attempt}
+			last, t = m.desc, attribution.NodeReport{Call: call, Attempt: attempt}
 		}
 		if m.work {
 			t.Work = m.dur
--- a/gateway/upload.go
+++ b/gateway/upload.go
@@ -31,7 +31,7 @@
 	u.t.continueBody()
 	c.set(uploading)
 	c.c.Resume()
-	c.c.Again()
+	c.c.Redeliver()
 }
 
 // drained goes on after the node has taken what was sent.
--- a/internal/attributionlog/log.go
+++ b/internal/attributionlog/log.go
@@ -43,9 +43,9 @@
 func RecordOf(run attribution.Run, saved time.Time, at time.Duration, a attribution.Action) Record {
 	r := Record{Run: run, Saved: saved, At: at}
 	switch a := a.(type) {
-	case attribution.Closed:
+	case attribution.SlotClosed:
 		r.Slot = &a.Window
-	case attribution.Fixed:
+	case attribution.SlotCorrected:
 		r.Fix = &a.Correction
 	}
 	return r
--- a/internal/attributionlog/log_test.go
+++ b/internal/attributionlog/log_test.go
@@ -19,8 +19,8 @@
 	at := time.Duration(i) * 10 * time.Second
 	w := attribution.Window{From: at, To: at + 10*time.Second, Slot: 10 * time.Second}
 	w.All.Requests = int64(i + 1)
-	w.All.Parts[attribution.NodeTime] = time.Duration(i+1) * time.Millisecond
-	w.Volumes = []attribution.Line{{Volume: "v", Requests: w.All.Requests, Parts: w.All.Parts}}
+	w.All.Parts[attribution.NodeUnknown] = time.Duration(i+1) * time.Millisecond
+	w.Volumes = []attribution.VolumeSummary{{Volume: "v", Requests: w.All.Requests, Parts: w.All.Parts}}
 	r := attribution.Run{ID: run, Gateway: "gw", Started: epoch}
 	return Record{Run: r, Saved: r.At(w.To + time.Second), At: w.To + time.Second, Slot: &w}
 }
@@ -160,7 +160,7 @@
 func TestTimeline(t *testing.T) {
 	fix := Record{Run: slot("a", 0).Run, Saved: epoch.Add(25 * time.Second), At: 25 * time.Second, Fix: &attribution.Correction{
 		Volume: "v", Ended: 15 * time.Second,
-		From: attribution.NodeTime, Had: 2 * time.Millisecond, To: []attribution.Moved{{Cause: attribution.NodeQueue, Time: time.Millisecond}},
+		From: attribution.NodeUnknown, Had: 2 * time.Millisecond, To: []attribution.ComponentTime{{Component: attribution.NodeQueue, Time: time.Millisecond}},
 	}}
 	lost := fix
 	lost.Fix = &attribution.Correction{Volume: "v", Ended: time.Hour}
--- a/internal/attributionreport/pictures.go
+++ b/internal/attributionreport/pictures.go
@@ -18,20 +18,20 @@
 
 // colours of the causes: waiting in reds, the node in blues, the gateway's own and
 // the client's in greys and greens.
-var colours = [attribution.Causes]color.RGBA{
-	attribution.Gateway: {140, 140, 140, 255}, attribution.BodyIn: {120, 180, 120, 255}, attribution.Held: {235, 200, 200, 255},
-	attribution.Others: {200, 30, 40, 255}, attribution.Own: {240, 140, 90, 255}, attribution.Limit: {230, 170, 40, 255},
-	attribution.ColdNode: {120, 90, 160, 255}, attribution.Suspect: {170, 120, 200, 255}, attribution.Turn: {250, 215, 120, 255},
-	attribution.Pause: {190, 150, 110, 255}, attribution.Lost: {90, 50, 30, 255}, attribution.Connect: {90, 200, 200, 255},
-	attribution.NodeQueue: {30, 60, 140, 255}, attribution.NodeWork: {80, 140, 220, 255}, attribution.NodeTime: {175, 205, 240, 255},
-	attribution.BodyOut: {150, 210, 150, 255}, attribution.Client: {60, 130, 60, 255}, attribution.Loop: {150, 30, 90, 255},
+var colours = [attribution.Components]color.RGBA{
+	attribution.Gateway: {140, 140, 140, 255}, attribution.RequestBody: {120, 180, 120, 255}, attribution.QueuedUnknown: {235, 200, 200, 255},
+	attribution.QueuedBehindOthers: {200, 30, 40, 255}, attribution.QueuedBehindOwn: {240, 140, 90, 255}, attribution.RateLimited: {230, 170, 40, 255},
+	attribution.SlowStart: {120, 90, 160, 255}, attribution.Ejected: {170, 120, 200, 255}, attribution.KeyOrder: {250, 215, 120, 255},
+	attribution.RetryBackoff: {190, 150, 110, 255}, attribution.FailedAttempts: {90, 50, 30, 255}, attribution.Dialing: {90, 200, 200, 255},
+	attribution.NodeQueue: {30, 60, 140, 255}, attribution.NodeService: {80, 140, 220, 255}, attribution.NodeUnknown: {175, 205, 240, 255},
+	attribution.ResponseBody: {150, 210, 150, 255}, attribution.SlowClient: {60, 130, 60, 255}, attribution.EventLoop: {150, 30, 90, 255},
 }
 
 // point is one slot of a picture over time.
 type point struct {
 	at    time.Time
 	width time.Duration
-	line  attribution.Line
+	line  attribution.VolumeSummary
 }
 
 // over returns a volume's line in each slot; "" for all volumes.
@@ -53,7 +53,7 @@
 	if len(ps) == 0 {
 		return nil, fmt.Errorf("no slots to draw")
 	}
-	var sum attribution.Split
+	var sum attribution.Breakdown
 	for _, p := range ps {
 		sum.Add(&p.line.Parts)
 	}
@@ -81,7 +81,7 @@
 }
 
 // band is one cause's area, as steps on top of base, which it raises.
-func band(ps []point, c attribution.Cause, base []float64) (*plotter.Polygon, error) {
+func band(ps []point, c attribution.Component, base []float64) (*plotter.Polygon, error) {
 	var up, down plotter.XYs
 	for i, p := range ps {
 		y := 0.0
--- a/internal/attributionreport/text.go
+++ b/internal/attributionreport/text.go
@@ -56,7 +56,7 @@
 	return fmt.Sprintf("volume %q has no line of its own in that time; the heaviest that have: %s", e.Volume, strings.Join(e.Known, ", "))
 }
 
-func find(w *attribution.Window, volume string) (attribution.Line, error) {
+func find(w *attribution.Window, volume string) (attribution.VolumeSummary, error) {
 	if l, ok := w.Of(volume); ok {
 		return l, nil
 	}
@@ -64,7 +64,7 @@
 	for _, l := range w.Volumes[:min(5, len(w.Volumes))] {
 		e.Known = append(e.Known, l.Volume)
 	}
-	return attribution.Line{}, e
+	return attribution.VolumeSummary{}, e
 }
 
 func round(d time.Duration) string {
@@ -85,14 +85,14 @@
 }
 
 // heaviest returns a line's causes, the longest first.
-func heaviest(s attribution.Split) []attribution.Cause {
-	var cs []attribution.Cause
-	for c := range attribution.Cause(attribution.Causes) {
+func heaviest(s attribution.Breakdown) []attribution.Component {
+	var cs []attribution.Component
+	for c := range attribution.Component(attribution.Components) {
 		if s[c] > 0 {
 			cs = append(cs, c)
 		}
 	}
-	slices.SortStableFunc(cs, func(a, b attribution.Cause) int { return cmp.Compare(s[b], s[a]) })
+	slices.SortStableFunc(cs, func(a, b attribution.Component) int { return cmp.Compare(s[b], s[a]) })
 	return cs
 }
 
@@ -113,7 +113,7 @@
 	d.head(out)
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "volume\trequests\trefused\ttime\teach\tmost of it\twaited behind")
-	line := func(name string, l attribution.Line) {
+	line := func(name string, l attribution.VolumeSummary) {
 		if l.Requests == 0 {
 			return
 		}
@@ -127,7 +127,7 @@
 				blame = append(blame, fmt.Sprintf("%s %s", p.Key.Culprit, round(time.Duration(p.Count))))
 			}
 		}
-		fmt.Fprintf(t, "%s\t%d\t%d\t%s\t%s\t%s\t%s\n", name, l.Requests, l.Outcomes[attribution.Refused], round(total), round(total/time.Duration(l.Requests)),
+		fmt.Fprintf(t, "%s\t%d\t%d\t%s\t%s\t%s\t%s\n", name, l.Requests, l.Outcomes[attribution.Rejected], round(total), round(total/time.Duration(l.Requests)),
 			strings.Join(most, ", "), strings.Join(blame, ", "))
 	}
 	for _, l := range w.Volumes[:min(n, len(w.Volumes))] {
@@ -252,7 +252,7 @@
 	}
 	if c := d.Counts; c != nil {
 		fmt.Fprintf(out, "since its start: %d requests; of %d attempts the node had not told how its time divides, of %d it has since, %d of these in closed slots\n",
-			c.Entered, c.Untold, c.ToldLate, c.Corrected)
+			c.Entered, c.Unreported, c.ReportedLate, c.Corrected)
 		if c.Unplaced+c.Lost+c.Overdue > 0 {
 			fmt.Fprintf(out, "%d reports of requests that are not known, %d accounts thrown away for lack of room, %d came after their slot was closed\n", c.Unplaced, c.Lost, c.Overdue)
 		}
@@ -282,7 +282,7 @@
 	}
 	asked := func(v string) bool { return slices.Contains(volumes, v) }
 	w := &a.Window
-	w.Volumes = slices.DeleteFunc(w.Volumes, func(l attribution.Line) bool { return !asked(l.Volume) })
+	w.Volumes = slices.DeleteFunc(w.Volumes, func(l attribution.VolumeSummary) bool { return !asked(l.Volume) })
 	w.Pairs = slices.DeleteFunc(w.Pairs, func(p attribution.Item[attribution.Pair]) bool { return !asked(p.Key.Victim) && !asked(p.Key.Culprit) })
 	w.Dists = slices.DeleteFunc(w.Dists, func(x attribution.Distribution) bool { return !asked(x.Volume) })
 	return a
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -18,9 +18,9 @@
 
 // Options bound a watch.
 type Options struct {
-	Names   endpoints.Names
-	Answer  time.Duration // until the answer's head is there
-	Silence time.Duration // without a byte, or from a document's first to its last
+	Names           endpoints.Names
+	ResponseTimeout time.Duration // until the answer's head is there
+	SilenceTimeout  time.Duration // without a byte, or from a document's first to its last
 }
 
 // Watch follows discovery at an address from a version on; below 0: from the whole list.
@@ -41,7 +41,7 @@
 func follow(ctx context.Context, addr string, since int64, o Options, tell func(endpoints.Document)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	alarm := time.AfterFunc(o.Answer, func() { cancel(ErrSilent) })
+	alarm := time.AfterFunc(o.ResponseTimeout, func() { cancel(ErrSilent) })
 	defer alarm.Stop()
 	url := fmt.Sprintf("http://%s/api/targets?follow=1&since=%d", addr, since)
 	if since < 0 {
@@ -53,7 +53,7 @@
 	}
 	tr := &http.Transport{
 		DisableKeepAlives: true, DisableCompression: true, MaxResponseHeaderBytes: 16 << 10, ReadBufferSize: 4 << 10,
-		WriteBufferSize: 1 << 10, DialContext: (&net.Dialer{Timeout: o.Answer}).DialContext,
+		WriteBufferSize: 1 << 10, DialContext: (&net.Dialer{Timeout: o.ResponseTimeout}).DialContext,
 	}
 	defer tr.CloseIdleConnections()
 	r, err := tr.RoundTrip(req)
@@ -64,9 +64,9 @@
 	if r.StatusCode != http.StatusOK {
 		return fmt.Errorf("discovery answered %s", r.Status)
 	}
-	in := &body{r: r.Body, alarm: alarm, silence: o.Silence}
+	in := &body{r: r.Body, alarm: alarm, silence: o.SilenceTimeout}
 	docs := json.NewDecoder(in) // a document may come on many lines
-	for alarm.Reset(o.Silence); ; {
+	for alarm.Reset(o.SilenceTimeout); ; {
 		var text json.RawMessage
 		if err := docs.Decode(&text); err != nil {
 			if errors.Is(err, io.EOF) {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -44,7 +44,7 @@
 	return docs, err
 }
 
-var usual = Options{Answer: patience, Silence: patience}
+var usual = Options{ResponseTimeout: patience, SilenceTimeout: patience}
 
 // head begins an answer that ends with its connection; chunk is a piece of one in chunks.
 const (
@@ -55,7 +55,7 @@
 func chunk(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 
 func list(version int) string {
-	return fakediscovery.List(version, true, fakediscovery.Entry{ID: "s1", Addr: "127.0.0.1:1", State: "Ready"}, fakediscovery.Entry{ID: "s2", Addr: "127.0.0.1:2", State: "Terminating", Cell: 1})
+	return fakediscovery.Document(version, true, fakediscovery.Endpoint{ID: "s1", Addr: "127.0.0.1:1", State: "Ready"}, fakediscovery.Endpoint{ID: "s2", Addr: "127.0.0.1:2", State: "Terminating", Cell: 1})
 }
 
 // indented puts white space wherever JSON allows it.
@@ -84,7 +84,7 @@
 				t.Fatalf("%d documents (%v), want 3 and an end", len(docs), err)
 			}
 			for i, d := range docs {
-				if d.Version != int64(i+1) || !d.Full || len(d.Nodes) != 2 || d.Nodes[1].Shard != 1 {
+				if d.Version != int64(i+1) || !d.Snapshot || len(d.Nodes) != 2 || d.Nodes[1].Shard != 1 {
 					t.Errorf("document %d: %+v", i, d)
 				}
 			}
@@ -147,7 +147,7 @@
 // A watch that falls silent is broken, wherever it does so. Empty lines keep it up; the pieces of a
 // document that never ends do not.
 func TestSilence(t *testing.T) {
-	short := Options{Answer: 50 * time.Millisecond, Silence: 50 * time.Millisecond}
+	short := Options{ResponseTimeout: 50 * time.Millisecond, SilenceTimeout: 50 * time.Millisecond}
 	for name, begin := range map[string]string{
 		"before the head": "", "before the list": head, "after the list": head + list(1) + "\n",
 		"within a list": head + list(1)[:40], "after an empty line": head + "\n",
--- a/internal/e2e/bench_test.go
+++ b/internal/e2e/bench_test.go
@@ -74,7 +74,7 @@
 	answer := append([]byte("HTTP/1.1 200 OK\r\nContent-Type: image/jpeg\r\nETag: \"x\"\r\nendpoint-load-metrics: TEXT cpu_utilization=0.1, named_metrics.inflight=1.0\r\nContent-Length: 4096\r\n\r\n"),
 		make([]byte, 4096)...)
 	addr := plainNode(b, answer)
-	g.SetNodes(dispatch.Snapshot, []forwarder.Node{{Addr: addr, Node: dispatch.Node{ID: "n"}}})
+	g.UpdateEndpoints(dispatch.Snapshot, []forwarder.Node{{Addr: addr, Node: dispatch.Node{ID: "n"}}})
 	ln, err := gateway.Listen("127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
--- a/internal/e2e/hard_test.go
+++ b/internal/e2e/hard_test.go
@@ -36,9 +36,9 @@
 }
 
 // oneAtATime checks that no request had two attempts at nodes at once.
-func oneAtATime(t *testing.T, log []storagenode.Entry) {
+func oneAtATime(t *testing.T, log []storagenode.LogEntry) {
 	t.Helper()
-	byRequest := map[uint64][]storagenode.Entry{}
+	byRequest := map[uint64][]storagenode.LogEntry{}
 	for _, e := range log {
 		byRequest[e.Request] = append(byRequest[e.Request], e)
 	}
@@ -124,7 +124,7 @@
 	c := bucket(t, e, "photos")
 	want := kit.Bytes(1, 1<<20)
 	kit.Must(c.PutObject(ctx, &s3.PutObjectInput{Bucket: aws.String("photos"), Key: aws.String("k"), Body: bytes.NewReader(want)}))(t)
-	for _, kind := range []storagenode.FaultKind{storagenode.Half, storagenode.Within} {
+	for _, kind := range []storagenode.FaultKind{storagenode.TruncateResponse, storagenode.StallInResponse} {
 		e.Nodes[0].Inject(storagenode.Fault{Kind: kind, Count: 1, For: 20 * time.Second})
 		before := len(e.Nodes[0].Log())
 		resp := e.Signed("GET", "/photos/k", nil, nil)
@@ -138,7 +138,7 @@
 	}
 	// A small answer is held until it is whole: its first attempt's end is not seen.
 	kit.Must(c.PutObject(ctx, &s3.PutObjectInput{Bucket: aws.String("photos"), Key: aws.String("small"), Body: bytes.NewReader(want[:5000])}))(t)
-	e.Nodes[0].Inject(storagenode.Fault{Kind: storagenode.Half, Count: 1})
+	e.Nodes[0].Inject(storagenode.Fault{Kind: storagenode.TruncateResponse, Count: 1})
 	resp := e.Signed("GET", "/photos/small", nil, nil)
 	kit.Same(t, "a small answer", kit.ReadAll(t, resp.Body), want[:5000])
 	oneAtATime(t, e.Log())
@@ -149,8 +149,8 @@
 func TestClientsThatLeave(t *testing.T) {
 	e := kit.Start(t, kit.Settings(1), func(_ int, c *storagenode.Config) { c.Cores, c.Queue, c.PerUnit = 1, 100, 20*time.Millisecond })
 	bucket(t, e, "photos")
-	arrived := make(chan storagenode.Entry, 1000)
-	e.Nodes[0].Arrivals(func(x storagenode.Entry) { arrived <- x })
+	arrived := make(chan storagenode.LogEntry, 1000)
+	e.Nodes[0].OnArrival(func(x storagenode.LogEntry) { arrived <- x })
 	var conns []net.Conn
 	for i := range 40 { // more than may be out at once: some are held
 		r, _ := http.NewRequest("GET", fmt.Sprintf("http://%s/photos/k%d", e.Addr, i), nil)
@@ -180,7 +180,7 @@
 		}
 		c.Close()
 	}
-	wait(t, func() bool { return e.G.InHand() == 0 })
+	wait(t, func() bool { return e.G.InFlight() == 0 })
 	resp := e.Signed("GET", "/photos/half", nil, nil)
 	if kit.ReadAll(t, resp.Body); resp.StatusCode != 404 {
 		t.Fatalf("half a body: %d", resp.StatusCode)
@@ -238,7 +238,7 @@
 	s.Classes[1].Aim, s.Classes[1].Deadline = settings.Duration(300*time.Millisecond), settings.Duration(500*time.Millisecond)
 	e := kit.Start(t, s, nil)
 	bucket(t, e, "photos")
-	for _, f := range []storagenode.FaultKind{storagenode.Lose, storagenode.Stall} {
+	for _, f := range []storagenode.FaultKind{storagenode.LoseResponse, storagenode.Stall} {
 		e.Nodes[0].Inject(storagenode.Fault{Kind: f, Count: 1})
 		resp := e.Signed("PUT", "/photos/k", nil, strings.NewReader("x"))
 		if kit.ReadAll(t, resp.Body); resp.StatusCode != 504 {
@@ -247,7 +247,7 @@
 		time.Sleep(60 * time.Millisecond) // the key rests: settle of the test settings
 	}
 	// A reset before the work: sent again, once, and dropped there if it had run.
-	e.Nodes[0].Inject(storagenode.Fault{Kind: storagenode.Reset, Count: 1})
+	e.Nodes[0].Inject(storagenode.Fault{Kind: storagenode.ResetConnection, Count: 1})
 	resp := e.Signed("PUT", "/photos/k2", nil, strings.NewReader("x"))
 	if kit.ReadAll(t, resp.Body); resp.StatusCode != 200 {
 		t.Fatalf("after a reset: %d", resp.StatusCode)
@@ -267,9 +267,9 @@
 	if _, err := io.ReadFull(resp.Body, make([]byte, 1000)); err != nil {
 		t.Fatal(err)
 	}
-	wait(t, func() bool { return e.G.HeldBytes() > 0 })
+	wait(t, func() bool { return e.G.BufferedBytes() > 0 })
 	for range 50 {
-		if h := e.G.HeldBytes(); h > 64<<10 {
+		if h := e.G.BufferedBytes(); h > 64<<10 {
 			t.Fatalf("%d bytes held for one stream", h)
 		}
 		time.Sleep(time.Millisecond)
@@ -281,8 +281,8 @@
 func TestDrainFinishesWhatWasTaken(t *testing.T) {
 	e := kit.Start(t, kit.Settings(1), func(_ int, c *storagenode.Config) { c.Cores, c.Queue, c.PerUnit = 2, 100, 30*time.Millisecond })
 	bucket(t, e, "photos")
-	arrived := make(chan storagenode.Entry, 100)
-	e.Nodes[0].Arrivals(func(x storagenode.Entry) { arrived <- x })
+	arrived := make(chan storagenode.LogEntry, 100)
+	e.Nodes[0].OnArrival(func(x storagenode.LogEntry) { arrived <- x })
 	codes := make(chan int, 8)
 	for i := range 8 {
 		go func() {
@@ -292,7 +292,7 @@
 			codes <- resp.StatusCode
 		}()
 	}
-	wait(t, func() bool { return e.G.InHand() == 8 })
+	wait(t, func() bool { return e.G.InFlight() == 8 })
 	<-arrived
 	c, stop := context.WithTimeout(ctx, 10*time.Second)
 	defer stop()
@@ -316,7 +316,7 @@
 	e := kit.Start(t, kit.Settings(1), nil)
 	bucket(t, e, "photos")
 	before := len(e.Log())
-	e.Nodes[0].Inject(storagenode.Fault{Kind: storagenode.Lose, Count: 1, Hold: time.Millisecond})
+	e.Nodes[0].Inject(storagenode.Fault{Kind: storagenode.LoseResponse, Count: 1, Hold: time.Millisecond})
 	resp := e.Signed("PUT", "/photos/k", nil, strings.NewReader("x"))
 	if kit.ReadAll(t, resp.Body); resp.StatusCode != 200 {
 		t.Fatal(resp.Status)
--- a/internal/e2e/share_test.go
+++ b/internal/e2e/share_test.go
@@ -70,7 +70,7 @@
 // others go on meanwhile.
 func TestStandingStreamIsCut(t *testing.T) {
 	e := crowded(t, func(s *settings.Settings) { s.Limits.ClientBody = settings.Duration(500 * time.Millisecond) })
-	e.Nodes[0].Inject(storagenode.Fault{Kind: storagenode.Within, Count: 1, For: 20 * time.Second})
+	e.Nodes[0].Inject(storagenode.Fault{Kind: storagenode.StallInResponse, Count: 1, For: 20 * time.Second})
 	resp := e.Signed("GET", "/photos/large", nil, nil)
 	for range 3 {
 		kit.Same(t, "beside one that stands", kit.ReadAll(t, e.Signed("GET", "/loans/large", nil, nil).Body), pattern("loans", 2<<20))
@@ -188,9 +188,9 @@
 	for range 4 {
 		kit.ReadAll(t, e.Signed("GET", "/photos/large", nil, nil).Body)
 	}
-	for _, s := range e.G.Shares() {
+	for _, s := range e.G.VolumeUsage() {
 		if s.Volume == "photos" {
-			if s.Bytes < 8<<20 || s.Loops <= 0 || s.Weight != 1 {
+			if s.Bytes < 8<<20 || s.LoopTime <= 0 || s.Weight != 1 {
 				t.Errorf("%+v after 8 MiB", s)
 			}
 			return
--- a/internal/e2e/slow_test.go
+++ b/internal/e2e/slow_test.go
@@ -69,7 +69,7 @@
 	if n := e.Data[0].Objects("photos"); n != 0 {
 		t.Errorf("%d objects stored", n)
 	}
-	wait(t, func() bool { return e.G.InHand() == 0 })
+	wait(t, func() bool { return e.G.InFlight() == 0 })
 }
 
 // A client that waits for 100 Continue gets it when its body is wanted, and an
@@ -131,7 +131,7 @@
 			}
 			return
 		default:
-			most = max(most, e.G.HeldBytes())
+			most = max(most, e.G.BufferedBytes())
 		}
 	}
 }
@@ -184,9 +184,9 @@
 	const n = 300 // 18 MB of answers, more than the sockets take
 	go io.WriteString(c, strings.Repeat(one.String(), n))
 	most := 0
-	wait(t, func() bool { most = max(most, e.G.HeldBytes()); return most > 0 })
+	wait(t, func() bool { most = max(most, e.G.BufferedBytes()); return most > 0 })
 	for range 200 {
-		most = max(most, e.G.HeldBytes())
+		most = max(most, e.G.BufferedBytes())
 		time.Sleep(time.Millisecond)
 	}
 	if most > 192<<10 { // an answer, what came ahead, and a read of the node's
@@ -207,7 +207,7 @@
 		resp := e.Signed("PUT", fmt.Sprint("/photos/k", i), nil, strings.NewReader("x"))
 		kit.ReadAll(t, resp.Body)
 	}
-	for _, f := range []storagenode.FaultKind{storagenode.Refuse, storagenode.Broken} {
+	for _, f := range []storagenode.FaultKind{storagenode.Reject, storagenode.ServerError} {
 		e.Nodes[1].Inject(storagenode.Fault{Kind: f})
 		for _, q := range []string{"", "?list-type=2", "?uploads"} {
 			resp := e.Signed("GET", "/photos"+q, nil, nil)
@@ -224,7 +224,7 @@
 		if len(out.Deleted) == 0 || len(out.Errors) == 0 || len(out.Deleted)+len(out.Errors) != 20 {
 			t.Errorf("fault %d: %d deleted, %d errors", f, len(out.Deleted), len(out.Errors))
 		}
-		e.Nodes[1].Heal()
+		e.Nodes[1].ClearFaults()
 	}
 	wait(t, func() bool { // the node is suspect for a while
 		resp := e.Signed("GET", "/photos", nil, nil)
--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -25,9 +25,9 @@
 
 // Document is a list of nodes, or of changes to one.
 type Document struct {
-	Version int64
-	Full    bool
-	Nodes   []forwarder.Node
+	Version  int64
+	Snapshot bool
+	Nodes    []forwarder.Node
 }
 
 type document struct {
@@ -64,7 +64,7 @@
 	case len(d.Servers) > maxNodes:
 		return Document{}, fmt.Errorf("discovery: %d servers, at most %d", len(d.Servers), maxNodes)
 	}
-	out := Document{Version: *d.Version, Full: d.Full}
+	out := Document{Version: *d.Version, Snapshot: d.Full}
 	for i, s := range d.Servers {
 		n, err := s.node(names)
 		if err != nil {
--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -9,7 +9,7 @@
 func TestParse(t *testing.T) {
 	d, err := Parse([]byte(`{"version":43,"full":false,"servers":[{"id":"s-1","addr":"10.1.0.18:6379","zone":"b","kind":"m9","cell":3,"state":"Terminating","weight":1.0,"started_ms":1700000000000},
 {"id":"s-2","state":"Gone"}],"new":1}`), Names{Zones: []string{"a", "b"}, Kinds: []string{"m2"}})
-	if err != nil || d.Version != 43 || d.Full || len(d.Nodes) != 2 {
+	if err != nil || d.Version != 43 || d.Snapshot || len(d.Nodes) != 2 {
 		t.Fatalf("%+v, %v", d, err)
 	}
 	n := d.Nodes[0]
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -42,12 +42,12 @@
 // Loop returns the connection's loop.
 func (c *Conn) Loop() *Loop { return c.loop }
 
-// Assign has the connection's turns count for a flow, from the next one on.
-func (c *Conn) Assign(f *Flow) { c.flow = f }
+// AssignFlow has the connection's turns count for a flow, from the next one on.
+func (c *Conn) AssignFlow(f *Flow) { c.flow = f }
 
-// Receive bounds how many bytes the kernel holds for reading, so that a paused peer is
+// SetReceiveBuffer bounds how many bytes the kernel holds for reading, so that a paused peer is
 // held back soon.
-func (c *Conn) Receive(bytes int) {
+func (c *Conn) SetReceiveBuffer(bytes int) {
 	if c.fd >= 0 {
 		unix.SetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_RCVBUF, bytes)
 	}
@@ -56,22 +56,22 @@
 // FD is the socket's descriptor; -1 once closed.
 func (c *Conn) FD() int { return c.fd }
 
-// Waits tells whether the connection has something to move and waits for its turn.
-func (c *Conn) Waits() bool { return c.queued }
+// AwaitsSlice tells whether the connection has something to move and waits for its turn.
+func (c *Conn) AwaitsSlice() bool { return c.queued }
 
-// Starts tells whether what comes next on the connection is the beginning of something, or part
+// SetStarting tells whether what comes next on the connection is the beginning of something, or part
 // of what is under way, from its next turn on.
-func (c *Conn) Starts(yes bool) { c.starting = yes }
+func (c *Conn) SetStarting(yes bool) { c.starting = yes }
 
-// Paced returns how much of what Waited returns was by the limit of the connection's flow.
-func (c *Conn) Paced() time.Duration { return c.paid }
+// RateLimitWait returns how much of what Waited returns was by the limit of the connection's flow.
+func (c *Conn) RateLimitWait() time.Duration { return c.paid }
 
-// Left tells whether the peer has ended its side, though bytes that it sent before may
+// PeerClosed tells whether the peer has ended its side, though bytes that it sent before may
 // not have been read.
-func (c *Conn) Left() bool { return c.ended }
+func (c *Conn) PeerClosed() bool { return c.ended }
 
-// Waited returns how long the connection waited for the present turn.
-func (c *Conn) Waited() time.Duration { return c.held }
+// SliceWait returns how long the connection waited for the present turn.
+func (c *Conn) SliceWait() time.Duration { return c.held }
 
 // Open tells whether the connection can still be written to.
 func (c *Conn) Open() bool { return c.fd >= 0 && !c.closing }
@@ -79,9 +79,9 @@
 // Pending returns how many bytes wait to be written.
 func (c *Conn) Pending() int { return len(c.out) - c.sent }
 
-// Unsent returns how many bytes the kernel holds that the peer has not
+// Unacknowledged returns how many bytes the kernel holds that the peer has not
 // acknowledged; 0 where it does not say.
-func (c *Conn) Unsent() int {
+func (c *Conn) Unacknowledged() int {
 	if c.fd < 0 {
 		return 0
 	}
@@ -92,11 +92,11 @@
 	return n
 }
 
-// Kept returns how many received bytes no handler has consumed.
-func (c *Conn) Kept() int { return len(c.in) }
+// Buffered returns how many received bytes no handler has consumed.
+func (c *Conn) Buffered() int { return len(c.in) }
 
-// Peer returns the address of the other end.
-func (c *Conn) Peer() netip.Addr {
+// RemoteAddr returns the address of the other end.
+func (c *Conn) RemoteAddr() netip.Addr {
 	sa, err := unix.Getpeername(c.fd)
 	if err != nil {
 		return netip.Addr{}
@@ -142,7 +142,7 @@
 func (c *Conn) fail(err error) {
 	c.closing = true
 	c.out, c.sent = nil, 0
-	c.loop.Soon(func() { c.shut(err) })
+	c.loop.Defer(func() { c.shut(err) })
 }
 
 // flush writes what waits. It returns false when the connection is closed by it.
@@ -184,12 +184,12 @@
 		return
 	}
 	c.paused = false
-	c.Again()
+	c.Redeliver()
 	c.loop.want(c)
 }
 
-// Again shows the kept bytes to the handler once more, in a turn.
-func (c *Conn) Again() {
+// Redeliver shows the kept bytes to the handler once more, in a turn.
+func (c *Conn) Redeliver() {
 	if len(c.in) > 0 {
 		c.again = true
 		c.loop.want(c)
@@ -203,15 +203,15 @@
 	return !c.awaits
 }
 
-// Awaits tells whether the handler is to hear of the next bytes.
-func (c *Conn) Awaits() bool { return c.awaits }
+// WantsRead tells whether the handler is to hear of the next bytes.
+func (c *Conn) WantsRead() bool { return c.awaits }
 
 // Paused tells whether reading is stopped.
 func (c *Conn) Paused() bool { return c.paused }
 
-// EndWrite tells the peer that nothing more comes, once all is written. Reading
+// CloseWrite tells the peer that nothing more comes, once all is written. Reading
 // goes on.
-func (c *Conn) EndWrite() {
+func (c *Conn) CloseWrite() {
 	if c.fd < 0 || c.ending {
 		return
 	}
@@ -304,7 +304,7 @@
 			c.shut(os.NewSyscallError("read", err))
 			return sum
 		case n == 0:
-			c.shut(ErrLeft)
+			c.shut(ErrPeerClosed)
 			return sum
 		}
 		sum += n
@@ -341,9 +341,9 @@
 	}
 }
 
-// Quiet tells whether nothing has come that no handler has seen, an end included. It asks
+// NoUnreadInput tells whether nothing has come that no handler has seen, an end included. It asks
 // the kernel, which may know more than the loop was told.
-func (c *Conn) Quiet() bool {
+func (c *Conn) NoUnreadInput() bool {
 	if c.fd < 0 || c.ended || len(c.in) > 0 {
 		return false
 	}
--- a/internal/eventloop/history.go
+++ b/internal/eventloop/history.go
@@ -30,8 +30,8 @@
 	h.a[h.last] = stretch{f, begun, end, end - begun}
 }
 
-// Turns is time of a loop that a flow had.
-type Turns struct {
+// SliceUsage is time of a loop that a flow had.
+type SliceUsage struct {
 	Flow *Flow
 	Time time.Duration
 }
@@ -39,10 +39,10 @@
 // tellApart is how many flows a wait is divided among; what others had is nobody's.
 const tellApart = 8
 
-// Behind appends who had the loop while the connection waited for its present turn. The sum is no more
+// WaitedBehind appends who had the loop while the connection waited for its present turn. The sum is no more
 // than it waited: looking for events takes time too, and of a long wait among many
 // flows only the last turns are remembered.
-func (c *Conn) Behind(to []Turns) []Turns {
+func (c *Conn) WaitedBehind(to []SliceUsage) []SliceUsage {
 	l := c.loop
 	from, first := l.t-c.held, len(to)
 	for i := range remembered {
@@ -63,7 +63,7 @@
 	return time.Duration(float64(s.work) * float64(s.end-from) / float64(s.end-s.begun))
 }
 
-func addTurns(to []Turns, first int, f *Flow, d time.Duration) []Turns {
+func addTurns(to []SliceUsage, first int, f *Flow, d time.Duration) []SliceUsage {
 	for i := first; i < len(to); i++ {
 		if to[i].Flow == f {
 			to[i].Time += d
@@ -71,7 +71,7 @@
 		}
 	}
 	if len(to)-first < tellApart {
-		to = append(to, Turns{f, d})
+		to = append(to, SliceUsage{f, d})
 	}
 	return to
 }
