--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -24,8 +24,8 @@
 // the most that a paused sink makes a stream hold (see Conn.Pending).
 const ReadSize = 32 << 10
 
-// ErrLeft is the reason of OnClose when the peer ended the connection in order.
-var ErrLeft = errors.New("the peer ended the connection")
+// ErrPeerClosed is the reason of OnClose when the peer ended the connection in order.
+var ErrPeerClosed = errors.New("the peer ended the connection")
 
 // Handler hears what happens on a connection. Every call is on its loop.
 type Handler interface {
@@ -38,15 +38,15 @@
 	OnClose(c *Conn, err error)
 }
 
-// Leaver is a handler that hears at once that the peer has ended its side, also while the
+// PeerCloseHandler is a handler that hears at once that the peer has ended its side, also while the
 // connection is paused or has not had its turn: what the peer sent before may not have been read.
-type Leaver interface {
+type PeerCloseHandler interface {
 	Handler
-	OnLeft(c *Conn)
+	OnPeerClosed(c *Conn)
 }
 
-// Awaiter is a handler that uses Conn.Readable.
-type Awaiter interface {
+// ReadableHandler is a handler that uses Conn.Readable.
+type ReadableHandler interface {
 	Handler
 	// OnReadable tells that there is something to read on a paused connection.
 	OnReadable(c *Conn)
@@ -57,14 +57,14 @@
 
 // Options are a loop's settings.
 type Options struct {
-	Share   fairshare.Config
-	Quantum int                  // bytes that one turn reads at most, in whole reads
-	Slice   time.Duration        // turns go on for so long before new events are looked for
-	Now     func() time.Duration // nil: since the loop was made
+	FairShare fairshare.Config
+	Quantum   int                  // bytes that one turn reads at most, in whole reads
+	Slice     time.Duration        // turns go on for so long before new events are looked for
+	Now       func() time.Duration // nil: since the loop was made
 }
 
-// Defaults are the options of NewLoop.
-var Defaults = Options{Share: fairshare.Config{Window: 20 * time.Millisecond, Flows: 4096}, Quantum: 64 << 10, Slice: 200 * time.Microsecond}
+// DefaultOptions are the options of NewLoop.
+var DefaultOptions = Options{FairShare: fairshare.Config{Window: 20 * time.Millisecond, Flows: 4096}, Quantum: 64 << 10, Slice: 200 * time.Microsecond}
 
 // Loop is one event loop.
 type Loop struct {
@@ -99,11 +99,11 @@
 }
 
 // NewLoop opens a loop with the default options; Run runs it.
-func NewLoop(index int) (*Loop, error) { return NewLoopWith(index, Defaults) }
+func NewLoop(index int) (*Loop, error) { return NewLoopWith(index, DefaultOptions) }
 
 // NewLoopWith opens a loop.
 func NewLoopWith(index int, o Options) (*Loop, error) {
-	sched, err := fairshare.New[*Conn](o.Share, index)
+	sched, err := fairshare.New[*Conn](o.FairShare, index)
 	if err != nil {
 		return nil, err
 	}
@@ -130,7 +130,7 @@
 		Index: index, o: o, now: o.Now, epoll: ep, wakeFD: wake, conns: map[int]*Conn{}, listen: map[int]*Conn{}, tasks: map[*task]struct{}{},
 		sched: sched, done: make(chan struct{}),
 	}
-	l.first = sched.Flow(l.now(), "(none)", fairshare.Terms{Weight: 1}, nil)
+	l.first = sched.Flow(l.now(), "(none)", fairshare.FlowConfig{Weight: 1}, nil)
 	return l, nil
 }
 
@@ -181,7 +181,7 @@
 		return n, err
 	}
 	timeout := -1
-	at, ok := l.sched.Wake()
+	at, ok := l.sched.NextWake()
 	if l.alarm.next != nil {
 		if then, set := l.alarm.next(); set && (!ok || then < at) {
 			at, ok = then, true
@@ -218,7 +218,7 @@
 func (l *Loop) event(ev unix.EpollEvent) {
 	fd := int(ev.Fd)
 	if fd == l.wakeFD {
-		l.Soon(l.woken) // it may close a descriptor and open another of the same number, of which an event is yet to be noted
+		l.Defer(l.woken) // it may close a descriptor and open another of the same number, of which an event is yet to be noted
 		return
 	}
 	c := l.conns[fd]
@@ -232,10 +232,10 @@
 	}
 	if ev.Events&(unix.EPOLLRDHUP|unix.EPOLLERR|unix.EPOLLHUP) != 0 && !c.ended {
 		c.ended = true
-		if h, ok := c.Handler.(Leaver); ok && !c.opening {
-			l.Soon(func() {
+		if h, ok := c.Handler.(PeerCloseHandler); ok && !c.opening {
+			l.Defer(func() {
 				if c.fd >= 0 {
-					h.OnLeft(c)
+					h.OnPeerClosed(c)
 				}
 			})
 		}
@@ -245,7 +245,7 @@
 	}
 	if c.awaits && c.readable {
 		c.awaits = false
-		c.Handler.(Awaiter).OnReadable(c)
+		c.Handler.(ReadableHandler).OnReadable(c)
 	}
 	l.want(c)
 }
@@ -269,7 +269,7 @@
 		if !ok {
 			break
 		}
-		until, _ := f.Paced()
+		until, _ := f.RateLimitedUntil()
 		c.queued, c.held, c.paid = false, l.t-c.from, min(max(until-c.from, 0), l.t-c.from)
 		n := c.turn()
 		l.settle()
@@ -292,14 +292,14 @@
 	}
 }
 
-// Alarm has ring called when the time that next returns has come. Before Run only.
-func (l *Loop) Alarm(next func() (time.Duration, bool), ring func(now time.Duration)) {
+// SetTimer has ring called when the time that next returns has come. Before Run only.
+func (l *Loop) SetTimer(next func() (time.Duration, bool), ring func(now time.Duration)) {
 	l.alarm.next, l.alarm.ring = next, ring
 }
 
 // Flow finds or makes the flow of a name; account, which may be nil, joins it with
 // those of other loops. On the loop only, as all of the scheduler.
-func (l *Loop) Flow(name string, t fairshare.Terms, a *fairshare.Account) *Flow {
+func (l *Loop) Flow(name string, t fairshare.FlowConfig, a *fairshare.SharedUsage) *Flow {
 	return l.sched.Flow(l.now(), name, t, a)
 }
 
@@ -312,13 +312,13 @@
 
 // Stop ends the loop, closing its connections, and waits for it.
 func (l *Loop) Stop() {
-	l.Do(func() { l.ending = true })
+	l.Post(func() { l.ending = true })
 	<-l.done
 }
 
-// Do runs f on the loop, after what was given before. It may be called anywhere.
+// Post runs f on the loop, after what was given before. It may be called anywhere.
 // After the loop's end it does nothing.
-func (l *Loop) Do(f func()) {
+func (l *Loop) Post(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ended {
@@ -354,8 +354,8 @@
 // Conns returns how many connections the loop holds. It may be called anywhere.
 func (l *Loop) Conns() int { return int(l.count.Load()) }
 
-// Each calls f for every connection. On the loop only.
-func (l *Loop) Each(f func(*Conn)) {
+// EachConn calls f for every connection. On the loop only.
+func (l *Loop) EachConn(f func(*Conn)) {
 	for _, c := range l.conns {
 		f(c)
 	}
@@ -371,8 +371,8 @@
 	l.post = nil
 }
 
-// Soon runs f on the loop after the present event. On the loop only.
-func (l *Loop) Soon(f func()) { l.post = append(l.post, f) }
+// Defer runs f on the loop after the present event. On the loop only.
+func (l *Loop) Defer(f func()) { l.post = append(l.post, f) }
 
 // acceptBatch bounds how many connections one turn accepts.
 const acceptBatch = 4
@@ -409,8 +409,8 @@
 	return nil
 }
 
-// Retry accepts again where descriptors or memory had run out. On the loop only.
-func (l *Loop) Retry() {
+// RetryAccept accepts again where descriptors or memory had run out. On the loop only.
+func (l *Loop) RetryAccept() {
 	for _, c := range l.listen {
 		if c.short {
 			c.short, c.readable = false, true
@@ -419,9 +419,9 @@
 	}
 }
 
-// Unlisten stops accepting on all listening sockets, after it has accepted what waits there: the
+// StopListening stops accepting on all listening sockets, after it has accepted what waits there: the
 // close would reset it. On the loop only.
-func (l *Loop) Unlisten() {
+func (l *Loop) StopListening() {
 	for fd, c := range l.listen {
 		for c.readable = true; c.readable; {
 			c.acceptSome()
@@ -448,8 +448,8 @@
 	return c, nil
 }
 
-// Opener is a handler that uses Loop.Connect.
-type Opener interface {
+// ConnectHandler is a handler that uses Loop.Connect.
+type ConnectHandler interface {
 	Handler
 	// OnOpen tells that the connection is there.
 	OnOpen(c *Conn)
@@ -458,7 +458,7 @@
 // Connect opens a connection on the loop itself, without a goroutine and with one descriptor.
 // h hears OnOpen, or OnClose with the reason why not; how long that may take is for the caller to
 // bound, with Close. On the loop only.
-func (l *Loop) Connect(to netip.AddrPort, h Opener) (*Conn, error) {
+func (l *Loop) Connect(to netip.AddrPort, h ConnectHandler) (*Conn, error) {
 	var sa unix.Sockaddr
 	family := unix.AF_INET
 	if to.Addr().Unmap().Is4() {
@@ -492,7 +492,7 @@
 		return
 	}
 	c.opening = false
-	c.Handler.(Opener).OnOpen(c)
+	c.Handler.(ConnectHandler).OnOpen(c)
 }
 
 // Dial connects in the background and calls done on the loop, with the socket or
@@ -500,7 +500,7 @@
 func (l *Loop) Dial(addr string, timeout time.Duration, done func(fd int, err error)) {
 	go func() {
 		fd, err := dial(addr, timeout)
-		l.Do(func() { done(fd, err) })
+		l.Post(func() { done(fd, err) })
 	}()
 }
 
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -20,7 +20,7 @@
 
 func (e *echo) OnData(c *Conn, b []byte) int {
 	c.Write(b)
-	e.most = max(e.most, c.Pending()+c.Kept())
+	e.most = max(e.most, c.Pending()+c.Buffered())
 	if c.Pending() > 0 {
 		c.Pause()
 	}
@@ -47,8 +47,8 @@
 	ln.Close()
 	go l.Run()
 	t.Cleanup(l.Stop)
-	l.Do(func() {
-		if err := l.Listen(fd, l.Flow("(new)", fairshare.Terms{}, nil), func(fd int, _ unix.Sockaddr) { l.Add(fd, h) }); err != nil {
+	l.Post(func() {
+		if err := l.Listen(fd, l.Flow("(new)", fairshare.FlowConfig{}, nil), func(fd int, _ unix.Sockaddr) { l.Add(fd, h) }); err != nil {
 			t.Error(err)
 		}
 	})
@@ -70,7 +70,7 @@
 		t.Fatal("what came back differs", err)
 	}
 	c.Close()
-	if err := <-h.closed; err != ErrLeft {
+	if err := <-h.closed; err != ErrPeerClosed {
 		t.Fatal(err)
 	}
 	if h.most > 2*ReadSize {
@@ -96,7 +96,7 @@
 		files = append(files, r, w)
 	}
 	for range 4 {
-		l.Do(func() { t.Error("run after the end") })
+		l.Post(func() { t.Error("run after the end") })
 		l.Stop()
 	}
 	if len(l.queue) > 0 {
@@ -132,9 +132,9 @@
 // What waits on a loop has its turn by the weight of its flow, however many
 // connections others have.
 func TestTurnsByFlow(t *testing.T) {
-	o := Defaults
+	o := DefaultOptions
 	o.Quantum = ReadSize
-	o.Share.ByteTime = 1000 // the bytes decide, not how long a turn took
+	o.FairShare.ByteTime = 1000 // the bytes decide, not how long a turn took
 	l, err := NewLoopWith(0, o)
 	if err != nil {
 		t.Fatal(err)
@@ -157,7 +157,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Assign(l.Flow(name, fairshare.Terms{Weight: 1}, nil))
+		c.AssignFlow(l.Flow(name, fairshare.FlowConfig{Weight: 1}, nil))
 	}
 	for range crowd {
 		add("crowd")
@@ -206,7 +206,7 @@
 	h := &waiter{taker{"x", &log, make(chan struct{}, 1), 2}, make(chan struct{}, 4)}
 	var c *Conn
 	ready := make(chan bool)
-	l.Do(func() {
+	l.Post(func() {
 		c, _ = l.Add(fds[0], h)
 		c.Pause()
 		ready <- c.Readable()
@@ -217,11 +217,11 @@
 	unix.Write(fds[1], []byte("a"))
 	<-h.heard
 	unix.Write(fds[1], []byte("b"))
-	l.Do(func() { ready <- c.Readable() })
+	l.Post(func() { ready <- c.Readable() })
 	if !<-ready || len(h.heard) != 0 {
 		t.Fatal("not readable, or heard twice")
 	}
-	l.Do(c.Resume)
+	l.Post(c.Resume)
 	<-h.done
 }
 
--- a/internal/eventloop/work.go
+++ b/internal/eventloop/work.go
@@ -11,13 +11,13 @@
 	stop func()
 }
 
-// Work runs f on the loop in slices, each a turn that counts for a flow, after the present
+// RunInSlices runs f on the loop in slices, each a turn that counts for a flow, after the present
 // event. f calls pause often: it returns when f is to go on, false when the loop has ended
 // and nothing that f does matters any more. Between two slices others have their turns,
 // so that what f relies on may have changed. On the loop only.
 //
 // f runs as a coroutine of the loop: never beside anything else on it.
-func (l *Loop) Work(flow *Flow, f func(pause func() bool)) {
+func (l *Loop) RunInSlices(flow *Flow, f func(pause func() bool)) {
 	began := time.Duration(0)
 	t := &task{}
 	t.next, t.stop = iter.Pull(func(yield func(struct{}) bool) {
@@ -32,7 +32,7 @@
 	})
 	l.tasks[t] = struct{}{}
 	c := &Conn{loop: l, fd: -1, flow: flow, task: t}
-	l.Soon(func() { l.want(c) })
+	l.Defer(func() { l.want(c) })
 	began = l.t
 }
 
--- a/internal/eventloop/work_test.go
+++ b/internal/eventloop/work_test.go
@@ -12,7 +12,7 @@
 // end with the loop.
 func TestWorkTakesTurns(t *testing.T) {
 	var clock time.Duration // moves by what work says that it took
-	o := Defaults
+	o := DefaultOptions
 	o.Now = func() time.Duration { return clock }
 	l, err := NewLoopWith(0, o)
 	if err != nil {
@@ -20,7 +20,7 @@
 	}
 	ended := make(chan bool, 1)
 	heavy, light := 0, 0
-	l.Do(func() {
+	l.Post(func() {
 		slices := func(n *int, stop int) func(func() bool) {
 			return func(pause func() bool) {
 				for *n < stop {
@@ -34,8 +34,8 @@
 				l.ending = true
 			}
 		}
-		l.Work(l.Flow("heavy", fairshare.Terms{Weight: 4}, nil), slices(&heavy, 400))
-		l.Work(l.Flow("light", fairshare.Terms{Weight: 1}, nil), slices(&light, 1000))
+		l.RunInSlices(l.Flow("heavy", fairshare.FlowConfig{Weight: 4}, nil), slices(&heavy, 400))
+		l.RunInSlices(l.Flow("light", fairshare.FlowConfig{Weight: 1}, nil), slices(&light, 1000))
 	})
 	if err := l.Run(); err != nil {
 		t.Fatal(err)
@@ -67,14 +67,14 @@
 	shown, free := make(chan string, 2), make(chan struct{})
 	var ends [2]int
 	held := make(chan error)
-	l.Do(func() {
+	l.Post(func() {
 		for i, name := range []string{"begins", "under way"} {
 			fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 			if err == nil {
 				var c *Conn
 				c, err = l.Add(fds[0], recorder{name, shown})
 				ends[i] = fds[1]
-				c.Starts(i == 0)
+				c.SetStarting(i == 0)
 			}
 			if err != nil {
 				held <- err
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -240,7 +240,7 @@
 // send puts a request on a connection.
 func (w *World) send(k *conn, c *call, a forwarder.SendRequest) {
 	w.sending(k, c, a)
-	if !k.r.Sent("GET", small) {
+	if !k.r.RequestSent("GET", small) {
 		w.broke("connection", "request %d is sent on connection %d, which is %v", c.id, k.id, k.r.State())
 	}
 	k.call, k.has, k.half = c, true, false
@@ -249,7 +249,7 @@
 
 // handOver takes an answer from its connection.
 func (w *World) handOver(k *conn) {
-	k.r.Taken()
+	k.r.ResponseTaken()
 	w.free(k)
 }
 
@@ -305,17 +305,17 @@
 		s := k.r.Next(b)
 		b = b[s.Used:]
 		switch s.Kind {
-		case upstreamhttp.Need:
+		case upstreamhttp.NeedMore:
 			return
-		case upstreamhttp.Fault:
+		case upstreamhttp.ProtocolError:
 			k.dead = true
 			if w.conns[k.id] == k {
 				w.lost(k)
 			}
 			return
-		case upstreamhttp.Head:
+		case upstreamhttp.Headers:
 			if word(k).Result != dispatch.OK {
-				if k.r.Collect().Kind == upstreamhttp.Fault {
+				if k.r.Buffer().Kind == upstreamhttp.ProtocolError {
 					w.lost(k)
 					return
 				}
@@ -327,11 +327,11 @@
 				return
 			}
 			w.headed(k)
-		case upstreamhttp.Data:
+		case upstreamhttp.BodyData:
 			if k.call == nil {
 				return
 			}
-		case upstreamhttp.Whole, upstreamhttp.End:
+		case upstreamhttp.BufferedResponse, upstreamhttp.ResponseEnd:
 			w.tell(forwarder.ResponseCompleted{Conn: k.id, Info: word(k), Reuse: k.r.Reusable() && !k.sending()}, k.lane)
 			if w.conns[k.id] != k {
 				return
--- a/internal/objectcommand/objectcommand.go
+++ b/internal/objectcommand/objectcommand.go
@@ -32,8 +32,8 @@
 // longest is the longest deadline that is taken.
 const longest = time.Hour
 
-// Terms are the settings that a command must fit.
-type Terms struct {
+// Schema are the settings that a command must fit.
+type Schema struct {
 	Classes map[string]int
 	Plans   map[string]int
 	Writes  []bool // by class; none: not told
@@ -41,9 +41,9 @@
 	Largest float64
 }
 
-// NewTerms takes the terms from the settings.
-func NewTerms(s simwire.Settings) *Terms {
-	t := &Terms{Classes: map[string]int{}, Plans: map[string]int{}, Writes: s.ClassWrites, Shards: s.Shards, Largest: s.Choice.MaxUnits}
+// NewSchema takes the terms from the settings.
+func NewSchema(s simwire.Settings) *Schema {
+	t := &Schema{Classes: map[string]int{}, Plans: map[string]int{}, Writes: s.ClassWrites, Shards: s.Shards, Largest: s.Choice.MaxUnits}
 	for i, c := range s.Choice.Classes {
 		t.Classes[c.Name] = i
 	}
@@ -61,17 +61,17 @@
 	Request           dispatch.Request // without an ID
 }
 
-// Is tells whether a word names one of the object commands.
-func Is(word []byte) bool { return Named(word, Get) || Named(word, Put) }
+// IsObjectCommand tells whether a word names one of the object commands.
+func IsObjectCommand(word []byte) bool { return HasName(word, Get) || HasName(word, Put) }
 
-// Named tells whether a word is a command's name, in whatever case.
-func Named(word []byte, name string) bool {
+// HasName tells whether a word is a command's name, in whatever case.
+func HasName(word []byte, name string) bool {
 	return len(word) == len(name) && strings.EqualFold(string(word), name)
 }
 
 // Parse reads a command's words. The error tells what was expected.
-func (t *Terms) Parse(words [][]byte) (Command, error) {
-	c := Command{Put: Named(words[0], Put)}
+func (t *Schema) Parse(words [][]byte) (Command, error) {
+	c := Command{Put: HasName(words[0], Put)}
 	want := 4
 	if c.Put {
 		want = 5
@@ -104,7 +104,7 @@
 }
 
 // fields reads the list of names and values. Unknown names are left alone.
-func (t *Terms) fields(list string, r *dispatch.Request) error {
+func (t *Schema) fields(list string, r *dispatch.Request) error {
 	seen := 0
 	for pair := range strings.SplitSeq(list, ",") {
 		name, v, ok := strings.Cut(pair, "=")
@@ -131,7 +131,7 @@
 // needed are the names that a request must have; their places are bits in fields.
 var needed = []string{"c", "t", "d", "volume", "units", "shard", "hosts"}
 
-func (t *Terms) field(name, v string, r *dispatch.Request) (bit int, err error) {
+func (t *Schema) field(name, v string, r *dispatch.Request) (bit int, err error) {
 	ok := true
 	switch name {
 	case "c":
@@ -225,12 +225,12 @@
 	return len(c.Fields), len(c.Fields)
 }
 
-// Word reads what a node answered. value is what the client is owed where the word is
+// ParseReply reads what a node answered. value is what the client is owed where the word is
 // Served. It tells false of what is no answer to an object command: the request may have
 // run, and the connection is of no further use.
-func Word(a *resp.Answer) (value []byte, w forwarder.ResponseInfo, ok bool) {
+func ParseReply(a *resp.Reply) (value []byte, w forwarder.ResponseInfo, ok bool) {
 	switch a.Kind {
-	case resp.Failure:
+	case resp.ErrorReply:
 		return nil, failure(string(a.Text)), true
 	case resp.Array:
 		if len(a.Items) != 3 || a.Items[0].Null {
--- a/internal/objectcommand/objectcommand_test.go
+++ b/internal/objectcommand/objectcommand_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-func terms() *Terms {
-	return &Terms{Classes: map[string]int{"read": 0, "write": 1}, Plans: map[string]int{"gold": 0}, Writes: []bool{false, true}, Shards: 4, Largest: 8}
+func terms() *Schema {
+	return &Schema{Classes: map[string]int{"read": 0, "write": 1}, Plans: map[string]int{"gold": 0}, Writes: []bool{false, true}, Shards: 4, Largest: 8}
 }
 
 // What passes on is what came, but for how long the answer is waited for.
@@ -52,11 +52,11 @@
 		{"$1\r\nv\r\n", false, 0, 0, 0, 0},
 		{"+OK\r\n", false, 0, 0, 0, 0},
 	} {
-		var a resp.Answer
+		var a resp.Reply
 		if n, err := a.Read([]byte(c.text)); n != len(c.text) || err != nil {
 			t.Fatalf("%q: %v", c.text, err)
 		}
-		value, w, ok := Word(&a)
+		value, w, ok := ParseReply(&a)
 		if ok != c.ok || ok && (w.Result != c.status || w.QuotaUsage != c.use || w.PeerUnits != c.cost || w.LoadReport["inflight"] != c.hand) {
 			t.Errorf("%q: %+v, %v", c.text, w, ok)
 		}
@@ -75,10 +75,10 @@
 	f.Add("OBJ.GET", "7f3a9c21e0b4d655", "1", "c=read,t=gold,d=0x1p9,volume=00000003b4d60021,units=2,shard=+3,hosts=3", "")
 	f.Fuzz(func(t *testing.T, name, piece, id, list, body string) {
 		words := [][]byte{[]byte(name), []byte(piece), []byte(id), []byte(list)}
-		if Named(words[0], Put) {
+		if HasName(words[0], Put) {
 			words = append(words, []byte(body))
 		}
-		if !Is(words[0]) {
+		if !IsObjectCommand(words[0]) {
 			return
 		}
 		tt := terms()
@@ -113,12 +113,12 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var a resp.Answer
+		var a resp.Reply
 		n, err := a.Read(text)
 		if n == 0 || err != nil {
 			return
 		}
-		value, w, ok := Word(&a)
+		value, w, ok := ParseReply(&a)
 		if !(w.QuotaUsage == 0 || w.QuotaUsage >= 1 && w.QuotaUsage <= 1e9+1) || !(w.PeerUnits >= 0 && w.PeerUnits <= 1e9) {
 			t.Errorf("%q: %+v", text, w)
 		}
--- a/internal/resp/fuzz_test.go
+++ b/internal/resp/fuzz_test.go
@@ -12,7 +12,7 @@
 	}
 	f.Fuzz(func(t *testing.T, b []byte, cut int) {
 		words, n, err := Command(b, nil)
-		if n > len(b) || n > MaxFrame+2 || len(words) > MaxWords || err != nil && n != 0 {
+		if n > len(b) || n > MaxFrame+2 || len(words) > MaxArguments || err != nil && n != 0 {
 			t.Fatalf("%d words, %d of %d bytes, %v", len(words), n, len(b), err)
 		}
 		if n == 0 {
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -13,12 +13,12 @@
 
 // Bounds of what is read. Sizes are in bytes.
 const (
-	MaxWords = 16       // of a command
-	MaxItems = 8        // of an array in an answer
-	MaxBulk  = 64 << 10 // a bulk string
-	MaxFrame = 80 << 10 // a whole command or answer
-	MaxLine  = 1 << 10  // an answer of one line
-	maxCount = 24       // the line of a count or length
+	MaxArguments = 16       // of a command
+	MaxItems     = 8        // of an array in an answer
+	MaxBulk      = 64 << 10 // a bulk string
+	MaxFrame     = 80 << 10 // a whole command or answer
+	MaxLine      = 1 << 10  // an answer of one line
+	maxCount     = 24       // the line of a count or length
 )
 
 // Error tells what was expected and what came in its place. What follows it on a
@@ -43,8 +43,8 @@
 	switch {
 	case err != nil || n == 0:
 		return nil, 0, err
-	case count < 1 || count > MaxWords:
-		return nil, 0, bad(fmt.Sprintf("1 to %d words", MaxWords), "%d", count)
+	case count < 1 || count > MaxArguments:
+		return nil, 0, bad(fmt.Sprintf("1 to %d words", MaxArguments), "%d", count)
 	}
 	words = into
 	for range count {
@@ -112,11 +112,11 @@
 
 // The kinds of answer that are read.
 const (
-	Simple  Kind = '+'
-	Failure Kind = '-'
-	Integer Kind = ':'
-	Bulk    Kind = '$'
-	Array   Kind = '*'
+	SimpleString Kind = '+'
+	ErrorReply   Kind = '-'
+	Integer      Kind = ':'
+	BulkString   Kind = '$'
+	Array        Kind = '*'
 )
 
 // Item is a bulk string of an answer.
@@ -125,8 +125,8 @@
 	Null bool
 }
 
-// Answer is one whole answer.
-type Answer struct {
+// Reply is one whole answer.
+type Reply struct {
 	Kind  Kind
 	Text  []byte // of a line, or of a bulk string
 	Null  bool   // a null bulk string or array
@@ -135,16 +135,16 @@
 
 // Read reads one answer from b into a, whose Items it uses again. It returns how many
 // bytes the answer took; 0: more bytes are needed.
-func (a *Answer) Read(b []byte) (n int, err error) {
+func (a *Reply) Read(b []byte) (n int, err error) {
 	if len(b) == 0 {
 		return 0, nil
 	}
-	*a = Answer{Kind: Kind(b[0]), Items: a.Items[:0]}
+	*a = Reply{Kind: Kind(b[0]), Items: a.Items[:0]}
 	switch a.Kind {
-	case Simple, Failure, Integer:
+	case SimpleString, ErrorReply, Integer:
 		a.Text, n, err = line(b)
 		return n, err
-	case Bulk:
+	case BulkString:
 		it, n, err := item(b, 0, -1)
 		a.Text, a.Null = it.Text, it.Null
 		return n, err
@@ -191,7 +191,7 @@
 	return Item{Text: text}, n, err
 }
 
-func (a *Answer) array(b []byte) (int, error) {
+func (a *Reply) array(b []byte) (int, error) {
 	count, n, err := number(b, '*', "an array")
 	switch {
 	case err != nil || n == 0:
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -36,17 +36,17 @@
 }
 
 func TestAnswers(t *testing.T) {
-	var a Answer
+	var a Reply
 	for _, c := range []struct {
 		text  string
 		kind  Kind
 		items int
 	}{
-		{"+OK\r\n", Simple, 0},
-		{"-BUSY 50\r\n", Failure, 0},
+		{"+OK\r\n", SimpleString, 0},
+		{"-BUSY 50\r\n", ErrorReply, 0},
 		{":7\r\n", Integer, 0},
-		{"$3\r\nabc\r\n", Bulk, 0},
-		{"$-1\r\n", Bulk, 0},
+		{"$3\r\nabc\r\n", BulkString, 0},
+		{"$-1\r\n", BulkString, 0},
 		{"*3\r\n$1\r\nv\r\n$-1\r\n$0\r\n\r\n", Array, 3},
 		{"*-1\r\n", Array, 0},
 		{"*0\r\n", Array, 0},
@@ -69,9 +69,9 @@
 
 // A line can't be broken out of by what it says.
 func TestLineStaysOne(t *testing.T) {
-	b := AppendLine(nil, Failure, "ERR a\r\n+OK\r\n"+strings.Repeat("x", 2*MaxLine))
-	var a Answer
-	if n, err := a.Read(b); n != len(b) || err != nil || a.Kind != Failure {
+	b := AppendLine(nil, ErrorReply, "ERR a\r\n+OK\r\n"+strings.Repeat("x", 2*MaxLine))
+	var a Reply
+	if n, err := a.Read(b); n != len(b) || err != nil || a.Kind != ErrorReply {
 		t.Errorf("%d of %d, %v", n, len(b), err)
 	}
 }
@@ -96,7 +96,7 @@
 				t.Fatalf("written %q: %v", out, err)
 			}
 		}
-		var a Answer
+		var a Reply
 		if n, err := a.Read(b); n > len(b) || n > 0 && err != nil || len(a.Items) > MaxItems {
 			t.Fatalf("%d of %d bytes, %v", n, len(b), err)
 		}
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -429,14 +429,14 @@
 
 // Terms is the share of the loops, and the limit in bytes, that a bucket which fits a
 // rule has at this gateway: its volume's limit divided by the gateways that serve it.
-func (s *Settings) Terms(rule int) fairshare.Terms {
+func (s *Settings) Terms(rule int) fairshare.FlowConfig {
 	p := s.Plans[s.Plan(rule)]
 	burst := p.MiBBurst
 	if burst == 0 {
 		burst = p.MiBPerSecond
 	}
 	n := float64(max(s.Hosts(rule), 1))
-	return fairshare.Terms{Weight: p.Weight, Rate: p.MiBPerSecond * (1 << 20) / n, Burst: burst * (1 << 20) / n}
+	return fairshare.FlowConfig{Weight: p.Weight, Rate: p.MiBPerSecond * (1 << 20) / n, Burst: burst * (1 << 20) / n}
 }
 
 // Hosts returns through how many gateways the requests of a bucket rule come.
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -101,7 +101,7 @@
 // AddNode starts a node for a shard and lists it.
 func (e *Site) AddNode(id string, shard int, change func(int, *storagenode.Config)) *storagenode.Node {
 	e.T.Helper()
-	cfg := storagenode.Config{ID: id, Shard: shard, Remember: 30 * time.Second, Seed: uint64(shard)}
+	cfg := storagenode.Config{ID: id, Shard: shard, DedupWindow: 30 * time.Second, Seed: uint64(shard)}
 	if change != nil {
 		change(shard, &cfg)
 	}
@@ -117,12 +117,12 @@
 
 // List tells the gateway of a node's state.
 func (e *Site) List(n *storagenode.Node, shard int, s dispatch.NodeState) {
-	e.G.SetNodes(dispatch.Delta, []forwarder.Node{{Addr: n.Addr(), Node: dispatch.Node{ID: dispatch.NodeID(n.ID()), Shard: dispatch.Shard(shard), State: s}}})
+	e.G.UpdateEndpoints(dispatch.Delta, []forwarder.Node{{Addr: n.Addr(), Node: dispatch.Node{ID: dispatch.NodeID(n.ID()), Shard: dispatch.Shard(shard), State: s}}})
 }
 
 // Log returns what reached all nodes.
-func (e *Site) Log() []storagenode.Entry {
-	var all []storagenode.Entry
+func (e *Site) Log() []storagenode.LogEntry {
+	var all []storagenode.LogEntry
 	for _, n := range e.Nodes {
 		all = append(all, n.Log()...)
 	}
--- a/internal/upstreamhttp/reader.go
+++ b/internal/upstreamhttp/reader.go
@@ -13,13 +13,13 @@
 
 // The states.
 const (
-	Resting  State = iota // no request is out
-	Heading               // waits for an answer's head
-	Deciding              // a head is there that the owner must decide on
-	Holding               // an answer is collected
-	Passing               // an answer's body is passed on piece by piece
-	Complete              // the answer is whole; its owner has yet to take it
-	Broken                // nothing more is read
+	Idle            State = iota // no request is out
+	AwaitingHeaders              // waits for an answer's head
+	HeadersReceived              // a head is there that the owner must decide on
+	Buffered                     // an answer is collected
+	Streaming                    // an answer's body is passed on piece by piece
+	Complete                     // the answer is whole; its owner has yet to take it
+	Broken                       // nothing more is read
 )
 
 var stateNames = [...]string{"resting", "heading", "deciding", "holding", "passing", "complete", "broken"}
@@ -32,12 +32,12 @@
 
 // The kinds of step.
 const (
-	Need  Kind = iota // more bytes are needed
-	Head              // a head whose body is not collected at once: Stream or Collect
-	Data              // a piece of the body that is passed on
-	Whole             // a collected answer is whole
-	End               // an answer that was passed on is whole
-	Fault             // what came is no answer: the connection is broken
+	NeedMore         Kind = iota // more bytes are needed
+	Headers                      // a head whose body is not collected at once: Stream or Collect
+	BodyData                     // a piece of the body that is passed on
+	BufferedResponse             // a collected answer is whole
+	ResponseEnd                  // an answer that was passed on is whole
+	ProtocolError                // what came is no answer: the connection is broken
 )
 
 // Step is what reading brought.
@@ -71,24 +71,24 @@
 // State returns the present state.
 func (r *Reader) State() State { return r.state }
 
-// Sent tells that a request went out. An answer's body of up to collect bytes is
+// RequestSent tells that a request went out. An answer's body of up to collect bytes is
 // collected. A connection that is not resting must carry none: it reports false.
-func (r *Reader) Sent(method string, collect int) bool {
-	if r.state != Resting {
+func (r *Reader) RequestSent(method string, collect int) bool {
+	if r.state != Idle {
 		return false
 	}
-	r.state, r.method, r.collect = Heading, method, collect
+	r.state, r.method, r.collect = AwaitingHeaders, method, collect
 	r.scan.Reset()
 	return true
 }
 
-// Taken tells that the answer was taken, or thrown away: another request may go
+// ResponseTaken tells that the answer was taken, or thrown away: another request may go
 // out. An answer that is not whole cannot be: the connection is then broken.
-func (r *Reader) Taken() {
+func (r *Reader) ResponseTaken() {
 	r.held, r.chunk = nil, nil
 	if r.state == Complete {
-		r.state = Resting
-	} else if r.state != Resting {
+		r.state = Idle
+	} else if r.state != Idle {
 		r.state = Broken
 	}
 }
@@ -109,29 +109,29 @@
 
 func (r *Reader) fault(why string) Step {
 	r.Break()
-	return Step{Kind: Fault, Why: why}
+	return Step{Kind: ProtocolError, Why: why}
 }
 
 // Next reads what it can of b, the bytes that have come and were not consumed. It
 // is called again with the rest until it needs more.
 func (r *Reader) Next(b []byte) Step {
 	switch r.state {
-	case Heading:
+	case AwaitingHeaders:
 		return r.head(b)
-	case Holding:
+	case Buffered:
 		if r.chunk != nil {
 			return r.holdChunks(b)
 		}
 		return r.hold(b, 0)
-	case Passing:
+	case Streaming:
 		return r.pass(b)
-	case Deciding:
-		return Step{Kind: Need}
+	case HeadersReceived:
+		return Step{Kind: NeedMore}
 	case Broken:
-		return Step{Kind: Fault, Why: "the connection is broken"}
+		return Step{Kind: ProtocolError, Why: "the connection is broken"}
 	}
 	if len(b) == 0 {
-		return Step{Kind: Need}
+		return Step{Kind: NeedMore}
 	}
 	if r.state == Complete {
 		return r.fault("more came than the answer")
@@ -145,7 +145,7 @@
 		return r.fault(err.Reason)
 	}
 	if n == 0 {
-		return Step{Kind: Need}
+		return Step{Kind: NeedMore}
 	}
 	h := &r.Response
 	if h.Status < 200 {
@@ -164,41 +164,41 @@
 		r.left = -1
 	}
 	if !h.Chunked && !h.UntilClose && h.Length <= int64(r.collect) {
-		r.need, r.state = n+int(h.Length), Holding
+		r.need, r.state = n+int(h.Length), Buffered
 		return r.hold(b, n)
 	}
-	r.state = Deciding
-	return Step{Kind: Head, Used: n}
+	r.state = HeadersReceived
+	return Step{Kind: Headers, Used: n}
 }
 
 // Stream has the body of the answer that is being decided on passed on.
 func (r *Reader) Stream() {
-	if r.state == Deciding {
-		r.state = Passing
+	if r.state == HeadersReceived {
+		r.state = Streaming
 	}
 }
 
-// Collect has it collected. That is for answers in chunks, whose length is not
+// Buffer has it collected. That is for answers in chunks, whose length is not
 // known; one that is known to be larger is a fault.
-func (r *Reader) Collect() Step {
-	if r.state != Deciding || r.chunk == nil {
+func (r *Reader) Buffer() Step {
+	if r.state != HeadersReceived || r.chunk == nil {
 		return r.fault("the answer is larger than may be held")
 	}
-	r.state = Holding
+	r.state = Buffered
 	r.Response.Headers = r.Response.Headers.Clone() // the buffer moves on
-	return Step{Kind: Need}
+	return Step{Kind: NeedMore}
 }
 
 // hold waits until the whole answer is in b; it stays in the connection's buffer
 // until then. n is the length of its head, where that was parsed from this very b.
 func (r *Reader) hold(b []byte, n int) Step {
 	if len(b) < r.need {
-		return Step{Kind: Need}
+		return Step{Kind: NeedMore}
 	}
 	if n == 0 { // again: the buffer may have moved since
 		n, _ = r.scan.ParseResponse(b, r.Limits, r.method, &r.Response)
 	}
-	return r.whole(Step{Kind: Whole, Used: r.need, Body: b[n:r.need]}, b)
+	return r.whole(Step{Kind: BufferedResponse, Used: r.need, Body: b[n:r.need]}, b)
 }
 
 func (r *Reader) holdChunks(b []byte) Step {
@@ -214,10 +214,10 @@
 		r.held = append(r.held, data...)
 		used += n
 		if step == http1.Done {
-			return r.whole(Step{Kind: Whole, Used: used, Body: r.held}, b)
+			return r.whole(Step{Kind: BufferedResponse, Used: used, Body: r.held}, b)
 		}
 		if n == 0 {
-			return Step{Kind: Need, Used: used}
+			return Step{Kind: NeedMore, Used: used}
 		}
 	}
 }
@@ -229,7 +229,7 @@
 		switch {
 		case r.chunk != nil:
 			if len(b) == used {
-				return Step{Kind: Need, Used: used}
+				return Step{Kind: NeedMore, Used: used}
 			}
 			step, data, n, err := r.chunk.Next(b[used:])
 			if err != nil {
@@ -238,33 +238,33 @@
 			used += n
 			switch {
 			case step == http1.Done:
-				return r.whole(Step{Kind: End, Used: used}, b)
+				return r.whole(Step{Kind: ResponseEnd, Used: used}, b)
 			case len(data) > 0:
-				return Step{Kind: Data, Used: used, Body: data}
+				return Step{Kind: BodyData, Used: used, Body: data}
 			case n == 0:
-				return Step{Kind: Need, Used: used}
+				return Step{Kind: NeedMore, Used: used}
 			}
 		case r.left == 0:
-			return r.whole(Step{Kind: End}, b)
+			return r.whole(Step{Kind: ResponseEnd}, b)
 		case len(b) == 0:
-			return Step{Kind: Need}
+			return Step{Kind: NeedMore}
 		case r.left > 0:
 			b = b[:min(int64(len(b)), r.left)]
 			r.left -= int64(len(b))
-			return Step{Kind: Data, Used: len(b), Body: b, Last: r.left == 0}
+			return Step{Kind: BodyData, Used: len(b), Body: b, Last: r.left == 0}
 		default:
-			return Step{Kind: Data, Used: len(b), Body: b}
+			return Step{Kind: BodyData, Used: len(b), Body: b}
 		}
 	}
 }
 
-// Ended tells that the node has closed its side. End: that was how the answer ends.
+// PeerClosed tells that the node has closed its side. End: that was how the answer ends.
 // Otherwise nothing whole came.
-func (r *Reader) Ended() Step {
-	if r.state == Passing && r.chunk == nil && r.left < 0 {
+func (r *Reader) PeerClosed() Step {
+	if r.state == Streaming && r.chunk == nil && r.left < 0 {
 		r.state = Complete
 		r.Response.Close = true
-		return Step{Kind: End}
+		return Step{Kind: ResponseEnd}
 	}
 	return r.fault("the connection ended")
 }
--- a/internal/upstreamhttp/reader_test.go
+++ b/internal/upstreamhttp/reader_test.go
@@ -18,24 +18,24 @@
 		for {
 			s := r.Next(buf)
 			buf = buf[s.Used:]
-			if s.Kind == Need {
+			if s.Kind == NeedMore {
 				break
 			}
 			switch s.Kind {
-			case Fault:
+			case ProtocolError:
 				return out.String() + "fault"
-			case Head:
+			case Headers:
 				fmt.Fprintf(&out, "head %d ", r.Response.Status)
 				if stream {
 					r.Stream()
-				} else if r.Collect().Kind == Fault {
+				} else if r.Buffer().Kind == ProtocolError {
 					return out.String() + "fault"
 				}
-			case Data:
+			case BodyData:
 				data.Write(s.Body)
-			case Whole:
+			case BufferedResponse:
 				fmt.Fprintf(&out, "whole %d %q ", r.Response.Status, s.Body)
-			case End:
+			case ResponseEnd:
 				fmt.Fprintf(&out, "end %q ", data.String())
 			}
 		}
@@ -71,7 +71,7 @@
 		n := len(a.text)
 		try := func(pieces ...string) {
 			r := &Reader{Limits: http1.DefaultLimits}
-			r.Sent(a.method, 10)
+			r.RequestSent(a.method, 10)
 			if got := read(r, pieces, a.stream); got != a.want {
 				t.Errorf("%s in %q: %s, want %s", a.name, pieces, got, a.want)
 			}
@@ -90,43 +90,43 @@
 func TestOneAtATimeAndNoneAfterDoubt(t *testing.T) {
 	ok := "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"
 	r := &Reader{Limits: http1.DefaultLimits}
-	if s := r.Next([]byte("x")); s.Kind != Fault || r.State() != Broken || r.Sent("GET", 10) {
+	if s := r.Next([]byte("x")); s.Kind != ProtocolError || r.State() != Broken || r.RequestSent("GET", 10) {
 		t.Error("an answer without a request is taken")
 	}
 	r = &Reader{Limits: http1.DefaultLimits}
-	if !r.Sent("GET", 10) || r.Sent("GET", 10) {
+	if !r.RequestSent("GET", 10) || r.RequestSent("GET", 10) {
 		t.Error("two requests on one connection")
 	}
 	r.Next([]byte(ok))
-	if r.Sent("GET", 10) || !r.Reusable() {
+	if r.RequestSent("GET", 10) || !r.Reusable() {
 		t.Error("a request before the answer was taken")
 	}
-	if r.Taken(); !r.Sent("GET", 10) {
+	if r.ResponseTaken(); !r.RequestSent("GET", 10) {
 		t.Error("not reused after a whole answer")
 	}
 	r.Next([]byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nx"))
-	if r.Taken(); r.Sent("GET", 10) || r.State() != Broken {
+	if r.ResponseTaken(); r.RequestSent("GET", 10) || r.State() != Broken {
 		t.Error("reused after half an answer")
 	}
 	r = &Reader{Limits: http1.DefaultLimits}
-	r.Sent("GET", 10)
+	r.RequestSent("GET", 10)
 	if r.Next([]byte("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx")); r.Reusable() {
 		t.Error("reusable, though the node closes")
 	}
 	for _, a := range answers {
 		r = &Reader{Limits: http1.DefaultLimits}
-		r.Sent(a.method, 10)
+		r.RequestSent(a.method, 10)
 		if read(r, []string{a.text}, a.stream); r.State() == Complete && !r.Reusable() {
 			t.Errorf("%s: not reusable", a.name)
 		}
 		r = &Reader{Limits: http1.DefaultLimits}
-		r.Sent(a.method, 10)
+		r.RequestSent(a.method, 10)
 		b := []byte(a.text + "H")
-		for s := r.Next(b); s.Kind != Need && s.Kind != Fault && r.State() != Complete; s = r.Next(b) {
-			if b = b[s.Used:]; s.Kind == Head && a.stream {
+		for s := r.Next(b); s.Kind != NeedMore && s.Kind != ProtocolError && r.State() != Complete; s = r.Next(b) {
+			if b = b[s.Used:]; s.Kind == Headers && a.stream {
 				r.Stream()
-			} else if s.Kind == Head {
-				r.Collect()
+			} else if s.Kind == Headers {
+				r.Buffer()
 			}
 		}
 		if r.Reusable() {
@@ -138,9 +138,9 @@
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n": false, "HTTP/1.1 200": false,
 	} {
 		r := &Reader{Limits: http1.DefaultLimits}
-		r.Sent("GET", 2)
+		r.RequestSent("GET", 2)
 		read(r, []string{text}, true)
-		if s := r.Ended(); (s.Kind == End) != whole || r.Reusable() {
+		if s := r.PeerClosed(); (s.Kind == ResponseEnd) != whole || r.Reusable() {
 			t.Errorf("%q and then its end: %v, reusable %v", text, s.Kind, r.Reusable())
 		}
 	}
@@ -155,8 +155,8 @@
 			cut = len(b)
 		}
 		one, two := &Reader{Limits: http1.DefaultLimits}, &Reader{Limits: http1.DefaultLimits}
-		one.Sent("GET", 10)
-		two.Sent("GET", 10)
+		one.RequestSent("GET", 10)
+		two.RequestSent("GET", 10)
 		x, y := read(one, []string{string(b)}, stream), read(two, []string{string(b[:cut]), string(b[cut:])}, stream)
 		if x != y && !strings.HasSuffix(x, "fault") && !strings.HasSuffix(y, "fault") {
 			t.Fatalf("whole %s, cut at %d %s", x, cut, y)
--- a/lab/attributiontest/attributiontest.go
+++ b/lab/attributiontest/attributiontest.go
@@ -139,7 +139,7 @@
 		p.data.Store(v, small, make([]byte, smallLen))
 	}
 	p.data.Store("review", large, make([]byte, largeLen))
-	cfg := storagenode.Config{ID: "node", Cores: 2, Queue: 400, PerUnit: 20 * time.Millisecond, Timing: true, Seed: seed, Remember: 30 * time.Second}
+	cfg := storagenode.Config{ID: "node", Cores: 2, Queue: 400, PerUnit: 20 * time.Millisecond, Timing: true, Seed: seed, DedupWindow: 30 * time.Second}
 	if s.node != nil {
 		s.node(&cfg)
 	}
@@ -185,13 +185,13 @@
 	}
 	var g *gateway.Gateway
 	ready := make(chan struct{})
-	g, err = gateway.New(*cfg, gateway.WithSeed(p.seed), gateway.WithClock(p.wall), gateway.WithAccounts(p.account),
-		gateway.WithAccountsLog(func(a attribution.Action) { <-ready; p.save(g, a) }))
+	g, err = gateway.New(*cfg, gateway.WithSeed(p.seed), gateway.WithClock(p.wall), gateway.WithAttribution(p.account),
+		gateway.WithAttributionLog(func(a attribution.Action) { <-ready; p.save(g, a) }))
 	if err != nil {
 		return err
 	}
 	close(ready)
-	g.SetNodes(dispatch.Snapshot, []forwarder.Node{{Addr: p.node.Addr(), Node: dispatch.Node{ID: "node"}}})
+	g.UpdateEndpoints(dispatch.Snapshot, []forwarder.Node{{Addr: p.node.Addr(), Node: dispatch.Node{ID: "node"}}})
 	ln, err := gateway.Listen("127.0.0.1:0")
 	if err != nil {
 		g.Close()
@@ -226,12 +226,12 @@
 	if e.Parts.Total() != e.Ended-e.Started {
 		p.fault("%s: causes sum to %v of %v", e.Volume, e.Parts.Total(), e.Ended-e.Started)
 	}
-	if line := e.Parts[attribution.Others] + e.Parts[attribution.NodeQueue] + e.Parts[attribution.Loop]; behind > line {
+	if line := e.Parts[attribution.QueuedBehindOthers] + e.Parts[attribution.NodeQueue] + e.Parts[attribution.EventLoop]; behind > line {
 		p.fault("%s: waited %v behind others, of %v in line", e.Volume, behind, line)
 	}
 	for c, d := range e.Parts {
 		if d < 0 {
-			p.fault("%s: %v of %v", e.Volume, d, attribution.Cause(c))
+			p.fault("%s: %v of %v", e.Volume, d, attribution.Component(c))
 		}
 	}
 	p.mu.Lock()
@@ -304,22 +304,22 @@
 
 // quiet waits until all that was taken is answered and accounted for.
 func (p *play) quiet() {
-	for end := time.Now().Add(10 * time.Second); p.g.InHand() > 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); p.g.InFlight() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			p.fault("%d requests are still in hand", p.g.InHand())
+			p.fault("%d requests are still in hand", p.g.InFlight())
 			return
 		}
 	}
-	p.g.FlushAccounts()
+	p.g.FlushAttribution()
 	p.window(time.Minute) // what was flushed before is in the books now
 }
 
 // since reads the books from the first whole second after a time on.
 func (p *play) since(at time.Duration) (w attribution.Window) {
-	p.g.FlushAccounts()
-	if err := p.g.Accounts(func(now time.Duration, k *attribution.Keeper) {
+	p.g.FlushAttribution()
+	if err := p.g.Attribution(func(now time.Duration, k *attribution.Collector) {
 		from := (at + time.Second - 1) / time.Second * time.Second
-		w, _ = k.Books().Over(now, max(now-from, time.Millisecond))
+		w, _ = k.Aggregator().Over(now, max(now-from, time.Millisecond))
 	}); err != nil {
 		p.fault("%v", err)
 	}
@@ -328,7 +328,7 @@
 
 // window reads the books.
 func (p *play) window(span time.Duration) (w attribution.Window) {
-	if err := p.g.Accounts(func(now time.Duration, k *attribution.Keeper) { w, _ = k.Books().Over(now, span) }); err != nil {
+	if err := p.g.Attribution(func(now time.Duration, k *attribution.Collector) { w, _ = k.Aggregator().Over(now, span) }); err != nil {
 		p.fault("%v", err)
 	}
 	return w
@@ -337,7 +337,7 @@
 func (p *play) result(s Scenario) (Result, error) {
 	r := Result{Scenario: s.Name, Seed: p.seed, Took: time.Since(p.epoch), Window: p.window(time.Minute)}
 	var counts attribution.Counts
-	if err := p.g.Accounts(func(_ time.Duration, k *attribution.Keeper) { counts = k.Counts() }); err != nil {
+	if err := p.g.Attribution(func(_ time.Duration, k *attribution.Collector) { counts = k.Counts() }); err != nil {
 		return r, err
 	}
 	if counts.Lost > 0 {
--- a/lab/attributiontest/scenarios.go
+++ b/lab/attributiontest/scenarios.go
@@ -43,13 +43,13 @@
 }
 
 // part is a volume's time under one cause.
-func (v *verdict) part(volume string, c attribution.Cause) time.Duration {
+func (v *verdict) part(volume string, c attribution.Component) time.Duration {
 	l, _ := v.Window.Of(volume)
 	return l.Parts[c]
 }
 
 // most wants a cause to have at least a share of a volume's time.
-func (v *verdict) most(volume string, share float64, cs ...attribution.Cause) {
+func (v *verdict) most(volume string, share float64, cs ...attribution.Component) {
 	l, ok := v.Window.Of(volume)
 	if !ok {
 		v.p.fault("%s has no account", volume)
@@ -142,7 +142,7 @@
 				<-p.during(2 * time.Second)
 			},
 			expect: func(p *play, v *verdict) {
-				v.most("review", 0.8, attribution.NodeWork)
+				v.most("review", 0.8, attribution.NodeService)
 				if b := v.Window.Behind; b > v.Window.All.Parts.Total()/20 {
 					p.fault("%v of %v behind volumes, where only the node was slow", b, v.Window.All.Parts.Total())
 				}
@@ -156,8 +156,8 @@
 				<-p.during(2500 * time.Millisecond)
 			},
 			expect: func(p *play, v *verdict) {
-				v.most("capped", 0.7, attribution.Limit)
-				if d := v.part("review", attribution.Limit); d > 0 {
+				v.most("capped", 0.7, attribution.RateLimited)
+				if d := v.part("review", attribution.RateLimited); d > 0 {
 					p.fault("review has no limit, and %v under it", d)
 				}
 			},
@@ -165,11 +165,11 @@
 		{
 			Name: "lost-answers", What: "answers are lost: further attempts are named",
 			play: func(p *play) {
-				p.node.Inject(storagenode.Fault{Kind: storagenode.Lose, Share: 0.15, For: time.Minute, Hold: 150 * time.Millisecond})
+				p.node.Inject(storagenode.Fault{Kind: storagenode.LoseResponse, Share: 0.15, For: time.Minute, Hold: 150 * time.Millisecond})
 				p.clients(2, "review", 5*time.Millisecond, p.over)
 				<-p.during(2500 * time.Millisecond)
 			},
-			expect: func(p *play, v *verdict) { v.most("review", 0.3, attribution.Lost, attribution.Pause) },
+			expect: func(p *play, v *verdict) { v.most("review", 0.3, attribution.FailedAttempts, attribution.RetryBackoff) },
 		},
 		{
 			Name: "slow-client", What: "a client takes its answers in small bites",
@@ -179,7 +179,7 @@
 					p.request("GET", "review", large, 10*time.Millisecond)
 				}
 			},
-			expect: func(p *play, v *verdict) { v.most("review", 0.6, attribution.Client, attribution.BodyOut) },
+			expect: func(p *play, v *verdict) { v.most("review", 0.6, attribution.SlowClient, attribution.ResponseBody) },
 		},
 		{
 			Name: "late-reports", What: "nodes tell late, after the slot was closed, and not of every request",
@@ -190,10 +190,10 @@
 				<-p.during(5 * time.Second)
 			},
 			expect: func(p *play, v *verdict) {
-				if v.Counts.ToldLate == 0 || v.Counts.Corrected == 0 || !v.Window.Corrected {
+				if v.Counts.ReportedLate == 0 || v.Counts.Corrected == 0 || !v.Window.Corrected {
 					p.fault("no slot was corrected: %+v", v.Counts)
 				}
-				unknown, told := v.part("flood", attribution.NodeTime), v.part("flood", attribution.NodeQueue)+v.part("flood", attribution.NodeWork)
+				unknown, told := v.part("flood", attribution.NodeUnknown), v.part("flood", attribution.NodeQueue)+v.part("flood", attribution.NodeService)
 				if told < unknown || unknown < told/20 {
 					p.fault("of three in ten nothing is told; %v is unknown beside %v told", unknown, told)
 				}
@@ -232,7 +232,7 @@
 				if !strings.Contains(strings.Join(v.Timeline.Notes, "\n"), "started anew") {
 					p.fault("the restart is not told: %v", v.Timeline.Notes)
 				}
-				if v.Counts.Unplaced+v.Counts.ToldLate == 0 {
+				if v.Counts.Unplaced+v.Counts.ReportedLate == 0 {
 					p.fault("no late report came: %+v", v.Counts)
 				}
 			},
--- a/lab/faultinjection/faultinjection.go
+++ b/lab/faultinjection/faultinjection.go
@@ -147,9 +147,9 @@
 }
 
 // figures are what the rules hold the day to.
-func figures(o Options) invariants.Figures {
+func figures(o Options) invariants.Parameters {
 	s := site(o, 0)
-	f := invariants.Figures{
+	f := invariants.Parameters{
 		Grace: grace, Settle: s.Rules.Settle.D(), BudgetFree: s.Rules.Budget.Free, BudgetRatio: s.Rules.Budget.Ratio,
 		BudgetSpan: s.Rules.Budget.Span.D(), Limits: map[string]invariants.Limit{}, Slop: 60 * time.Millisecond, Late: 150 * time.Millisecond,
 	}
@@ -177,7 +177,7 @@
 type day struct {
 	o     Options
 	epoch time.Time
-	f     invariants.Figures
+	f     invariants.Parameters
 	vols  []string
 	seeds map[string][]byte // large objects that are never written again
 
@@ -279,7 +279,7 @@
 	}
 	for _, n := range d.all {
 		d.log.Entries = append(d.log.Entries, n.Log()...)
-		if n.Fallen() {
+		if n.Overloaded() {
 			d.log.Fallen = append(d.log.Fallen, n.ID())
 		}
 	}
@@ -340,12 +340,12 @@
 	seed := d.rng.Uint64()
 	d.mu.Unlock()
 	cfg := storagenode.Config{
-		ID: id, Shard: shard, Cores: cores, Queue: 40, PerUnit: perUnit, Speed: 0.8 + 0.4*d.random(), Remember: remember, Seed: seed,
+		ID: id, Shard: shard, Cores: cores, Queue: 40, PerUnit: perUnit, Speed: 0.8 + 0.4*d.random(), DedupWindow: remember, Seed: seed,
 		ReportEvery: 150 * time.Millisecond, ReportNoise: 0.2, Deferred: 0.3, DeferEvery: 1500 * time.Millisecond,
 	}
 	if cold {
-		cfg.ColdFrom, cfg.WarmUp, cfg.Span = coldFrom, warmUp, span
-		cfg.Multiple, cfg.YoungLimit = multiple/d.o.frail(), youngLimit/d.o.frail()
+		cfg.InitialSpeed, cfg.WarmUp, cfg.OverloadWindow = coldFrom, warmUp, span
+		cfg.OverloadFactor, cfg.InitialUnits = multiple/d.o.frail(), youngLimit/d.o.frail()
 	}
 	n, err := storagenode.Start("127.0.0.1:0", cfg, d.shards[shard], d.ledger, d.epoch)
 	if err != nil {
@@ -392,7 +392,7 @@
 		}
 		nodes = append(nodes, l.node(id, n))
 	}
-	l.g.SetNodes(kind, nodes)
+	l.g.UpdateEndpoints(kind, nodes)
 	l.d.mu.Lock()
 	for _, id := range told {
 		l.d.log.Told = append(l.d.log.Told, invariants.Told{Gateway: l.name, Node: id, At: l.d.since()})
@@ -497,18 +497,18 @@
 		all := slices.Clone(d.nodes)
 		d.mu.Unlock()
 		for _, n := range all {
-			n.Freeze(t.For.D())
+			n.FreezeReport(t.For.D())
 		}
 	case Silent:
 		node.Inject(storagenode.Fault{Kind: storagenode.Stall, For: t.For.D()})
 	case SlowNode:
 		node.Inject(storagenode.Fault{Kind: storagenode.Slow, For: t.For.D(), Factor: t.Times})
 	case LoseAnswer:
-		share(storagenode.Lose)
+		share(storagenode.LoseResponse)
 	case HalfAnswer:
-		share(storagenode.Half)
+		share(storagenode.TruncateResponse)
 	case Resets:
-		share(storagenode.Reset)
+		share(storagenode.ResetConnection)
 	}
 }
 
--- a/lab/faultinjection/faultinjection_test.go
+++ b/lab/faultinjection/faultinjection_test.go
@@ -111,7 +111,7 @@
 			o.Day, o.Script, o.Withhold, o.Gateways = 4500*time.Millisecond, x.script, guard, x.gateways
 			o.Frail = x.frail
 			broken := func() bool {
-				return slices.ContainsFunc(play(t, o).Breaches, func(b invariants.Breach) bool { return b.Rule == Guards[guard] })
+				return slices.ContainsFunc(play(t, o).Breaches, func(b invariants.Violation) bool { return b.Rule == Guards[guard] })
 			}
 			if !broken() {
 				t.Errorf("without the guard of %q the rule %q is still kept", guard, Guards[guard])
--- a/lab/faultinjection/report.go
+++ b/lab/faultinjection/report.go
@@ -19,7 +19,7 @@
 	Further  int
 	Repeats  int // dropped by nodes
 	Late     int // answers at nodes that came after their attempt's end
-	Breaches []invariants.Breach
+	Breaches []invariants.Violation
 }
 
 // ClassReport is how one class fared.
--- a/lab/invariants/invariants.go
+++ b/lab/invariants/invariants.go
@@ -27,9 +27,9 @@
 	InTurn   bool
 }
 
-// Figures are the rules' figures, and how exactly the logs can be compared: Slop
+// Parameters are the rules' figures, and how exactly the logs can be compared: Slop
 // is how far apart two logs may see one thing, for the machine's own delays.
-type Figures struct {
+type Parameters struct {
 	Classes     []Class
 	Grace       time.Duration // after a drain was told
 	Settle      time.Duration // rest of a key
@@ -75,15 +75,15 @@
 // Log is all that was seen.
 type Log struct {
 	Requests []Request
-	Entries  []storagenode.Entry
+	Entries  []storagenode.LogEntry
 	Told     []Told
 	Killed   []Killed
 	Fallen   []string // nodes pushed over while cold
 	End      time.Duration
 }
 
-// Breach is one broken rule.
-type Breach struct {
+// Violation is one broken rule.
+type Violation struct {
 	Rule string
 	At   time.Duration
 	What string
@@ -106,17 +106,17 @@
 var All = []string{Lost, TwoOut, Effects, Drains, Cold, Order, Budget, Limits, Content}
 
 type checker struct {
-	f   Figures
+	f   Parameters
 	l   *Log
-	out []Breach
-	by  map[string][]storagenode.Entry // entries by tag, by arrival
+	out []Violation
+	by  map[string][]storagenode.LogEntry // entries by tag, by arrival
 	req map[string]*Request
 }
 
 // Check returns every breach that the log shows.
-func Check(f Figures, l *Log) []Breach {
-	c := &checker{f: f, l: l, by: map[string][]storagenode.Entry{}, req: map[string]*Request{}}
-	slices.SortFunc(l.Entries, func(a, b storagenode.Entry) int { return cmp.Compare(a.Arrived, b.Arrived) })
+func Check(f Parameters, l *Log) []Violation {
+	c := &checker{f: f, l: l, by: map[string][]storagenode.LogEntry{}, req: map[string]*Request{}}
+	slices.SortFunc(l.Entries, func(a, b storagenode.LogEntry) int { return cmp.Compare(a.Arrived, b.Arrived) })
 	for i := range l.Requests {
 		c.req[l.Requests[i].Tag] = &l.Requests[i]
 	}
@@ -134,12 +134,12 @@
 	for _, n := range l.Fallen {
 		c.breach(Cold, l.End, "%s fell over", n)
 	}
-	slices.SortStableFunc(c.out, func(a, b Breach) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(c.out, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	return c.out
 }
 
 func (c *checker) breach(rule string, at time.Duration, format string, a ...any) {
-	c.out = append(c.out, Breach{rule, at, fmt.Sprintf(format, a...)})
+	c.out = append(c.out, Violation{rule, at, fmt.Sprintf(format, a...)})
 }
 
 func (c *checker) killed(gateway string) (time.Duration, bool) {
@@ -175,7 +175,7 @@
 }
 
 // end is when an entry was over for the gateway that sent it.
-func (c *checker) end(e storagenode.Entry) time.Duration {
+func (c *checker) end(e storagenode.LogEntry) time.Duration {
 	switch {
 	case e.Left > 0 && (e.Ended == 0 || e.Left < e.Ended):
 		return e.Left
@@ -243,7 +243,7 @@
 // an attempt that may still run.
 func (c *checker) order() {
 	type line struct{ gateway, key string }
-	last := map[line]storagenode.Entry{}
+	last := map[line]storagenode.LogEntry{}
 	for _, e := range c.l.Entries {
 		r := c.req[e.Tag]
 		if r == nil || !c.f.Classes[r.Class].InTurn {
--- a/lab/mutation/list.go
+++ b/lab/mutation/list.go
@@ -59,14 +59,14 @@
 
 		// The reader of connections.
 		{
-			Name: "a second request on a connection", File: readerFile, From: "	if r.state != Resting {\n		return false\n	}", To: "	if r.state == Broken {\n		return false\n	}",
+			Name: "a second request on a connection", File: readerFile, From: "	if r.state != Idle {\n		return false\n	}", To: "	if r.state == Broken {\n		return false\n	}",
 			Equal: "the forwarder sends one at a time: the guard stands behind it",
 		},
-		{Name: "an answer without a request is taken", File: readerFile, From: `	return r.fault("an answer came without a request")`, To: "	return Step{Kind: Need, Used: len(b)}"},
+		{Name: "an answer without a request is taken", File: readerFile, From: `	return r.fault("an answer came without a request")`, To: "	return Step{Kind: NeedMore, Used: len(b)}"},
 		{Name: "more than the answer does not end the connection", File: readerFile, From: "!r.Response.Close && !r.more", To: "!r.Response.Close"},
 		{Name: "the node's word to close is not heard", File: readerFile, From: "r.state == Complete && !r.Response.Close && !r.more", To: "r.state == Complete && !r.more"},
 		{
-			Name: "half an answer leaves the connection good", File: readerFile, From: "		r.state = Broken\n	}\n}\n\n// Break", To: "		r.state = Resting\n	}\n}\n\n// Break",
+			Name: "half an answer leaves the connection good", File: readerFile, From: "		r.state = Broken\n	}\n}\n\n// Break", To: "		r.state = Idle\n	}\n}\n\n// Break",
 			Equal: "the forwarder closes the connection of a call that ends before its answer",
 		},
 		{Name: "a body ends short", File: readerFile, From: "		case r.left == 0:", To: "		case r.left <= 8:"},
--- a/lab/schedulereplay/schedulereplay.go
+++ b/lab/schedulereplay/schedulereplay.go
@@ -173,7 +173,7 @@
 			list = append(list, p.entry(name, dispatch.Ready))
 		}
 	}
-	p.g.SetNodes(dispatch.Snapshot, list)
+	p.g.UpdateEndpoints(dispatch.Snapshot, list)
 	ln, err := gateway.Listen("127.0.0.1:0")
 	if err != nil {
 		return err
@@ -277,17 +277,17 @@
 		p.ends[s.Call] = "left"
 		p.mu.Unlock()
 		c.Close()
-		return p.until(func() bool { return p.g.InHand() == p.inHand() })
+		return p.until(func() bool { return p.g.InFlight() == p.inHand() })
 	case modelcheck.DialOK, modelcheck.Follow, modelcheck.Follow2, modelcheck.Fire, modelcheck.Before, modelcheck.Reach:
 		return nil // by itself; waited for where it matters
 	case modelcheck.Drain:
-		p.g.SetNodes(dispatch.Delta, []forwarder.Node{p.entry(s.Node, dispatch.Draining)})
+		p.g.UpdateEndpoints(dispatch.Delta, []forwarder.Node{p.entry(s.Node, dispatch.Draining)})
 		return nil
 	case modelcheck.Remove:
-		p.g.SetNodes(dispatch.Delta, []forwarder.Node{p.entry(s.Node, dispatch.Removed)})
+		p.g.UpdateEndpoints(dispatch.Delta, []forwarder.Node{p.entry(s.Node, dispatch.Removed)})
 		return nil
 	case modelcheck.List:
-		p.g.SetNodes(dispatch.Delta, []forwarder.Node{p.entry(s.Node, dispatch.Ready)})
+		p.g.UpdateEndpoints(dispatch.Delta, []forwarder.Node{p.entry(s.Node, dispatch.Ready)})
 		return nil
 	}
 	text, isAnswer := answers[s.Move.Kind]
@@ -379,7 +379,7 @@
 	p.clients[i] = c
 	p.mu.Unlock()
 	p.work.Go(func() { p.end(i, c, req) })
-	return p.until(func() bool { return p.g.InHand() == p.inHand() || p.ended(i) })
+	return p.until(func() bool { return p.g.InFlight() == p.inHand() || p.ended(i) })
 }
 
 func (p *player) ended(i int) bool {
--- a/respserver/client.go
+++ b/respserver/client.go
@@ -14,7 +14,7 @@
 // client is a connection from a client. Its commands run side by side; answers leave in
 // the order of the commands.
 type client struct {
-	f     *Front
+	f     *Server
 	c     *eventloop.Conn
 	queue []*entry // commands that are not answered yet, the oldest first
 	born  time.Duration
@@ -49,7 +49,7 @@
 	lingerFor  = 500 * time.Millisecond  // after the last answer, for what is still on its way
 )
 
-func (f *Front) accept(fd int, _ unix.Sockaddr) {
+func (f *Server) accept(fd int, _ unix.Sockaddr) {
 	for len(f.clients) >= f.cfg.roomyClients() && f.makeRoom(youngest) {
 	}
 	if len(f.clients) >= f.cfg.clientConns() && !f.makeRoom(0) {
@@ -63,7 +63,7 @@
 		return // the loop has closed it
 	}
 	cl.c = c
-	c.Assign(f.flows.clients)
+	c.AssignFlow(f.flows.clients)
 	f.clients = append(f.clients, cl)
 }
 
@@ -71,7 +71,7 @@
 // have never said anything, then those on which no request is open and nothing has come. It
 // costs a client that asks again a new connection, so those used just now are left where
 // there are descriptors.
-func (f *Front) makeRoom(youngest time.Duration) bool {
+func (f *Server) makeRoom(youngest time.Duration) bool {
 	var worst *client
 	now := f.now()
 	for _, cl := range f.clients {
@@ -90,7 +90,7 @@
 // unused tells whether the connection can be closed without harm: nothing is open on it,
 // all that was answered has left, and nothing has come. It asks the kernel last.
 func (cl *client) unused() bool {
-	return len(cl.queue) == 0 && cl.c.Pending() == 0 && cl.c.Quiet()
+	return len(cl.queue) == 0 && cl.c.Pending() == 0 && cl.c.NoUnreadInput()
 }
 
 // OnData takes commands. What comes on a dead connection is thrown away, a read each sweep: at full
@@ -124,7 +124,7 @@
 // refuseAll ends a connection of which nothing more can be understood: what was taken is
 // answered, then the error follows.
 func (cl *client) refuseAll(text string) {
-	cl.say(resp.Failure, text)
+	cl.say(resp.ErrorReply, text)
 	cl.dead = true
 	cl.c.Pause()
 	cl.endIfDone()
@@ -140,12 +140,12 @@
 
 func (cl *client) command(words [][]byte) {
 	switch name := words[0]; {
-	case objectcommand.Is(name):
+	case objectcommand.IsObjectCommand(name):
 		cl.object(words)
-	case objectcommand.Named(name, "PING"):
-		cl.say(resp.Simple, "PONG")
-	case objectcommand.Named(name, "CLIENT"), objectcommand.Named(name, "SELECT"):
-		cl.say(resp.Simple, "OK")
+	case objectcommand.HasName(name, "PING"):
+		cl.say(resp.SimpleString, "PONG")
+	case objectcommand.HasName(name, "CLIENT"), objectcommand.HasName(name, "SELECT"):
+		cl.say(resp.SimpleString, "OK")
 	default:
 		cl.wrong("ERR unknown command: expected OBJ.GET, OBJ.PUT or PING")
 	}
@@ -158,7 +158,7 @@
 		cl.refuseAll(text)
 		return
 	}
-	cl.say(resp.Failure, text)
+	cl.say(resp.ErrorReply, text)
 }
 
 // object takes a request.
@@ -243,7 +243,7 @@
 func (cl *client) endIfDone() {
 	if (cl.dead || cl.final) && len(cl.queue) == 0 && !cl.ended {
 		cl.dead, cl.ended, cl.endAt = true, true, cl.f.now()
-		cl.c.EndWrite()
+		cl.c.CloseWrite()
 	}
 }
 
@@ -287,7 +287,7 @@
 }
 
 // sweep closes connections whose time has come.
-func (f *Front) sweep(now time.Duration) {
+func (f *Server) sweep(now time.Duration) {
 	for _, cl := range slices.Clone(f.clients) {
 		if cl.over(now) {
 			cl.c.Close()
--- a/respserver/crossing_test.go
+++ b/respserver/crossing_test.go
@@ -68,7 +68,7 @@
 // out once, not a second time with the connection.
 func TestAnswersAfterAFailedWrite(t *testing.T) {
 	w := start(t, 256)
-	w.node.Usually(respnode.Order{Hang: true})
+	w.node.SetDefault(respnode.Behavior{Hang: true})
 	c := w.client()
 	c.say(get("1") + get("2") + get("3"))
 	w.onLoop(func() bool { return w.f.Queued() == 3 })
@@ -84,7 +84,7 @@
 // answered, what comes behind it is not begun, and its connection ends in order.
 func TestPlannedEndOfABusyClient(t *testing.T) {
 	w := start(t, 256)
-	w.node.Usually(respnode.Order{Wait: 50 * time.Millisecond})
+	w.node.SetDefault(respnode.Behavior{Delay: 50 * time.Millisecond})
 	c := w.client()
 	c.say(get("0"))
 	if err := w.node.Await(1, patience); err != nil {
@@ -95,7 +95,7 @@
 	for answered := 0; ; answered++ {
 		c.Write([]byte(get(w.id()))) // one behind the one that is open; it may cross the end
 		said++
-		got, err := respnode.ReadAnswer(c.in)
+		got, err := respnode.ReadReply(c.in)
 		if err != nil {
 			break
 		}
@@ -107,7 +107,7 @@
 		}
 	}
 	w.ended()
-	if seen, _ := w.node.Seen(); len(seen) >= said {
+	if seen, _ := w.node.Log(); len(seen) >= said {
 		t.Errorf("%d at the node of %d that were sent: what crossed the end was begun", len(seen), said)
 	}
 }
@@ -129,7 +129,7 @@
 // request behind it is not begun.
 func TestPlannedEndOfASilentNode(t *testing.T) {
 	w := start(t, 256)
-	w.node.Usually(respnode.Order{Hang: true})
+	w.node.SetDefault(respnode.Behavior{Hang: true})
 	c := w.client()
 	c.say(respnode.Command("OBJ.PUT", piece, "1", fields("c", "c=write", "d", "d=60000"), "body"))
 	if err := w.node.Await(1, patience); err != nil {
@@ -152,7 +152,7 @@
 	}
 	c.Close()
 	w.ended()
-	if seen, _ := w.node.Seen(); len(seen) != 1 {
+	if seen, _ := w.node.Log(); len(seen) != 1 {
 		t.Errorf("%d commands at the node, want 1", len(seen))
 	}
 }
@@ -177,7 +177,7 @@
 // A client that leaves while its connection is not read is noticed: its requests end.
 func TestLeavingAPausedConnection(t *testing.T) {
 	w := start(t, 256)
-	w.node.Usually(respnode.Order{Hang: true})
+	w.node.SetDefault(respnode.Behavior{Hang: true})
 	c := w.client()
 	c.say(get("1"))
 	w.onLoop(func() bool { return w.f.Queued() == 1 })
@@ -186,7 +186,7 @@
 	c.Close()
 	w.onLoop(func() bool { return w.f.Clients() == 0 })
 	w.nothingKept()
-	if seen, _ := w.node.Seen(); len(seen) > 1 {
+	if seen, _ := w.node.Log(); len(seen) > 1 {
 		t.Errorf("at the node: %v", seen)
 	}
 }
@@ -203,7 +203,7 @@
 		w.until(w.f.Hung)
 	})
 	w.onLoop(func() bool { return w.f.Clients() == 0 })
-	if seen, _ := w.node.Seen(); len(seen) > 0 {
+	if seen, _ := w.node.Log(); len(seen) > 0 {
 		t.Errorf("at the node: %v", seen)
 	}
 }
@@ -245,7 +245,7 @@
 
 // slowReader asks for so much that the kernel does not take all of it, and reads nothing.
 func (w *world) slowReader(requests int) *client {
-	w.node.Usually(respnode.Order{Say: "*3\r\n" + respnode.Bulk(strings.Repeat("v", 64<<10)) + "$-1\r\n$-1\r\n"})
+	w.node.SetDefault(respnode.Behavior{Reply: "*3\r\n" + respnode.Bulk(strings.Repeat("v", 64<<10)) + "$-1\r\n$-1\r\n"})
 	c := w.client()
 	c.say(respnode.Command("PING"))
 	c.expect("+PONG")
@@ -315,9 +315,9 @@
 // No watch is opened in a planned end.
 func TestNoWatchInAPlannedEnd(t *testing.T) {
 	w := start(t, 256)
-	w.until(func() bool { return w.disc.Tell("") > 0 })
+	w.until(func() bool { return w.disc.Send("") > 0 })
 	w.f.Stop()
-	w.disc.End()
+	w.disc.EndWatches()
 	w.onLoop(func() bool { return !w.f.Watching() })
 	w.f.Advance(time.Second) // the dispatcher asks anew
 	w.ended()
@@ -357,7 +357,7 @@
 func TestTwoMovesBeforeTheNewWatchTells(t *testing.T) {
 	w := start(t, 256)
 	w.until(func() bool {
-		return w.disc.Tell(fakediscovery.List(42, true, fakediscovery.Entry{ID: "s1", Addr: w.node.Addr(), State: "Ready"})) > 0
+		return w.disc.Send(fakediscovery.Document(42, true, fakediscovery.Endpoint{ID: "s1", Addr: w.node.Addr(), State: "Ready"})) > 0
 	})
 	w.onLoop(func() bool { return w.f.Version() == 42 })
 	for range 2 {
@@ -366,7 +366,7 @@
 		w.f.Reload(next)
 	}
 	w.f.OnLoop(func() {})
-	w.disc.Tell(fakediscovery.List(43, false, fakediscovery.Entry{ID: "s1", Addr: w.node.Addr(), State: "Terminating"}))
+	w.disc.Send(fakediscovery.Document(43, false, fakediscovery.Endpoint{ID: "s1", Addr: w.node.Addr(), State: "Terminating"}))
 	w.onLoop(func() bool { return w.f.Version() == 43 })
 }
 
@@ -375,7 +375,7 @@
 func TestMoveWhileTheFirstWatchOpens(t *testing.T) {
 	w := start(t, 256)
 	next := w.cfg
-	moved, err := fakediscovery.StartDiscovery()
+	moved, err := fakediscovery.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -383,10 +383,10 @@
 	next.Discovery = netip.MustParseAddrPort(moved.Addr())
 	w.f.Reload(next)
 	w.until(func() bool {
-		return moved.Tell(fakediscovery.List(43, true, fakediscovery.Entry{ID: "s1", Addr: w.node.Addr(), State: "Ready"})) > 0
+		return moved.Send(fakediscovery.Document(43, true, fakediscovery.Endpoint{ID: "s1", Addr: w.node.Addr(), State: "Ready"})) > 0
 	})
 	w.onLoop(func() bool { return w.f.Version() == 43 })
-	w.disc.End()
+	w.disc.EndWatches()
 	c := w.client()
 	c.say(get("1"))
 	c.expect(answer("1"))
@@ -398,13 +398,13 @@
 // A second SIGTERM does not begin the end anew, and SIGHUP during it opens no watch.
 func TestSignalsInAPlannedEnd(t *testing.T) {
 	w := start(t, 256)
-	w.until(func() bool { return w.disc.Tell("") > 0 })
+	w.until(func() bool { return w.disc.Send("") > 0 })
 	w.f.Stop()
 	var first, second time.Duration
 	w.f.OnLoop(func() { first = w.f.StoppedAt() })
 	w.f.Advance(300 * time.Millisecond)
 	w.f.Stop()
-	moved, err := fakediscovery.StartDiscovery()
+	moved, err := fakediscovery.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/respserver/export_test.go
+++ b/respserver/export_test.go
@@ -8,20 +8,20 @@
 
 // OnLoop runs f on the front's loop and waits for it. What clients and nodes do meanwhile is in the
 // kernel when the loop goes on.
-func (f *Front) OnLoop(do func()) {
+func (f *Server) OnLoop(do func()) {
 	done := make(chan struct{})
-	f.loop.Do(func() { defer close(done); do() })
+	f.loop.Post(func() { defer close(done); do() })
 	<-done
 }
 
 // Kept is what a front keeps for requests: bytes, requests, ids.
-func (f *Front) Kept() (bytes, requests, ids int) { return f.held, len(f.tasks), len(f.ids) }
+func (f *Server) Kept() (bytes, requests, ids int) { return f.held, len(f.tasks), len(f.ids) }
 
 // Clients is how many connections of clients there are.
-func (f *Front) Clients() int { return len(f.clients) }
+func (f *Server) Clients() int { return len(f.clients) }
 
 // Queued is how many commands of all clients are not answered yet.
-func (f *Front) Queued() (n int) {
+func (f *Server) Queued() (n int) {
 	for _, cl := range f.clients {
 		n += len(cl.queue)
 	}
@@ -29,7 +29,7 @@
 }
 
 // FinishAll answers all open requests, as the forwarder would.
-func (f *Front) FinishAll(reply string) {
+func (f *Server) FinishAll(reply string) {
 	for _, cl := range f.clients {
 		for _, e := range append([]*entry(nil), cl.queue...) {
 			if e.task != nil && !e.done {
@@ -41,7 +41,7 @@
 
 // Hung tells whether the kernel knows that a client's connection has ended. The loop has not been
 // told, as it stands still.
-func (f *Front) Hung() bool {
+func (f *Server) Hung() bool {
 	for _, cl := range f.clients {
 		p := []unix.PollFd{{Fd: int32(cl.c.FD()), Events: unix.POLLRDHUP}}
 		if n, _ := unix.Poll(p, 0); n > 0 && p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0 {
@@ -52,19 +52,19 @@
 }
 
 // Advance puts the front's clock forward, on its loop.
-func (f *Front) Advance(by time.Duration) { f.OnLoop(func() { f.epoch += by }) }
+func (f *Server) Advance(by time.Duration) { f.OnLoop(func() { f.epoch += by }) }
 
 // Sweep looks after connections as the clock would have it.
-func (f *Front) Sweep() { f.OnLoop(func() { f.sweep(f.now()) }) }
+func (f *Server) Sweep() { f.OnLoop(func() { f.sweep(f.now()) }) }
 
 // CloseListener does what a planned end does first, once its time has come.
-func (f *Front) CloseListener() {
+func (f *Server) CloseListener() {
 	f.epoch += goOn
 	f.sweep(f.now())
 }
 
 // PauseClients has no client's connection read.
-func (f *Front) PauseClients() {
+func (f *Server) PauseClients() {
 	f.OnLoop(func() {
 		for _, cl := range f.clients {
 			cl.c.Pause()
@@ -73,7 +73,7 @@
 }
 
 // Parts is how many clients have sent a part of a command.
-func (f *Front) Parts() (n int) {
+func (f *Server) Parts() (n int) {
 	for _, cl := range f.clients {
 		if cl.part > 0 {
 			n++
@@ -83,15 +83,15 @@
 }
 
 // Version is that of the list which is known.
-func (f *Front) Version() int64 { return f.version }
+func (f *Server) Version() int64 { return f.version }
 
 // NodeConns is how many connections to nodes the forwarder holds.
-func (f *Front) NodeConns() int { return f.x.Conns() }
+func (f *Server) NodeConns() int { return f.x.Conns() }
 
 // HeardUnseen tells whether the kernel holds bytes of a node that the loop has not read.
-func (f *Front) HeardUnseen() bool {
+func (f *Server) HeardUnseen() bool {
 	for _, k := range f.nodes {
-		if !k.c.Quiet() {
+		if !k.c.NoUnreadInput() {
 			return true
 		}
 	}
@@ -99,10 +99,10 @@
 }
 
 // Command has the first client's connection read a command now, before anything else is read.
-func (f *Front) Command(text string) { f.clients[0].OnData(f.clients[0].c, []byte(text)) }
+func (f *Server) Command(text string) { f.clients[0].OnData(f.clients[0].c, []byte(text)) }
 
 // Answer has the first connection to a node that carries a request read bytes now.
-func (f *Front) Answer(text string) {
+func (f *Server) Answer(text string) {
 	for _, k := range f.nodes {
 		if k.task != nil {
 			k.OnData(k.c, []byte(text))
@@ -112,10 +112,10 @@
 }
 
 // Begun is how many requests were begun.
-func (f *Front) Begun() int { return int(f.lastID) }
+func (f *Server) Begun() int { return int(f.lastID) }
 
 // Pending is how many bytes of answers the kernel has not taken.
-func (f *Front) Pending() (n int) {
+func (f *Server) Pending() (n int) {
 	for _, cl := range f.clients {
 		n += cl.c.Pending()
 	}
@@ -123,9 +123,9 @@
 }
 
 // Quiet tells whether nothing has come from clients that was not read.
-func (f *Front) Quiet() bool {
+func (f *Server) Quiet() bool {
 	for _, cl := range f.clients {
-		if !cl.c.Quiet() {
+		if !cl.c.NoUnreadInput() {
 			return false
 		}
 	}
@@ -133,7 +133,7 @@
 }
 
 // NarrowClients has the kernel take few bytes of answers.
-func (f *Front) NarrowClients() {
+func (f *Server) NarrowClients() {
 	f.OnLoop(func() {
 		for _, cl := range f.clients {
 			unix.SetsockoptInt(cl.c.FD(), unix.SOL_SOCKET, unix.SO_SNDBUF, 4096)
@@ -142,16 +142,16 @@
 }
 
 // Watching tells whether a watch of discovery stands or is being opened.
-func (f *Front) Watching() bool { return f.watch != nil }
+func (f *Server) Watching() bool { return f.watch != nil }
 
 // Ahead tells whether there is a client's connection, or none is expected yet.
-func (f *Front) Ahead(first bool) (yes bool) {
+func (f *Server) Ahead(first bool) (yes bool) {
 	f.OnLoop(func() { yes = first || len(f.clients) > 0 })
 	return yes
 }
 
 // StoppedAt is when the front was told to end.
-func (f *Front) StoppedAt() time.Duration { return f.stopAt }
+func (f *Server) StoppedAt() time.Duration { return f.stopAt }
 
 // MostClients is the bound on connections of clients.
-func (f *Front) MostClients() int { return f.cfg.clientConns() }
+func (f *Server) MostClients() int { return f.cfg.clientConns() }
--- a/respserver/node.go
+++ b/respserver/node.go
@@ -11,7 +11,7 @@
 
 // nodeConn is a connection to a storage node. It carries one request at a time.
 type nodeConn struct {
-	f       *Front
+	f       *Server
 	id      forwarder.ConnID
 	c       *eventloop.Conn
 	due     time.Duration // until then it is to be open
@@ -22,7 +22,7 @@
 	value   []byte
 }
 
-func (f *Front) dial(a forwarder.Dial) {
+func (f *Server) dial(a forwarder.Dial) {
 	to, err := netip.ParseAddrPort(a.Addr)
 	k := &nodeConn{f: f, id: a.Conn, due: f.now() + a.Timeout}
 	if err == nil {
@@ -32,7 +32,7 @@
 		f.tell(forwarder.DialCompleted{Conn: a.Conn})
 		return
 	}
-	k.c.Assign(f.flows.nodes)
+	k.c.AssignFlow(f.flows.nodes)
 	f.nodes[k.id] = k
 	f.dials = append(f.dials, k)
 }
@@ -46,7 +46,7 @@
 // send writes a request. A connection on which something came since its last answer is of no
 // use: that would be taken for the answer of this one.
 func (k *nodeConn) send(t *task, a forwarder.SendRequest) {
-	if k.used && !k.c.Quiet() {
+	if k.used && !k.c.NoUnreadInput() {
 		k.lose(forwarder.ConnectionLost{Conn: k.id, Stale: true})
 		return
 	}
@@ -78,12 +78,12 @@
 	if n == 0 {
 		return 0
 	}
-	value, word, ok := objectcommand.Word(&k.f.answer)
+	value, word, ok := objectcommand.ParseReply(&k.f.answer)
 	if !ok {
 		k.lose(forwarder.ConnectionLost{Conn: k.id})
 		return 0
 	}
-	reuse := n == len(b) && k.written && !k.c.Left()
+	reuse := n == len(b) && k.written && !k.c.PeerClosed()
 	if word.Result == dispatch.ServerError {
 		reuse = false // it may be noise in the form of an error
 	}
--- a/respserver/node_test.go
+++ b/respserver/node_test.go
@@ -17,7 +17,7 @@
 func endsWith(t *testing.T, text, want string) {
 	t.Helper()
 	w := start(t, 256)
-	w.node.Usually(respnode.Order{Hang: true})
+	w.node.SetDefault(respnode.Behavior{Hang: true})
 	c := w.client()
 	c.say(put("1", "body"))
 	if err := w.node.Await(1, patience); err != nil {
@@ -48,7 +48,7 @@
 	c.say(get("1"))
 	c.expect(answer("1"))
 	w.onLoop(func() bool { return w.f.NodeConns() == 1 })
-	w.node.Shout(secondCopy)
+	w.node.WriteAll(secondCopy)
 	w.onLoop(func() bool { return !w.f.HeardUnseen() })
 	w.f.OnLoop(func() {
 		if n := w.f.NodeConns(); n != 0 {
@@ -67,7 +67,7 @@
 	w.onLoop(func() bool { return w.f.NodeConns() == 1 })
 	w.f.Advance(100 * time.Millisecond) // the connection has rested
 	w.f.OnLoop(func() {
-		w.node.Shout(secondCopy)
+		w.node.WriteAll(secondCopy)
 		w.until(w.f.HeardUnseen)
 		w.f.Command(get("2"))
 	})
@@ -77,27 +77,27 @@
 // Half a line, half a value or nothing and then an end is no answer: a read goes out again, what may
 // have run and must not run twice does not. An answer that is whole counts, whatever ends its connection.
 func TestEndsOfAnswers(t *testing.T) {
-	for name, o := range map[string]respnode.Order{
-		"half a line": {Say: "*3\r\n$5", Close: true}, "half a value": {Say: "*3\r\n$5\r\nab", Close: true},
-		"a reset": {Close: true, Reset: true}, "a reset within": {Say: "*3\r\n%v", Close: true, Reset: true},
+	for name, o := range map[string]respnode.Behavior{
+		"half a line": {Reply: "*3\r\n$5", Close: true}, "half a value": {Reply: "*3\r\n$5\r\nab", Close: true},
+		"a reset": {Close: true, Reset: true}, "a reset within": {Reply: "*3\r\n%v", Close: true, Reset: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := start(t, 256)
 			c := w.client()
-			w.node.Then(o)
+			w.node.Next(o)
 			c.say(get("1"))
 			c.expect(answer("1"))
-			w.node.Then(o)
+			w.node.Next(o)
 			c.say(put("2", "body"))
 			c.expect("-ERR")
-			if seen, _ := w.node.Seen(); len(seen) != 3 {
+			if seen, _ := w.node.Log(); len(seen) != 3 {
 				t.Errorf("%d commands at the node, want 3", len(seen))
 			}
 		})
 	}
 	w := start(t, 256)
 	c := w.client()
-	w.node.Then(respnode.Order{Say: "*3\r\n%v$-1\r\n$-1\r\n", Close: true})
+	w.node.Next(respnode.Behavior{Reply: "*3\r\n%v$-1\r\n$-1\r\n", Close: true})
 	c.say(put("1", "body"))
 	c.expect("$" + respnode.Value([]string{"", piece, "1"}))
 }
@@ -106,21 +106,21 @@
 // many of them as after some.
 func TestChurn(t *testing.T) {
 	w := start(t, 256)
-	w.until(func() bool { return w.disc.Tell("") > 0 })
+	w.until(func() bool { return w.disc.Send("") > 0 })
 	version := 41
 	churn := func(rounds int) {
 		for range rounds {
 			version++
-			w.disc.Tell(fakediscovery.List(version, false,
-				fakediscovery.Entry{ID: fmt.Sprintf("s%d", version), Addr: w.node.Addr(), State: "Ready", StartedMS: int64(version)},
-				fakediscovery.Entry{ID: fmt.Sprintf("s%d", version-1), Addr: w.node.Addr(), State: "Gone"}))
+			w.disc.Send(fakediscovery.Document(version, false,
+				fakediscovery.Endpoint{ID: fmt.Sprintf("s%d", version), Addr: w.node.Addr(), State: "Ready", StartedMS: int64(version)},
+				fakediscovery.Endpoint{ID: fmt.Sprintf("s%d", version-1), Addr: w.node.Addr(), State: "Gone"}))
 			w.onLoop(func() bool { return w.f.Version() == int64(version) })
 			c := w.dial() // a clean-up for each would be what grows
 			for range 3 {
 				id := w.id()
 				volume := fmt.Sprintf("volume=%016x", w.ids)
 				c.say(respnode.Command("OBJ.GET", piece, id, fields("volume", volume)))
-				if got, err := respnode.ReadAnswer(c.in); err != nil || !strings.HasPrefix(got, "$") && !strings.HasPrefix(got, "-BUSY") {
+				if got, err := respnode.ReadReply(c.in); err != nil || !strings.HasPrefix(got, "$") && !strings.HasPrefix(got, "-BUSY") {
 					t.Fatalf("%q, %v", got, err)
 				}
 			}
@@ -131,7 +131,7 @@
 	}
 	heap := func() float64 {
 		var m runtime.MemStats
-		w.node.Forget()
+		w.node.ClearLog()
 		runtime.GC()
 		runtime.GC()
 		runtime.ReadMemStats(&m)
--- a/respserver/server.go
+++ b/respserver/server.go
@@ -25,11 +25,11 @@
 	"go.uber.org/zap"
 )
 
-// Front is one running dispatcher. All its fields belong to its loop.
-type Front struct {
+// Server is one running dispatcher. All its fields belong to its loop.
+type Server struct {
 	cfg   Config
 	log   *zap.Logger
-	terms *objectcommand.Terms
+	terms *objectcommand.Schema
 	loop  *eventloop.Loop
 	x     *forwarder.Forwarder
 	start time.Time
@@ -49,7 +49,7 @@
 	most    int // of them
 
 	words   [][]byte
-	answer  resp.Answer
+	answer  resp.Reply
 	scratch []byte
 
 	flows   struct{ fresh, clients, nodes *eventloop.Flow }
@@ -79,25 +79,25 @@
 const heldPart = 0.15
 
 // New opens a dispatcher's listener and loop. Run runs it.
-func New(cfg Config, log *zap.Logger) (*Front, error) {
+func New(cfg Config, log *zap.Logger) (*Server, error) {
 	x, err := forwarder.New(cfg.exchange())
 	if err != nil {
 		return nil, err
 	}
-	f := &Front{
-		cfg: cfg, log: log, terms: objectcommand.NewTerms(cfg.Settings), x: x, start: time.Now(), wake: math.MaxInt64,
+	f := &Server{
+		cfg: cfg, log: log, terms: objectcommand.NewSchema(cfg.Settings), x: x, start: time.Now(), wake: math.MaxInt64,
 		nodes: map[forwarder.ConnID]*nodeConn{}, tasks: map[dispatch.RequestID]*task{}, ids: map[string]*task{},
 		most: int(cfg.MemoryMB * heldPart * (1 << 20)), discovery: cfg.Discovery, version: cfg.Known.Version,
 	}
 	f.epoch = time.Duration(f.start.UnixNano())
-	o := eventloop.Defaults
+	o := eventloop.DefaultOptions
 	o.Now = func() time.Duration { return time.Since(f.start) }
 	if f.loop, err = eventloop.NewLoopWith(0, o); err != nil {
 		return nil, err
 	}
-	f.flows.fresh = f.loop.Flow("new", fairshare.Terms{Weight: 2}, nil)
-	f.flows.clients = f.loop.Flow("clients", fairshare.Terms{Weight: 4}, nil)
-	f.flows.nodes = f.loop.Flow("nodes", fairshare.Terms{Weight: 16}, nil)
+	f.flows.fresh = f.loop.Flow("new", fairshare.FlowConfig{Weight: 2}, nil)
+	f.flows.clients = f.loop.Flow("clients", fairshare.FlowConfig{Weight: 4}, nil)
+	f.flows.nodes = f.loop.Flow("nodes", fairshare.FlowConfig{Weight: 16}, nil)
 	ln, err := net.Listen("tcp", cfg.Listen.String())
 	if err != nil {
 		return nil, err
@@ -110,21 +110,21 @@
 	if err := f.loop.Listen(fd, f.flows.fresh, f.accept); err != nil {
 		return nil, err
 	}
-	f.loop.Alarm(f.nextAlarm, f.ring)
+	f.loop.SetTimer(f.nextAlarm, f.ring)
 	return f, nil
 }
 
 // Run serves until Stop has let it end.
-func (f *Front) Run() error {
+func (f *Server) Run() error {
 	f.tell(forwarder.EndpointUpdate{Kind: dispatch.Cached, Nodes: f.cfg.Known.Nodes})
 	return f.loop.Run()
 }
 
 // now is the time by the Unix clock at the start, and steady from there.
-func (f *Front) now() time.Duration { return f.epoch + time.Since(f.start) }
+func (f *Server) now() time.Duration { return f.epoch + time.Since(f.start) }
 
 // tell hands an event to the forwarder and does what it says, in order.
-func (f *Front) tell(ev forwarder.Event) {
+func (f *Server) tell(ev forwarder.Event) {
 	f.inbox = append(f.inbox, ev)
 	if f.busy {
 		return
@@ -139,7 +139,7 @@
 	f.inbox, f.busy = f.inbox[:0], false
 }
 
-func (f *Front) do(a forwarder.Action) {
+func (f *Server) do(a forwarder.Action) {
 	switch a := a.(type) {
 	case forwarder.Dial:
 		f.dial(a)
@@ -167,7 +167,7 @@
 			if a.TimedOut {
 				text = "ERR failed: no answer in time"
 			}
-			f.scratch = resp.AppendLine(f.scratch[:0], resp.Failure, text)
+			f.scratch = resp.AppendLine(f.scratch[:0], resp.ErrorReply, text)
 			f.finish(t, f.scratch)
 		}
 	case forwarder.SetTimer:
@@ -178,7 +178,7 @@
 }
 
 // busyAnswer is a refusal with the time to come back, in whole milliseconds.
-func (f *Front) busyAnswer(after time.Duration) []byte {
+func (f *Server) busyAnswer(after time.Duration) []byte {
 	b := append(f.scratch[:0], "-BUSY "...)
 	b = strconv.AppendInt(b, int64((after+time.Millisecond-1)/time.Millisecond), 10)
 	f.scratch = append(b, '\r', '\n')
@@ -186,14 +186,14 @@
 }
 
 // forget ends a request here.
-func (f *Front) forget(t *task) {
+func (f *Server) forget(t *task) {
 	delete(f.tasks, t.id)
 	delete(f.ids, string(t.cmd.ID))
 	f.held -= len(t.buf)
 }
 
 // finish gives a request its final answer.
-func (f *Front) finish(t *task, reply []byte) {
+func (f *Server) finish(t *task, reply []byte) {
 	f.forget(t)
 	t.cl.answered(t.entry, reply)
 }
@@ -204,7 +204,7 @@
 const sweepEvery = 20 * time.Millisecond
 
 // nextAlarm is by the loop's clock.
-func (f *Front) nextAlarm() (time.Duration, bool) {
+func (f *Server) nextAlarm() (time.Duration, bool) {
 	at := min(f.wake, f.sweepAt)
 	if len(f.dials) > 0 {
 		at = min(at, f.dials[0].due)
@@ -212,7 +212,7 @@
 	return max(at-f.epoch, 0), true
 }
 
-func (f *Front) ring(time.Duration) {
+func (f *Server) ring(time.Duration) {
 	now := f.now()
 	for len(f.dials) > 0 && (f.dials[0].due <= now || f.dials[0].opened || f.nodes[f.dials[0].id] != f.dials[0]) {
 		k := f.dials[0]
@@ -251,21 +251,21 @@
 )
 
 // ask opens a watch, where there is none.
-func (f *Front) ask() {
+func (f *Server) ask() {
 	if f.watch != nil || f.stopping {
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &watch{cancel: cancel}
 	f.watch = w
-	discovery.Watch(ctx, f.discovery.String(), f.version, discovery.Options{Names: f.cfg.names(), Answer: discoveryAnswer, Silence: discoverySilence},
-		func(d endpoints.Document) { f.loop.Do(func() { f.listed(w, d) }) },
-		func(err error) { f.loop.Do(func() { f.watchEnded(w, err) }) })
+	discovery.Watch(ctx, f.discovery.String(), f.version, discovery.Options{Names: f.cfg.names(), ResponseTimeout: discoveryAnswer, SilenceTimeout: discoverySilence},
+		func(d endpoints.Document) { f.loop.Post(func() { f.listed(w, d) }) },
+		func(err error) { f.loop.Post(func() { f.watchEnded(w, err) }) })
 }
 
 // listed takes a document. One of an older version than what is known tells of the past,
 // unless it is the whole list at an address that has told nothing before.
-func (f *Front) listed(w *watch, d endpoints.Document) {
+func (f *Server) listed(w *watch, d endpoints.Document) {
 	if w != f.watch && w != f.old {
 		return
 	}
@@ -275,19 +275,19 @@
 		f.old.cancel()
 		f.old = nil
 	}
-	if d.Version < f.version && !(first && d.Full) {
+	if d.Version < f.version && !(first && d.Snapshot) {
 		f.log.Info("discovery told of the past", zap.Int64("version", d.Version), zap.Int64("known", f.version))
 		return
 	}
 	f.version = d.Version
 	kind := dispatch.Delta
-	if d.Full {
+	if d.Snapshot {
 		kind = dispatch.Snapshot
 	}
 	f.tell(forwarder.EndpointUpdate{Kind: kind, Nodes: d.Nodes})
 }
 
-func (f *Front) watchEnded(w *watch, err error) {
+func (f *Server) watchEnded(w *watch, err error) {
 	w.cancel()
 	switch w {
 	case f.old:
@@ -301,8 +301,8 @@
 
 // Reload takes over what a new configuration may change while it runs: where discovery is. The
 // watch there is opened while the old one still stands.
-func (f *Front) Reload(cfg Config) {
-	f.loop.Do(func() {
+func (f *Server) Reload(cfg Config) {
+	f.loop.Post(func() {
 		if cfg.Discovery == f.discovery || f.stopping {
 			return
 		}
@@ -336,8 +336,8 @@
 
 // Stop lets a dispatcher end: it goes on serving while clients still come, then begins nothing
 // more, answers what it has taken, closes each connection after its last answer, and ends.
-func (f *Front) Stop() {
-	f.loop.Do(func() {
+func (f *Server) Stop() {
+	f.loop.Post(func() {
 		if !f.stopping {
 			f.stopping, f.stopAt = true, f.now()
 		}
@@ -345,7 +345,7 @@
 }
 
 // killAt is when the platform may kill a dispatcher that was told to end.
-func (f *Front) killAt() time.Duration {
+func (f *Server) killAt() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range f.cfg.Settings.Choice.Classes {
 		longest = max(longest, c.Deadline)
@@ -354,13 +354,13 @@
 }
 
 // ends goes on with a planned end.
-func (f *Front) ends(now time.Duration) {
+func (f *Server) ends(now time.Duration) {
 	if now < f.stopAt+goOn || f.over {
 		return
 	}
 	if f.closedAt == 0 {
 		f.closedAt = now
-		f.loop.Unlisten()
+		f.loop.StopListening()
 	}
 	if now < f.closedAt+sweepEvery {
 		return // what was accepted at the last moment is read first
@@ -384,11 +384,11 @@
 }
 
 // abandonAll answers all that is still open shortly before the end.
-func (f *Front) abandonAll() {
+func (f *Server) abandonAll() {
 	for _, cl := range slices.Clone(f.clients) {
 		for _, e := range slices.Clone(cl.queue) {
 			if t := e.task; t != nil && !e.done {
-				f.finish(t, resp.AppendLine(nil, resp.Failure, "ERR failed: the dispatcher ends"))
+				f.finish(t, resp.AppendLine(nil, resp.ErrorReply, "ERR failed: the dispatcher ends"))
 				f.tell(forwarder.AbortRequest{ID: t.id})
 			}
 		}
@@ -396,4 +396,4 @@
 }
 
 // Addr is where a dispatcher listens.
-func (f *Front) Addr() string { return f.cfg.Listen.String() }
+func (f *Server) Addr() string { return f.cfg.Listen.String() }
--- a/respserver/server_test.go
+++ b/respserver/server_test.go
@@ -21,10 +21,10 @@
 // world is a dispatcher between clients, a node and discovery.
 type world struct {
 	t    *testing.T
-	f    *respserver.Front
+	f    *respserver.Server
 	cfg  respserver.Config
 	node *respnode.Node
-	disc *fakediscovery.Discovery
+	disc *fakediscovery.Server
 	end  chan error
 	ids  int
 }
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(w.node.Stop)
-	if w.disc, err = fakediscovery.StartDiscovery(); err != nil {
+	if w.disc, err = fakediscovery.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.disc.Stop)
@@ -59,7 +59,7 @@
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	known := fakediscovery.List(41, true, fakediscovery.Entry{ID: "s1", Addr: w.node.Addr(), State: "Ready"})
+	known := fakediscovery.Document(41, true, fakediscovery.Endpoint{ID: "s1", Addr: w.node.Addr(), State: "Ready"})
 	if w.cfg, err = respserver.ParseConfig([]byte(configText(addr, w.disc.Addr(), known, sockets))); err != nil {
 		t.Fatal(err)
 	}
@@ -104,7 +104,7 @@
 
 func (c *client) expect(prefix string) {
 	c.t.Helper()
-	if got, err := respnode.ReadAnswer(c.in); err != nil || !strings.HasPrefix(got, prefix) {
+	if got, err := respnode.ReadReply(c.in); err != nil || !strings.HasPrefix(got, prefix) {
 		c.t.Errorf("answered %q (%v), want %q", got, err, prefix)
 	}
 }
@@ -147,7 +147,7 @@
 	c.expect(answer("1"))
 	c.say(put("2", strings.Repeat("b", 64<<10)))
 	c.expect("$" + respnode.Value([]string{"", piece, "2"}))
-	seen, _ := w.node.Seen()
+	seen, _ := w.node.Log()
 	if len(seen) != 2 || len(seen[1].Words[4]) != 64<<10 || seen[1].Words[0] != "OBJ.PUT" {
 		t.Fatalf("%d commands at the node", len(seen))
 	}
@@ -164,7 +164,7 @@
 func TestPipelinedAnswersInOrder(t *testing.T) {
 	w := start(t, 256)
 	c := w.client()
-	w.node.Then(respnode.Order{Hang: true}, respnode.Order{})
+	w.node.Next(respnode.Behavior{Hang: true}, respnode.Behavior{})
 	// One that must not run twice: a read would be sent again once the next has overtaken it.
 	c.say(respnode.Command("OBJ.PUT", piece, "slow", fields("c", "c=write", "d", "d=400"), "body"))
 	if err := w.node.Await(1, patience); err != nil {
@@ -207,7 +207,7 @@
 		c.say(respnode.Command("PING"))
 		c.expect("+PONG")
 	}
-	if seen, _ := w.node.Seen(); len(seen) > 0 {
+	if seen, _ := w.node.Log(); len(seen) > 0 {
 		t.Errorf("at the node: %v", seen)
 	}
 }
@@ -228,7 +228,7 @@
 			t.Errorf("%q: the connection goes on", bad)
 		}
 	}
-	if seen, _ := w.node.Seen(); len(seen) > 0 {
+	if seen, _ := w.node.Log(); len(seen) > 0 {
 		t.Errorf("at the node: %v", seen)
 	}
 }
@@ -236,7 +236,7 @@
 // The id of an open request is refused to another, and the first is not disturbed.
 func TestIDOfAnOpenRequest(t *testing.T) {
 	w := start(t, 256)
-	w.node.Usually(respnode.Order{Wait: 100 * time.Millisecond})
+	w.node.SetDefault(respnode.Behavior{Delay: 100 * time.Millisecond})
 	a, b := w.client(), w.client()
 	a.say(get("same"))
 	if err := w.node.Await(1, patience); err != nil {
@@ -256,12 +256,12 @@
 			w := start(t, 256)
 			c := w.client()
 			for i := range 20 {
-				w.node.Then(respnode.Order{After: after})
+				w.node.Next(respnode.Behavior{Trailer: after})
 				id := fmt.Sprint(i)
 				c.say(get(id))
 				c.expect(answer(id))
 			}
-			if _, opened := w.node.Seen(); opened != 20 {
+			if _, opened := w.node.Log(); opened != 20 {
 				t.Errorf("%d connections for 20 answers with more behind", opened)
 			}
 		})
@@ -279,13 +279,13 @@
 		t.Run(name, func(t *testing.T) {
 			w := start(t, 256)
 			c := w.client()
-			w.node.Then(respnode.Order{Say: say})
+			w.node.Next(respnode.Behavior{Reply: say})
 			c.say(get("1"))
 			c.expect(answer("1"))
-			w.node.Then(respnode.Order{Say: say})
+			w.node.Next(respnode.Behavior{Reply: say})
 			c.say(put("2", "body"))
 			c.expect("-ERR")
-			if seen, _ := w.node.Seen(); len(seen) != 3 {
+			if seen, _ := w.node.Log(); len(seen) != 3 {
 				t.Errorf("%d commands at the node, want 3", len(seen))
 			}
 		})
@@ -297,7 +297,7 @@
 	w := start(t, 256)
 	c := w.client()
 	for i, say := range []string{"*3\r\n%v$-1\r\n$-1\r\n", "*3\r\n%v$9\r\nused=many\r\n$2\r\n==\r\n", "*3\r\n%v$20\r\nused=NaN,cost=-1e99,\r\n$14\r\ninflight=seven\r\n"} {
-		w.node.Then(respnode.Order{Say: say})
+		w.node.Next(respnode.Behavior{Reply: say})
 		id := fmt.Sprint(i)
 		c.say(get(id))
 		c.expect(answer(id))
@@ -308,19 +308,19 @@
 func TestFurtherAttempts(t *testing.T) {
 	w := start(t, 256)
 	c := w.client()
-	w.node.Then(respnode.Order{Say: "-BUSY\r\n"})
+	w.node.Next(respnode.Behavior{Reply: "-BUSY\r\n"})
 	c.say(put("1", "x"))
 	c.expect("$")
-	w.node.Then(respnode.Order{Close: true})
+	w.node.Next(respnode.Behavior{Close: true})
 	c.say(get("2"))
 	c.expect("$")
-	w.node.Then(respnode.Order{Say: "-ERR failed used=3 inflight=1,queue=0\r\n"})
+	w.node.Next(respnode.Behavior{Reply: "-ERR failed used=3 inflight=1,queue=0\r\n"})
 	c.say(put("3", "x"))
 	c.expect("-ERR failed")
-	w.node.Then(respnode.Order{Close: true})
+	w.node.Next(respnode.Behavior{Close: true})
 	c.say(put("4", "x"))
 	c.expect("-ERR failed")
-	if seen, _ := w.node.Seen(); len(seen) != 6 {
+	if seen, _ := w.node.Log(); len(seen) != 6 {
 		t.Errorf("%d commands at the node, want 6", len(seen))
 	}
 }
@@ -366,9 +366,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(second.Stop)
-	told := func(d *fakediscovery.Discovery, line string) {
+	told := func(d *fakediscovery.Server, line string) {
 		t.Helper()
-		for end := time.Now().Add(patience); d.Tell(line) == 0; time.Sleep(5 * time.Millisecond) {
+		for end := time.Now().Add(patience); d.Send(line) == 0; time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("nobody watches")
 			}
@@ -376,13 +376,13 @@
 	}
 	reaches := func(n *respnode.Node) {
 		t.Helper()
-		before, _ := n.Seen()
+		before, _ := n.Log()
 		for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
 			id := w.id()
 			c := w.client()
 			c.say(get(id))
-			respnode.ReadAnswer(c.in)
-			if now, _ := n.Seen(); len(now) > len(before) {
+			respnode.ReadReply(c.in)
+			if now, _ := n.Log(); len(now) > len(before) {
 				return
 			}
 			if time.Now().After(end) {
@@ -392,13 +392,13 @@
 	}
 	reaches(w.node)
 	told(w.disc, "")
-	told(w.disc, fakediscovery.List(42, false, fakediscovery.Entry{ID: "s1", Addr: w.node.Addr(), State: "Terminating"}, fakediscovery.Entry{ID: "s2", Addr: second.Addr(), State: "Ready"}))
+	told(w.disc, fakediscovery.Document(42, false, fakediscovery.Endpoint{ID: "s1", Addr: w.node.Addr(), State: "Terminating"}, fakediscovery.Endpoint{ID: "s2", Addr: second.Addr(), State: "Ready"}))
 	reaches(second)
-	told(w.disc, fakediscovery.List(7, false, fakediscovery.Entry{ID: "s2", Addr: second.Addr(), State: "Gone"})) // of the past
+	told(w.disc, fakediscovery.Document(7, false, fakediscovery.Endpoint{ID: "s2", Addr: second.Addr(), State: "Gone"})) // of the past
 	reaches(second)
-	w.disc.Fail(1)
+	w.disc.FailCalls(1)
 	told(w.disc, "{bad")
-	moved, err := fakediscovery.StartDiscovery()
+	moved, err := fakediscovery.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -412,7 +412,7 @@
 		t.Fatal(err)
 	}
 	w.f.Reload(next)
-	told(moved, fakediscovery.List(43, true, fakediscovery.Entry{ID: "s1", Addr: w.node.Addr(), State: "Ready", StartedMS: 1}))
+	told(moved, fakediscovery.Document(43, true, fakediscovery.Endpoint{ID: "s1", Addr: w.node.Addr(), State: "Ready", StartedMS: 1}))
 	reaches(w.node)
 	if calls := moved.Calls(); len(calls) != 1 || calls[0] != "42" {
 		t.Errorf("asked from %q, want 42", calls)
@@ -422,7 +422,7 @@
 // A planned end answers what was taken, serves those who still come, and ends.
 func TestPlannedEnd(t *testing.T) {
 	w := start(t, 256)
-	w.node.Usually(respnode.Order{Wait: 700 * time.Millisecond})
+	w.node.SetDefault(respnode.Behavior{Delay: 700 * time.Millisecond})
 	c, idle := w.client(), w.client()
 	idle.say(respnode.Command("PING"))
 	idle.expect("+PONG")
