--- a/respserver/client.go
+++ b/respserver/client.go
@@ -258,9 +258,9 @@
 	}
 }
 
-// OnLeft closes the connection of a client that has ended its side: it has gone, and what it had
+// OnPeerClosed closes the connection of a client that has ended its side: it has gone, and what it had
 // open is not sent on. On a dead connection the error may still be on its way.
-func (cl *client) OnLeft(c *eventloop.Conn) {
+func (cl *client) OnPeerClosed(c *eventloop.Conn) {
 	if !cl.dead {
 		c.Close()
 	}
