--- a/cmd/chalkstand/serve.go
+++ b/cmd/chalkstand/serve.go
@@ -157,7 +157,7 @@
 		return nil, nil, fmt.Errorf("trace: %w", err)
 	}
 	seed := rand.Uint64()
-	w, err := trace.NewWriter(f, s.Choice(), seed, traceQueue)
+	w, err := trace.NewWriter(f, s.DispatchConfig(), seed, traceQueue)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/costmodel/costmodel.go
+++ b/costmodel/costmodel.go
@@ -1,70 +1,85 @@
-// Package costmodel says what a request costs: it maps operations and sizes to the
-// classes and units that the dispatcher decides by, as the settings list them. It does no
-// I/O and keeps no state.
+// Package costmodel prices requests: it maps an operation and a size in bytes to the class and
+// the cost units by which the dispatcher decides. It does no I/O and keeps no state.
 package costmodel
 
 import (
-	"chalkstand/internal/objectapi"
+	"errors"
 	"fmt"
 	"math"
 )
 
-// Rule is one line of the tariff.
-type Rule struct {
-	Kinds    []objectapi.Kind
-	MaxBytes int64 // it applies up to this size; 0: to all sizes
-	Class    int
-	Units    float64 // of a request without bytes
-	PerMiB   float64 // more for each 2^20 bytes
-	Assume   int64   // bytes, where the size is not known before
+// Operation is the constraint on the type that numbers operations, from 0 on.
+type Operation interface {
+	~int
+	fmt.Stringer
 }
 
-// Tariff is a list of rules; the first that fits holds.
-type Tariff struct {
-	byKind [][]Rule
-	most   float64 // units that one request may count
+// Rule prices a set of operations up to a size.
+type Rule[O Operation] struct {
+	Operations   []O
+	MaxBytes     int64   // largest size that the rule applies to; 0: every size
+	Class        int     // index of the request class
+	Units        float64 // cost of a request without bytes
+	PerMiB       float64 // additional cost of each 2^20 bytes
+	AssumedBytes int64   // size where it is not known in advance
 }
 
-// New checks that every operation has a rule for every size. classes is how many
-// there are; most is what the largest request counts.
-func New(rules []Rule, classes int, most float64) (*Tariff, error) {
-	t := &Tariff{byKind: make([][]Rule, objectapi.Kinds()), most: most}
-	for i, r := range rules {
-		if r.Class < 0 || r.Class >= classes {
-			return nil, fmt.Errorf("rule %d: no class %d", i, r.Class)
-		}
-		if !(r.Units >= 0) || !(r.PerMiB >= 0) || math.IsInf(r.Units+r.PerMiB, 0) || r.Assume < 0 || r.MaxBytes < 0 {
-			return nil, fmt.Errorf("rule %d: units, per_mib, assume_bytes and max_bytes must not be negative", i)
-		}
-		for _, k := range r.Kinds {
-			t.byKind[k] = append(t.byKind[k], r)
-		}
+func (r *Rule[O]) check(classes int) error {
+	if r.Class < 0 || r.Class >= classes {
+		return fmt.Errorf("no class %d", r.Class)
 	}
-	for k, rs := range t.byKind {
-		if len(rs) == 0 || rs[len(rs)-1].MaxBytes != 0 {
-			return nil, fmt.Errorf("no rule for %v of every size", objectapi.Kind(k))
-		}
+	finite := r.Units >= 0 && r.PerMiB >= 0 && !math.IsInf(r.Units+r.PerMiB, 0)
+	if !finite || r.AssumedBytes < 0 || r.MaxBytes < 0 {
+		return errors.New("units, per_mib, assume_bytes and max_bytes must not be negative")
 	}
-	return t, nil
+	return nil
+}
+
+// Model is an ordered list of rules; the first that matches applies.
+type Model[O Operation] struct {
+	rules    [][]Rule[O] // by operation
+	maxUnits float64     // of one request
 }
 
-// Price is what a request counts as.
-type Price struct {
+// Cost is the cost of a request.
+type Cost struct {
 	Class int
 	Units float64
 }
 
-// Of prices an operation of so many bytes; -1 where the size is not known.
-func (t *Tariff) Of(k objectapi.Kind, bytes int64) Price {
-	for _, r := range t.byKind[k] {
-		n := bytes
-		if n < 0 {
-			n = r.Assume
+// New returns the model of a list of rules over so many operations and classes. It returns an
+// error if an operation of some size has no rule, or a rule is invalid. maxUnits bounds the
+// cost of one request.
+func New[O Operation](rules []Rule[O], operations, classes int, maxUnits float64) (*Model[O], error) {
+	m := &Model[O]{rules: make([][]Rule[O], operations), maxUnits: maxUnits}
+	for i, r := range rules {
+		if err := r.check(classes); err != nil {
+			return nil, fmt.Errorf("rule %d: %w", i, err)
+		}
+		for _, op := range r.Operations {
+			m.rules[op] = append(m.rules[op], r)
+		}
+	}
+	for op, rules := range m.rules {
+		if len(rules) == 0 || rules[len(rules)-1].MaxBytes != 0 {
+			return nil, fmt.Errorf("no rule for %v of every size", O(op))
+		}
+	}
+	return m, nil
+}
+
+// Cost prices an operation on a number of bytes; -1 where the size is not known.
+func (m *Model[O]) Cost(op O, bytes int64) Cost {
+	for i := range m.rules[op] {
+		r := &m.rules[op][i]
+		size := bytes
+		if size < 0 {
+			size = r.AssumedBytes
 		}
-		if r.MaxBytes != 0 && n > r.MaxBytes {
+		if r.MaxBytes != 0 && size > r.MaxBytes {
 			continue
 		}
-		return Price{r.Class, min(r.Units+r.PerMiB*float64(n)/(1<<20), t.most)}
+		return Cost{Class: r.Class, Units: min(r.Units+r.PerMiB*float64(size)/(1<<20), m.maxUnits)}
 	}
-	panic("costmodel: no rule") // New has checked
+	panic("costmodel: no rule") // New has checked that the last one applies to every size
 }
--- a/gateway/front.go
+++ b/gateway/front.go
@@ -243,7 +243,7 @@
 // price makes the request that the dispatcher is asked about.
 func (t *transaction) price(kind objectapi.Kind, v *volume, shard dispatch.Shard, key string, size int64) dispatch.Request {
 	s := t.conn.lane.g
-	p := s.tariff.Of(kind, size)
+	p := s.costs.Cost(kind, size)
 	class := &s.cfg.Classes[p.Class]
 	r := dispatch.Request{Class: p.Class, Shard: shard, Units: p.Units, Timeout: class.Deadline.D()}
 	if v != nil {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -9,6 +9,7 @@
 	"chalkstand/dispatch"
 	"chalkstand/forwarder"
 	"chalkstand/internal/eventloop"
+	"chalkstand/internal/objectapi"
 	"chalkstand/internal/settings"
 	"chalkstand/internal/sigv4"
 	"chalkstand/placement"
@@ -76,7 +77,7 @@
 	saveAccount func(attribution.Action)
 	books       *bookkeeper // nil: no accounts are kept
 
-	tariff   *costmodel.Tariff
+	costs    *costmodel.Model[objectapi.Kind]
 	shards   *placement.Map
 	verify   *sigv4.Verifier
 	keys     atomic.Pointer[map[string]*accessKey]
@@ -105,7 +106,7 @@
 		o(g)
 	}
 	var err error
-	if g.tariff, err = cfg.Tariff(); err != nil {
+	if g.costs, err = cfg.CostModel(); err != nil {
 		return nil, fmt.Errorf("gateway: operations: %w", err)
 	}
 	g.shards = placement.New(cfg.Shards)
@@ -113,7 +114,7 @@
 	g.verify = &sigv4.Verifier{Region: cfg.Region, Skew: cfg.Limits.Skew.D(), Secret: g.secret}
 	l := cfg.Limits
 	x, err := forwarder.New(forwarder.Config{
-		Dispatch: cfg.Choice(), Seed: g.seed, MaxConnsPerNode: l.ConnsPerNode, MaxStreamsPerNode: l.Streams, IdleTimeout: l.NodeIdle.D(),
+		Dispatch: cfg.DispatchConfig(), Seed: g.seed, MaxConnsPerNode: l.ConnsPerNode, MaxStreamsPerNode: l.Streams, IdleTimeout: l.NodeIdle.D(),
 		MaxConnAge: l.NodeAge.D(), DialTimeout: l.Connect.D(), ResponseMargin: l.Margin.D(), MaxRequests: l.Calls, Attribution: cfg.Accounts.On,
 	})
 	if err != nil {
--- a/gateway/lane.go
+++ b/gateway/lane.go
@@ -155,7 +155,7 @@
 	l.leave(c)
 	e := forwarder.ClientCanceled{ID: c.id}
 	if c.reads { // it pays for what it used
-		e.Units = l.g.tariff.Of(objectapi.GetObject, c.passed).Units
+		e.Units = l.g.costs.Cost(objectapi.GetObject, c.passed).Units
 	}
 	l.tell(e)
 }
--- a/gateway/report.go
+++ b/gateway/report.go
@@ -22,7 +22,7 @@
 		w.Result = dispatch.ServerError
 	}
 	if r := &k.r.Response; w.Result == dispatch.OK && k.call != nil && k.call.guess && !r.Chunked && !r.UntilClose {
-		w.Units = k.lane.g.tariff.Of(objectapi.GetObject, r.Length).Units
+		w.Units = k.lane.g.costs.Cost(objectapi.GetObject, r.Length).Units
 	}
 	if v := k.r.Response.Headers.Get(loadHeader); v != nil {
 		k.lane.readReport(v, k.call, &w)
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -230,7 +230,7 @@
 			}
 		}
 	}
-	if _, err := s.Tariff(); err != nil {
+	if _, err := s.CostModel(); err != nil {
 		return "operations", err.Error()
 	}
 	return "", ""
@@ -378,27 +378,33 @@
 	return "", ""
 }
 
-// Tariff returns the tariff of the operations' lines.
-func (s *Settings) Tariff() (*costmodel.Tariff, error) {
-	var rules []costmodel.Rule
+// CostModel returns the cost model of the "operations" list.
+func (s *Settings) CostModel() (*costmodel.Model[objectapi.Kind], error) {
+	var rules []costmodel.Rule[objectapi.Kind]
 	for _, o := range s.Operations {
-		r := costmodel.Rule{MaxBytes: o.MaxBytes, Class: s.classIndex(o.Class), Units: o.Units, PerMiB: o.PerMiB, Assume: o.Assume}
+		r := costmodel.Rule[objectapi.Kind]{
+			MaxBytes:     o.MaxBytes,
+			Class:        s.classIndex(o.Class),
+			Units:        o.Units,
+			PerMiB:       o.PerMiB,
+			AssumedBytes: o.Assume,
+		}
 		for _, n := range o.Operations {
 			if n == "*" {
 				for k := range objectapi.Kinds() {
-					r.Kinds = append(r.Kinds, objectapi.Kind(k))
+					r.Operations = append(r.Operations, objectapi.Kind(k))
 				}
 			} else if k, ok := objectapi.KindNamed(n); ok {
-				r.Kinds = append(r.Kinds, k)
+				r.Operations = append(r.Operations, k)
 			}
 		}
 		rules = append(rules, r)
 	}
-	return costmodel.New(rules, len(s.Classes), s.Rules.LargestUnits)
+	return costmodel.New(rules, objectapi.Kinds(), len(s.Classes), s.Rules.LargestUnits)
 }
 
-// Choice returns the dispatcher's settings.
-func (s *Settings) Choice() dispatch.Config {
+// DispatchConfig returns the dispatcher's settings.
+func (s *Settings) DispatchConfig() dispatch.Config {
 	r := s.Rules
 	c := dispatch.Config{
 		DispatcherIndex: s.Me, DispatcherCount: s.Peers, CancelAttempts: true, MaxRetryAfter: r.MaxRetryAfter.D(), MaxAttempts: r.MaxAttempts,
--- a/lab/faultinjection/faultinjection.go
+++ b/lab/faultinjection/faultinjection.go
@@ -407,7 +407,7 @@
 	seed := d.o.Seed*100 + uint64(i*10+n)
 	opts := []gateway.Option{gateway.WithSeed(seed)}
 	if d.o.Trace != nil {
-		opts = append(opts, gateway.WithTrace(d.o.Trace(s.Name, s.Choice(), seed)))
+		opts = append(opts, gateway.WithTrace(d.o.Trace(s.Name, s.DispatchConfig(), seed)))
 	}
 	g, err := gateway.New(s, opts...)
 	if err != nil {
--- a/layering_test.go
+++ b/layering_test.go
@@ -74,11 +74,6 @@
 	"internal/testkit": testSupport,
 }
 
-// upward are imports against the order of the layers that stand for a reason.
-var upward = map[string]string{
-	"costmodel internal/objectapi": "a cost model is a list of the object API's operations",
-}
-
 // impure are the packages outside the module that reach the outside world.
 var impure = []string{"net", "net/http", "os", "os/exec", "os/signal", "syscall", "log", "io/fs"}
 
@@ -142,7 +137,7 @@
 		case inModule && isTest:
 		case inModule && layers[own] == testSupport && level != testSupport:
 			t.Errorf("%s imports the test kit %s", file, own)
-		case inModule && (layers[own] == 0 || layers[own] > level) && upward[dir+" "+own] == "":
+		case inModule && (layers[own] == 0 || layers[own] > level):
 			t.Errorf("%s, on layer %d, imports %s, on layer %d", file, level, own, layers[own])
 		case !isTest && level <= codecs && reachesOutside(path):
 			t.Errorf("%s imports %s", file, path)
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -3,6 +3,7 @@
 import (
 	"chalkstand/dispatch"
 	"fmt"
+	"strconv"
 	"testing"
 )
 
@@ -25,7 +26,7 @@
 	a, b := New(8).Volume("photos", 0), New(9).Volume("photos", 0)
 	moved := 0
 	for i := range 20000 {
-		k := fmt.Sprint(i)
+		k := strconv.Itoa(i)
 		if x, y := a.Shard(k), b.Shard(k); x != y {
 			if y != 8 {
 				t.Fatalf("%s moved from %d to %d", k, x, y)
@@ -48,8 +49,8 @@
 		}
 		again := New(32).Volume(fmt.Sprint("vol-", i), 3)
 		for k := range 20 {
-			s := v.Shard(fmt.Sprint(k))
-			if s != again.Shard(fmt.Sprint(k)) {
+			s := v.Shard(strconv.Itoa(k))
+			if s != again.Shard(strconv.Itoa(k)) {
 				t.Fatal("two maps disagree")
 			}
 			used[s]++
