--- a/dispatch/astray_test.go
+++ b/dispatch/astray_test.go
@@ -47,7 +47,7 @@
 	if got := cancels(acts); len(got) > 0 {
 		t.Errorf("gave up %v behind a slow answer", got)
 	}
-	if n := r.d.nodes["n0"]; n.heardAt > r.d.reqs[first].sentAt {
+	if n := r.d.nodes["n0"]; n.lastPromptSentAt > r.d.requests[first].sentAt {
 		t.Error("a slow answer counts as overtaking")
 	}
 }
@@ -81,13 +81,13 @@
 		if got := cancels(r.end(again, 0, OK)); len(got) > 0 {
 			t.Errorf("%s: given up twice", c.class.Name)
 		}
-		before := r.d.lost
+		before := r.d.lossRate
 		r.end(lost, 0, Canceled)
 		want(t, "the second attempt", r.at(1*ms), lost, "sent")
 		id, _ := r.ask(Request{Shard: 0, Plan: 1})
 		r.at(5 * ms)
 		r.end(id, 0, OK)
-		if r.d.lost <= before {
+		if r.d.lossRate <= before {
 			t.Errorf("%s: the answer does not count as lost", c.class.Name)
 		}
 	}
--- a/dispatch/check.go
+++ b/dispatch/check.go
@@ -8,8 +8,8 @@
 	"math"
 )
 
-// check refuses settings that make no sense, naming the field.
-func check(cfg Config) error {
+// checkConfig refuses settings that make no sense, naming the field.
+func checkConfig(cfg Config) error {
 	switch {
 	case cfg.DispatcherCount < 1:
 		return errors.New("Peers: want at least 1")
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// sensible tells whether a request's figures can be acted on.
-func (d *Dispatcher) sensible(e Request) bool {
+// valid tells whether a request's figures can be acted on.
+func (d *Dispatcher) valid(e Request) bool {
 	return e.Class >= 0 && e.Class < len(d.cfg.Classes) && e.Plan >= 0 && e.Plan < len(d.cfg.Plans) &&
 		e.Units >= 0 && e.Timeout > 0
 }
--- a/dispatch/held_test.go
+++ b/dispatch/held_test.go
@@ -64,7 +64,7 @@
 	for i := range RequestID(6) {
 		h.ask(i+1, "v")
 	}
-	if len(h.sent) != depthMin {
+	if len(h.sent) != minConcurrency {
 		t.Fatalf("%d sent", len(h.sent))
 	}
 	h.until(30 * time.Millisecond)
--- a/dispatch/odd_test.go
+++ b/dispatch/odd_test.go
@@ -13,7 +13,7 @@
 		sent := 0.0
 		for range 40 {
 			id, _ := r.ask(Request{Shard: 0, Dispatchers: 12})
-			if q := r.d.reqs[id]; q != nil && q.out {
+			if q := r.d.requests[id]; q != nil && q.outstanding {
 				sent++
 				r.end(id, 0, OK)
 			}
@@ -30,8 +30,8 @@
 		r.list(Delta, Node{ID: "n0", Shard: 9, Kind: 3})
 		id, acts := r.ask(Request{Shard: 0, Plan: 1})
 		want(t, "its old shard", acts, id, "refused")
-		for id, q := range r.d.reqs {
-			if q.out {
+		for id, q := range r.d.requests {
+			if q.outstanding {
 				r.end(id, 0, OK)
 			}
 		}
@@ -51,13 +51,13 @@
 		acts := r.at(ms)
 		want(t, "tried again", acts, id, "sent")
 		want(t, "a second end of the first attempt", r.end(id, 0, OK), id, "held")
-		if q := r.d.reqs[id]; q == nil || !q.out {
+		if q := r.d.requests[id]; q == nil || !q.outstanding {
 			t.Error("the second attempt is no longer awaited")
 		}
 		r.end(id, 1, OK)
 		r.end(id, 1, OK)
-		if len(r.d.reqs) != 0 || r.d.nodes["n0"].out != 0 {
-			t.Errorf("%d requests, %d out", len(r.d.reqs), r.d.nodes["n0"].out)
+		if len(r.d.requests) != 0 || r.d.nodes["n0"].inFlight != 0 {
+			t.Errorf("%d requests, %d out", len(r.d.requests), r.d.nodes["n0"].inFlight)
 		}
 	})
 	t.Run("an older or repeated use figure acts once an interval at most", func(t *testing.T) {
@@ -66,10 +66,10 @@
 			id, _ := r.ask(Request{Shard: 0, Plan: 1})
 			r.do(AttemptCompleted{ID: id, Result: OK, Responded: true, Latency: 5 * ms, QuotaUsage: 301})
 		}
-		r.at(controlEvery)
-		phi := r.d.vols["v"].phi
-		if r.at(controlEvery); r.d.vols["v"].phi != phi || phi >= 3 {
-			t.Errorf("weight %g, then %g: want one step down from 3", phi, r.d.vols["v"].phi)
+		r.at(controllerInterval)
+		phi := r.d.volumes["v"].weight
+		if r.at(controllerInterval); r.d.volumes["v"].weight != phi || phi >= 3 {
+			t.Errorf("weight %g, then %g: want one step down from 3", phi, r.d.volumes["v"].weight)
 		}
 	})
 }
@@ -149,7 +149,7 @@
 		d.Handle(now, ClientCanceled{ID: 2*i + 2})
 		d.Handle(now, AttemptCompleted{ID: 2*i + 1, Node: "a", Result: OK, Responded: true, Latency: time.Millisecond})
 	}
-	if n := d.agenda.Len(); n > 10 {
+	if n := d.timers.Len(); n > 10 {
 		t.Fatalf("%d tasks in the agenda", n)
 	}
 }
--- a/dispatch/queue_test.go
+++ b/dispatch/queue_test.go
@@ -20,15 +20,15 @@
 }
 
 func (q *queueRig) volume(id string, phi float64) *volume {
-	v := q.d.volumeOf(Request{Volume: VolumeID(id), Plan: 1, Dispatchers: 1})
-	v.phi = phi
+	v := q.d.volumeFor(Request{Volume: VolumeID(id), Plan: 1, Dispatchers: 1})
+	v.weight = phi
 	return v
 }
 
 func (q *queueRig) hold(v *volume, units float64) *request {
-	q.d.seq++
+	q.d.lastSequence++
 	r := &request{
-		Request: Request{Units: units}, class: &q.d.cfg.Classes[0], vol: v, seq: q.d.seq, aimAt: math.MaxInt64 / 4,
+		Request: Request{Units: units}, class: &q.d.cfg.Classes[0], volume: v, sequence: q.d.lastSequence, objectiveAt: math.MaxInt64 / 4,
 		deadline: math.MaxInt64 / 4,
 	}
 	q.d.enqueue(r, q.n, false)
@@ -38,10 +38,10 @@
 // pop releases the request with the lowest start tag.
 func (q *queueRig) pop() *request {
 	f := q.n.flows[0]
-	r := f.line[0]
-	f.pass(r)
-	q.d.leave(r)
-	r.state = over
+	r := f.requests[0]
+	f.recordDispatch(r)
+	q.d.dequeue(r)
+	r.state = completed
 	return r
 }
 
@@ -57,17 +57,17 @@
 	var got string
 	for len(q.n.flows) > 0 {
 		f := q.n.flows[0]
-		got += fmt.Sprintf("%s%g ", f.vol.id, f.start)
+		got += fmt.Sprintf("%s%g ", f.volume.id, f.startTag)
 		q.pop()
 	}
 	if want := "a0 b0 a2 b2 b3 "; got != want {
 		t.Errorf("left as %q, want %q", got, want)
 	}
-	if q.n.v != 3 {
-		t.Errorf("v = %g, want 3, the start tag sent last", q.n.v)
+	if q.n.virtualTime != 3 {
+		t.Errorf("v = %g, want 3, the start tag sent last", q.n.virtualTime)
 	}
 	q.hold(a, 1) // F_prev 3, v 3
-	if s := q.n.flows[0].start; s != 3 {
+	if s := q.n.flows[0].startTag; s != 3 {
 		t.Errorf("start after idle = %g, want 3", s)
 	}
 }
@@ -83,15 +83,15 @@
 	q.pop() // f: S 0, F 100
 	q.pop() // g: S 0
 	q.pop() // g: S 1.01
-	f.reweigh(0.5)
-	g.reweigh(0.5)
+	f.setWeight(0.5)
+	g.setWeight(0.5)
 	// f's last sent: S 0, F 0+1/0.5 = 2; its next S = max(v, 2) = 2.
-	if ff := q.d.flowOf(f, q.n); math.Abs(ff.start-2) > 1e-9 {
-		t.Errorf("f's start after the change = %g, want 2", ff.start)
+	if ff := q.d.flowFor(f, q.n); math.Abs(ff.startTag-2) > 1e-9 {
+		t.Errorf("f's start after the change = %g, want 2", ff.startTag)
 	}
 	// g's last sent: S 1.0101, F 3.0101.
-	if gf := q.d.flowOf(g, q.n); math.Abs(gf.start-(1/0.99+2)) > 1e-9 {
-		t.Errorf("g's start after the change = %g, want %g", gf.start, 1/0.99+2)
+	if gf := q.d.flowFor(g, q.n); math.Abs(gf.startTag-(1/0.99+2)) > 1e-9 {
+		t.Errorf("g's start after the change = %g, want %g", gf.startTag, 1/0.99+2)
 	}
 }
 
@@ -100,9 +100,9 @@
 	q := newQueueRig(t)
 	a := q.volume("a", 1)
 	first, big, last := q.hold(a, 1), q.hold(a, 8), q.hold(a, 1)
-	q.d.leave(big)
-	if q.pop() != first || q.n.flows[0].start != 1 {
-		t.Fatalf("start of the last = %g, want 1, the finish tag of the first", q.n.flows[0].start)
+	q.d.dequeue(big)
+	if q.pop() != first || q.n.flows[0].startTag != 1 {
+		t.Fatalf("start of the last = %g, want 1, the finish tag of the first", q.n.flows[0].startTag)
 	}
 	if q.pop() != last {
 		t.Error("the last did not follow the first")
@@ -122,24 +122,24 @@
 			q.hold(g, 1+float64(rng.IntN(int(most))))
 		}
 		for i := range 30 {
-			f.reweigh(0.25 + 4*rng.Float64())
-			g.reweigh(0.25 + 4*rng.Float64())
+			f.setWeight(0.25 + 4*rng.Float64())
+			g.setWeight(0.25 + 4*rng.Float64())
 			depth := 4 + rng.IntN(29)
 			var wf, wg float64
 			for range 20 + rng.IntN(100) {
-				if r := q.pop(); r.vol == f {
+				if r := q.pop(); r.volume == f {
 					wf += r.Units
 				} else {
 					wg += r.Units
 				}
 			}
-			bound := float64(depth+1) * (most/f.phi + most/g.phi)
-			if diff := math.Abs(wf/f.phi - wg/g.phi); diff > bound {
+			bound := float64(depth+1) * (most/f.weight + most/g.weight)
+			if diff := math.Abs(wf/f.weight - wg/g.weight); diff > bound {
 				t.Fatalf("seed %d interval %d: %.2f apart, bound %.2f", seed, i, diff, bound)
 			}
 			// Without requests out the bound of the plain queue holds too.
-			if diff := math.Abs(wf/f.phi - wg/g.phi); diff > 2*(most/f.phi+most/g.phi) {
-				t.Fatalf("seed %d interval %d: %.2f apart, plain bound %.2f", seed, i, diff, 2*(most/f.phi+most/g.phi))
+			if diff := math.Abs(wf/f.weight - wg/g.weight); diff > 2*(most/f.weight+most/g.weight) {
+				t.Fatalf("seed %d interval %d: %.2f apart, plain bound %.2f", seed, i, diff, 2*(most/f.weight+most/g.weight))
 			}
 		}
 	}
@@ -155,21 +155,21 @@
 		{"a figure is 1 + percent", []float64{101}, 3},
 		{"double use halves it", []float64{201}, 1.5},
 		{"one figure acts once", []float64{201, 0, 0}, 1.5},
-		{"clamped below", []float64{1001, 1001}, 3 * phiFloor},
-		{"clamped above", []float64{2, 2}, 3 * phiCap},
+		{"clamped below", []float64{1001, 1001}, 3 * minWeightFactor},
+		{"clamped above", []float64{2, 2}, 3 * maxWeightFactor},
 		{"comes back when use falls", []float64{201, 51}, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(t, testConfig())
-			v := r.d.volumeOf(Request{Volume: "v", Plan: 1, Dispatchers: 1})
+			v := r.d.volumeFor(Request{Volume: "v", Plan: 1, Dispatchers: 1})
 			for _, u := range c.use {
 				if u > 0 {
-					v.use = u
+					v.quotaUsage = u
 				}
-				r.at(controlEvery)
+				r.at(controllerInterval)
 			}
-			if math.Abs(v.phi-c.want) > 1e-9 {
-				t.Errorf("φ = %g, want %g", v.phi, c.want)
+			if math.Abs(v.weight-c.want) > 1e-9 {
+				t.Errorf("φ = %g, want %g", v.weight, c.want)
 			}
 		})
 	}
@@ -178,27 +178,27 @@
 func TestDepth(t *testing.T) {
 	r := newRig(t, testConfig())
 	n := r.d.nodes["n0"]
-	if d := r.d.depth(n); d != 4 {
+	if d := r.d.concurrencyLimit(n); d != 4 {
 		t.Errorf("unheard node: D = %d, want 4", d)
 	}
 	served := func(gap time.Duration, count int, s AttemptResult) {
 		for range count {
 			r.now += gap
 			r.d.now = r.now
-			r.d.judge(n, &request{Request: Request{Units: 1}}, AttemptCompleted{Result: s, Latency: 5 * ms})
+			r.d.recordResult(n, &request{Request: Request{Units: 1}}, AttemptCompleted{Result: s, Latency: 5 * ms})
 		}
 	}
 	served(20*ms, 1500, OK) // 50 a second x 0.2 s = 10
-	if d := r.d.depth(n); d < 9 || d > 11 {
+	if d := r.d.concurrencyLimit(n); d < 9 || d > 11 {
 		t.Errorf("50 a second, aim 200 ms: D = %d, want about 10", d)
 	}
 	served(ms, 20000, OK)
-	if d := r.d.depth(n); d != 32 {
+	if d := r.d.concurrencyLimit(n); d != 32 {
 		t.Errorf("1000 a second: D = %d, want the ceiling 32", d)
 	}
 	r.now += time.Minute
 	served(ms, 1000, ServerError) // quick errors are no completions
-	if d := r.d.depth(n); d != 4 {
+	if d := r.d.concurrencyLimit(n); d != 4 {
 		t.Errorf("quick errors only: D = %d, want 4", d)
 	}
 }
@@ -217,9 +217,9 @@
 		var sent [2]float64
 		for range 300 {
 			r := q.pop()
-			if r.vol == a {
+			if r.volume == a {
 				sent[0]++
-				q.d.onMeasured(CostCorrection{Volume: "a", Node: q.n.ID, Units: x.more})
+				q.d.handleCostCorrection(CostCorrection{Volume: "a", Node: q.n.ID, Units: x.more})
 			} else {
 				sent[1]++
 			}
@@ -234,8 +234,8 @@
 func TestMeasuredLimit(t *testing.T) {
 	r := newRig(t, testConfig())
 	r.ask(Request{Shard: 0, Plan: 0})
-	v := r.d.vols["v"]
-	v.fillTokens(r.d)
+	v := r.d.volumes["v"]
+	v.refillTokens(r.d)
 	tokens, reserve := v.tokens, v.reserve
 	for _, u := range []float64{math.NaN(), math.Inf(1), -1e9, 1e9} {
 		r.do(CostCorrection{Volume: "v", Node: "n0", Units: u})
@@ -250,7 +250,7 @@
 		t.Errorf("tokens %g from %g, reserve %g from %g, want 3 less", v.tokens, tokens, v.reserve, reserve)
 	}
 	r.do(CostCorrection{Volume: "v", Node: "n0", Units: -8})
-	if v.tokens > v.tokensTop() {
+	if v.tokens > v.tokenCapacity() {
 		t.Errorf("more tokens than the store holds")
 	}
 }
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -25,8 +25,8 @@
 	}
 	r.do(ClientCanceled{999}) // never heard of: harmless
 	r.end(999, 0, OK)
-	if len(r.d.reqs) != 0 {
-		t.Errorf("%d requests kept after their end", len(r.d.reqs))
+	if len(r.d.requests) != 0 {
+		t.Errorf("%d requests kept after their end", len(r.d.requests))
 	}
 }
 
@@ -39,7 +39,7 @@
 	}
 	waits := 0
 	for _, id := range ids {
-		if q := r.d.reqs[id]; q != nil && q.state == held {
+		if q := r.d.requests[id]; q != nil && q.state == queued {
 			waits++
 		}
 	}
@@ -47,8 +47,8 @@
 		t.Fatal("nothing held behind a full depth")
 	}
 	r.at(200 * ms)
-	for id, q := range r.d.reqs {
-		if q.state == held {
+	for id, q := range r.d.requests {
+		if q.state == queued {
 			t.Errorf("request %d still held at its aim", id)
 		}
 	}
@@ -62,13 +62,13 @@
 		wait  time.Duration
 		want  string
 	}{
-		{"safe after an error is tried again", 0, ServerError, retryGap, "sent"},
-		{"safe turned away is tried again", 0, Rejected, retryGap, "sent"},
-		{"unsafe turned away is tried again", 2, Rejected, retryGap, "sent"},
+		{"safe after an error is tried again", 0, ServerError, retryDelay, "sent"},
+		{"safe turned away is tried again", 0, Rejected, retryDelay, "sent"},
+		{"unsafe turned away is tried again", 2, Rejected, retryDelay, "sent"},
 		{"unsafe after an error is neither sent nor refused", 2, ServerError, 0, "failed"},
 		{"unsafe after a reset is neither sent nor refused", 2, ConnectionReset, 0, "failed"},
-		{"unsafe that never connected is tried again", 2, ConnectFailed, retryGap, "sent"},
-		{"keyed after an error is tried again at its node", 1, ServerError, retryGap, "sent"},
+		{"unsafe that never connected is tried again", 2, ConnectFailed, retryDelay, "sent"},
+		{"keyed after an error is tried again at its node", 1, ServerError, retryDelay, "sent"},
 		{"keyed whose answer is lost is tried again at its node", 1, TimedOut, ms, "sent"},
 		{"safe whose answer is lost is tried again", 0, TimedOut, ms, "sent"},
 		{"unsafe whose answer is lost is neither sent nor refused", 2, TimedOut, 0, "failed"},
@@ -88,15 +88,15 @@
 	}
 	t.Run("keyed new object stays in its group and window", func(t *testing.T) {
 		r := newRig(t, testConfig())
-		q := &request{class: &r.d.cfg.Classes[1], attempts: 1, mayHaveRun: true, doubtAt: r.d.now, doubtShard: 0}
+		q := &request{class: &r.d.cfg.Classes[1], attempts: 1, ambiguous: true, ambiguousSince: r.d.now, ambiguousShard: 0}
 		for range 40 { // room in the budget
-			r.d.taken = append(r.d.taken, r.d.now)
+			r.d.budgetRequests = append(r.d.budgetRequests, r.d.now)
 		}
-		if !r.d.mayRepeat(q, r.d.nodes["n0"]) || r.d.mayRepeat(q, r.d.nodes["n1"]) {
+		if !r.d.mayRetry(q, r.d.nodes["n0"]) || r.d.mayRetry(q, r.d.nodes["n1"]) {
 			t.Error("want a repeat at the same shard only")
 		}
 		r.d.now += 800 * ms
-		if r.d.mayRepeat(q, r.d.nodes["n0"]) {
+		if r.d.mayRetry(q, r.d.nodes["n0"]) {
 			t.Error("repeated at the end of the window")
 		}
 	})
@@ -186,7 +186,7 @@
 		}
 		id, _ := r.ask(Request{Shard: 0, Plan: 1})
 		r.do(AttemptCompleted{ID: id, Result: OK, Responded: true, Latency: took, LoadReport: rep})
-		return r.d.delay(r.d.nodes["n0"])
+		return r.d.expectedDelay(r.d.nodes["n0"])
 	}
 	alone := after(nil, 150*ms)
 	if few := after(LoadReport{"inflight": 1}, 150*ms); few >= alone/2 {
@@ -213,14 +213,14 @@
 	want(t, "patient", acts, id, "sent")
 	r.end(id, 0, OK)
 	r.ask(Request{Shard: 0, Plan: 1, Volume: "w"})
-	v := r.d.vols["v"]
+	v := r.d.volumes["v"]
 	reserve := v.reserve
 	for range 15 {
 		id, acts := r.ask(Request{Shard: 0, Plan: 1, Timeout: 60 * ms})
 		want(t, "impatient", acts, id, "refused")
 	}
-	if v.reserve != reserve || v.heldUnits != 0 || len(r.d.extra) != 0 {
-		t.Errorf("reserve %g, was %g; %g units held", v.reserve, reserve, v.heldUnits)
+	if v.reserve != reserve || v.queuedUnits != 0 || len(r.d.budgetRetries) != 0 {
+		t.Errorf("reserve %g, was %g; %g units held", v.reserve, reserve, v.queuedUnits)
 	}
 }
 
@@ -232,7 +232,7 @@
 		cfg.DispatcherCount = peers
 		r := newRig(t, cfg)
 		n := r.d.nodes["n0"]
-		if got := r.d.depth(n); got != floor {
+		if got := r.d.concurrencyLimit(n); got != floor {
 			t.Errorf("%d dispatchers: D %d, want %d", peers, got, floor)
 		}
 		answer := func(took time.Duration) {
@@ -243,11 +243,11 @@
 		}
 		answer(5 * ms)
 		answer(5 * ms)
-		if got, calm := r.d.depth(n), min(4, floor+1); got != calm {
+		if got, calm := r.d.concurrencyLimit(n), min(4, floor+1); got != calm {
 			t.Errorf("%d dispatchers, calm node: D %d, want %d", peers, got, calm)
 		}
 		answer(150 * ms)
-		if got := r.d.depth(n); got != floor {
+		if got := r.d.concurrencyLimit(n); got != floor {
 			t.Errorf("%d dispatchers, after a crowded answer: D %d, want %d", peers, got, floor)
 		}
 	}
@@ -268,28 +268,28 @@
 	start := func(usual float64) *rig {
 		r := newRig(t, testConfig())
 		r.list(Delta, Node{ID: "n0", Shard: 0, Started: r.now})
-		u := r.d.usageOf(0)
-		u.sum, u.at = usual*usualSpan.Seconds()*(1-decay(r.now-r.d.born, usualSpan)), r.now
+		u := r.d.throughputOf(0)
+		u.sum, u.updatedAt = usual*shardThroughputWindow.Seconds()*(1-decayFactor(r.now-r.d.startedAt, shardThroughputWindow)), r.now
 		return r
 	}
-	even := 20.0 / 2 * coldSafe // a span's even part of what is always borne
+	even := 20.0 / 2 * slowStartSafetyFactor // a span's even part of what is always borne
 	if sent := sentOver(start(0), 3*time.Second); sent > 3*1.5*even+6 || sent == 0 {
 		t.Errorf("%g units without history, want above 0 and at most the even part", sent)
 	}
 	usual := 40.0
-	most := even + usual*2.5*0.2*coldSafe
+	most := even + usual*2.5*0.2*slowStartSafetyFactor
 	if sent := sentOver(start(usual), time.Second); sent > most+6 || sent < most/2 {
 		t.Errorf("%g units in the first second, want about %g by what the shard usually served", sent, most)
 	}
 	t.Run("usual service is known of a successor, and fades", func(t *testing.T) {
 		r := start(usual)
 		r.list(Delta, Node{ID: "n0", Shard: 0, State: Removed}, Node{ID: "n9", Shard: 0, Started: r.now})
-		if got := r.d.usual(r.d.nodes["n9"]); got < usual*0.99 || got > usual*1.01 {
+		if got := r.d.usualThroughput(r.d.nodes["n9"]); got < usual*0.99 || got > usual*1.01 {
 			t.Errorf("%g, want %g", got, usual)
 		}
-		r.now += usualSpan
+		r.now += shardThroughputWindow
 		r.do(TimerFired{"wake"})
-		if got := r.d.usual(r.d.nodes["n9"]); got > usual/2 {
+		if got := r.d.usualThroughput(r.d.nodes["n9"]); got > usual/2 {
 			t.Errorf("%g a span later", got)
 		}
 	})
@@ -302,8 +302,8 @@
 		for seed := range uint64(40) {
 			d, _ := New(testConfig(), seed)
 			d.Handle(time.Hour, EndpointUpdate{Kind: Cached, Nodes: []Node{{ID: "n0", Started: time.Hour - time.Second}}})
-			d.coldAt(d.nodes["n0"], 0)
-			debts += d.nodes["n0"].debt / 40
+			d.slowStartReadyAt(d.nodes["n0"], 0)
+			debts += d.nodes["n0"].slowStartDebt / 40
 		}
 		if debts < 0.7 || debts > 1.3 {
 			t.Errorf("a mean debt of %g units, want half a usual request", debts)
@@ -313,12 +313,12 @@
 		for _, beyond := range []bool{false, true} {
 			r := start(usual)
 			n := r.d.nodes["n0"]
-			r.d.coldAt(n, 0)
-			n.debt = -0.5 // less than a usual request
+			r.d.slowStartReadyAt(n, 0)
+			n.slowStartDebt = -0.5 // less than a usual request
 			id, _ := r.ask(Request{Shard: 1, Plan: 1})
 			r.end(id, 0, OK)
 			if beyond {
-				r.d.vols["v"].reserve = -20
+				r.d.volumes["v"].reserve = -20
 			}
 			id, acts := r.ask(Request{Shard: 0, Plan: 1})
 			want(t, fmt.Sprint("beyond the reserve: ", beyond), acts, id, map[bool]string{false: "sent", true: "refused"}[beyond])
@@ -363,7 +363,7 @@
 	r := newRig(t, testConfig())
 	learn(r)
 	lose(r)
-	if r.d.lost != 0 {
+	if r.d.lossRate != 0 {
 		t.Error("a time-out alone taken for a lost answer")
 	}
 	r.now += 3 * time.Second
@@ -384,7 +384,7 @@
 	id, _ = slow.ask(Request{Shard: 0, Plan: 1})
 	slow.now += 900 * ms
 	slow.do(AttemptCompleted{ID: id, Result: OK, Responded: true, Latency: 900 * ms})
-	if slow.d.lost != 0 {
+	if slow.d.lossRate != 0 {
 		t.Error("a slow node taken for one that loses answers")
 	}
 }
@@ -409,8 +409,8 @@
 	want(t, "still", r.at(149*ms), e, "held")
 	want(t, "rested", r.at(ms), e, "sent")
 	r.end(e, 0, OK)
-	if len(r.d.turns) != 0 {
-		t.Errorf("%d keys kept", len(r.d.turns))
+	if len(r.d.keyQueues) != 0 {
+		t.Errorf("%d keys kept", len(r.d.keyQueues))
 	}
 }
 
@@ -420,7 +420,7 @@
 	for range 10 {
 		id, _ := r.ask(Request{Shard: 0, Plan: 1})
 		r.end(id, 0, ServerError)
-		for _, a := range attempts(r.at(retryGap)) {
+		for _, a := range attempts(r.at(retryDelay)) {
 			again++
 			r.end(a, 1, OK)
 		}
@@ -434,7 +434,7 @@
 	for range 10 {
 		id, _ := r.ask(Request{Shard: 0, Plan: 1})
 		r.end(id, 0, ServerError)
-		acts := r.at(retryGap)
+		acts := r.at(retryDelay)
 		want(t, "no budget stated", acts, id, "sent")
 		r.end(id, 1, OK)
 	}
@@ -467,7 +467,7 @@
 		r := newRig(t, testConfig())
 		r.ask(Request{Volume: "w", Dispatchers: 4, Shard: 0})
 		r.ask(Request{Volume: "w", Dispatchers: 1, Shard: 0})
-		if h := r.d.vols["w"].hosts; h != 4 {
+		if h := r.d.volumes["w"].dispatchers; h != 4 {
 			t.Errorf("hosts = %d, want 4", h)
 		}
 	})
@@ -495,23 +495,23 @@
 func TestSuspicionNeedsMoreThanOneSample(t *testing.T) {
 	r := newRig(t, testConfig())
 	n := r.d.nodes["n0"]
-	for i := range suspectAfter {
-		if n.until > r.now {
+	for i := range ejectionThreshold {
+		if n.ejectedUntil > r.now {
 			t.Fatalf("backed off after %d bad ends", i)
 		}
 		id, _ := r.ask(Request{Shard: 0, Plan: 1, Class: 2})
 		r.end(id, 0, ConnectionReset)
 	}
-	if n.until <= r.now {
+	if n.ejectedUntil <= r.now {
 		t.Fatal("not backed off")
 	}
-	r.now = n.until
+	r.now = n.ejectedUntil
 	id, acts := r.ask(Request{Shard: 0, Plan: 1, Class: 2})
 	want(t, "the first try after the back-off", acts, id, "sent")
 	id2, acts := r.ask(Request{Shard: 0, Plan: 1, Class: 2})
 	want(t, "only one at a time", acts, id2, "held")
 	r.end(id, 0, OK)
-	if r.d.depth(n) < depthMin {
+	if r.d.concurrencyLimit(n) < minConcurrency {
 		t.Error("an answer did not clear the suspicion")
 	}
 }
@@ -553,10 +553,10 @@
 		r.at(20 * ms)
 	}
 	d := r.d
-	if len(d.reqs) > 50 || len(d.turns) > 50 || len(d.vols) > 4000 || len(d.nodes) > 5 || d.agenda.Len() > 500 ||
-		len(d.taken) > 300 || len(d.order) > 5 {
-		t.Errorf("kept: %d requests, %d keys, %d volumes, %d nodes, %d tasks, %d taken", len(d.reqs), len(d.turns),
-			len(d.vols), len(d.nodes), d.agenda.Len(), len(d.taken))
+	if len(d.requests) > 50 || len(d.keyQueues) > 50 || len(d.volumes) > 4000 || len(d.nodes) > 5 || d.timers.Len() > 500 ||
+		len(d.budgetRequests) > 300 || len(d.nodeOrder) > 5 {
+		t.Errorf("kept: %d requests, %d keys, %d volumes, %d nodes, %d tasks, %d taken", len(d.requests), len(d.keyQueues),
+			len(d.volumes), len(d.nodes), d.timers.Len(), len(d.budgetRequests))
 	}
 }
 
--- a/internal/modelcheck/fingerprint.go
+++ b/internal/modelcheck/fingerprint.go
@@ -128,62 +128,62 @@
 
 	"dispatch.Request.Timeout": skip, // only on arrival
 
-	"dispatch.request.class":    skip,
-	"dispatch.request.seq":      rank,
-	"dispatch.request.sentAt":   moment,
-	"dispatch.request.deadline": due,
-	"dispatch.request.aimAt":    due,
-	"dispatch.request.doubtAt":  moment,
-	"dispatch.request.held":     skip,
-	"dispatch.request.queued":   skip, // accounts
-
-	"dispatch.volume.plan":      skip,
-	"dispatch.volume.tokensAt":  moment,
-	"dispatch.volume.reserveAt": moment,
-	"dispatch.volume.seen":      skip, // forgotten after 30 s
-
-	"dispatch.node.lat":        skip,
-	"dispatch.node.base":       skip, // taken as they have faded: learned
-	"dispatch.node.done":       skip, // it raises depth from 20 answers a second on
-	"dispatch.node.sentAt":     moment,
-	"dispatch.node.missedAt":   moment,
-	"dispatch.node.heardAt":    moment,
-	"dispatch.node.latAt":      skip,
-	"dispatch.node.until":      due,
-	"dispatch.node.wake":       due,
-	"dispatch.node.debtAt":     moment,
-	"dispatch.node.blocked":    skip,
-	"dispatch.node.blockedAt":  skip,
-	"dispatch.node.pausing":    skip,
-	"dispatch.node.coldSum":    skip,
-	"dispatch.node.suspectSum": skip, // accounts
-
-	"dispatch.meter.at": moment,
-
-	"dispatch.turn.rest": due,
-
-	"dispatch.Dispatcher.cfg":       skip,
-	"dispatch.Dispatcher.now":       skip,
-	"dispatch.Dispatcher.born":      moment,
-	"dispatch.Dispatcher.tightest":  skip,
-	"dispatch.Dispatcher.maxLeft":   span,
-	"dispatch.Dispatcher.wakeAt":    near,
-	"dispatch.Dispatcher.seq":       skip,
-	"dispatch.Dispatcher.taken":     moment,
-	"dispatch.Dispatcher.extra":     moment,
-	"dispatch.Dispatcher.acts":      skip,
-	"dispatch.Dispatcher.bestValue": skip,
-	"dispatch.Dispatcher.order":     skip,
-	"dispatch.Dispatcher.volOrder":  skip,
-
-	"dispatch.flow.parkedAt":  skip,
-	"dispatch.flow.parkedSum": skip,
-	"dispatch.flow.pos":       skip, // accounts, and a place in the heap that follows from its order
+	"dispatch.request.class":            skip,
+	"dispatch.request.sequence":         rank,
+	"dispatch.request.sentAt":           moment,
+	"dispatch.request.deadline":         due,
+	"dispatch.request.objectiveAt":      due,
+	"dispatch.request.ambiguousSince":   moment,
+	"dispatch.request.queueTime":        skip,
+	"dispatch.request.blockedAtEnqueue": skip, // accounts
+
+	"dispatch.volume.plan":             skip,
+	"dispatch.volume.tokensUpdatedAt":  moment,
+	"dispatch.volume.reserveUpdatedAt": moment,
+	"dispatch.volume.lastSeen":         skip, // forgotten after 30 s
+
+	"dispatch.node.delay":                skip,
+	"dispatch.node.secondsPerUnit":       skip, // taken as they have faded: learned
+	"dispatch.node.completions":          skip, // it raises depth from 20 answers a second on
+	"dispatch.node.lastSentAt":           moment,
+	"dispatch.node.lastUnansweredSentAt": moment,
+	"dispatch.node.lastPromptSentAt":     moment,
+	"dispatch.node.delayUpdatedAt":       skip,
+	"dispatch.node.ejectedUntil":         due,
+	"dispatch.node.releaseAt":            due,
+	"dispatch.node.slowStartDebtAt":      moment,
+	"dispatch.node.blocked":              skip,
+	"dispatch.node.blockedAt":            skip,
+	"dispatch.node.blockedByEjection":    skip,
+	"dispatch.node.slowStartTime":        skip,
+	"dispatch.node.ejectedTime":          skip, // accounts
+
+	"dispatch.decayingSum.updatedAt": moment,
+
+	"dispatch.keyQueue.quiescentAt": due,
+
+	"dispatch.Dispatcher.cfg":               skip,
+	"dispatch.Dispatcher.now":               skip,
+	"dispatch.Dispatcher.startedAt":         moment,
+	"dispatch.Dispatcher.tightestObjective": skip,
+	"dispatch.Dispatcher.maxTimeouts":       span,
+	"dispatch.Dispatcher.wakeAt":            near,
+	"dispatch.Dispatcher.lastSequence":      skip,
+	"dispatch.Dispatcher.budgetRequests":    moment,
+	"dispatch.Dispatcher.budgetRetries":     moment,
+	"dispatch.Dispatcher.actions":           skip,
+	"dispatch.Dispatcher.maxPriority":       skip,
+	"dispatch.Dispatcher.nodeOrder":         skip,
+	"dispatch.Dispatcher.volumeOrder":       skip,
+
+	"dispatch.flow.throttledAt":   skip,
+	"dispatch.flow.throttledTime": skip,
+	"dispatch.flow.heapIndex":     skip, // accounts, and a place in the heap that follows from its order
 }
 
 // sorted are the heaps: what they hold matters, in the order in which it comes out.
 var heaps = map[string][]string{
-	"timerqueue.timerHeap": {"at", "seq"}, "dispatch.flowHeap": {"start"},
+	"timerqueue.timerHeap": {"at", "seq"}, "dispatch.flowHeap": {"startTag"},
 }
 
 var durationType = reflect.TypeFor[time.Duration]()
@@ -236,22 +236,22 @@
 		limits, reserve = limits || p.RateLimit > 0, reserve || p.Reserve > 0
 	}
 	if !cold {
-		skipAll("dispatch.node.debt", "dispatch.node.debtAt", "dispatch.node.use", "dispatch.Dispatcher.usages")
+		skipAll("dispatch.node.slowStartDebt", "dispatch.node.slowStartDebtAt", "dispatch.node.shardThroughput", "dispatch.Dispatcher.throughputByShard")
 	}
 	if !limits {
-		skipAll("dispatch.volume.tokens", "dispatch.volume.tokensAt")
+		skipAll("dispatch.volume.tokens", "dispatch.volume.tokensUpdatedAt")
 	}
 	if !cold && !limits {
-		skipAll("dispatch.Dispatcher.born")
+		skipAll("dispatch.Dispatcher.startedAt")
 	}
 	if !reserve {
-		skipAll("dispatch.volume.reserveAt")
+		skipAll("dispatch.volume.reserveUpdatedAt")
 	}
 	if volumes == 1 { // one flow at each node: its tags order nothing
-		skipAll("dispatch.node.v", "dispatch.request.vArr", "dispatch.flow.lastS", "dispatch.flow.lastC", "dispatch.flow.lastF", "dispatch.flow.floor", "dispatch.flow.start")
+		skipAll("dispatch.node.virtualTime", "dispatch.request.arrivalVirtualTime", "dispatch.flow.lastStartTag", "dispatch.flow.lastCost", "dispatch.flow.lastFinishTag", "dispatch.flow.minStartTag", "dispatch.flow.startTag")
 	}
 	if c.RetryBudget.Ratio == 0 {
-		skipAll("dispatch.Dispatcher.taken", "modelcheck.rules.took")
+		skipAll("dispatch.Dispatcher.budgetRequests", "modelcheck.rules.took")
 	}
 	if w.cfg.IdleTimeout > far && w.cfg.MaxConnAge > far {
 		skipAll("forwarder.conn.born", "forwarder.conn.since")
@@ -433,7 +433,7 @@
 	idx = slices.DeleteFunc(idx, func(i int) bool {
 		e := v.Index(i).Elem()
 		timer := e.FieldByName("Value")
-		return timer.IsValid() && timer.Type().Name() == "task" && timer.FieldByName("kind").Int() == doControl
+		return timer.IsValid() && typeName(timer.Type()) == "dispatch.timerEvent" && timer.FieldByName("kind").Int() == doControl
 	})
 	slices.SortFunc(idx, func(a, b int) int {
 		x, y := v.Index(a).Elem(), v.Index(b).Elem()
@@ -510,9 +510,9 @@
 
 // learned takes a node's delay as it has faded by now.
 func (p *printer) learned(v reflect.Value) {
-	lat, at := v.FieldByName("lat").Float(), time.Duration(v.FieldByName("latAt").Int())
+	lat, at := v.FieldByName("delay").Float(), time.Duration(v.FieldByName("delayUpdatedAt").Int())
 	p.seconds(lat * math.Exp2(-float64(p.now-at)/(3*float64(p.tight))))
-	p.seconds(v.FieldByName("base").Float())
+	p.seconds(v.FieldByName("secondsPerUnit").Float())
 }
 
 // seconds takes a length of time that was learned, by milliseconds where that is
--- a/internal/modelcheck/rules.go
+++ b/internal/modelcheck/rules.go
@@ -315,7 +315,7 @@
 // dispatched is how many requests the dispatcher has, by reflection: it has no need
 // to tell.
 func dispatched(x *forwarder.Forwarder) int {
-	return reflect.ValueOf(x).Elem().FieldByName("d").Elem().FieldByName("reqs").Len()
+	return reflect.ValueOf(x).Elem().FieldByName("d").Elem().FieldByName("requests").Len()
 }
 
 // checkConns lets the time pass in which unused connections are closed: then none
--- a/lab/mutation/list.go
+++ b/lab/mutation/list.go
@@ -78,26 +78,26 @@
 		},
 		{Name: "attempts without end", File: choiceFile, From: "d.cfg.MaxAttempts > 0 && r.attempts >= d.cfg.MaxAttempts", To: "false"},
 		{Name: "an unsafe request is repeated", File: choiceFile, From: "		case NonIdempotent:\n			return false", To: "		case NonIdempotent:\n			return true"},
-		{Name: "the window is not looked at", File: choiceFile, From: "if !in || d.now-r.doubtAt >= r.class.DedupWindow {", To: "if !in {"},
-		{Name: "no budget", File: choiceFile, From: "return float64(len(d.extra)+1) <= b.MinRetries+b.Ratio*float64(len(d.taken))", To: "return true"},
-		{Name: "a refusal where an attempt may have run", File: choiceFile, From: "	return !r.mayHaveRun && !r.out || r.class.Idempotency == Idempotent ||", To: "	return true || r.class.Idempotency == Idempotent ||"},
-		{Name: "a key does not rest", File: choiceFile, From: "		t.rest = max(t.rest, d.now+d.cfg.Quiescence)", To: "		t.rest = max(t.rest, d.now)"},
+		{Name: "the window is not looked at", File: choiceFile, From: "if !in || d.now-r.ambiguousSince >= r.class.DedupWindow {", To: "if !in {"},
+		{Name: "no budget", File: choiceFile, From: "return float64(len(d.budgetRetries)+1) <= b.MinRetries+b.Ratio*float64(len(d.budgetRequests))", To: "return true"},
+		{Name: "a refusal where an attempt may have run", File: choiceFile, From: "	return !r.ambiguous && !r.outstanding || r.class.Idempotency == Idempotent ||", To: "	return true || r.class.Idempotency == Idempotent ||"},
+		{Name: "a key does not rest", File: choiceFile, From: "		t.quiescentAt = max(t.quiescentAt, d.now+d.cfg.Quiescence)", To: "		t.quiescentAt = max(t.quiescentAt, d.now)"},
 		{
-			Name: "the next of a key before the last has left its node", File: choiceFile, From: "t.line[0].state == over && !t.line[0].out {", To: "t.line[0].state == over {",
+			Name: "the next of a key before the last has left its node", File: choiceFile, From: "t.requests[0].state == completed && !t.requests[0].outstanding {", To: "t.requests[0].state == completed {",
 			Equal: "the forwarder tells of an attempt's end in the event in which it tells of its request's; the guard counts where attempts outlast requests, as on the bench",
 		},
 		{
-			Name: "a key's turn is not passed on", File: choiceFile, From: "		d.place(t.line[0])\n	default:", To: "	default:",
+			Name: "a key's turn is not passed on", File: choiceFile, From: "		d.place(t.requests[0])\n	default:", To: "	default:",
 			Equal: "no rule is broken: the next request is refused at its aim; the dispatcher's TestRuleOrder finds it",
 		},
 		{
-			Name: "a further attempt forgets its queue", File: choiceFile, From: "				if n := r.node; n.listed && n.State == Ready && d.mayRepeat(r, n) {", To: "				if n := r.node; n.listed && n.State == Ready {",
+			Name: "a further attempt forgets its queue", File: choiceFile, From: "				if n := r.node; n.listed && n.State == Ready && d.mayRetry(r, n) {", To: "				if n := r.node; n.listed && n.State == Ready {",
 			Equal: "what may not be repeated is not sent, by the guard on what leaves; the request is refused at its aim, not at once",
 		},
 		{
-			Name: "what a drained node holds stays", File: choiceFile, From: "		if n.State != Ready {\n			d.evict(n)\n		}", To: "",
+			Name: "what a drained node holds stays", File: choiceFile, From: "		if n.State != Ready {\n			d.requeueFrom(n)\n		}", To: "",
 			Equal: "no rule is broken: nothing is sent to the node, and what it holds is refused at its aim; the dispatcher's TestRuleDrain finds it",
 		},
-		{Name: "no end by the aim", File: choiceFile, From: "if r := t.req; r.state == held || r.state == waiting {", To: "if r := t.req; r.state == held {"},
+		{Name: "no end by the aim", File: choiceFile, From: "if r := t.request; r.state == queued || r.state == awaitingTurn {", To: "if r := t.request; r.state == queued {"},
 	}
 }
