--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -63,7 +63,7 @@
 		},
 		{
 			"senseless settings", "BEGIN_BATCH 1\nFOR d_1\nBEGIN 1 peers_total=0\nGO\n",
-			"BY d_1\nFATAL line 3: BEGIN: dispatch: Peers: want at least 1\nREADY\n", "Peers",
+			"BY d_1\nFATAL line 3: BEGIN: dispatch: DispatcherCount: expected at least 1, got 0\nREADY\n", "DispatcherCount",
 		},
 		{"noise where no instance is known", "noise\n", "", "expected BEGIN_BATCH"},
 	} {
--- /dev/null
+++ b/dispatch/outlier.go
@@ -0,0 +1,57 @@
+// Outlier detection: a node is ejected for a while after consecutive failures. Decides when and
+// for how long. Owns node.consecutiveFailures and node.ejectedUntil.
+
+package dispatch
+
+import "time"
+
+const (
+	// ejectionThreshold is the number of consecutive failures from which a node is ejected.
+	ejectionThreshold = 3
+
+	// The ejection doubles with each further failure between these bounds, times a random
+	// factor between minEjectionJitter and minEjectionJitter+ejectionJitterRange.
+	minEjection         = 100 * time.Millisecond
+	maxEjection         = 2 * time.Second
+	maxEjectionDoubling = 8
+	minEjectionJitter   = 0.75
+	ejectionJitterRange = 0.5
+)
+
+// recordResult updates the state of n with the result of an attempt. Only a served response
+// ends the ejection of a node.
+func (d *Dispatcher) recordResult(n *node, r *request, e AttemptCompleted) {
+	switch e.Result {
+	case OK:
+		d.updateLossRate(n, r, e)
+		n.consecutiveFailures = 0
+		n.ejectedUntil = 0
+		n.completions.add(d.now, 1, completionWindow)
+		d.observeLatency(n, r, e)
+		n.shardThroughput.add(d.now, r.Units, shardThroughputWindow)
+		d.cancelPresumedLost(n)
+	case Canceled:
+		if r.presumedLost { // says nothing of the node
+			n.recordUnanswered(r)
+		}
+	case Rejected, TimedOut, ConnectFailed, ConnectionReset:
+		n.consecutiveFailures++
+		n.uncongestedResponses = 0
+		if e.Result == TimedOut {
+			n.recordUnanswered(r)
+		}
+		if n.consecutiveFailures >= ejectionThreshold {
+			d.eject(n)
+		}
+	case ServerError, NotSent:
+	}
+}
+
+// eject stops sending to n for a time that grows with its consecutive failures.
+func (d *Dispatcher) eject(n *node) {
+	doubling := min(n.consecutiveFailures-ejectionThreshold, maxEjectionDoubling)
+	ejection := min(minEjection<<doubling, maxEjection)
+	jitter := minEjectionJitter + ejectionJitterRange*d.rng.Float64()
+	n.ejectedUntil = d.now + time.Duration(float64(ejection)*jitter)
+	d.addTimer(n.ejectedUntil, timerEvent{kind: releaseTimer, node: n})
+}
--- a/dispatch/queue_test.go
+++ b/dispatch/queue_test.go
@@ -235,7 +235,7 @@
 	r := newRig(t, testConfig())
 	r.ask(Request{Shard: 0, Plan: 0})
 	v := r.d.volumes["v"]
-	v.refillTokens(r.d)
+	r.d.refillTokens(v)
 	tokens, reserve := v.tokens, v.reserve
 	for _, u := range []float64{math.NaN(), math.Inf(1), -1e9, 1e9} {
 		r.do(CostCorrection{Volume: "v", Node: "n0", Units: u})
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -1,6 +1,7 @@
 package dispatch
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"strings"
@@ -516,25 +517,40 @@
 	}
 }
 
-func TestNewNamesTheField(t *testing.T) {
+func TestNewReturnsConfigError(t *testing.T) {
 	for field, spoil := range map[string]func(*Config){
-		"Peers":             func(c *Config) { c.DispatcherCount = 0 },
-		"Me":                func(c *Config) { c.DispatcherIndex = 2 },
-		"Classes":           func(c *Config) { c.Classes = nil },
-		"Plans":             func(c *Config) { c.Plans = nil },
-		"Classes[1].Aim":    func(c *Config) { c.Classes[1].LatencyObjective = 0 },
-		"Classes[1].Window": func(c *Config) { c.Classes[1].DedupWindow = -1 },
-		"Plans[0].Weight":   func(c *Config) { c.Plans[0].Weight = 0 },
-		"Plans[1]":          func(c *Config) { c.Plans[1].RateLimit = -1 },
-		"Cold":              func(c *Config) { c.SlowStart.InitialCapacity = 0 },
-		"Budget":            func(c *Config) { c.RetryBudget.MinRetries = -1 },
-		"MaxAttempts":       func(c *Config) { c.MaxAttempts = -1 },
+		"DispatcherCount":             func(c *Config) { c.DispatcherCount = 0 },
+		"DispatcherIndex":             func(c *Config) { c.DispatcherIndex = 2 },
+		"Classes":                     func(c *Config) { c.Classes = nil },
+		"Classes[1].LatencyObjective": func(c *Config) { c.Classes[1].LatencyObjective = 0 },
+		"Classes[0].Deadline":         func(c *Config) { c.Classes[0].Deadline = -1 },
+		"Classes[1].DedupWindow":      func(c *Config) { c.Classes[1].DedupWindow = -1 },
+		"Plans":                       func(c *Config) { c.Plans = nil },
+		"Plans[0].Weight":             func(c *Config) { c.Plans[0].Weight = 0 },
+		"Plans[1].Weight":             func(c *Config) { c.Plans[1].Weight = math.NaN() },
+		"Plans[1].RateLimit":          func(c *Config) { c.Plans[1].RateLimit = -1 },
+		"Plans[0].Burst":              func(c *Config) { c.Plans[0].Burst = -1 },
+		"Plans[0].Slack":              func(c *Config) { c.Plans[0].Slack = -1 },
+		"Plans[0].Reserve":            func(c *Config) { c.Plans[0].Reserve = -1 },
+		"SlowStart.Window":            func(c *Config) { c.SlowStart.Window = 0 },
+		"SlowStart.InitialCapacity":   func(c *Config) { c.SlowStart.InitialCapacity = 0 },
+		"RetryBudget.Window":          func(c *Config) { c.RetryBudget.Window = -1 },
+		"RetryBudget.MinRetries":      func(c *Config) { c.RetryBudget.MinRetries = -1 },
+		"RetryBudget.Ratio":           func(c *Config) { c.RetryBudget.Ratio = -1 },
+		"MaxAttempts":                 func(c *Config) { c.MaxAttempts = -1 },
 	} {
-		c := testConfig()
-		spoil(&c)
-		if _, err := New(c, 1); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: error %v does not name it", field, err)
-		}
+		t.Run(field, func(t *testing.T) {
+			cfg := testConfig()
+			spoil(&cfg)
+			_, err := New(cfg, 1)
+			var invalid *ConfigError
+			if !errors.As(err, &invalid) || invalid.Field != field {
+				t.Fatalf("error %v, want a ConfigError of %s", err, field)
+			}
+			if !strings.Contains(err.Error(), field+": expected ") {
+				t.Errorf("text %q does not say what is expected of %s", err, field)
+			}
+		})
 	}
 }
 
--- a/lab/mutation/list.go
+++ b/lab/mutation/list.go
@@ -3,7 +3,12 @@
 const (
 	exchangeFile = "forwarder/forwarder.go"
 	readerFile   = "internal/upstreamhttp/reader.go"
-	choiceFile   = "dispatch/dispatcher.go"
+
+	attemptsFile  = "dispatch/attempts.go"
+	endpointsFile = "dispatch/endpoints.go"
+	orderingFile  = "dispatch/ordering.go"
+	requestFile   = "dispatch/request.go"
+	retryFile     = "dispatch/retry.go"
 )
 
 // All returns the faults.
@@ -73,31 +78,31 @@
 
 		// The dispatcher.
 		{
-			Name: "a drained node is sent to", File: choiceFile, From: "d.now >= r.deadline || !n.listed || n.State != Ready {", To: "d.now >= r.deadline || !n.listed {",
+			Name: "a drained node is sent to", File: attemptsFile, From: "d.now >= r.deadline || !n.listed || n.State != Ready {", To: "d.now >= r.deadline || !n.listed {",
 			Equal: "what a node that drains holds has been taken from it in the same event",
 		},
-		{Name: "attempts without end", File: choiceFile, From: "d.cfg.MaxAttempts > 0 && r.attempts >= d.cfg.MaxAttempts", To: "false"},
-		{Name: "an unsafe request is repeated", File: choiceFile, From: "		case NonIdempotent:\n			return false", To: "		case NonIdempotent:\n			return true"},
-		{Name: "the window is not looked at", File: choiceFile, From: "if !in || d.now-r.ambiguousSince >= r.class.DedupWindow {", To: "if !in {"},
-		{Name: "no budget", File: choiceFile, From: "return float64(len(d.budgetRetries)+1) <= b.MinRetries+b.Ratio*float64(len(d.budgetRequests))", To: "return true"},
-		{Name: "a refusal where an attempt may have run", File: choiceFile, From: "	return !r.ambiguous && !r.outstanding || r.class.Idempotency == Idempotent ||", To: "	return true || r.class.Idempotency == Idempotent ||"},
-		{Name: "a key does not rest", File: choiceFile, From: "		t.quiescentAt = max(t.quiescentAt, d.now+d.cfg.Quiescence)", To: "		t.quiescentAt = max(t.quiescentAt, d.now)"},
+		{Name: "attempts without end", File: retryFile, From: "d.cfg.MaxAttempts > 0 && r.attempts >= d.cfg.MaxAttempts", To: "false"},
+		{Name: "an unsafe request is repeated", File: retryFile, From: "	case NonIdempotent:\n		return false", To: "	case NonIdempotent:\n		return true"},
+		{Name: "the window is not looked at", File: retryFile, From: "return inScope && d.now-r.ambiguousSince < r.class.DedupWindow", To: "return inScope"},
+		{Name: "no budget", File: retryFile, From: "	return float64(len(d.budgetRetries)+1) <= allowed", To: "	_ = allowed\n	return true"},
+		{Name: "a refusal where an attempt may have run", File: requestFile, From: "	return !r.ambiguous && !r.outstanding || r.class.Idempotency == Idempotent ||", To: "	return true || r.class.Idempotency == Idempotent ||"},
+		{Name: "a key does not rest", File: orderingFile, From: "	q.quiescentAt = max(q.quiescentAt, d.now+d.cfg.Quiescence)", To: "	q.quiescentAt = max(q.quiescentAt, d.now)"},
 		{
-			Name: "the next of a key before the last has left its node", File: choiceFile, From: "t.requests[0].state == completed && !t.requests[0].outstanding {", To: "t.requests[0].state == completed {",
+			Name: "the next of a key before the last has left its node", File: orderingFile, From: "q.requests[0].state == completed && !q.requests[0].outstanding {", To: "q.requests[0].state == completed {",
 			Equal: "the forwarder tells of an attempt's end in the event in which it tells of its request's; the guard counts where attempts outlast requests, as on the bench",
 		},
 		{
-			Name: "a key's turn is not passed on", File: choiceFile, From: "		d.place(t.requests[0])\n	default:", To: "	default:",
+			Name: "a key's turn is not passed on", File: orderingFile, From: "		d.place(q.requests[0])\n	default:", To: "	default:",
 			Equal: "no rule is broken: the next request is refused at its aim; the dispatcher's TestRuleOrder finds it",
 		},
 		{
-			Name: "a further attempt forgets its queue", File: choiceFile, From: "				if n := r.node; n.listed && n.State == Ready && d.mayRetry(r, n) {", To: "				if n := r.node; n.listed && n.State == Ready {",
+			Name: "a further attempt forgets its queue", File: retryFile, From: "	if n := r.node; n.listed && n.State == Ready && d.mayRetry(r, n) {", To: "	if n := r.node; n.listed && n.State == Ready {",
 			Equal: "what may not be repeated is not sent, by the guard on what leaves; the request is refused at its aim, not at once",
 		},
 		{
-			Name: "what a drained node holds stays", File: choiceFile, From: "		if n.State != Ready {\n			d.requeueFrom(n)\n		}", To: "",
+			Name: "what a drained node holds stays", File: endpointsFile, From: "		if n.State != Ready {\n			d.requeueFrom(n)\n		}", To: "",
 			Equal: "no rule is broken: nothing is sent to the node, and what it holds is refused at its aim; the dispatcher's TestRuleDrain finds it",
 		},
-		{Name: "no end by the aim", File: choiceFile, From: "if r := t.request; r.state == queued || r.state == awaitingTurn {", To: "if r := t.request; r.state == queued {"},
+		{Name: "no end by the aim", File: requestFile, From: "	if r.state == queued || r.state == awaitingTurn {", To: "	if r.state == queued {"},
 	}
 }
