--- /dev/null
+++ b/dispatch/config_test.go
@@ -0,0 +1,87 @@
+package dispatch
+
+import (
+	"errors"
+	"math"
+	"strings"
+	"testing"
+	"time"
+)
+
+func TestNewReturnsConfigError(t *testing.T) {
+	for field, spoil := range map[string]func(*Config){
+		"DispatcherCount":             func(c *Config) { c.DispatcherCount = 0 },
+		"DispatcherIndex":             func(c *Config) { c.DispatcherIndex = 2 },
+		"Classes":                     func(c *Config) { c.Classes = nil },
+		"Classes[1].LatencyObjective": func(c *Config) { c.Classes[1].LatencyObjective = 0 },
+		"Classes[0].Deadline":         func(c *Config) { c.Classes[0].Deadline = -1 },
+		"Classes[1].DedupWindow":      func(c *Config) { c.Classes[1].DedupWindow = -1 },
+		"Plans":                       func(c *Config) { c.Plans = nil },
+		"Plans[0].Weight":             func(c *Config) { c.Plans[0].Weight = 0 },
+		"Plans[1].Weight":             func(c *Config) { c.Plans[1].Weight = math.NaN() },
+		"Plans[1].RateLimit":          func(c *Config) { c.Plans[1].RateLimit = -1 },
+		"Plans[0].Burst":              func(c *Config) { c.Plans[0].Burst = -1 },
+		"Plans[0].Slack":              func(c *Config) { c.Plans[0].Slack = -1 },
+		"Plans[0].Reserve":            func(c *Config) { c.Plans[0].Reserve = -1 },
+		"SlowStart.Window":            func(c *Config) { c.SlowStart.Window = 0 },
+		"SlowStart.InitialCapacity":   func(c *Config) { c.SlowStart.InitialCapacity = 0 },
+		"RetryBudget.Window":          func(c *Config) { c.RetryBudget.Window = -1 },
+		"RetryBudget.MinRetries":      func(c *Config) { c.RetryBudget.MinRetries = -1 },
+		"RetryBudget.Ratio":           func(c *Config) { c.RetryBudget.Ratio = -1 },
+		"MaxAttempts":                 func(c *Config) { c.MaxAttempts = -1 },
+	} {
+		t.Run(field, func(t *testing.T) {
+			cfg := testConfig()
+			spoil(&cfg)
+			_, err := New(cfg, 1)
+			var invalid *ConfigError
+			if !errors.As(err, &invalid) || invalid.Field != field {
+				t.Fatalf("error %v, want a ConfigError of %s", err, field)
+			}
+			if !strings.Contains(err.Error(), field+": expected ") {
+				t.Errorf("text %q does not say what is expected of %s", err, field)
+			}
+		})
+	}
+}
+
+// Settings and requests at their extremes get a sensible decision.
+func TestExtremeSettingsAndRequests(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		spoil func(*Config)
+		ask   Request
+		want  string
+	}{
+		{"one dispatcher", func(c *Config) { c.DispatcherCount = 1 }, Request{Shard: 0}, "sent"},
+		{"no figures of units", func(c *Config) { c.MeanUnits, c.MaxUnits = 0, 0 }, Request{Shard: 0}, "sent"},
+		{"no reserve", func(c *Config) { c.Plans[1].Reserve = 0 }, Request{Shard: 0, Plan: 1}, "sent"},
+		{"no worth stated", func(c *Config) { c.Classes[0].PriorityWeight = 0 }, Request{Shard: 0}, "sent"},
+		{"an aim beyond the deadline", func(c *Config) { c.Classes[0].LatencyObjective = time.Hour }, Request{Shard: 0}, "sent"},
+		{
+			"a limit below one request", func(c *Config) { c.Plans[0].RateLimit, c.Plans[0].Burst, c.Plans[0].Slack = 1, 1, 1 },
+			Request{Shard: 0, Units: 8},
+			"refused",
+		},
+		{"no limit's store at all", func(c *Config) { c.Plans[0].Burst, c.Plans[0].Slack = 0, 0 }, Request{Shard: 0}, "refused"},
+		{"units below nothing", func(*Config) {}, Request{Shard: 0, Units: -1}, "refused"},
+		{"no time left", func(*Config) {}, Request{Shard: 0, Timeout: -1}, "refused"},
+		{"an unknown plan", func(*Config) {}, Request{Shard: 0, Plan: 9}, "refused"},
+		{"no round stated", func(c *Config) { c.RoundTrip = 0 }, Request{Shard: 0}, "sent"},
+		{"no key in a class that keeps order", func(*Config) {}, Request{Shard: 0, Class: 1}, "sent"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			cfg := testConfig()
+			c.spoil(&cfg)
+			id, acts := newRig(t, cfg).request(c.ask)
+			expectOutcome(t, c.name, acts, id, c.want)
+		})
+	}
+	t.Run("a request told twice is answered once", func(t *testing.T) {
+		r := newRig(t, testConfig())
+		id, _ := r.request(Request{Shard: 0})
+		if acts := r.handle(Request{ID: id, Shard: 0, Units: 1, Timeout: time.Second}); len(acts) > 0 {
+			t.Errorf("acted on the second: %v", acts)
+		}
+	})
+}
--- a/dispatch/queue_test.go
+++ b/dispatch/fairqueue_test.go
@@ -5,7 +5,6 @@
 	"math"
 	"math/rand/v2"
 	"testing"
-	"time"
 )
 
 // queueRig holds requests of volumes on one node without any admission.
@@ -25,7 +24,7 @@
 	return v
 }
 
-func (q *queueRig) hold(v *volume, units float64) *request {
+func (q *queueRig) enqueue(v *volume, units float64) *request {
 	q.d.lastSequence++
 	r := &request{
 		Request: Request{Units: units}, class: &q.d.cfg.Classes[0], volume: v, sequence: q.d.lastSequence, objectiveAt: math.MaxInt64 / 4,
@@ -35,8 +34,8 @@
 	return r
 }
 
-// pop releases the request with the lowest start tag.
-func (q *queueRig) pop() *request {
+// release releases the request with the lowest start tag.
+func (q *queueRig) release() *request {
 	f := q.n.flows[0]
 	r := f.requests[0]
 	f.recordDispatch(r)
@@ -46,19 +45,19 @@
 }
 
 // The tags of a small run worked out by hand: S = max(v, F_prev), F = S + c/φ.
-func TestTagsByHand(t *testing.T) {
+func TestTags(t *testing.T) {
 	q := newQueueRig(t)
 	a, b := q.volume("a", 1), q.volume("b", 2)
-	q.hold(a, 2) // S 0, F 2
-	q.hold(a, 1) // S 2, F 3
-	q.hold(b, 4) // S 0, F 2
-	q.hold(b, 2) // S 2, F 3
-	q.hold(b, 2) // S 3, F 4
+	q.enqueue(a, 2) // S 0, F 2
+	q.enqueue(a, 1) // S 2, F 3
+	q.enqueue(b, 4) // S 0, F 2
+	q.enqueue(b, 2) // S 2, F 3
+	q.enqueue(b, 2) // S 3, F 4
 	var got string
 	for len(q.n.flows) > 0 {
 		f := q.n.flows[0]
 		got += fmt.Sprintf("%s%g ", f.volume.id, f.startTag)
-		q.pop()
+		q.release()
 	}
 	if want := "a0 b0 a2 b2 b3 "; got != want {
 		t.Errorf("left as %q, want %q", got, want)
@@ -66,23 +65,23 @@
 	if q.n.virtualTime != 3 {
 		t.Errorf("v = %g, want 3, the start tag sent last", q.n.virtualTime)
 	}
-	q.hold(a, 1) // F_prev 3, v 3
+	q.enqueue(a, 1) // F_prev 3, v 3
 	if s := q.n.flows[0].startTag; s != 3 {
 		t.Errorf("start after idle = %g, want 3", s)
 	}
 }
 
 // The paper's counter-example: a tiny weight must not bind a flow after it is raised.
-func TestRetagOnWeightChange(t *testing.T) {
+func TestWeightChangeRecomputesTags(t *testing.T) {
 	q := newQueueRig(t)
 	f, g := q.volume("f", 0.01), q.volume("g", 0.99)
 	for range 4 {
-		q.hold(f, 1)
-		q.hold(g, 1)
+		q.enqueue(f, 1)
+		q.enqueue(g, 1)
 	}
-	q.pop() // f: S 0, F 100
-	q.pop() // g: S 0
-	q.pop() // g: S 1.01
+	q.release() // f: S 0, F 100
+	q.release() // g: S 0
+	q.release() // g: S 1.01
 	f.setWeight(0.5)
 	g.setWeight(0.5)
 	// f's last sent: S 0, F 0+1/0.5 = 2; its next S = max(v, 2) = 2.
@@ -96,15 +95,15 @@
 }
 
 // A held request that leaves unsent leaves nothing in later tags.
-func TestUnsentLeavesNoCost(t *testing.T) {
+func TestUnsentRequestLeavesNoTrace(t *testing.T) {
 	q := newQueueRig(t)
 	a := q.volume("a", 1)
-	first, big, last := q.hold(a, 1), q.hold(a, 8), q.hold(a, 1)
+	first, big, last := q.enqueue(a, 1), q.enqueue(a, 8), q.enqueue(a, 1)
 	q.d.dequeue(big)
-	if q.pop() != first || q.n.flows[0].startTag != 1 {
+	if q.release() != first || q.n.flows[0].startTag != 1 {
 		t.Fatalf("start of the last = %g, want 1, the finish tag of the first", q.n.flows[0].startTag)
 	}
-	if q.pop() != last {
+	if q.release() != last {
 		t.Error("the last did not follow the first")
 	}
 }
@@ -118,8 +117,8 @@
 		f, g := q.volume("f", 1), q.volume("g", 1)
 		const most = 8.0
 		for range 5000 {
-			q.hold(f, 1+float64(rng.IntN(int(most))))
-			q.hold(g, 1+float64(rng.IntN(int(most))))
+			q.enqueue(f, 1+float64(rng.IntN(int(most))))
+			q.enqueue(g, 1+float64(rng.IntN(int(most))))
 		}
 		for i := range 30 {
 			f.setWeight(0.25 + 4*rng.Float64())
@@ -127,7 +126,7 @@
 			depth := 4 + rng.IntN(29)
 			var wf, wg float64
 			for range 20 + rng.IntN(100) {
-				if r := q.pop(); r.volume == f {
+				if r := q.release(); r.volume == f {
 					wf += r.Units
 				} else {
 					wg += r.Units
@@ -145,78 +144,20 @@
 	}
 }
 
-func TestController(t *testing.T) {
-	for _, c := range []struct {
-		name string
-		use  []float64 // figures as told, one before each interval
-		want float64
-	}{
-		{"no figure leaves it", []float64{0, 0}, 3},
-		{"a figure is 1 + percent", []float64{101}, 3},
-		{"double use halves it", []float64{201}, 1.5},
-		{"one figure acts once", []float64{201, 0, 0}, 1.5},
-		{"clamped below", []float64{1001, 1001}, 3 * minWeightFactor},
-		{"clamped above", []float64{2, 2}, 3 * maxWeightFactor},
-		{"comes back when use falls", []float64{201, 51}, 3},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, testConfig())
-			v := r.d.volumeFor(Request{Volume: "v", Plan: 1, Dispatchers: 1})
-			for _, u := range c.use {
-				if u > 0 {
-					v.quotaUsage = u
-				}
-				r.at(controllerInterval)
-			}
-			if math.Abs(v.weight-c.want) > 1e-9 {
-				t.Errorf("φ = %g, want %g", v.weight, c.want)
-			}
-		})
-	}
-}
-
-func TestDepth(t *testing.T) {
-	r := newRig(t, testConfig())
-	n := r.d.nodes["n0"]
-	if d := r.d.concurrencyLimit(n); d != 4 {
-		t.Errorf("unheard node: D = %d, want 4", d)
-	}
-	served := func(gap time.Duration, count int, s AttemptResult) {
-		for range count {
-			r.now += gap
-			r.d.now = r.now
-			r.d.recordResult(n, &request{Request: Request{Units: 1}}, AttemptCompleted{Result: s, Latency: 5 * ms})
-		}
-	}
-	served(20*ms, 1500, OK) // 50 a second x 0.2 s = 10
-	if d := r.d.concurrencyLimit(n); d < 9 || d > 11 {
-		t.Errorf("50 a second, aim 200 ms: D = %d, want about 10", d)
-	}
-	served(ms, 20000, OK)
-	if d := r.d.concurrencyLimit(n); d != 32 {
-		t.Errorf("1000 a second: D = %d, want the ceiling 32", d)
-	}
-	r.now += time.Minute
-	served(ms, 1000, ServerError) // quick errors are no completions
-	if d := r.d.concurrencyLimit(n); d != 4 {
-		t.Errorf("quick errors only: D = %d, want 4", d)
-	}
-}
-
 // What requests turn out to cost is charged to the tag of the volume that sent them:
 // one whose requests are eight times what they were taken for gets an eighth of the turns;
 // one that is found to have used little gets more. Idle volumes owe nothing.
-func TestMeasuredCost(t *testing.T) {
+func TestCostCorrectionChangesShare(t *testing.T) {
 	for _, x := range []struct{ more, want float64 }{{7, 1.0 / 8}, {0, 1}, {-0.75, 4}} {
 		q := newQueueRig(t)
 		a, b := q.volume("a", 1), q.volume("b", 1)
 		for range 400 {
-			q.hold(a, 1)
-			q.hold(b, 1)
+			q.enqueue(a, 1)
+			q.enqueue(b, 1)
 		}
 		var sent [2]float64
 		for range 300 {
-			r := q.pop()
+			r := q.release()
 			if r.volume == a {
 				sent[0]++
 				q.d.handleCostCorrection(CostCorrection{Volume: "a", Node: q.n.ID, Units: x.more})
@@ -229,28 +170,3 @@
 		}
 	}
 }
-
-// It counts against limit and reserve, and what makes no sense changes nothing.
-func TestMeasuredLimit(t *testing.T) {
-	r := newRig(t, testConfig())
-	r.ask(Request{Shard: 0, Plan: 0})
-	v := r.d.volumes["v"]
-	r.d.refillTokens(v)
-	tokens, reserve := v.tokens, v.reserve
-	for _, u := range []float64{math.NaN(), math.Inf(1), -1e9, 1e9} {
-		r.do(CostCorrection{Volume: "v", Node: "n0", Units: u})
-	}
-	r.do(CostCorrection{Volume: "v", Node: "none", Units: 1})
-	r.do(CostCorrection{Volume: "none", Node: "n0", Units: 1})
-	if v.tokens != tokens || v.reserve != reserve {
-		t.Errorf("tokens %g from %g, reserve %g from %g", v.tokens, tokens, v.reserve, reserve)
-	}
-	r.do(CostCorrection{Volume: "v", Node: "n0", Units: 3})
-	if math.Abs(v.tokens-(tokens-3)) > 1e-9 || math.Abs(v.reserve-(reserve-3)) > 1e-9 {
-		t.Errorf("tokens %g from %g, reserve %g from %g, want 3 less", v.tokens, tokens, v.reserve, reserve)
-	}
-	r.do(CostCorrection{Volume: "v", Node: "n0", Units: -8})
-	if v.tokens > v.tokenCapacity() {
-		t.Errorf("more tokens than the store holds")
-	}
-}
--- a/dispatch/helpers_test.go
+++ b/dispatch/helpers_test.go
@@ -45,20 +45,20 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, d: d, now: time.Hour}
-	r.list(Cached, Node{ID: "n0", Shard: 0}, Node{ID: "n1", Shard: 1})
+	r.updateEndpoints(Cached, Node{ID: "n0", Shard: 0}, Node{ID: "n1", Shard: 1})
 	r.now += 20 * time.Second // parts of limits have filled
-	r.do(TimerFired{"wake"})
+	r.handle(TimerFired{"wake"})
 	return r
 }
 
-func (r *rig) do(e Event) []Action { return r.d.Handle(r.now, e) }
+func (r *rig) handle(e Event) []Action { return r.d.Handle(r.now, e) }
 
-func (r *rig) list(k EndpointUpdateKind, ns ...Node) []Action {
-	return r.do(EndpointUpdate{Kind: k, Nodes: ns})
+func (r *rig) updateEndpoints(k EndpointUpdateKind, ns ...Node) []Action {
+	return r.handle(EndpointUpdate{Kind: k, Nodes: ns})
 }
 
-// ask sends a request, filling what the test leaves out.
-func (r *rig) ask(q Request) (RequestID, []Action) {
+// request sends a request, filling what the test leaves out.
+func (r *rig) request(q Request) (RequestID, []Action) {
 	r.id++
 	q.ID = r.id
 	if q.Units == 0 {
@@ -73,20 +73,20 @@
 	if q.Timeout == 0 {
 		q.Timeout = r.d.cfg.Classes[q.Class].Deadline
 	}
-	return q.ID, r.do(q)
+	return q.ID, r.handle(q)
 }
 
-// at moves the clock and fires the timer.
-func (r *rig) at(dt time.Duration) []Action {
+// advance moves the clock and fires the timer.
+func (r *rig) advance(dt time.Duration) []Action {
 	r.now += dt
-	return r.do(TimerFired{"wake"})
+	return r.handle(TimerFired{"wake"})
 }
 
-func (r *rig) end(id RequestID, attempt int, s AttemptResult) []Action {
-	return r.do(AttemptCompleted{ID: id, Attempt: attempt, Result: s, Responded: s == OK, Latency: 5 * ms})
+func (r *rig) complete(id RequestID, attempt int, s AttemptResult) []Action {
+	return r.handle(AttemptCompleted{ID: id, Attempt: attempt, Result: s, Responded: s == OK, Latency: 5 * ms})
 }
 
-func attempts(acts []Action) (ids []RequestID) {
+func sentRequests(acts []Action) (ids []RequestID) {
 	for _, a := range acts {
 		if a, ok := a.(SendAttempt); ok {
 			ids = append(ids, a.ID)
@@ -95,8 +95,8 @@
 	return ids
 }
 
-// kindOf is the last answer or attempt for id among acts.
-func kindOf(acts []Action, id RequestID) string {
+// outcomeOf is the last answer or attempt for id among acts.
+func outcomeOf(acts []Action, id RequestID) string {
 	kind := "held"
 	for _, a := range acts {
 		switch a := a.(type) {
@@ -117,9 +117,9 @@
 	return kind
 }
 
-func want(t *testing.T, what string, acts []Action, id RequestID, kind string) {
+func expectOutcome(t *testing.T, what string, acts []Action, id RequestID, kind string) {
 	t.Helper()
-	if got := kindOf(acts, id); got != kind {
+	if got := outcomeOf(acts, id); got != kind {
 		t.Errorf("%s: %s, want %s (%v)", what, got, kind, acts)
 	}
 }
--- a/lab/mutation/list.go
+++ b/lab/mutation/list.go
@@ -93,7 +93,7 @@
 		},
 		{
 			Name: "a key's turn is not passed on", File: orderingFile, From: "		d.place(q.requests[0])\n	default:", To: "	default:",
-			Equal: "no rule is broken: the next request is refused at its aim; the dispatcher's TestRuleOrder finds it",
+			Equal: "no rule is broken: the next request is refused at its aim; the dispatcher's TestOrderByKey finds it",
 		},
 		{
 			Name: "a further attempt forgets its queue", File: retryFile, From: "	if n := r.node; n.listed && n.State == Ready && d.mayRetry(r, n) {", To: "	if n := r.node; n.listed && n.State == Ready {",
@@ -101,7 +101,7 @@
 		},
 		{
 			Name: "what a drained node holds stays", File: endpointsFile, From: "		if n.State != Ready {\n			d.requeueFrom(n)\n		}", To: "",
-			Equal: "no rule is broken: nothing is sent to the node, and what it holds is refused at its aim; the dispatcher's TestRuleDrain finds it",
+			Equal: "no rule is broken: nothing is sent to the node, and what it holds is refused at its aim; the dispatcher's TestNodeThatIsNotReadyGetsNoRequests finds it",
 		},
 		{Name: "no end by the aim", File: requestFile, From: "	if r.state == queued || r.state == awaitingTurn {", To: "	if r.state == queued {"},
 	}
