--- a/dispatch/config_test.go
+++ b/dispatch/config_test.go
@@ -45,30 +45,30 @@
 	}
 }
 
-// Settings and requests at their extremes get a sensible decision.
+// Settings and requests at the ends of their ranges are accepted or rejected, never a panic.
 func TestExtremeSettingsAndRequests(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		spoil func(*Config)
 		ask   Request
-		want  string
+		want  outcome
 	}{
-		{"one dispatcher", func(c *Config) { c.DispatcherCount = 1 }, Request{Shard: 0}, "sent"},
-		{"no figures of units", func(c *Config) { c.MeanUnits, c.MaxUnits = 0, 0 }, Request{Shard: 0}, "sent"},
-		{"no reserve", func(c *Config) { c.Plans[1].Reserve = 0 }, Request{Shard: 0, Plan: 1}, "sent"},
-		{"no worth stated", func(c *Config) { c.Classes[0].PriorityWeight = 0 }, Request{Shard: 0}, "sent"},
-		{"an aim beyond the deadline", func(c *Config) { c.Classes[0].LatencyObjective = time.Hour }, Request{Shard: 0}, "sent"},
+		{"one dispatcher", func(c *Config) { c.DispatcherCount = 1 }, Request{Shard: 0}, sent},
+		{"no mean or largest cost", func(c *Config) { c.MeanUnits, c.MaxUnits = 0, 0 }, Request{Shard: 0}, sent},
+		{"no reserve", func(c *Config) { c.Plans[1].Reserve = 0 }, Request{Shard: 0, Plan: unlimitedPlan}, sent},
+		{"no priority weight", func(c *Config) { c.Classes[0].PriorityWeight = 0 }, Request{Shard: 0}, sent},
+		{"an objective beyond the deadline", func(c *Config) { c.Classes[0].LatencyObjective = time.Hour }, Request{Shard: 0}, sent},
 		{
-			"a limit below one request", func(c *Config) { c.Plans[0].RateLimit, c.Plans[0].Burst, c.Plans[0].Slack = 1, 1, 1 },
+			"a rate limit below one request", func(c *Config) { c.Plans[0].RateLimit, c.Plans[0].Burst, c.Plans[0].Slack = 1, 1, 1 },
 			Request{Shard: 0, Units: 8},
-			"refused",
+			rejected,
 		},
-		{"no limit's store at all", func(c *Config) { c.Plans[0].Burst, c.Plans[0].Slack = 0, 0 }, Request{Shard: 0}, "refused"},
-		{"units below nothing", func(*Config) {}, Request{Shard: 0, Units: -1}, "refused"},
-		{"no time left", func(*Config) {}, Request{Shard: 0, Timeout: -1}, "refused"},
-		{"an unknown plan", func(*Config) {}, Request{Shard: 0, Plan: 9}, "refused"},
-		{"no round stated", func(c *Config) { c.RoundTrip = 0 }, Request{Shard: 0}, "sent"},
-		{"no key in a class that keeps order", func(*Config) {}, Request{Shard: 0, Class: 1}, "sent"},
+		{"a rate limit without a bucket", func(c *Config) { c.Plans[0].Burst, c.Plans[0].Slack = 0, 0 }, Request{Shard: 0}, rejected},
+		{"negative units", func(*Config) {}, Request{Shard: 0, Units: -1}, rejected},
+		{"no time left", func(*Config) {}, Request{Shard: 0, Timeout: -1}, rejected},
+		{"an unknown plan", func(*Config) {}, Request{Shard: 0, Plan: 9}, rejected},
+		{"no round trip", func(c *Config) { c.RoundTrip = 0 }, Request{Shard: 0}, sent},
+		{"no key in a class that keeps order", func(*Config) {}, Request{Shard: 0, Class: deduplicatedClass}, sent},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := testConfig()
@@ -77,11 +77,11 @@
 			expectOutcome(t, c.name, acts, id, c.want)
 		})
 	}
-	t.Run("a request told twice is answered once", func(t *testing.T) {
+	t.Run("a duplicate request is answered once", func(t *testing.T) {
 		r := newRig(t, testConfig())
 		id, _ := r.request(Request{Shard: 0})
 		if acts := r.handle(Request{ID: id, Shard: 0, Units: 1, Timeout: time.Second}); len(acts) > 0 {
-			t.Errorf("acted on the second: %v", acts)
+			t.Errorf("actions for the duplicate: %v", acts)
 		}
 	})
 }
--- a/dispatch/endpoints_test.go
+++ b/dispatch/endpoints_test.go
@@ -6,39 +6,39 @@
 )
 
 func TestNodeThatIsNotReadyGetsNoRequests(t *testing.T) {
-	for _, kind := range []string{"draining", "gone", "missing from the whole list"} {
+	for _, kind := range []string{"draining", "removed", "missing from a snapshot"} {
 		t.Run(kind, func(t *testing.T) {
 			r := newRig(t, testConfig())
 			switch kind {
 			case "draining":
 				r.updateEndpoints(Delta, Node{ID: "n0", Shard: 0, State: Draining})
-			case "gone":
+			case "removed":
 				r.updateEndpoints(Delta, Node{ID: "n0", Shard: 0, State: Removed})
 			default:
 				r.updateEndpoints(Snapshot, Node{ID: "n1", Shard: 1})
 			}
 			id, acts := r.request(Request{Shard: 0})
-			expectOutcome(t, "no node serves it", acts, id, "refused")
+			expectOutcome(t, "no node serves it", acts, id, rejected)
 			r.updateEndpoints(Delta, Node{ID: "n2", Shard: 0})
 			id, acts = r.request(Request{Shard: 0})
-			expectOutcome(t, "a successor", acts, id, "sent")
+			expectOutcome(t, "a successor", acts, id, sent)
 		})
 	}
-	t.Run("what is held moves to the successor", func(t *testing.T) {
+	t.Run("queued requests move to the successor", func(t *testing.T) {
 		r := newRig(t, testConfig())
 		for range 4 {
-			r.request(Request{Shard: 0, Plan: 1})
+			r.request(Request{Shard: 0, Plan: unlimitedPlan})
 		}
-		id, acts := r.request(Request{Shard: 0, Plan: 1})
-		expectOutcome(t, "depth is full", acts, id, "held")
+		id, acts := r.request(Request{Shard: 0, Plan: unlimitedPlan})
+		expectOutcome(t, "at the concurrency limit", acts, id, pending)
 		acts = r.updateEndpoints(Delta, Node{ID: "n0", Shard: 0, State: Draining}, Node{ID: "n2", Shard: 0})
-		expectOutcome(t, "successor", acts, id, "sent")
+		expectOutcome(t, "successor", acts, id, sent)
 	})
-	t.Run("an emptied list is harmless", func(t *testing.T) {
+	t.Run("an empty snapshot rejects requests", func(t *testing.T) {
 		r := newRig(t, testConfig())
 		r.updateEndpoints(Snapshot)
 		id, acts := r.request(Request{Shard: AnyShard})
-		expectOutcome(t, "no nodes", acts, id, "refused")
+		expectOutcome(t, "no nodes", acts, id, rejected)
 	})
 }
 
@@ -58,22 +58,44 @@
 		return false
 	}
 	if !watched(d.Handle(time.Hour, EndpointUpdate{Kind: Cached})) {
-		t.Fatal("discovery not asked at the start")
+		t.Fatal("discovery not called at the start")
 	}
 	now := time.Hour
-	// A change binds 6 s after discovery could be reached, and a call may take 2.5 s of these; 6 s after
-	// a watch fell silent, which shows 2.7 s later.
+	// A change is binding 6 s after discovery is reachable, of which a call may take 2.5 s, and 6 s
+	// after a watch became silent, which is detected after 2.7 s.
 	for range 3 {
 		longest := 750 * ms
 		for range 20 {
 			if watched(d.Handle(now, EndpointUpdate{Kind: PollFailed})) {
-				t.Fatal("asked again at once after a failure")
+				t.Fatal("called again at once after a failure")
 			}
 			if now += longest; !watched(d.Handle(now, TimerFired{"wake"})) {
-				t.Fatalf("not asked again %v after a failure", longest)
+				t.Fatalf("not called again %v after a failure", longest)
 			}
 			longest = 3 * time.Second
 		}
-		d.Handle(now, EndpointUpdate{Kind: Delta}) // it was told something: what failed before is over
+		d.Handle(now, EndpointUpdate{Kind: Delta}) // resets the delay
 	}
 }
+
+func TestNodeChangesShard(t *testing.T) {
+	r := newRig(t, testConfig())
+	for range 5 {
+		r.request(Request{Shard: 0, Plan: unlimitedPlan})
+	}
+	r.updateEndpoints(Delta, Node{ID: "n0", Shard: 9, Kind: 3})
+	id, acts := r.request(Request{Shard: 0, Plan: unlimitedPlan})
+	expectOutcome(t, "its old shard", acts, id, rejected)
+	for id, q := range r.d.requests {
+		if q.outstanding {
+			r.complete(id, 0, OK)
+		}
+	}
+	for _, a := range r.advance(time.Second) {
+		if a, ok := a.(SendAttempt); ok {
+			t.Errorf("request %d of the old shard sent to the node", a.ID)
+		}
+	}
+	id, acts = r.request(Request{Shard: 9, Plan: unlimitedPlan})
+	expectOutcome(t, "its new shard", acts, id, sent)
+}
--- a/dispatch/fairqueue_test.go
+++ b/dispatch/fairqueue_test.go
@@ -19,7 +19,7 @@
 }
 
 func (q *queueRig) volume(id string, phi float64) *volume {
-	v := q.d.volumeFor(Request{Volume: VolumeID(id), Plan: 1, Dispatchers: 1})
+	v := q.d.volumeFor(Request{Volume: VolumeID(id), Plan: unlimitedPlan, Dispatchers: 1})
 	v.weight = phi
 	return v
 }
--- a/dispatch/helpers_test.go
+++ b/dispatch/helpers_test.go
@@ -7,30 +7,73 @@
 
 const ms = time.Millisecond
 
-// testConfig is a made-up site with every rule on.
+// The classes of testConfig.
+const (
+	idempotentClass = iota
+	deduplicatedClass
+	nonIdempotentClass
+)
+
+// The plans of testConfig.
+const (
+	limitedPlan = iota
+	unlimitedPlan
+)
+
+// testConfig returns settings with every rule on.
 func testConfig() Config {
 	return Config{
-		DispatcherIndex: 0, DispatcherCount: 2, CancelAttempts: true, MaxRetryAfter: time.Second, MaxAttempts: 3,
-		RoundTrip: 2 * ms,
-		MeanUnits: 2, MaxUnits: 8,
+		DispatcherIndex: 0,
+		DispatcherCount: 2,
+		CancelAttempts:  true,
+		MaxRetryAfter:   time.Second,
+		MaxAttempts:     3,
+		RoundTrip:       2 * ms,
+		MeanUnits:       2,
+		MaxUnits:        8,
 		Classes: []Class{
-			{Name: "look", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 2, Idempotency: Idempotent},
 			{
-				Name: "put", LatencyObjective: 300 * ms, Deadline: 1500 * ms, PriorityWeight: 2, Idempotency: Deduplicated, DedupScope: DedupPerShard,
-				DedupWindow: 800 * ms, Ordered: true,
+				Name:             "idempotent",
+				LatencyObjective: 200 * ms,
+				Deadline:         time.Second,
+				PriorityWeight:   2,
+				Idempotency:      Idempotent,
+			},
+			{
+				Name:             "deduplicated",
+				LatencyObjective: 300 * ms,
+				Deadline:         1500 * ms,
+				PriorityWeight:   2,
+				Idempotency:      Deduplicated,
+				DedupScope:       DedupPerShard,
+				DedupWindow:      800 * ms,
+				Ordered:          true,
+			},
+			{
+				Name:             "non-idempotent",
+				LatencyObjective: 300 * ms,
+				Deadline:         1500 * ms,
+				PriorityWeight:   2,
+				Idempotency:      NonIdempotent,
 			},
-			{Name: "pay", LatencyObjective: 300 * ms, Deadline: 1500 * ms, PriorityWeight: 2, Idempotency: NonIdempotent},
 		},
 		Plans: []Plan{
-			{Name: "small", Reserve: 5, Weight: 1, Price: 1, RateLimit: 30, Burst: 40, Slack: 8},
-			{Name: "large", Reserve: 30, Weight: 3, Price: 1},
+			{Name: "limited", Reserve: 5, Weight: 1, Price: 1, RateLimit: 30, Burst: 40, Slack: 8},
+			{Name: "unlimited", Reserve: 30, Weight: 3, Price: 1},
+		},
+		SlowStart: SlowStart{
+			InitialCapacity: 0.2,
+			WarmUp:          10 * time.Second,
+			OverloadFactor:  2.5,
+			Window:          time.Second,
+			InitialUnits:    20,
 		},
-		SlowStart:   SlowStart{InitialCapacity: 0.2, WarmUp: 10 * time.Second, OverloadFactor: 2.5, Window: time.Second, InitialUnits: 20},
 		RetryBudget: RetryBudget{MinRetries: 2, Ratio: 0.1, Window: 5 * time.Second},
 		Quiescence:  150 * ms,
 	}
 }
 
+// rig runs a dispatcher with two nodes, n0 of shard 0 and n1 of shard 1.
 type rig struct {
 	t   *testing.T
 	d   *Dispatcher
@@ -46,7 +89,7 @@
 	}
 	r := &rig{t: t, d: d, now: time.Hour}
 	r.updateEndpoints(Cached, Node{ID: "n0", Shard: 0}, Node{ID: "n1", Shard: 1})
-	r.now += 20 * time.Second // parts of limits have filled
+	r.now += 20 * time.Second // the shares of rate limits have filled
 	r.handle(TimerFired{"wake"})
 	return r
 }
@@ -82,8 +125,15 @@
 	return r.handle(TimerFired{"wake"})
 }
 
-func (r *rig) complete(id RequestID, attempt int, s AttemptResult) []Action {
-	return r.handle(AttemptCompleted{ID: id, Attempt: attempt, Result: s, Responded: s == OK, Latency: 5 * ms})
+// complete ends an attempt. The client gets its answer where the result is OK.
+func (r *rig) complete(id RequestID, attempt int, result AttemptResult) []Action {
+	return r.handle(AttemptCompleted{
+		ID:        id,
+		Attempt:   attempt,
+		Result:    result,
+		Responded: result == OK,
+		Latency:   5 * ms,
+	})
 }
 
 func sentRequests(acts []Action) (ids []RequestID) {
@@ -95,31 +145,41 @@
 	return ids
 }
 
-// outcomeOf is the last answer or attempt for id among acts.
-func outcomeOf(acts []Action, id RequestID) string {
-	kind := "held"
-	for _, a := range acts {
+// outcome is what the actions of one event mean for a request.
+type outcome string
+
+const (
+	pending  outcome = "pending" // no action
+	sent     outcome = "sent"
+	rejected outcome = "rejected"
+	failed   outcome = "failed"
+)
+
+// outcomeOf returns the last outcome for a request among actions.
+func outcomeOf(actions []Action, id RequestID) outcome {
+	last := pending
+	for _, a := range actions {
 		switch a := a.(type) {
 		case SendAttempt:
 			if a.ID == id {
-				kind = "sent"
+				last = sent
 			}
 		case Reject:
 			if a.ID == id {
-				kind = "refused"
+				last = rejected
 			}
 		case Fail:
 			if a.ID == id {
-				kind = "failed"
+				last = failed
 			}
 		}
 	}
-	return kind
+	return last
 }
 
-func expectOutcome(t *testing.T, what string, acts []Action, id RequestID, kind string) {
+func expectOutcome(t *testing.T, what string, actions []Action, id RequestID, want outcome) {
 	t.Helper()
-	if got := outcomeOf(acts, id); got != kind {
-		t.Errorf("%s: %s, want %s (%v)", what, got, kind, acts)
+	if got := outcomeOf(actions, id); got != want {
+		t.Errorf("%s: %s, want %s (%v)", what, got, want, actions)
 	}
 }
--- a/dispatch/loss_test.go
+++ b/dispatch/loss_test.go
@@ -17,7 +17,7 @@
 // observeResponses has n0 answer a few requests, so that it is known how fast it is.
 func observeResponses(r *rig) {
 	for range 4 {
-		id, _ := r.request(Request{Shard: 0, Plan: 1})
+		id, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 		r.complete(id, 0, OK)
 	}
 }
@@ -26,15 +26,15 @@
 func TestOvertakenAttemptIsNoDelay(t *testing.T) {
 	r := newRig(t, testConfig())
 	observeResponses(r)
-	r.request(Request{Shard: 0, Plan: 1, Class: 2}) // its answer will not come; it may not be repeated
+	r.request(Request{Shard: 0, Plan: unlimitedPlan, Class: nonIdempotentClass}) // its answer will not come; it may not be repeated
 	r.advance(1 * ms)
-	later, _ := r.request(Request{Shard: 0, Plan: 1})
+	later, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 	r.advance(5 * ms)
 	r.complete(later, 0, OK)
 	r.advance(400 * ms)
 	for range 2 {
-		id, acts := r.request(Request{Shard: 0, Plan: 1})
-		expectOutcome(t, "behind a lost answer", acts, id, "sent")
+		id, acts := r.request(Request{Shard: 0, Plan: unlimitedPlan})
+		expectOutcome(t, "behind a lost answer", acts, id, sent)
 	}
 }
 
@@ -42,9 +42,9 @@
 func TestLateResponseOvertakesNothing(t *testing.T) {
 	r := newRig(t, testConfig())
 	observeResponses(r)
-	first, _ := r.request(Request{Shard: 0, Plan: 1})
+	first, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 	r.advance(1 * ms)
-	later, _ := r.request(Request{Shard: 0, Plan: 1})
+	later, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 	r.advance(150 * ms)
 	acts := r.handle(AttemptCompleted{ID: later, Result: OK, Responded: true, Latency: 150 * ms})
 	if got := canceledRequests(acts); len(got) > 0 {
@@ -67,10 +67,10 @@
 		cfg.Classes[0].Ordered = false
 		r := newRig(t, cfg)
 		observeResponses(r)
-		lost, _ := r.request(Request{Shard: 0, Plan: 1})
+		lost, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 		r.advance(60 * ms)
-		later, acts := r.request(Request{Shard: 0, Plan: 1})
-		expectOutcome(t, "a second", acts, later, "sent")
+		later, acts := r.request(Request{Shard: 0, Plan: unlimitedPlan})
+		expectOutcome(t, "a second", acts, later, sent)
 		r.advance(5 * ms)
 		acts = r.complete(later, 0, OK)
 		if got := canceledRequests(acts); (len(got) == 1 && got[0] == lost) != c.want {
@@ -79,15 +79,15 @@
 		if !c.want {
 			continue
 		}
-		again, _ := r.request(Request{Shard: 0, Plan: 1})
+		again, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 		r.advance(5 * ms)
 		if got := canceledRequests(r.complete(again, 0, OK)); len(got) > 0 {
 			t.Errorf("%s: given up twice", c.class.Name)
 		}
 		before := r.d.lossRate
 		r.complete(lost, 0, Canceled)
-		expectOutcome(t, "the second attempt", r.advance(1*ms), lost, "sent")
-		id, _ := r.request(Request{Shard: 0, Plan: 1})
+		expectOutcome(t, "the second attempt", r.advance(1*ms), lost, sent)
+		id, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 		r.advance(5 * ms)
 		r.complete(id, 0, OK)
 		if r.d.lossRate <= before {
@@ -102,9 +102,9 @@
 	cfg.RetryBudget.MinRetries, cfg.RetryBudget.Ratio = 0, 0
 	r := newRig(t, cfg)
 	observeResponses(r)
-	r.request(Request{Shard: 0, Plan: 1})
+	r.request(Request{Shard: 0, Plan: unlimitedPlan})
 	r.advance(60 * ms)
-	later, _ := r.request(Request{Shard: 0, Plan: 1})
+	later, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 	r.advance(5 * ms)
 	if got := canceledRequests(r.complete(later, 0, OK)); len(got) > 0 {
 		t.Errorf("given up: %v", got)
@@ -115,7 +115,7 @@
 // a silent node and a slow one are not taken for that.
 func TestLossRateIgnoresSilentAndSlowNodes(t *testing.T) {
 	lose := func(r *rig) []Action {
-		id, _ := r.request(Request{Shard: 0, Plan: 1})
+		id, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 		r.now += time.Second
 		return r.complete(id, 0, TimedOut)
 	}
@@ -129,7 +129,7 @@
 		return 0
 	}
 	learn := func(r *rig) {
-		id, acts := r.request(Request{Shard: 0, Plan: 1})
+		id, acts := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 		if until(acts) != 0 {
 			t.Error("ended early without evidence")
 		}
@@ -144,7 +144,7 @@
 	}
 	r.now += 3 * time.Second
 	learn(r)
-	id, acts := r.request(Request{Shard: 0, Plan: 1})
+	id, acts := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 	at := until(acts)
 	if at <= r.now || at >= r.now+200*ms {
 		t.Fatalf("ends after %v, want within the aim", at-r.now)
@@ -152,12 +152,12 @@
 	r.now = at
 	acts = append(r.complete(id, 0, TimedOut), r.advance(0)...)
 	acts = append(acts, r.advance(ms)...)
-	expectOutcome(t, "a lost answer, in time for another attempt", acts, id, "sent")
+	expectOutcome(t, "a lost answer, in time for another attempt", acts, id, sent)
 
 	slow := newRig(t, testConfig())
 	learn(slow)
 	lose(slow)
-	id, _ = slow.request(Request{Shard: 0, Plan: 1})
+	id, _ = slow.request(Request{Shard: 0, Plan: unlimitedPlan})
 	slow.now += 900 * ms
 	slow.handle(AttemptCompleted{ID: id, Result: OK, Responded: true, Latency: 900 * ms})
 	if slow.d.lossRate != 0 {
--- a/dispatch/outlier_test.go
+++ b/dispatch/outlier_test.go
@@ -1,29 +1,27 @@
 package dispatch
 
-import (
-	"testing"
-)
+import "testing"
 
 func TestEjectionNeedsConsecutiveFailures(t *testing.T) {
 	r := newRig(t, testConfig())
 	n := r.d.nodes["n0"]
 	for i := range ejectionThreshold {
 		if n.ejectedUntil > r.now {
-			t.Fatalf("backed off after %d bad ends", i)
+			t.Fatalf("ejected after %d failures", i)
 		}
-		id, _ := r.request(Request{Shard: 0, Plan: 1, Class: 2})
+		id, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan, Class: nonIdempotentClass})
 		r.complete(id, 0, ConnectionReset)
 	}
 	if n.ejectedUntil <= r.now {
-		t.Fatal("not backed off")
+		t.Fatal("not ejected")
 	}
 	r.now = n.ejectedUntil
-	id, acts := r.request(Request{Shard: 0, Plan: 1, Class: 2})
-	expectOutcome(t, "the first try after the back-off", acts, id, "sent")
-	id2, acts := r.request(Request{Shard: 0, Plan: 1, Class: 2})
-	expectOutcome(t, "only one at a time", acts, id2, "held")
+	id, acts := r.request(Request{Shard: 0, Plan: unlimitedPlan, Class: nonIdempotentClass})
+	expectOutcome(t, "the first request after the ejection", acts, id, sent)
+	id2, acts := r.request(Request{Shard: 0, Plan: unlimitedPlan, Class: nonIdempotentClass})
+	expectOutcome(t, "only one at a time", acts, id2, pending)
 	r.complete(id, 0, OK)
 	if r.d.concurrencyLimit(n) < minConcurrency {
-		t.Error("an answer did not clear the suspicion")
+		t.Error("a response did not end the ejection")
 	}
 }
--- a/dispatch/quota_test.go
+++ b/dispatch/quota_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// It counts against limit and reserve, and what makes no sense changes nothing.
+// A correction is charged to rate limit and reserve. An implausible one changes nothing.
 func TestCostCorrectionChargesQuota(t *testing.T) {
 	r := newRig(t, testConfig())
-	r.request(Request{Shard: 0, Plan: 0})
+	r.request(Request{Shard: 0, Plan: limitedPlan})
 	v := r.d.volumes["v"]
 	r.d.refillTokens(v)
 	tokens, reserve := v.tokens, v.reserve
@@ -27,39 +27,55 @@
 	}
 	r.handle(CostCorrection{Volume: "v", Node: "n0", Units: -8})
 	if v.tokens > v.tokenCapacity() {
-		t.Errorf("more tokens than the store holds")
+		t.Errorf("more tokens than the bucket holds")
 	}
 }
 
 func TestRateLimit(t *testing.T) {
 	r := newRig(t, testConfig())
-	sent := 0.0
+	units := 0.0
 	for range 100 {
-		id, acts := r.request(Request{Shard: 0, Plan: 0, Units: 4, Dispatchers: 2})
-		if outcomeOf(acts, id) == "sent" {
-			sent += 4
+		id, acts := r.request(Request{Shard: 0, Plan: limitedPlan, Units: 4, Dispatchers: 2})
+		if outcomeOf(acts, id) == sent {
+			units += 4
 			r.complete(id, 0, OK)
 		}
 	}
-	if part := (40.0 + 8) / 2; sent > part || sent < part-4 {
-		t.Errorf("%g units at once, want nearly this host's part %g", sent, part)
+	if share := (40.0 + 8) / 2; units > share || units < share-4 {
+		t.Errorf("%g units at once, want nearly this dispatcher's share %g", units, share)
 	}
-	id, acts := r.request(Request{Shard: 0, Plan: 0, Units: 30, Dispatchers: 2})
-	expectOutcome(t, "more than the limit can ever hold", acts, id, "refused")
-	t.Run("a restarted dispatcher starts with nothing", func(t *testing.T) {
+	id, acts := r.request(Request{Shard: 0, Plan: limitedPlan, Units: 30, Dispatchers: 2})
+	expectOutcome(t, "more than the bucket can hold", acts, id, rejected)
+	t.Run("a restarted dispatcher starts without tokens", func(t *testing.T) {
 		d, _ := New(testConfig(), 1)
 		d.Handle(time.Hour, EndpointUpdate{Kind: Cached, Nodes: []Node{{ID: "n0"}}})
 		acts := d.Handle(time.Hour, Request{ID: 1, Volume: "v", Units: 1, Dispatchers: 1, Timeout: time.Second})
-		expectOutcome(t, "at once", acts, 1, "held")
+		expectOutcome(t, "at once", acts, 1, pending)
 		acts = d.Handle(time.Hour+40*ms, TimerFired{"wake"})
-		expectOutcome(t, "once the rate has brought a unit", acts, 1, "sent")
+		expectOutcome(t, "once the rate has added a unit", acts, 1, sent)
 	})
-	t.Run("fewer hosts do not enlarge the part", func(t *testing.T) {
+	t.Run("fewer dispatchers do not enlarge the share", func(t *testing.T) {
 		r := newRig(t, testConfig())
 		r.request(Request{Volume: "w", Dispatchers: 4, Shard: 0})
 		r.request(Request{Volume: "w", Dispatchers: 1, Shard: 0})
 		if h := r.d.volumes["w"].dispatchers; h != 4 {
-			t.Errorf("hosts = %d, want 4", h)
+			t.Errorf("%d dispatchers, want 4", h)
 		}
 	})
 }
+
+// A volume may report more dispatchers than the deployment has.
+func TestRateLimitWithMoreDispatchersThanConfigured(t *testing.T) {
+	r := newRig(t, testConfig()) // limit 30, burst and slack 48, in 12 shares
+	units := 0.0
+	for range 40 {
+		id, _ := r.request(Request{Shard: 0, Dispatchers: 12})
+		if q := r.d.requests[id]; q != nil && q.outstanding {
+			units++
+			r.complete(id, 0, OK)
+		}
+	}
+	if units > 48.0/12 {
+		t.Errorf("%g units at once, want at most a twelfth of the bucket", units)
+	}
+}
--- a/dispatch/weights_test.go
+++ b/dispatch/weights_test.go
@@ -21,7 +21,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(t, testConfig())
-			v := r.d.volumeFor(Request{Volume: "v", Plan: 1, Dispatchers: 1})
+			v := r.d.volumeFor(Request{Volume: "v", Plan: unlimitedPlan, Dispatchers: 1})
 			for _, u := range c.use {
 				if u > 0 {
 					v.quotaUsage = u
@@ -34,3 +34,16 @@
 		})
 	}
 }
+
+func TestRepeatedQuotaUsageActsOncePerInterval(t *testing.T) {
+	r := newRig(t, testConfig())
+	for range 6 {
+		id, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
+		r.handle(AttemptCompleted{ID: id, Result: OK, Responded: true, Latency: 5 * ms, QuotaUsage: 301})
+	}
+	r.advance(controllerInterval)
+	weight := r.d.volumes["v"].weight
+	if r.advance(controllerInterval); r.d.volumes["v"].weight != weight || weight >= 3 {
+		t.Errorf("weight %g, then %g: want one step down from 3", weight, r.d.volumes["v"].weight)
+	}
+}
