--- a/dispatch/example_test.go
+++ b/dispatch/example_test.go
@@ -6,30 +6,39 @@
 	"time"
 )
 
-// A dispatcher is told of its nodes and of requests, and says what to do. The
-// clock is the caller's; it may start anywhere but never goes back.
+// A dispatcher takes events and returns actions. The caller supplies the time, which may start
+// anywhere and never goes back.
 func Example() {
 	d, err := dispatch.New(dispatch.Config{
-		DispatcherIndex: 0, DispatcherCount: 1, MaxRetryAfter: time.Second, MeanUnits: 2, MaxUnits: 8,
-		Classes: []dispatch.Class{{Name: "read", LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1}},
-		Plans:   []dispatch.Plan{{Name: "standard", Reserve: 20, Weight: 1, Price: 1}},
+		DispatcherIndex: 0,
+		DispatcherCount: 1,
+		MaxRetryAfter:   time.Second,
+		MeanUnits:       2,
+		MaxUnits:        8,
+		Classes: []dispatch.Class{{
+			Name:             "read",
+			LatencyObjective: 200 * time.Millisecond,
+			Deadline:         time.Second,
+			PriorityWeight:   1,
+		}},
+		Plans: []dispatch.Plan{{Name: "standard", Reserve: 20, Weight: 1, Price: 1}},
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	now := time.Duration(0)
-	show := func(acts []dispatch.Action) {
-		for _, a := range acts {
+	show := func(actions []dispatch.Action) {
+		for _, a := range actions {
 			switch a := a.(type) {
 			case dispatch.SendAttempt:
 				fmt.Printf("send %d to %s\n", a.ID, a.Node)
 			case dispatch.Reject:
-				fmt.Printf("refuse %d, come back in %v\n", a.ID, a.RetryAfter)
+				fmt.Printf("reject %d, retry after %v\n", a.ID, a.RetryAfter)
 			case dispatch.Fail:
 				fmt.Printf("fail %d\n", a.ID)
 			case dispatch.SetTimer:
-				// Call Handle(a.At, dispatch.Fired{Token: a.Token}) when it is due.
+				// Call Handle(a.At, dispatch.TimerFired{Token: a.Token}) when it is due.
 			}
 		}
 	}
@@ -44,5 +53,5 @@
 	}))
 	// Output:
 	// send 1 to disk-a
-	// refuse 2, come back in 200ms
+	// reject 2, retry after 200ms
 }
--- a/dispatch/random_test.go
+++ b/dispatch/simulation_test.go
@@ -6,20 +6,22 @@
 	"hash"
 	"hash/fnv"
 	"math/rand/v2"
+	"slices"
 	"testing"
 	"time"
 )
 
-// scheduledEvent is something that is to reach a dispatcher.
+// scheduledEvent is an event for a dispatcher, or a call, at a time.
 type scheduledEvent struct {
 	at          time.Duration
 	sequence    int
-	dispatcher  int
-	incarnation int
+	dispatcher  int // negative: call
+	incarnation int // of the dispatcher; events for an earlier one are dropped
 	event       Event
 	call        func()
 }
 
+// eventQueue implements heap.Interface.
 type eventQueue []*scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
@@ -32,17 +34,22 @@
 
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(*scheduledEvent)) }
 
-func (q *eventQueue) Pop() any { o := *q; h := o[len(o)-1]; *q = o[:len(o)-1]; return h }
+func (q *eventQueue) Pop() any {
+	old := *q
+	last := old[len(old)-1]
+	*q = old[:len(old)-1]
+	return last
+}
 
-// simulation feeds dispatchers a random legal sequence of events. module is what the
-// dispatchers are told, truth what the checker judges by.
+// simulation feeds dispatchers a random valid sequence of events.
 type simulation struct {
 	rng                  *rand.Rand
-	config, actual       Config
-	hideDrains           bool
-	earlyBy              time.Duration // of the checker
-	lossRate             float64       // share of answers that never come
-	dispatchersPerVolume int           // of each volume
+	config               Config        // of the dispatchers
+	actual               Config        // of the checker
+	hideDrains           bool          // dispatchers see every node as ready
+	earlyBy              time.Duration // the checker expects answers so much earlier
+	lossRate             float64       // share of responses that are lost
+	dispatchersPerVolume int
 	now                  time.Duration
 	queue                eventQueue
 	sequence             int
@@ -56,42 +63,50 @@
 	actionHash           hash.Hash64 // of all actions, in order
 }
 
-func (s *simulation) schedule(dt time.Duration, to int, e Event, do func()) {
+// schedule adds an event for a dispatcher, or a call where dispatcher is negative.
+func (s *simulation) schedule(delay time.Duration, dispatcher int, e Event, call func()) {
 	s.sequence++
-	h := &scheduledEvent{at: s.now + dt, sequence: s.sequence, dispatcher: to, event: e, call: do}
-	if to >= 0 {
-		h.incarnation = s.incarnations[to]
+	scheduled := &scheduledEvent{
+		at:         s.now + delay,
+		sequence:   s.sequence,
+		dispatcher: dispatcher,
+		event:      e,
+		call:       call,
+	}
+	if dispatcher >= 0 {
+		scheduled.incarnation = s.incarnations[dispatcher]
 	}
-	heap.Push(&s.queue, h)
+	heap.Push(&s.queue, scheduled)
 }
 
+// start starts or restarts a dispatcher.
 func (s *simulation) start(i int) {
-	c := s.config
-	c.DispatcherIndex = i
-	d, err := New(c, s.rng.Uint64())
+	cfg := s.config
+	cfg.DispatcherIndex = i
+	d, err := New(cfg, s.rng.Uint64())
 	if err != nil {
 		panic(err)
 	}
 	s.incarnations[i]++
-	s.dispatchers[i], s.attempts[i] = d, map[RequestID]int{}
+	s.dispatchers[i] = d
+	s.attempts[i] = map[RequestID]int{}
 	s.checker.startInstance(i)
-	s.deliver(i, EndpointUpdate{Kind: Cached, Nodes: append([]Node(nil), s.nodes...)})
+	s.deliver(i, EndpointUpdate{Kind: Cached, Nodes: slices.Clone(s.nodes)})
 }
 
+// deliver hands an event to a dispatcher and performs its actions.
 func (s *simulation) deliver(i int, e Event) {
 	s.checker.observeEvent(i, s.now, e)
-	if l, ok := e.(EndpointUpdate); ok && s.hideDrains {
-		var ns []Node
-		for _, n := range l.Nodes {
-			n.State = Ready
-			ns = append(ns, n)
+	if update, ok := e.(EndpointUpdate); ok && s.hideDrains {
+		update.Nodes = slices.Clone(update.Nodes)
+		for i := range update.Nodes {
+			update.Nodes[i].State = Ready
 		}
-		l.Nodes = ns
-		e = l
+		e = update
 	}
 	for _, a := range s.dispatchers[i].Handle(s.now, e) {
 		s.actions++
-		fmt.Fprintf(s.actionHash, "%v %d %T%v\n", s.now, i, a, a)
+		_, _ = fmt.Fprintf(s.actionHash, "%v %d %T%v\n", s.now, i, a, a)
 		s.checker.observeAction(i, s.now, a)
 		switch a := a.(type) {
 		case SetTimer:
@@ -102,39 +117,42 @@
 	}
 }
 
-// completeAttempt draws how an attempt ends. A life's own record gives its deadline.
+// completeAttempt draws how an attempt ends. The checker's record gives its deadline.
 func (s *simulation) completeAttempt(i int, a SendAttempt) {
-	no := s.attempts[i][a.ID]
+	attempt := s.attempts[i][a.ID]
 	s.attempts[i][a.ID]++
-	t := s.checker.instances[i].requests[a.ID]
-	left := t.arrivedAt + t.request.Timeout - s.now
+	r := s.checker.instances[i].requests[a.ID]
+	remaining := r.arrivedAt + r.request.Timeout - s.now
 	if a.Deadline > 0 {
-		left = min(left, max(0, a.Deadline-s.now))
+		remaining = min(remaining, max(0, a.Deadline-s.now))
 	}
-	st, took := OK, time.Duration(2+s.rng.IntN(60))*ms
+	result := OK
+	latency := time.Duration(2+s.rng.IntN(60)) * ms
 	switch x := s.rng.Float64(); {
 	case x < 0.25:
-		st = []AttemptResult{ServerError, Rejected, ConnectFailed, ConnectionReset}[s.rng.IntN(4)]
+		result = []AttemptResult{ServerError, Rejected, ConnectFailed, ConnectionReset}[s.rng.IntN(4)]
 	case x < 0.25+s.lossRate:
-		took = time.Hour
+		latency = time.Hour
 	case unitsSince(s.checker.served[a.Node], s.now-time.Second) >= s.checker.capacity(s.checker.nodes[a.Node], s.now):
-		st = Rejected // no node serves more than it can
+		result = Rejected // no node serves more than its capacity
 	}
-	if took >= left {
-		st, took = TimedOut, left
+	if latency >= remaining {
+		result = TimedOut
+		latency = remaining
 	}
-	s.schedule(took, i, AttemptCompleted{
-		ID: a.ID, Attempt: no, Node: a.Node, Result: st, Responded: st == OK, Latency: took,
+	s.schedule(latency, i, AttemptCompleted{
+		ID: a.ID, Attempt: attempt, Node: a.Node, Result: result, Responded: result == OK, Latency: latency,
 		QuotaUsage: float64(s.rng.IntN(400)), PeerUnits: float64(s.rng.IntN(3)),
 		LoadReport: LoadReport{"inflight": float64(s.rng.IntN(60) - 2)},
-	}, nil) // as good as seconds late
+	}, nil)
 }
 
+// sendRequest draws a request to a dispatcher.
 func (s *simulation) sendRequest(i int) {
 	s.nextID++
-	v := i/s.dispatchersPerVolume*2 + s.rng.IntN(2)
+	volume := i/s.dispatchersPerVolume*2 + s.rng.IntN(2)
 	q := Request{
-		ID: s.nextID, Class: s.rng.IntN(len(s.actual.Classes)), Plan: v % 2, Volume: VolumeID(fmt.Sprint("v", v)),
+		ID: s.nextID, Class: s.rng.IntN(len(s.actual.Classes)), Plan: volume % 2, Volume: VolumeID(fmt.Sprint("v", volume)),
 		Units: float64(1 + s.rng.IntN(8)), Dispatchers: s.dispatchersPerVolume, Shard: Shard(s.rng.IntN(3)),
 	}
 	if s.rng.IntN(8) == 0 {
@@ -150,7 +168,7 @@
 	}
 }
 
-// changeNode drains, removes or starts a node and tells everyone, each with a delay.
+// changeNode drains, removes or starts a node and notifies every dispatcher.
 func (s *simulation) changeNode() {
 	i := s.rng.IntN(len(s.nodes))
 	n := &s.nodes[i]
@@ -158,7 +176,8 @@
 	case Ready:
 		n.State = []NodeState{Draining, Removed}[s.rng.IntN(2)]
 	default:
-		n.State, n.Started = Ready, s.now
+		n.State = Ready
+		n.Started = s.now
 	}
 	s.checker.nodes[n.ID] = *n
 	for to := range s.dispatchers {
@@ -166,11 +185,12 @@
 	}
 }
 
-// run plays some seconds of heavy random traffic and returns the rules broken.
+// run runs heavy random traffic for a while and returns the violations by invariant.
 func (s *simulation) run(length time.Duration) map[string]string {
 	s.now = time.Hour
 	end := s.now + length
-	s.dispatchers, s.incarnations = make([]*Dispatcher, s.actual.DispatcherCount), make([]int, s.actual.DispatcherCount)
+	s.dispatchers = make([]*Dispatcher, s.actual.DispatcherCount)
+	s.incarnations = make([]int, s.actual.DispatcherCount)
 	s.attempts = make([]map[RequestID]int, s.actual.DispatcherCount)
 	s.checker = newChecker(s.actual)
 	s.checker.slack -= s.earlyBy
@@ -201,16 +221,17 @@
 	}
 	s.schedule(0, -1, nil, tick)
 	for len(s.queue) > 0 && s.now < end+10*time.Second {
-		h := heap.Pop(&s.queue).(*scheduledEvent)
-		s.now = max(s.now, h.at)
+		next := heap.Pop(&s.queue).(*scheduledEvent)
+		s.now = max(s.now, next.at)
 		switch {
-		case h.dispatcher < 0:
-			h.call()
-		case h.incarnation == s.incarnations[h.dispatcher]:
-			if g, ok := h.event.(ClientCanceled); ok && s.checker.instances[h.dispatcher].requests[g.ID].answered {
+		case next.dispatcher < 0:
+			next.call()
+		case next.incarnation == s.incarnations[next.dispatcher]:
+			canceled, ok := next.event.(ClientCanceled)
+			if ok && s.checker.instances[next.dispatcher].requests[canceled.ID].answered {
 				continue
 			}
-			s.deliver(h.dispatcher, h.event)
+			s.deliver(next.dispatcher, next.event)
 		}
 	}
 	s.checker.checkOverdue(s.now)
@@ -221,21 +242,27 @@
 	return newLargeSimulation(seed, 3, 3)
 }
 
-// newLargeSimulation has so many dispatchers, in sets that each share two volumes.
-func newLargeSimulation(seed uint64, peers, hosts int) *simulation {
+// newLargeSimulation returns a simulation whose dispatchers share two volumes per group of
+// perVolume.
+func newLargeSimulation(seed uint64, dispatchers, perVolume int) *simulation {
 	cfg := testConfig()
-	cfg.DispatcherCount, cfg.MeanUnits = peers, 4.5 // the mean of what request draws
+	cfg.DispatcherCount = dispatchers
+	cfg.MeanUnits = 4.5 // as drawn by sendRequest
 	return &simulation{
-		rng: rand.New(rand.NewPCG(seed, 7)), config: cfg, actual: cfg, lossRate: 0.03, dispatchersPerVolume: hosts,
-		actionHash: fnv.New64a(),
+		rng:                  rand.New(rand.NewPCG(seed, 7)),
+		config:               cfg,
+		actual:               cfg,
+		lossRate:             0.03,
+		dispatchersPerVolume: perVolume,
+		actionHash:           fnv.New64a(),
 	}
 }
 
 func TestRandomEventsKeepInvariants(t *testing.T) {
 	for seed := range uint64(4) {
 		s := newSimulation(seed)
-		if broken := s.run(30 * time.Second); len(broken) > 0 {
-			t.Errorf("seed %d: %v", seed, broken)
+		if violations := s.run(30 * time.Second); len(violations) > 0 {
+			t.Errorf("seed %d: %v", seed, violations)
 		}
 		if s.actions < 1000 {
 			t.Errorf("seed %d: only %d actions", seed, s.actions)
@@ -243,13 +270,13 @@
 	}
 }
 
-// Many dispatchers that each see little, with many answers lost and restarts among them.
+// Many dispatchers with little traffic each, many lost responses, and restarts.
 func TestManyDispatchersKeepInvariants(t *testing.T) {
 	for seed := range uint64(2) {
 		s := newLargeSimulation(seed, 160, 4)
 		s.lossRate = 0.2
-		if broken := s.run(40 * time.Second); len(broken) > 0 {
-			t.Errorf("seed %d: %v", seed, broken)
+		if violations := s.run(40 * time.Second); len(violations) > 0 {
+			t.Errorf("seed %d: %v", seed, violations)
 		}
 		if s.actions < 1000 {
 			t.Errorf("seed %d: only %d actions", seed, s.actions)
@@ -257,34 +284,34 @@
 	}
 }
 
-// The checker finds each rule broken when the guard is taken away, here by
-// withholding the setting or the news that the guard works by.
+// The checker finds a violation of each invariant when its guard is disabled, here by hiding the
+// setting or the event that the guard depends on.
 func TestCheckerFindsMissingGuard(t *testing.T) {
-	for rule, without := range map[string]func(*simulation){
+	for invariant, disable := range map[string]func(*simulation){
 		"effects": func(s *simulation) {
-			s.config.Classes = append([]Class(nil), s.config.Classes...)
-			s.config.Classes[2].Idempotency = Idempotent
+			s.config.Classes = slices.Clone(s.config.Classes)
+			s.config.Classes[nonIdempotentClass].Idempotency = Idempotent
 		},
 		"order": func(s *simulation) {
-			s.config.Classes = append([]Class(nil), s.config.Classes...)
-			s.config.Classes[1].Ordered = false
+			s.config.Classes = slices.Clone(s.config.Classes)
+			s.config.Classes[deduplicatedClass].Ordered = false
 		},
 		"budget": func(s *simulation) {
 			s.config.RetryBudget = RetryBudget{}
-			s.config.Classes = append([]Class(nil), s.config.Classes...)
-			for i := range s.config.Classes { // in no hurry, so that it tries again
+			s.config.Classes = slices.Clone(s.config.Classes)
+			for i := range s.config.Classes { // leaves time for retries
 				s.config.Classes[i].LatencyObjective = time.Minute
 			}
 		},
 		"cold":  func(s *simulation) { s.config.SlowStart = SlowStart{} },
 		"drain": func(s *simulation) { s.hideDrains = true },
 		"limit": func(s *simulation) {
-			s.config.Plans = append([]Plan(nil), s.config.Plans...)
-			s.config.Plans[0].RateLimit = 0
+			s.config.Plans = slices.Clone(s.config.Plans)
+			s.config.Plans[limitedPlan].RateLimit = 0
 		},
 		"answer": func(s *simulation) {
-			s.config.Classes = append([]Class(nil), s.config.Classes...)
-			for i := range s.config.Classes { // it believes that clients wait for ever
+			s.config.Classes = slices.Clone(s.config.Classes)
+			for i := range s.config.Classes { // the dispatcher expects patient clients
 				s.actual.Classes[i].Deadline = 50 * ms
 				s.config.Classes[i].LatencyObjective = time.Hour
 			}
@@ -292,10 +319,10 @@
 		},
 	} {
 		s := newSimulation(1)
-		s.actual.Classes = append([]Class(nil), s.actual.Classes...)
-		without(s)
-		if broken := s.run(30 * time.Second); broken[rule] == "" {
-			t.Errorf("%s: not found without its guard (found %v)", rule, broken)
+		s.actual.Classes = slices.Clone(s.actual.Classes)
+		disable(s)
+		if violations := s.run(30 * time.Second); violations[invariant] == "" {
+			t.Errorf("%s: no violation without its guard (found %v)", invariant, violations)
 		}
 	}
 }
@@ -306,9 +333,9 @@
 		s.run(20 * time.Second)
 	}
 	if a.actions != b.actions || a.actions == 0 || a.actionHash.Sum64() != b.actionHash.Sum64() {
-		t.Errorf("%d and %d actions from the same events, or not the same", a.actions, b.actions)
+		t.Errorf("%d and %d actions of the same events, or other ones", a.actions, b.actions)
 	}
 	if a.actionHash.Sum64() == other.actionHash.Sum64() {
-		t.Error("other events gave the same actions: the comparison tells nothing")
+		t.Error("other events have the same actions: the comparison is void")
 	}
 }
--- a/dispatch/weights_test.go
+++ b/dispatch/weights_test.go
@@ -7,29 +7,29 @@
 
 func TestWeightController(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		use  []float64 // figures as told, one before each interval
-		want float64
+		name  string
+		usage []float64 // one figure before each interval
+		want  float64
 	}{
-		{"no figure leaves it", []float64{0, 0}, 3},
+		{"no figure keeps it", []float64{0, 0}, 3},
 		{"a figure is 1 + percent", []float64{101}, 3},
-		{"double use halves it", []float64{201}, 1.5},
+		{"double usage halves it", []float64{201}, 1.5},
 		{"one figure acts once", []float64{201, 0, 0}, 1.5},
-		{"clamped below", []float64{1001, 1001}, 3 * minWeightFactor},
-		{"clamped above", []float64{2, 2}, 3 * maxWeightFactor},
-		{"comes back when use falls", []float64{201, 51}, 3},
+		{"lower bound", []float64{1001, 1001}, 3 * minWeightFactor},
+		{"upper bound", []float64{2, 2}, 3 * maxWeightFactor},
+		{"recovers when usage falls", []float64{201, 51}, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(t, testConfig())
 			v := r.d.volumeFor(Request{Volume: "v", Plan: unlimitedPlan, Dispatchers: 1})
-			for _, u := range c.use {
+			for _, u := range c.usage {
 				if u > 0 {
 					v.quotaUsage = u
 				}
 				r.advance(controllerInterval)
 			}
 			if math.Abs(v.weight-c.want) > 1e-9 {
-				t.Errorf("φ = %g, want %g", v.weight, c.want)
+				t.Errorf("weight %g, want %g", v.weight, c.want)
 			}
 		})
 	}
