--- /dev/null
+++ b/cmd/simhost/host.go
@@ -0,0 +1,103 @@
+package main
+
+import (
+	"chalkstand/dispatch"
+	"chalkstand/internal/simwire"
+	"fmt"
+	"slices"
+)
+
+// host holds the running instances by name.
+type host struct{ instances map[string]*instance }
+
+// instance is a running dispatcher.
+type instance struct {
+	dispatcher *dispatch.Dispatcher
+	cfg        dispatch.Config
+}
+
+// reply holds the actions of an instance that follow from one event.
+type reply struct {
+	instance string
+	actions  []dispatch.Action
+}
+
+// handleBatch hands each item of a batch to its instance. It returns no replies when an item
+// can't be handled, so that the error is the only answer to the batch.
+func (h *host) handleBatch(batch simwire.Batch) ([]reply, error) {
+	var replies []reply
+	for _, item := range batch.Items {
+		var err error
+		switch item.Kind {
+		case simwire.InstanceStarted:
+			err = h.start(item)
+		case simwire.InstanceCrashed:
+			err = h.crash(item)
+			// Its actions earlier in the batch are lost.
+			replies = slices.DeleteFunc(replies, func(r reply) bool { return r.instance == item.Instance })
+		case simwire.EventReceived:
+			var actions []dispatch.Action
+			actions, err = h.handleEvent(batch, item)
+			if len(actions) > 0 {
+				replies = append(replies, reply{item.Instance, actions})
+			}
+		}
+		if err != nil {
+			return nil, &simwire.ProtocolError{Line: item.Line, Instance: item.Instance, Err: err}
+		}
+	}
+	return replies, nil
+}
+
+func (h *host) start(item simwire.Item) error {
+	if h.instances[item.Instance] != nil {
+		return fmt.Errorf("BEGIN for %s, which is running", item.Instance)
+	}
+	d, err := dispatch.New(item.Config, item.Seed)
+	if err != nil {
+		return fmt.Errorf("BEGIN: %w", err)
+	}
+	h.instances[item.Instance] = &instance{dispatcher: d, cfg: item.Config}
+	return nil
+}
+
+// running returns the instance of an item.
+func (h *host) running(item simwire.Item) (*instance, error) {
+	in := h.instances[item.Instance]
+	if in == nil {
+		return nil, fmt.Errorf("event for %s, which is not running", item.Instance)
+	}
+	return in, nil
+}
+
+func (h *host) crash(item simwire.Item) error {
+	if _, err := h.running(item); err != nil {
+		return err
+	}
+	delete(h.instances, item.Instance)
+	return nil
+}
+
+func (h *host) handleEvent(batch simwire.Batch, item simwire.Item) ([]dispatch.Action, error) {
+	in, err := h.running(item)
+	if err != nil || item.Event == nil {
+		return nil, err
+	}
+	if request, ok := item.Event.(dispatch.Request); ok {
+		if err := in.checkRequest(request); err != nil {
+			return nil, err
+		}
+	}
+	return in.dispatcher.Handle(batch.Now, item.Event), nil
+}
+
+// checkRequest reports a class or plan that the instance's settings do not have.
+func (in *instance) checkRequest(r dispatch.Request) error {
+	if r.Class < 0 || r.Class >= len(in.cfg.Classes) {
+		return fmt.Errorf("ASK: tier_class %d: expected 0 to %d", r.Class, len(in.cfg.Classes)-1)
+	}
+	if r.Plan < 0 || r.Plan >= len(in.cfg.Plans) {
+		return fmt.Errorf("ASK: plan %d: expected 0 to %d", r.Plan, len(in.cfg.Plans)-1)
+	}
+	return nil
+}
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -12,11 +12,11 @@
 	"classes.0.effect=idempotent policies.count=1 policies.0.weight=1 limits.max_retry_after_ms=500 round_ms=2\n" +
 	"PAGE 0 1\nITEM 10.0.0.7:8003 0 0 0 SERVING 1 -\nFLEET 1 Persisted 0\n"
 
-// build makes the program once, as the deploy file does.
+// build builds the command and returns its path.
 func build(t *testing.T) string {
 	t.Helper()
 	bin := filepath.Join(t.TempDir(), "simhost")
-	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
+	if out, err := exec.CommandContext(t.Context(), "go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
 	return bin
@@ -25,11 +25,11 @@
 func TestTranscripts(t *testing.T) {
 	bin := build(t)
 	for _, c := range []struct {
-		name, in, out, fault string
+		name, in, out, stderr string
 	}{
 		{"an empty batch", "BEGIN_BATCH 1\nGO\n", "READY\n", ""},
 		{
-			"a request is sent, answered and over",
+			"a request is sent and answered",
 			"BEGIN_BATCH 1000\nFOR d_1\n" + begin + "ASK 7 1 0 0 2 0 k 1500 c:v 0\nGO\n" +
 				"BEGIN_BATCH 1020\nFOR d_1\nATTEMPT_END 7 1 10.0.0.7:8003 0 delivered 0 0 20 -\nABANDONED 7\nGO\n",
 			"BY d_1\nDEFER 4000 wake\nFORWARD 7 10.0.0.7:8003 0\nREADY\nREADY\n", "",
@@ -40,7 +40,7 @@
 			"BY d_1\nDEFER 4000 wake\nTURN_AWAY 7 200\nREADY\n", "",
 		},
 		{
-			"killed and started again in one batch",
+			"crashed and restarted in one batch",
 			"BEGIN_BATCH 1000\nFOR d_1\n" + begin + "ASK 7 1 0 0 2 0 k 1500 c:v 0\nGO\n" +
 				"BEGIN_BATCH 1010\nFOR d_1\nCRASH_NOW\n" + begin + "GO\n",
 			"BY d_1\nDEFER 4000 wake\nFORWARD 7 10.0.0.7:8003 0\nREADY\nBY d_1\nDEFER 4010 wake\nREADY\n", "",
@@ -62,18 +62,20 @@
 			"BY d_1\nFATAL line 7: ASK: plan 5: expected 0 to 0\nREADY\n", "plan",
 		},
 		{
-			"senseless settings", "BEGIN_BATCH 1\nFOR d_1\nBEGIN 1 peers_total=0\nGO\n",
+			"invalid settings", "BEGIN_BATCH 1\nFOR d_1\nBEGIN 1 peers_total=0\nGO\n",
 			"BY d_1\nFATAL line 3: BEGIN: dispatch: DispatcherCount: expected at least 1, got 0\nREADY\n", "DispatcherCount",
 		},
 		{"noise where no instance is known", "noise\n", "", "expected BEGIN_BATCH"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var out, fault bytes.Buffer
-			cmd := exec.Command(bin)
-			cmd.Stdin, cmd.Stdout, cmd.Stderr = strings.NewReader(c.in), &out, &fault
+			var out, stderr bytes.Buffer
+			cmd := exec.CommandContext(t.Context(), bin)
+			cmd.Stdin = strings.NewReader(c.in)
+			cmd.Stdout = &out
+			cmd.Stderr = &stderr
 			err := cmd.Run()
-			if (err != nil) != (c.fault != "") || !strings.Contains(fault.String(), c.fault) {
-				t.Errorf("ended with %v, said %q, want %q", err, fault.String(), c.fault)
+			if (err != nil) != (c.stderr != "") || !strings.Contains(stderr.String(), c.stderr) {
+				t.Errorf("ended with %v, stderr %q, want %q", err, stderr.String(), c.stderr)
 			}
 			if out.String() != c.out {
 				t.Errorf("got\n%swant\n%s", out.String(), c.out)
@@ -82,7 +84,7 @@
 	}
 }
 
-// Instances share nothing: each acts as if it were alone.
+// Instances share no state: each acts as if it were alone.
 func TestInstancesShareNothing(t *testing.T) {
 	ask := "ASK 7 1 0 0 2 0 k 1500 c:v 0\n"
 	alone, both := &bytes.Buffer{}, &bytes.Buffer{}
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -1,5 +1,5 @@
-// Package simwire translates between the simulator's line protocol and the terms
-// of package dispatch. It decides nothing.
+// Package simwire translates between the simulator's line protocol and the types of package
+// dispatch. It decides nothing.
 package simwire
 
 import (
@@ -9,61 +9,67 @@
 	"errors"
 	"fmt"
 	"io"
-	"math"
 	"strconv"
 	"strings"
 	"time"
 )
 
-// Kind tells what an Item of a batch is.
-type Kind int
+// readBufferSize is the size of the input buffer, bytes.
+const readBufferSize = 1 << 20
 
-// The kinds of item.
+// ItemKind is what an Item means for its instance.
+type ItemKind int
+
+// The kinds of items.
 const (
-	Heard Kind = iota // an event for a running instance
-	Begin             // an instance starts
-	Crash             // an instance is killed
+	EventReceived   ItemKind = iota // an event for a running instance
+	InstanceStarted                 // with Seed and Config
+	InstanceCrashed
 )
 
-// Item is one line of a batch that concerns an instance.
+// Item is a line of a batch that concerns an instance.
 type Item struct {
-	Line     int
+	Line     int // from 1
 	Instance string
-	Kind     Kind
+	Kind     ItemKind
 	Seed     uint64
 	Config   dispatch.Config
-	Event    dispatch.Event
+	Event    dispatch.Event // nil for an event that dispatchers do not use
 }
 
-// Batch is what happened at one moment.
+// Batch holds what happens at one moment.
 type Batch struct {
 	Now   time.Duration
 	Items []Item
 }
 
-// Error is a malformed line.
-type Error struct {
+// ProtocolError reports a line that is malformed or not allowed.
+type ProtocolError struct {
 	Line     int
-	Instance string // the last one named before it, if any
-	Text     string
+	Instance string // the last one named before the line; "" if there is none
+	Err      error
 }
 
-func (e *Error) Error() string { return fmt.Sprintf("line %d: %s", e.Line, e.Text) }
+// Error implements error.
+func (e *ProtocolError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
+
+// Unwrap returns what is wrong with the line.
+func (e *ProtocolError) Unwrap() error { return e.Err }
 
 // Decoder reads batches.
 type Decoder struct {
-	in    *bufio.Reader
-	line  int
-	inst  string
-	pages map[int64][]dispatch.Node
+	in       *bufio.Reader
+	line     int
+	instance string
+	pages    map[int64][]dispatch.Node // lists of nodes by number
 }
 
-// NewDecoder returns a decoder of r.
+// NewDecoder returns a decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder {
-	return &Decoder{in: bufio.NewReaderSize(r, 1<<20), pages: map[int64][]dispatch.Node{}}
+	return &Decoder{in: bufio.NewReaderSize(r, readBufferSize), pages: map[int64][]dispatch.Node{}}
 }
 
-// next returns a line without its end; io.EOF only where no text is left.
+// next returns a line without its end. It returns io.EOF only where no text is left.
 func (d *Decoder) next() (string, error) {
 	s, err := d.in.ReadString('\n')
 	if err != nil && (s == "" || !errors.Is(err, io.EOF)) {
@@ -74,13 +80,14 @@
 }
 
 func (d *Decoder) fail(format string, args ...any) error {
-	return &Error{Line: d.line, Instance: d.inst, Text: fmt.Sprintf(format, args...)}
+	return &ProtocolError{Line: d.line, Instance: d.instance, Err: fmt.Errorf(format, args...)}
 }
 
-// Batch reads one batch. It returns io.EOF when the input ends between batches.
+// Batch reads one batch. It returns io.EOF when the input ends between batches, and a
+// *ProtocolError for a line that can't be used.
 func (d *Decoder) Batch() (Batch, error) {
 	var b Batch
-	d.inst = ""
+	d.instance = ""
 	head, err := d.next()
 	for err == nil && head == "" {
 		head, err = d.next()
@@ -92,125 +99,99 @@
 	if f.verb != "BEGIN_BATCH" {
 		return b, d.fail("expected BEGIN_BATCH, got %q", f.verb)
 	}
-	b.Now = f.time("clock_ms")
+	b.Now = f.duration("clock_ms")
 	if err := f.done(); err != nil {
 		return b, err
 	}
 	for {
-		s, err := d.next()
+		line, err := d.next()
+		if errors.Is(err, io.EOF) {
+			return b, d.fail("input ended inside a batch, expected GO")
+		}
 		if err != nil {
-			if errors.Is(err, io.EOF) {
-				return b, d.fail("input ended inside a batch, expected GO")
-			}
 			return b, err
 		}
-		if s == "GO" {
+		if line == "GO" {
 			return b, nil
 		}
-		it, ok, err := d.item(s)
+		item, ok, err := d.item(line)
 		if err != nil {
 			return b, err
 		}
 		if ok {
-			b.Items = append(b.Items, it)
+			b.Items = append(b.Items, item)
 		}
 	}
 }
 
-func (d *Decoder) item(s string) (Item, bool, error) {
-	f := d.fields(s)
-	it := Item{Line: d.line, Instance: d.inst}
+// item decodes a line and reports whether it is an item of an instance.
+func (d *Decoder) item(line string) (Item, bool, error) {
+	f := d.fields(line)
+	it := Item{Line: d.line, Instance: d.instance}
 	switch f.verb {
 	case "FOR":
-		d.inst = f.word("dispatcher_id")
+		d.instance = f.word("dispatcher_id")
 		return it, false, f.done()
 	case "PAGE":
 		return it, false, d.page(f)
 	}
-	if !known[f.verb] {
+	decode, known := itemDecoders[f.verb]
+	if !known {
 		return it, false, d.fail("unknown event %q", f.verb)
 	}
-	if d.inst == "" {
+	if d.instance == "" {
 		return it, false, d.fail("%s before any FOR names an instance", f.verb)
 	}
-	switch f.verb {
-	case "BEGIN":
-		it.Kind = Begin
-		it.Seed = uint64(f.integer("random_seed"))
-		cfg, err := config(f.rest)
-		if err != nil {
-			return it, false, d.fail("BEGIN: %v", err)
-		}
-		it.Config, f.rest = cfg, ""
-	case "CRASH_NOW":
-		it.Kind = Crash
-	case "FLEET":
-		f.integer("index")
-		ev := dispatch.EndpointUpdate{}
-		ev.Kind = dispatch.EndpointUpdateKind(f.oneOf("kind", listKinds))
-		bank := f.word("bank")
-		if ev.Kind != dispatch.PollFailed && f.err == nil {
-			n, err := strconv.ParseInt(bank, 10, 64)
-			nodes, ok := d.pages[n]
-			if err != nil || !ok {
-				return it, false, d.fail("FLEET: bank %q: no PAGE defined it", bank)
-			}
-			ev.Nodes = nodes
-		}
-		it.Event = ev
-	case "ASK":
-		it.Event = f.ask()
-	case "ATTEMPT_END":
-		it.Event = f.outcome()
-	case "ACK_FIRST":
-		f.rid()
-		f.integer("leg")
-		f.word("server")
-		f.time("wait_time_ms")
-	case "ABANDONED":
-		it.Event = dispatch.ClientCanceled{ID: f.rid()}
-	case "TIMEOUT_FIRED":
-		it.Event = dispatch.TimerFired{Token: f.word("label")}
-	case "SAMPLED":
-		f.word("server")
-		f.oneOf("status", statuses)
-		f.time("wait_time_ms")
-		f.report()
-	case "DATAGRAM":
-		f.integer("author")
-		if s := f.word("bytes"); s != "-" && f.err == nil {
-			if _, err := base64.StdEncoding.DecodeString(s); err != nil {
-				return it, false, d.fail("DATAGRAM: bytes: expected base64, got %q", s)
-			}
-		}
+	decode(f, &it)
+	if err := f.done(); err != nil {
+		return it, false, err
 	}
-	return it, true, f.done()
+	return it, true, nil
 }
 
-var known = map[string]bool{
-	"BEGIN": true, "CRASH_NOW": true, "FLEET": true, "ASK": true, "ATTEMPT_END": true,
-	"ACK_FIRST": true, "ABANDONED": true, "TIMEOUT_FIRED": true, "SAMPLED": true, "DATAGRAM": true,
+// itemDecoders decodes the fields of an item by its verb. Errors are kept by the fields.
+var itemDecoders = map[string]func(f *fields, it *Item){
+	"BEGIN":         (*fields).begin,
+	"CRASH_NOW":     func(_ *fields, it *Item) { it.Kind = InstanceCrashed },
+	"FLEET":         (*fields).fleet,
+	"ASK":           func(f *fields, it *Item) { it.Event = f.request() },
+	"ATTEMPT_END":   func(f *fields, it *Item) { it.Event = f.attemptCompleted() },
+	"ACK_FIRST":     (*fields).firstAcknowledged,
+	"ABANDONED":     func(f *fields, it *Item) { it.Event = dispatch.ClientCanceled{ID: f.requestID()} },
+	"TIMEOUT_FIRED": func(f *fields, it *Item) { it.Event = dispatch.TimerFired{Token: f.word("label")} },
+	"SAMPLED":       (*fields).sampled,
+	"DATAGRAM":      (*fields).datagram,
 }
 
+// The simulator's words for values of package dispatch.
 var (
-	listKinds = map[string]int{
-		"Partial": int(dispatch.Delta), "Complete": int(dispatch.Snapshot),
-		"Persisted": int(dispatch.Cached), "Error": int(dispatch.PollFailed),
-	}
-	statuses = map[string]int{
-		"delivered": int(dispatch.OK), "app_error": int(dispatch.ServerError), "shed": int(dispatch.Rejected),
-		"expired": int(dispatch.TimedOut), "dial_failed": int(dispatch.ConnectFailed), "dropped": int(dispatch.ConnectionReset),
-		"revoked": int(dispatch.Canceled), "unused": int(dispatch.NotSent),
-	}
-	nodeStates = map[string]int{
-		"SERVING": int(dispatch.Ready), "DRAINING": int(dispatch.Draining),
-		"DELETED": int(dispatch.Removed),
+	updateKinds = map[string]dispatch.EndpointUpdateKind{
+		"Partial":   dispatch.Delta,
+		"Complete":  dispatch.Snapshot,
+		"Persisted": dispatch.Cached,
+		"Error":     dispatch.PollFailed,
+	}
+	attemptResults = map[string]dispatch.AttemptResult{
+		"delivered":   dispatch.OK,
+		"app_error":   dispatch.ServerError,
+		"shed":        dispatch.Rejected,
+		"expired":     dispatch.TimedOut,
+		"dial_failed": dispatch.ConnectFailed,
+		"dropped":     dispatch.ConnectionReset,
+		"revoked":     dispatch.Canceled,
+		"unused":      dispatch.NotSent,
+	}
+	nodeStates = map[string]dispatch.NodeState{
+		"SERVING":  dispatch.Ready,
+		"DRAINING": dispatch.Draining,
+		"DELETED":  dispatch.Removed,
 	}
 )
 
-// page reads a numbered list of nodes and keeps it for the FLEETs to come.
+// page reads a numbered list of nodes, which later FLEET lines refer to.
 func (d *Decoder) page(f *fields) error {
-	bank, count := f.integer("bank"), f.integer("elements")
+	bank := f.integer("bank")
+	count := f.integer("elements")
 	if err := f.done(); err != nil {
 		return err
 	}
@@ -218,24 +199,17 @@
 		return d.fail("PAGE: bank and elements: expected 0 or more")
 	}
 	var nodes []dispatch.Node
-	for i := int64(0); i < count; i++ {
-		s, err := d.next()
+	for i := range count {
+		line, err := d.next()
 		if err != nil {
 			return d.fail("PAGE: expected %d ITEM lines, input ended after %d", count, i)
 		}
-		e := d.fields(s)
-		if e.verb != "ITEM" {
-			return d.fail("PAGE: expected %d ITEM lines, got %q after %d", count, e.verb, i)
+		entry := d.fields(line)
+		if entry.verb != "ITEM" {
+			return d.fail("PAGE: expected %d ITEM lines, got %q after %d", count, entry.verb, i)
 		}
-		n := dispatch.Node{
-			ID: dispatch.NodeID(e.word("server")), Zone: int(e.integer("dc")),
-			Kind: int(e.integer("shape")), Shard: dispatch.Shard(e.integer("pack")),
-			State: dispatch.NodeState(e.oneOf("health", nodeStates)),
-		}
-		e.number("size")
-		n.Started = e.time("online_since_ms")
-		nodes = append(nodes, n)
-		if err := e.done(); err != nil {
+		nodes = append(nodes, entry.node())
+		if err := entry.done(); err != nil {
 			return err
 		}
 	}
@@ -243,178 +217,110 @@
 	return nil
 }
 
-func (f *fields) ask() dispatch.Event {
-	r := dispatch.Request{ID: f.rid(), Dispatchers: int(f.number("attached")), Plan: int(f.integer("plan"))}
-	f.integer("state_bits")
-	r.Units = f.number("quota_units")
-	r.Class = int(f.integer("tier_class"))
-	if r.Key = f.word("object"); r.Key == "-" {
-		r.Key = ""
+func (f *fields) node() dispatch.Node {
+	n := dispatch.Node{
+		ID:    dispatch.NodeID(f.word("server")),
+		Zone:  int(f.integer("dc")),
+		Kind:  int(f.integer("shape")),
+		Shard: dispatch.Shard(f.integer("pack")),
+		State: fieldOneOf(f, "health", nodeStates),
 	}
-	r.Timeout = f.time("grace_ms")
-	r.Volume = dispatch.VolumeID(f.word("owner"))
-	r.Shard = dispatch.AnyShard
-	if f.next() != "-" {
-		r.Shard = dispatch.Shard(f.number("placement"))
-	} else {
-		f.word("placement")
-	}
-	return r
-}
-
-func (f *fields) outcome() dispatch.Event {
-	o := dispatch.AttemptCompleted{
-		ID: f.rid(), Responded: f.boolean("complete"), Node: dispatch.NodeID(f.word("server")),
-		QuotaUsage: f.number("volume_use"), Result: dispatch.AttemptResult(f.oneOf("status", statuses)), Attempt: int(f.integer("leg")),
-		PeerUnits: f.number("elsewhere"), Latency: f.time("wait_time_ms"),
-	}
-	o.LoadReport = f.report()
-	return o
-}
-
-// fields takes a line apart; the first error stays.
-type fields struct {
-	d    *Decoder
-	verb string
-	rest string
-	more bool // a value follows
-	n    int
-	err  error
-}
-
-func (d *Decoder) fields(s string) *fields {
-	verb, rest, more := strings.Cut(s, " ")
-	return &fields{d: d, verb: verb, rest: rest, more: more}
-}
-
-func (f *fields) bad(name, want, got string) {
-	if f.err == nil {
-		f.err = f.d.fail("%s: value %d (%s): expected %s, got %q", f.verb, f.n, name, want, got)
-	}
-}
-
-// next is the coming value, without taking it.
-func (f *fields) next() string {
-	s, _, _ := strings.Cut(f.rest, " ")
-	return s
-}
-
-func (f *fields) word(name string) string {
-	f.n++
-	if !f.more {
-		f.bad(name, "a value", "end of line")
-		return ""
-	}
-	s, rest, more := strings.Cut(f.rest, " ")
-	f.rest, f.more = rest, more
-	if s == "" {
-		f.bad(name, "a value", "")
-	}
-	return s
+	f.number("size")
+	n.Started = f.duration("online_since_ms")
+	return n
 }
 
-func (f *fields) integer(name string) int64 {
-	s := f.word(name)
-	if f.err != nil || s == "-" {
-		return 0
-	}
-	n, err := strconv.ParseInt(s, 10, 64)
+// begin decodes the start of an instance. Errors of the settings come first.
+func (f *fields) begin(it *Item) {
+	it.Kind = InstanceStarted
+	it.Seed = uint64(f.integer("random_seed"))
+	cfg, err := parsePairs(f.rest)
 	if err != nil {
-		f.bad(name, "an integer", s)
+		f.err = f.d.fail("BEGIN: %w", err)
+		return
 	}
-	return n
+	it.Config = cfg
+	f.rest = ""
 }
 
-func (f *fields) rid() dispatch.RequestID {
-	s := f.word("rid")
-	n, err := strconv.ParseUint(s, 10, 52)
-	if err != nil {
-		f.bad("rid", "a number below 2^52", s)
+func (f *fields) fleet(it *Item) {
+	f.integer("index")
+	update := dispatch.EndpointUpdate{Kind: fieldOneOf(f, "kind", updateKinds)}
+	bank := f.word("bank")
+	if update.Kind != dispatch.PollFailed && f.err == nil {
+		number, err := strconv.ParseInt(bank, 10, 64)
+		nodes, ok := f.d.pages[number]
+		if err != nil || !ok {
+			f.err = f.d.fail("FLEET: bank %q: no PAGE defined it", bank)
+			return
+		}
+		update.Nodes = nodes
 	}
-	return dispatch.RequestID(n)
+	it.Event = update
 }
 
-func (f *fields) number(name string) float64 {
-	s := f.word(name)
-	if f.err != nil || s == "-" {
-		return 0
+func (f *fields) request() dispatch.Event {
+	r := dispatch.Request{
+		ID:          f.requestID(),
+		Dispatchers: int(f.number("attached")),
+		Plan:        int(f.integer("plan")),
 	}
-	x, ok := Finite(s)
-	if !ok {
-		f.bad(name, "a number", s)
+	f.integer("state_bits")
+	r.Units = f.number("quota_units")
+	r.Class = int(f.integer("tier_class"))
+	r.Key = f.word("object")
+	if r.Key == absent {
+		r.Key = ""
 	}
-	return x
-}
-
-// time takes milliseconds; the simulator counts in microseconds.
-func (f *fields) time(name string) time.Duration { return millis(f.number(name)) }
-
-func millis(ms float64) time.Duration {
-	return time.Duration(math.Round(min(max(ms*1000, -4e15), 4e15))) * time.Microsecond
-}
-
-func (f *fields) boolean(name string) bool {
-	switch s := f.word(name); s {
-	case "1":
-		return true
-	case "0", "-":
-	default:
-		f.bad(name, "0 or 1", s)
+	r.Timeout = f.duration("grace_ms")
+	r.Volume = dispatch.VolumeID(f.word("owner"))
+	r.Shard = dispatch.AnyShard
+	if f.peek() == absent {
+		f.word("placement")
+	} else {
+		r.Shard = dispatch.Shard(f.number("placement"))
 	}
-	return false
+	return r
 }
 
-func (f *fields) oneOf(name string, of map[string]int) int {
-	s := f.word(name)
-	v, ok := of[s]
-	if !ok {
-		f.bad(name, "a known word", s)
+func (f *fields) attemptCompleted() dispatch.Event {
+	return dispatch.AttemptCompleted{
+		ID:         f.requestID(),
+		Responded:  f.boolean("complete"),
+		Node:       dispatch.NodeID(f.word("server")),
+		QuotaUsage: f.number("volume_use"),
+		Result:     fieldOneOf(f, "status", attemptResults),
+		Attempt:    int(f.integer("leg")),
+		PeerUnits:  f.number("elsewhere"),
+		Latency:    f.duration("wait_time_ms"),
+		LoadReport: f.loadReport(),
 	}
-	return v
 }
 
-// loads are this wire's words for the values of a load report; others stay as they are.
-var loads = map[string]string{
-	"rif": "inflight", "q": "queue", "busy": "util", "lat_ms": "latency_ms",
-	"rate": "qps", "fail_rate": "eps",
+// firstAcknowledged checks a line that dispatchers do not use.
+func (f *fields) firstAcknowledged(*Item) {
+	f.requestID()
+	f.integer("leg")
+	f.word("server")
+	f.duration("wait_time_ms")
 }
 
-func (f *fields) report() dispatch.LoadReport {
-	if !f.more {
-		return nil
-	}
-	s := f.word("report")
-	if s == "-" || f.err != nil {
-		return nil
-	}
-	r := Report(s, ":")
-	if r == nil {
-		f.bad("report", "name:number pairs", s)
-	}
-	return r
+// sampled checks a line that dispatchers do not use.
+func (f *fields) sampled(*Item) {
+	f.word("server")
+	fieldOneOf(f, "status", attemptResults)
+	f.duration("wait_time_ms")
+	f.loadReport()
 }
 
-// Report reads a load report: names and values with a mark between them, set apart by
-// commas. It returns nil where it can't be read.
-func Report(s, mark string) dispatch.LoadReport {
-	r := dispatch.LoadReport{}
-	for _, p := range strings.Split(s, ",") {
-		k, v, ok := strings.Cut(p, mark)
-		x, err := strconv.ParseFloat(v, 64)
-		if !ok || err != nil || k == "" {
-			return nil
-		}
-		if name, ok := loads[k]; ok {
-			k = name
-		}
-		r[k] = x
+// datagram checks a line that dispatchers do not use.
+func (f *fields) datagram(*Item) {
+	f.integer("author")
+	payload := f.word("bytes")
+	if payload == absent || f.err != nil {
+		return
 	}
-	return r
-}
-
-func (f *fields) done() error {
-	if f.err == nil && f.more && f.rest != "" {
-		f.err = f.d.fail("%s: %d values expected, more follow: %q", f.verb, f.n, f.rest)
+	if _, err := base64.StdEncoding.DecodeString(payload); err != nil {
+		f.err = f.d.fail("DATAGRAM: bytes: expected base64, got %q", payload)
 	}
-	return f.err
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/decode_test.go
@@ -1,7 +1,6 @@
 package simwire
 
 import (
-	"bytes"
 	"chalkstand/dispatch"
 	"errors"
 	"io"
@@ -58,7 +57,7 @@
 	if e := b.Items[7].Event; e != nil {
 		t.Errorf("a message that nothing uses became %+v", e)
 	}
-	if b.Items[8].Kind != Crash {
+	if b.Items[8].Kind != InstanceCrashed {
 		t.Errorf("kind %v, want a crash", b.Items[8].Kind)
 	}
 }
@@ -93,54 +92,17 @@
 		"BEGIN_BATCH 1\nFOR d\nSAMPLED s delivered\nGO\n":                            "value 3 (wait_time_ms): expected a value",
 	} {
 		_, err := decode(t, text)
-		var bad *Error
-		if !errors.As(err, &bad) || !strings.Contains(err.Error(), want) {
+		var protocol *ProtocolError
+		if !errors.As(err, &protocol) || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: error %v, want %q", text, err, want)
 		}
 	}
-	if _, err := decode(t, ""); err != io.EOF {
+	if _, err := decode(t, ""); !errors.Is(err, io.EOF) {
 		t.Errorf("no input: %v, want EOF", err)
 	}
 }
 
-func TestEncode(t *testing.T) {
-	var out bytes.Buffer
-	e := NewEncoder(&out)
-	e.By("dispatcher_3")
-	for _, a := range []dispatch.Action{
-		dispatch.SendAttempt{ID: 4068207471792580, Node: "10.18.74.7:8003", Deadline: 8492250 * time.Microsecond},
-		dispatch.SendAttempt{ID: 1, Node: "n"},
-		dispatch.Reject{ID: 2, RetryAfter: 50 * time.Millisecond},
-		dispatch.Fail{ID: 3},
-		dispatch.CancelAttempt{ID: 4, Attempt: 1},
-		dispatch.SetTimer{At: 8912250001, Token: "wake"},
-		dispatch.Watch{On: true},
-		dispatch.Watch{},
-	} {
-		e.Action(a)
-	}
-	e.Fatal("no\nway")
-	if err := e.Ready(); err != nil {
-		t.Fatal(err)
-	}
-	want := `BY dispatcher_3
-FORWARD 4068207471792580 10.18.74.7:8003 8492.25
-FORWARD 1 n 0
-TURN_AWAY 2 50
-RESPOND_ERROR 3
-REVOKE 4 1
-DEFER 8912.251 wake
-TAIL 1
-TAIL 0
-FATAL no way
-READY
-`
-	if out.String() != want {
-		t.Errorf("got\n%swant\n%s", out.String(), want)
-	}
-}
-
-// FuzzBatch: any text gives batches or a plain error, never a panic or a hang.
+// FuzzBatch checks that any input gives batches or an error, never a panic or an endless loop.
 func FuzzBatch(f *testing.F) {
 	f.Add("BEGIN_BATCH 8412.25\nGO\n")
 	f.Add("BEGIN_BATCH 1\nFOR d\nBEGIN 51 " + someSettings + "\nPAGE 0 1\nITEM a 0 0 0 SERVING 1 -\nFLEET 41 Persisted 0\nGO\n")
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -9,16 +9,19 @@
 	"time"
 )
 
-// Encoder writes replies.
+// writeBufferSize is the size of the output buffer, bytes.
+const writeBufferSize = 1 << 16
+
+// Encoder writes replies. An error of a write is returned by Ready.
 type Encoder struct{ w *bufio.Writer }
 
-// NewEncoder returns an encoder to w.
-func NewEncoder(w io.Writer) *Encoder { return &Encoder{bufio.NewWriterSize(w, 1<<16)} }
+// NewEncoder returns an encoder that writes to w.
+func NewEncoder(w io.Writer) *Encoder { return &Encoder{bufio.NewWriterSize(w, writeBufferSize)} }
 
 // By begins the actions of an instance.
-func (e *Encoder) By(inst string) { e.line("BY", inst) }
+func (e *Encoder) By(instance string) { e.line("BY", instance) }
 
-// Fatal declares that the decision code has failed.
+// Fatal reports a failure of the instance named last.
 func (e *Encoder) Fatal(text string) { e.line("FATAL", oneLine(text)) }
 
 // Ready ends the reply and flushes it.
@@ -27,29 +30,30 @@
 	return e.w.Flush()
 }
 
-func (e *Encoder) line(parts ...string) {
-	for i, p := range parts {
+// line writes words as a line. The writer keeps an error for the next Flush.
+func (e *Encoder) line(words ...string) {
+	for i, word := range words {
 		if i > 0 {
-			e.w.WriteByte(' ')
+			_ = e.w.WriteByte(' ')
 		}
-		e.w.WriteString(p)
+		_, _ = e.w.WriteString(word)
 	}
-	e.w.WriteByte('\n')
+	_ = e.w.WriteByte('\n')
 }
 
-// Action writes one action of the instance named last.
+// Action writes an action of the instance named last.
 func (e *Encoder) Action(a dispatch.Action) {
 	switch a := a.(type) {
 	case dispatch.SendAttempt:
-		e.line("FORWARD", id(a.ID), string(a.Node), ms(a.Deadline))
+		e.line("FORWARD", formatID(a.ID), string(a.Node), formatTime(a.Deadline))
 	case dispatch.Reject:
-		e.line("TURN_AWAY", id(a.ID), ms(a.RetryAfter))
+		e.line("TURN_AWAY", formatID(a.ID), formatTime(a.RetryAfter))
 	case dispatch.Fail:
-		e.line("RESPOND_ERROR", id(a.ID))
+		e.line("RESPOND_ERROR", formatID(a.ID))
 	case dispatch.CancelAttempt:
-		e.line("REVOKE", id(a.ID), strconv.Itoa(a.Attempt))
+		e.line("REVOKE", formatID(a.ID), strconv.Itoa(a.Attempt))
 	case dispatch.SetTimer:
-		e.line("DEFER", ms(a.At), a.Token)
+		e.line("DEFER", formatTime(a.At), a.Token)
 	case dispatch.Watch:
 		on := "0"
 		if a.On {
@@ -59,14 +63,15 @@
 	}
 }
 
-func id(r dispatch.RequestID) string { return strconv.FormatUint(uint64(r), 10) }
+func formatID(id dispatch.RequestID) string { return strconv.FormatUint(uint64(id), 10) }
 
-// ms writes milliseconds, rounded up to the simulator's microseconds.
-func ms(t time.Duration) string {
-	us := int64((t + time.Microsecond - 1) / time.Microsecond)
-	return strconv.FormatFloat(float64(us)/1000, 'f', -1, 64)
+// formatTime formats milliseconds, rounded up to the simulator's microseconds.
+func formatTime(t time.Duration) string {
+	microseconds := int64((t + time.Microsecond - 1) / time.Microsecond)
+	return strconv.FormatFloat(float64(microseconds)/1000, 'f', -1, 64)
 }
 
+// oneLine replaces control characters by spaces.
 func oneLine(s string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' {
--- a/internal/simwire/nested_test.go
+++ b/internal/simwire/json_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// The settings are the same as pairs and as nested JSON.
-func TestNestedIsThePairs(t *testing.T) {
-	pairs, err := config(someSettings)
+// The settings are the same as pairs and as JSON.
+func TestNestedEqualsPairs(t *testing.T) {
+	pairs, err := parsePairs(someSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/simwire/settings.go
@@ -0,0 +1,188 @@
+package simwire
+
+import (
+	"chalkstand/dispatch"
+	"fmt"
+	"math"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// absent stands for a value that is not given.
+const absent = "-"
+
+// maxListLength bounds the length of a list, so that a wrong one cannot exhaust memory.
+const maxListLength = 1000
+
+// SettingError reports a setting that can't be used.
+type SettingError struct {
+	Key      string // path of the setting; "" for one that is no path=value pair
+	Expected string
+	Got      string
+}
+
+// Error implements error.
+func (e *SettingError) Error() string {
+	if e.Key == "" {
+		return fmt.Sprintf("config: expected %s, got %q", e.Expected, e.Got)
+	}
+	return fmt.Sprintf("config: %s: expected %s, got %q", e.Key, e.Expected, e.Got)
+}
+
+// settingsReader reads typed values from settings by their path. It keeps the first error.
+type settingsReader struct {
+	values map[string]string
+	err    error
+}
+
+// parsePairs reads settings that are written as path=value pairs.
+func parsePairs(text string) (dispatch.Config, error) {
+	r := settingsReader{values: map[string]string{}}
+	for _, pair := range strings.Fields(text) {
+		path, value, ok := strings.Cut(pair, "=")
+		if !ok {
+			return dispatch.Config{}, &SettingError{Expected: "path=value", Got: pair}
+		}
+		r.values[path] = value
+	}
+	return r.dispatchConfig()
+}
+
+// dispatchConfig reads the settings of a dispatcher. It maps the simulator's names to the
+// fields of dispatch.Config.
+func (r *settingsReader) dispatchConfig() (dispatch.Config, error) {
+	cfg := dispatch.Config{
+		DispatcherIndex: r.integer("me"),
+		DispatcherCount: r.integer("peers_total"),
+		CancelAttempts:  r.boolean("limits.cancel"),
+		PollDiscovery:   r.values["discovery"] == "on_request",
+		MaxRetryAfter:   r.duration("limits.max_retry_after_ms"),
+		MaxAttempts:     r.integer("limits.try_limit"),
+		RoundTrip:       r.duration("round_ms"),
+		MeanUnits:       r.number("family_info.usual_units"),
+		MaxUnits:        r.number("family_info.largest"),
+		Quiescence:      r.duration("rules.settle_after_doubt_ms"),
+		SlowStart: dispatch.SlowStart{
+			InitialCapacity: r.number("rules.cold_from"),
+			WarmUp:          r.duration("rules.warm_up_ms"),
+			OverloadFactor:  r.number("rules.overload_factor"),
+			Window:          r.duration("rules.overload_for_ms"),
+			InitialUnits:    r.number("family_info.young_limit"),
+		},
+		RetryBudget: dispatch.RetryBudget{
+			MinRetries: r.number("rules.free_resends"),
+			Ratio:      r.number("rules.resend_ratio"),
+			Window:     r.duration("rules.resend_span_ms"),
+		},
+	}
+	for i := range r.count("classes.count") {
+		cfg.Classes = append(cfg.Classes, r.class(fmt.Sprintf("classes.%d.", i)))
+	}
+	for i := range r.count("policies.count") {
+		cfg.Plans = append(cfg.Plans, r.plan(fmt.Sprintf("policies.%d.", i)))
+	}
+	return cfg, r.err
+}
+
+// The simulator's words for the idempotency of a class and its scope.
+var (
+	idempotencies = map[string]dispatch.Idempotency{
+		"":             dispatch.NonIdempotent,
+		"idempotent":   dispatch.Idempotent,
+		"deduplicated": dispatch.Deduplicated,
+		"at_most_once": dispatch.NonIdempotent,
+	}
+	dedupScopes = map[string]dispatch.DedupScope{
+		"":     dispatch.DedupPerShard,
+		"all":  dispatch.DedupEverywhere,
+		"zone": dispatch.DedupPerZone,
+		"cell": dispatch.DedupPerShard,
+	}
+)
+
+// class reads the class whose settings begin with prefix.
+func (r *settingsReader) class(prefix string) dispatch.Class {
+	return dispatch.Class{
+		Name:             r.values[prefix+"name"],
+		LatencyObjective: r.duration(prefix + "slo_ms"),
+		Deadline:         r.duration(prefix + "deadline_ms"),
+		PriorityWeight:   r.number(prefix + "credit"),
+		DedupWindow:      r.duration(prefix + "window_ms"),
+		Ordered:          r.boolean(prefix + "in_turn"),
+		Idempotency:      oneOf(r, prefix+"effect", idempotencies),
+		DedupScope:       oneOf(r, prefix+"group", dedupScopes),
+	}
+}
+
+// plan reads the plan whose settings begin with prefix.
+func (r *settingsReader) plan(prefix string) dispatch.Plan {
+	return dispatch.Plan{
+		Name:      r.values[prefix+"name"],
+		Reserve:   r.number(prefix + "guaranteed"),
+		Weight:    r.number(prefix + "weight"),
+		Price:     r.number(prefix + "value_factor"),
+		RateLimit: r.number(prefix + "limit"),
+		Burst:     r.number(prefix + "limit_burst"),
+		Slack:     r.number(prefix + "cap_slack"),
+	}
+}
+
+func (r *settingsReader) fail(key, expected string) {
+	if r.err == nil {
+		r.err = &SettingError{Key: key, Expected: expected, Got: r.values[key]}
+	}
+}
+
+// number returns 0 for a value that is not given.
+func (r *settingsReader) number(key string) float64 {
+	s, ok := r.values[key]
+	if !ok || s == absent || s == "" {
+		return 0
+	}
+	x, ok := Finite(s)
+	if !ok {
+		r.fail(key, "a number")
+	}
+	return x
+}
+
+// Finite parses a number and reports whether it is one, neither infinite nor NaN.
+func Finite(s string) (float64, bool) {
+	x, err := strconv.ParseFloat(s, 64)
+	return x, err == nil && !math.IsNaN(x) && !math.IsInf(x, 0)
+}
+
+func (r *settingsReader) integer(key string) int { return int(r.number(key)) }
+
+// count returns the length of a list, 0 to maxListLength.
+func (r *settingsReader) count(key string) int {
+	n := r.integer(key)
+	if n < 0 || n > maxListLength {
+		r.fail(key, fmt.Sprintf("0 to %d", maxListLength))
+		return 0
+	}
+	return n
+}
+
+// duration reads milliseconds.
+func (r *settingsReader) duration(key string) time.Duration { return milliseconds(r.number(key)) }
+
+func (r *settingsReader) boolean(key string) bool {
+	switch r.values[key] {
+	case "true", "1":
+		return true
+	case "false", "0", "", absent:
+	default:
+		r.fail(key, "true or false")
+	}
+	return false
+}
+
+func oneOf[T any](r *settingsReader, key string, words map[string]T) T {
+	value, ok := words[r.values[key]]
+	if !ok {
+		r.fail(key, "a known word")
+	}
+	return value
+}
