--- a/dispatch/checker_test.go
+++ b/dispatch/checker_test.go
@@ -163,7 +163,7 @@
 		harmless := class.Idempotency == Idempotent ||
 			class.Idempotency == Deduplicated && class.DedupScope == DedupEverywhere
 		if (r.ambiguous || r.outstanding) && !harmless {
-			c.violate("effects", "request %d rejected though it may have been executed", a.ID)
+			c.violate("idempotency", "request %d rejected though it may have been executed", a.ID)
 		}
 	case Fail:
 		c.checkAnswer(in.requests[a.ID], a.ID)
@@ -187,10 +187,10 @@
 	class := c.cfg.Classes[r.request.Class]
 	n := c.nodes[a.Node]
 	if r.outstanding {
-		c.violate("effects", "request %d has two attempts in flight", a.ID)
+		c.violate("idempotency", "request %d has two attempts in flight", a.ID)
 	}
 	if r.ambiguous && !mayRepeat(r, class, n, now) {
-		c.violate("effects", "request %d sent again though it may have been executed", a.ID)
+		c.violate("idempotency", "request %d sent again though it may have been executed", a.ID)
 	}
 	if since, ok := in.notReadySince[a.Node]; ok && now > since+drainGrace {
 		c.violate("drain", "request %d sent to %s, %v after it was not ready", a.ID, a.Node, now-since)
@@ -295,7 +295,7 @@
 	from := max(now-r.Window, n.Started)
 	limit := r.OverloadFactor*c.capacity(n, now)*r.Window.Seconds() + c.cfg.MaxUnits
 	if sum := unitsSince(c.sentToStarting[n.ID], from); sum > limit+1e-6 {
-		c.violate("cold", "%.0f units to %s, limit %.1f", sum, n.ID, limit)
+		c.violate("slow start", "%.0f units to %s, limit %.1f", sum, n.ID, limit)
 	}
 }
 
--- a/dispatch/simulation_test.go
+++ b/dispatch/simulation_test.go
@@ -288,7 +288,7 @@
 // setting or the event that the guard depends on.
 func TestCheckerFindsMissingGuard(t *testing.T) {
 	for invariant, disable := range map[string]func(*simulation){
-		"effects": func(s *simulation) {
+		"idempotency": func(s *simulation) {
 			s.config.Classes = slices.Clone(s.config.Classes)
 			s.config.Classes[nonIdempotentClass].Idempotency = Idempotent
 		},
@@ -303,8 +303,8 @@
 				s.config.Classes[i].LatencyObjective = time.Minute
 			}
 		},
-		"cold":  func(s *simulation) { s.config.SlowStart = SlowStart{} },
-		"drain": func(s *simulation) { s.hideDrains = true },
+		"slow start": func(s *simulation) { s.config.SlowStart = SlowStart{} },
+		"drain":      func(s *simulation) { s.hideDrains = true },
 		"limit": func(s *simulation) {
 			s.config.Plans = slices.Clone(s.config.Plans)
 			s.config.Plans[limitedPlan].RateLimit = 0
--- a/internal/simwire/decode_test.go
+++ b/internal/simwire/decode_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-const someSettings = "peers_total=2 me=1 classes.count=1 classes.0.slo_ms=300.0 classes.0.deadline_ms=1500.0 " +
+const settingsPairs = "peers_total=2 me=1 classes.count=1 classes.0.slo_ms=300.0 classes.0.deadline_ms=1500.0 " +
 	"classes.0.effect=deduplicated classes.0.group=zone classes.0.window_ms=4000.0 classes.0.in_turn=true " +
 	"policies.count=1 policies.0.weight=2.0 policies.0.limit=22.0 policies.0.limit_burst=48.0 policies.0.cap_slack=8.0 " +
 	"discovery=on_request family_info.class_writes=true rules.resend_span_ms=5000.0 rules.settle_after_doubt_ms=40.0 " +
@@ -21,7 +21,7 @@
 }
 
 func TestDecode(t *testing.T) {
-	b, err := decode(t, "BEGIN_BATCH 8412.25\nFOR dispatcher_3\nBEGIN 51 "+someSettings+"\n"+
+	b, err := decode(t, "BEGIN_BATCH 8412.25\nFOR dispatcher_3\nBEGIN 51 "+settingsPairs+"\n"+
 		"PAGE 0 2\nITEM 10.0.0.7:8003 0 1 5 SERVING 1 -\nITEM 10.0.0.8:8044 0 0 2 DRAINING 1.5 6100.0\n"+
 		"FLEET 41 Persisted 0\n"+
 		"ASK 4068207471792580 3 0 6 2 0 ext-k 240.0 c:vol 0\nASK 7 1 0 0 8 0 - 240.5 c:vol -1\n"+
@@ -105,7 +105,7 @@
 // FuzzBatch checks that any input gives batches or an error, never a panic or an endless loop.
 func FuzzBatch(f *testing.F) {
 	f.Add("BEGIN_BATCH 8412.25\nGO\n")
-	f.Add("BEGIN_BATCH 1\nFOR d\nBEGIN 51 " + someSettings + "\nPAGE 0 1\nITEM a 0 0 0 SERVING 1 -\nFLEET 41 Persisted 0\nGO\n")
+	f.Add("BEGIN_BATCH 1\nFOR d\nBEGIN 51 " + settingsPairs + "\nPAGE 0 1\nITEM a 0 0 0 SERVING 1 -\nFLEET 41 Persisted 0\nGO\n")
 	f.Add("BEGIN_BATCH 1\nFOR d\nASK 4 3 0 6 2 0 ext-k 240.0 c:vol 0\nATTEMPT_END 4 1 a 86 delivered 0 3 18.5 rif:7\nGO\n")
 	f.Add("BEGIN_BATCH 1e300\nFOR d\nACK_FIRST 4 0 a 1\nSAMPLED a shed 1 -\nDATAGRAM 0 aGk=\nCRASH_NOW\nGO\n")
 	f.Fuzz(func(t *testing.T, text string) {
--- a/internal/simwire/json_test.go
+++ b/internal/simwire/json_test.go
@@ -8,7 +8,7 @@
 
 // The settings are the same as pairs and as JSON.
 func TestNestedEqualsPairs(t *testing.T) {
-	pairs, err := parsePairs(someSettings)
+	pairs, err := parsePairs(settingsPairs)
 	if err != nil {
 		t.Fatal(err)
 	}
