--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -47,7 +47,7 @@
 	if !errors.As(err, &protocol) || protocol.Instance == "" {
 		return nil
 	}
-	encoder.By(protocol.Instance)
+	encoder.BeginInstance(protocol.Instance)
 	encoder.Fatal(protocol.Error())
 	return encoder.Ready()
 }
@@ -57,7 +57,7 @@
 	last := ""
 	for _, r := range replies {
 		if r.instance != last {
-			encoder.By(r.instance)
+			encoder.BeginInstance(r.instance)
 			last = r.instance
 		}
 		for _, a := range r.actions {
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -18,8 +18,8 @@
 // NewEncoder returns an encoder that writes to w.
 func NewEncoder(w io.Writer) *Encoder { return &Encoder{bufio.NewWriterSize(w, writeBufferSize)} }
 
-// By begins the actions of an instance.
-func (e *Encoder) By(instance string) { e.line("BY", instance) }
+// BeginInstance begins the actions of an instance.
+func (e *Encoder) BeginInstance(instance string) { e.line("BY", instance) }
 
 // Fatal reports a failure of the instance named last.
 func (e *Encoder) Fatal(text string) { e.line("FATAL", oneLine(text)) }
--- a/internal/simwire/encode_test.go
+++ b/internal/simwire/encode_test.go
@@ -10,7 +10,7 @@
 func TestEncode(t *testing.T) {
 	var out bytes.Buffer
 	e := NewEncoder(&out)
-	e.By("dispatcher_3")
+	e.BeginInstance("dispatcher_3")
 	for _, a := range []dispatch.Action{
 		dispatch.SendAttempt{ID: 4068207471792580, Node: "10.18.74.7:8003", Deadline: 8492250 * time.Microsecond},
 		dispatch.SendAttempt{ID: 1, Node: "n"},
