--- a/dispatch/checker_test.go
+++ b/dispatch/checker_test.go
@@ -2,186 +2,236 @@
 
 import (
 	"fmt"
+	"slices"
 	"time"
 )
 
-// checker judges what dispatchers do by the seven rules, from the events and
-// actions alone. It shares no code and no state with the module.
+// checker checks the invariants of dispatchers from their events and actions alone. It shares no
+// code and no state with them.
 type checker struct {
-	cfg    Config
-	slack  time.Duration     // after the deadline, for an answer
-	broken map[string]string // rule -> first breach
-	lives  []*life
-	stores map[VolumeID]*store
-	works  map[NodeID][]work // to nodes that have just started
-	served map[NodeID][]work // by them
-	nodes  map[NodeID]Node   // as they truly are
+	cfg            Config
+	slack          time.Duration     // for an answer after the deadline
+	violations     map[string]string // first violation by invariant
+	instances      []*instance
+	buckets        map[VolumeID]*bucket
+	sentToStarting map[NodeID][]sentUnits // to nodes that have just started
+	served         map[NodeID][]sentUnits // by them
+	nodes          map[NodeID]Node        // actual state
 }
 
-type store struct {
+// bucket is the token bucket of a volume's rate limit.
+type bucket struct {
 	level float64
 	at    time.Duration
 }
 
-type work struct {
+type sentUnits struct {
 	at    time.Duration
 	units float64
 }
 
-type life struct {
-	told  map[NodeID]time.Duration // when it was told that a node drains or is gone
-	reqs  map[RequestID]*track
-	order map[string][]*track
-	took  []time.Duration
-	extra []time.Duration
+// instance is a dispatcher from its start to its restart.
+type instance struct {
+	notReadySince map[NodeID]time.Duration // by its own endpoint updates
+	requests      map[RequestID]*requestRecord
+	byKey         map[string][]*requestRecord
+	arrivals      []time.Duration
+	retries       []time.Duration
 }
 
-type track struct {
-	req      Request
-	taken    time.Duration
-	answered bool
-	sends    int
-	out      bool
-	mayRun   bool
-	doubt    time.Duration
-	shard    Shard
-	node     NodeID
-	lastSent time.Duration
-	restTill time.Duration
+type requestRecord struct {
+	request        Request
+	arrivedAt      time.Duration
+	answered       bool
+	attempts       int
+	outstanding    bool
+	ambiguous      bool
+	ambiguousSince time.Duration
+	shard          Shard
+	node           NodeID
+	sentAt         time.Duration
+	quiescentAt    time.Duration
 }
 
+// drainGrace is the time in which a node that is not ready may still be sent requests.
 const drainGrace = 100 * ms
 
 func newChecker(cfg Config) *checker {
 	return &checker{
-		cfg: cfg, slack: 8 * ms, broken: map[string]string{}, lives: make([]*life, cfg.DispatcherCount),
-		stores: map[VolumeID]*store{}, works: map[NodeID][]work{},
-		served: map[NodeID][]work{}, nodes: map[NodeID]Node{},
+		cfg:            cfg,
+		slack:          8 * ms,
+		violations:     map[string]string{},
+		instances:      make([]*instance, cfg.DispatcherCount),
+		buckets:        map[VolumeID]*bucket{},
+		sentToStarting: map[NodeID][]sentUnits{},
+		served:         map[NodeID][]sentUnits{},
+		nodes:          map[NodeID]Node{},
 	}
 }
 
-func (c *checker) breach(rule, format string, args ...any) {
-	if c.broken[rule] == "" {
-		c.broken[rule] = fmt.Sprintf(format, args...)
+// violate records a violation of an invariant.
+func (c *checker) violate(rule, format string, args ...any) {
+	if c.violations[rule] == "" {
+		c.violations[rule] = fmt.Sprintf(format, args...)
 	}
 }
 
-func (c *checker) begin(i int) {
-	c.lives[i] = &life{told: map[NodeID]time.Duration{}, reqs: map[RequestID]*track{}, order: map[string][]*track{}}
+func (c *checker) startInstance(i int) {
+	c.instances[i] = &instance{
+		notReadySince: map[NodeID]time.Duration{},
+		requests:      map[RequestID]*requestRecord{},
+		byKey:         map[string][]*requestRecord{},
+	}
 }
 
-func (c *checker) event(i int, now time.Duration, e Event) {
-	l := c.lives[i]
+func (c *checker) observeEvent(i int, now time.Duration, e Event) {
+	in := c.instances[i]
 	switch e := e.(type) {
 	case Request:
-		t := &track{req: e, taken: now}
-		l.reqs[e.ID] = t
-		l.took = append(l.took, now)
-		if k := c.cfg.Classes[e.Class]; k.Ordered && e.Key != "" {
-			l.order[e.Key] = append(l.order[e.Key], t)
-		}
+		c.observeRequest(in, now, e)
 	case AttemptCompleted:
-		t := l.reqs[e.ID]
-		t.out = false
-		if e.Result == OK {
-			c.served[t.node] = append(c.served[t.node], work{now, t.req.Units})
-		}
-		t.answered = t.answered || e.Responded
-		if e.Result != Rejected && e.Result != ConnectFailed && e.Result != NotSent && !t.mayRun {
-			t.mayRun, t.doubt, t.shard = true, t.lastSent, c.nodes[t.node].Shard
-		}
-		if e.Result == TimedOut || e.Result == ConnectionReset || e.Result == Canceled {
-			t.restTill = now + c.cfg.Quiescence
-		}
+		c.observeCompletion(in, now, e)
 	case ClientCanceled:
-		if t := l.reqs[e.ID]; t != nil {
-			t.answered = true
+		if r := in.requests[e.ID]; r != nil {
+			r.answered = true
 		}
 	case EndpointUpdate:
-		if e.Kind == Snapshot || e.Kind == Cached {
-			listed := map[NodeID]bool{}
-			for _, n := range e.Nodes {
-				listed[n.ID] = true
-			}
-			for id := range c.nodes {
-				if !listed[id] {
-					l.tell(id, now)
-				}
+		c.observeEndpoints(in, now, e)
+	}
+}
+
+func (c *checker) observeRequest(in *instance, now time.Duration, e Request) {
+	r := &requestRecord{request: e, arrivedAt: now}
+	in.requests[e.ID] = r
+	in.arrivals = append(in.arrivals, now)
+	if class := c.cfg.Classes[e.Class]; class.Ordered && e.Key != "" {
+		in.byKey[e.Key] = append(in.byKey[e.Key], r)
+	}
+}
+
+func (c *checker) observeCompletion(in *instance, now time.Duration, e AttemptCompleted) {
+	r := in.requests[e.ID]
+	r.outstanding = false
+	if e.Result == OK {
+		c.served[r.node] = append(c.served[r.node], sentUnits{now, r.request.Units})
+	}
+	r.answered = r.answered || e.Responded
+	executed := e.Result != Rejected && e.Result != ConnectFailed && e.Result != NotSent
+	if executed && !r.ambiguous {
+		r.ambiguous = true
+		r.ambiguousSince = r.sentAt
+		r.shard = c.nodes[r.node].Shard
+	}
+	if e.Result == TimedOut || e.Result == ConnectionReset || e.Result == Canceled {
+		r.quiescentAt = now + c.cfg.Quiescence
+	}
+}
+
+func (c *checker) observeEndpoints(in *instance, now time.Duration, e EndpointUpdate) {
+	if e.Kind == Snapshot || e.Kind == Cached {
+		for id := range c.nodes {
+			listed := slices.ContainsFunc(e.Nodes, func(n Node) bool { return n.ID == id })
+			if !listed {
+				in.recordNotReady(id, now)
 			}
 		}
-		for _, n := range e.Nodes {
-			if n.State == Ready {
-				delete(l.told, n.ID)
-			} else {
-				l.tell(n.ID, now)
-			}
+	}
+	for _, n := range e.Nodes {
+		if n.State == Ready {
+			delete(in.notReadySince, n.ID)
+		} else {
+			in.recordNotReady(n.ID, now)
 		}
 	}
 }
 
-func (l *life) tell(id NodeID, now time.Duration) {
-	if _, ok := l.told[id]; !ok {
-		l.told[id] = now
+func (in *instance) recordNotReady(id NodeID, now time.Duration) {
+	if _, ok := in.notReadySince[id]; !ok {
+		in.notReadySince[id] = now
 	}
 }
 
-func (c *checker) action(i int, now time.Duration, a Action) {
-	l := c.lives[i]
+func (c *checker) observeAction(i int, now time.Duration, a Action) {
+	in := c.instances[i]
 	switch a := a.(type) {
 	case SendAttempt:
-		c.attempt(l, now, a)
+		c.checkAttempt(in, now, a)
 	case Reject:
-		t := l.reqs[a.ID]
-		c.answer(t, now, a.ID)
-		k := c.cfg.Classes[t.req.Class]
-		if (t.mayRun || t.out) && k.Idempotency != Idempotent && !(k.Idempotency == Deduplicated && k.DedupScope == DedupEverywhere) {
-			c.breach("effects", "request %d refused though it may have run", a.ID)
+		r := in.requests[a.ID]
+		c.checkAnswer(r, a.ID)
+		class := c.cfg.Classes[r.request.Class]
+		harmless := class.Idempotency == Idempotent ||
+			class.Idempotency == Deduplicated && class.DedupScope == DedupEverywhere
+		if (r.ambiguous || r.outstanding) && !harmless {
+			c.violate("idempotency", "request %d rejected though it may have been executed", a.ID)
 		}
 	case Fail:
-		c.answer(l.reqs[a.ID], now, a.ID)
+		c.checkAnswer(in.requests[a.ID], a.ID)
 	}
 }
 
-func (c *checker) answer(t *track, now time.Duration, id RequestID) {
-	if t == nil || t.answered {
-		c.breach("answer", "request %d answered twice or never taken", id)
+func (c *checker) checkAnswer(r *requestRecord, id RequestID) {
+	if r == nil || r.answered {
+		c.violate("answer", "request %d is unknown or answered twice", id)
 		return
 	}
-	t.answered = true
+	r.answered = true
 }
 
-func (c *checker) attempt(l *life, now time.Duration, a SendAttempt) {
-	t := l.reqs[a.ID]
-	if t == nil || t.answered {
-		c.breach("answer", "request %d sent after its end", a.ID)
+func (c *checker) checkAttempt(in *instance, now time.Duration, a SendAttempt) {
+	r := in.requests[a.ID]
+	if r == nil || r.answered {
+		c.violate("answer", "request %d sent after its answer", a.ID)
 		return
 	}
-	k, n := c.cfg.Classes[t.req.Class], c.nodes[a.Node]
-	if t.out {
-		c.breach("effects", "request %d has two attempts out", a.ID)
+	class := c.cfg.Classes[r.request.Class]
+	n := c.nodes[a.Node]
+	if r.outstanding {
+		c.violate("idempotency", "request %d has two attempts in flight", a.ID)
 	}
-	if t.mayRun && (k.Idempotency == NonIdempotent || k.Idempotency == Deduplicated && (n.Shard != t.shard || now-t.doubt >= k.DedupWindow)) {
-		c.breach("effects", "request %d sent again though it may have run", a.ID)
+	if r.ambiguous && !mayRepeat(r, class, n, now) {
+		c.violate("idempotency", "request %d sent again though it may have been executed", a.ID)
 	}
-	if told, ok := l.told[a.Node]; ok && now > told+drainGrace {
-		c.breach("drain", "request %d sent to %s, %v after it was told", a.ID, a.Node, now-told)
+	if since, ok := in.notReadySince[a.Node]; ok && now > since+drainGrace {
+		c.violate("drain", "request %d sent to %s, %v after it was not ready", a.ID, a.Node, now-since)
 	}
-	c.orderKept(l, now, t, k)
-	if t.sends > 0 {
-		l.extra = append(l.extra, now)
-		if b := c.cfg.RetryBudget; float64(since(l.extra, now-b.Window)) > b.MinRetries+b.Ratio*float64(since(l.took, now-b.Window)) {
-			c.breach("budget", "%d further attempts", since(l.extra, now-b.Window))
-		}
+	c.checkOrder(in, now, r, class)
+	if r.attempts > 0 {
+		c.checkRetryBudget(in, now)
 	} else {
-		c.limitKept(now, t.req)
+		c.checkRateLimit(now, r.request)
+	}
+	c.checkSlowStart(now, n, r.request.Units)
+	r.attempts++
+	r.outstanding = true
+	r.sentAt = now
+	r.node = a.Node
+}
+
+// mayRepeat reports whether a request that may have been executed may be sent to n.
+func mayRepeat(r *requestRecord, class Class, n Node, now time.Duration) bool {
+	switch class.Idempotency {
+	case NonIdempotent:
+		return false
+	case Deduplicated:
+		return n.Shard == r.shard && now-r.ambiguousSince < class.DedupWindow
+	default:
+		return true
+	}
+}
+
+func (c *checker) checkRetryBudget(in *instance, now time.Duration) {
+	in.retries = append(in.retries, now)
+	budget := c.cfg.RetryBudget
+	retries := countSince(in.retries, now-budget.Window)
+	requests := countSince(in.arrivals, now-budget.Window)
+	if float64(retries) > budget.MinRetries+budget.Ratio*float64(requests) {
+		c.violate("budget", "%d retries", retries)
 	}
-	c.coldKept(now, n, t.req.Units)
-	t.sends++
-	t.out, t.lastSent, t.node = true, now, a.Node
 }
 
-func since(ts []time.Duration, from time.Duration) (n int) {
-	for _, t := range ts {
+func countSince(times []time.Duration, from time.Duration) (n int) {
+	for _, t := range times {
 		if t > from {
 			n++
 		}
@@ -189,81 +239,82 @@
 	return n
 }
 
-func (c *checker) orderKept(l *life, now time.Duration, t *track, k Class) {
-	if !k.Ordered || t.req.Key == "" {
+func (c *checker) checkOrder(in *instance, now time.Duration, r *requestRecord, class Class) {
+	if !class.Ordered || r.request.Key == "" {
 		return
 	}
-	for _, e := range l.order[t.req.Key] {
-		if e == t {
+	for _, earlier := range in.byKey[r.request.Key] {
+		if earlier == r {
 			break
 		}
-		if !e.answered || e.out || now < e.restTill {
-			c.breach("order", "request %d sent before %d was over", t.req.ID, e.req.ID)
+		if !earlier.answered || earlier.outstanding || now < earlier.quiescentAt {
+			c.violate("order", "request %d sent before %d was completed", r.request.ID, earlier.request.ID)
 		}
 	}
 }
 
-func (c *checker) limitKept(now time.Duration, q Request) {
-	p := c.cfg.Plans[q.Plan]
-	if p.RateLimit == 0 {
+func (c *checker) checkRateLimit(now time.Duration, q Request) {
+	plan := c.cfg.Plans[q.Plan]
+	if plan.RateLimit == 0 {
 		return
 	}
-	s := c.stores[q.Volume]
-	if s == nil {
-		s = &store{level: p.Burst, at: now}
-		c.stores[q.Volume] = s
+	b := c.buckets[q.Volume]
+	if b == nil {
+		b = &bucket{level: plan.Burst, at: now}
+		c.buckets[q.Volume] = b
 	}
-	s.level = min(p.Burst, s.level+p.RateLimit*(now-s.at).Seconds()) - q.Units
-	s.at = now
-	if s.level < -p.Slack-1e-6 {
-		c.breach("limit", "volume %s at %.2f, slack %.2f", q.Volume, s.level, p.Slack)
+	b.level = min(plan.Burst, b.level+plan.RateLimit*(now-b.at).Seconds()) - q.Units
+	b.at = now
+	if b.level < -plan.Slack-1e-6 {
+		c.violate("limit", "volume %s at %.2f, slack %.2f", q.Volume, b.level, plan.Slack)
 	}
 }
 
-// trueUnits is what a warm node of the storm can do, units a second: more than the
-// slowest machine that YoungLimit speaks of.
-const trueUnits = 60.0
+// nodeCapacity is the capacity of a warm node of the simulation, units per second: above that of
+// the slowest machine, which SlowStart.InitialUnits follows from.
+const nodeCapacity = 60.0
 
-// capacity is what n can do now.
+// capacity returns the capacity of n, units per second.
 func (c *checker) capacity(n Node, now time.Duration) float64 {
 	r := c.cfg.SlowStart
 	if n.Started == 0 || now-n.Started > r.WarmUp {
-		return trueUnits
+		return nodeCapacity
 	}
-	return trueUnits * (r.InitialCapacity + (1-r.InitialCapacity)*(now-n.Started).Seconds()/r.WarmUp.Seconds())
+	warm := (now - n.Started).Seconds() / r.WarmUp.Seconds()
+	return nodeCapacity * (r.InitialCapacity + (1-r.InitialCapacity)*warm)
 }
 
-// coldKept bounds what all send a young node by the multiple of its present capacity, with
-// one largest request for chance.
-func (c *checker) coldKept(now time.Duration, n Node, units float64) {
+// checkSlowStart bounds the units that all dispatchers send to a starting node by the overload
+// factor times its capacity, plus one largest request.
+func (c *checker) checkSlowStart(now time.Duration, n Node, units float64) {
 	r := c.cfg.SlowStart
 	if n.Started == 0 || now-n.Started > r.WarmUp {
 		return
 	}
-	c.works[n.ID] = append(c.works[n.ID], work{now, units})
+	c.sentToStarting[n.ID] = append(c.sentToStarting[n.ID], sentUnits{now, units})
 	from := max(now-r.Window, n.Started)
-	bears := r.OverloadFactor*c.capacity(n, now)*r.Window.Seconds() + c.cfg.MaxUnits
-	if sum := unitsSince(c.works[n.ID], from); sum > bears+1e-6 {
-		c.breach("cold", "%.0f units to %s, it bears %.1f", sum, n.ID, bears)
+	limit := r.OverloadFactor*c.capacity(n, now)*r.Window.Seconds() + c.cfg.MaxUnits
+	if sum := unitsSince(c.sentToStarting[n.ID], from); sum > limit+1e-6 {
+		c.violate("slow start", "%.0f units to %s, limit %.1f", sum, n.ID, limit)
 	}
 }
 
-func unitsSince(ws []work, from time.Duration) (sum float64) {
-	for i := len(ws) - 1; i >= 0 && ws[i].at >= from; i-- {
-		sum += ws[i].units
+func unitsSince(sent []sentUnits, from time.Duration) (sum float64) {
+	for i := len(sent) - 1; i >= 0 && sent[i].at >= from; i-- {
+		sum += sent[i].units
 	}
 	return sum
 }
 
-// late looks for requests that are overdue.
-func (c *checker) late(now time.Duration) {
-	for _, l := range c.lives {
-		if l == nil {
+// checkOverdue looks for requests without an answer after their deadline.
+func (c *checker) checkOverdue(now time.Duration) {
+	for _, in := range c.instances {
+		if in == nil {
 			continue
 		}
-		for id, t := range l.reqs {
-			if !t.answered && now > t.taken+t.req.Timeout+c.slack {
-				c.breach("answer", "request %d overdue", id)
+		for id, r := range in.requests {
+			if !r.answered && now > r.arrivedAt+r.request.Timeout+c.slack {
+				c.violate("answer", "request %d overdue", id)
 			}
 		}
 	}
--- /dev/null
+++ b/dispatch/slowstart_test.go
@@ -0,0 +1,124 @@
+package dispatch
+
+import (
+	"testing"
+	"time"
+)
+
+// Throughputs of the tests, units.
+const (
+	usualThroughput = 40.0                             // per second, of a shard before its node starts
+	evenShare       = 20.0 / 2 * slowStartSafetyFactor // per window, of what every starting node tolerates
+)
+
+// newSlowStartRig returns a rig whose node n0 has just started, after its shard had a throughput.
+func newSlowStartRig(t *testing.T, throughput float64) *rig {
+	t.Helper()
+	r := newRig(t, testConfig())
+	r.updateEndpoints(Delta, Node{ID: "n0", Shard: 0, Started: r.now})
+	history := 1 - decayFactor(r.now-r.d.startedAt, shardThroughputWindow)
+	served := r.d.throughputOf(0)
+	served.sum = throughput * shardThroughputWindow.Seconds() * history
+	served.updatedAt = r.now
+	return r
+}
+
+// unitsSent sends requests to n0 for a while and returns the units of those that reach it.
+func unitsSent(r *rig, length time.Duration) (units float64) {
+	for end := r.now + length; r.now < end; {
+		_, acts := r.request(Request{Shard: 0, Plan: unlimitedPlan, Units: 3})
+		acts = append(acts, r.advance(10*ms)...)
+		for _, id := range sentRequests(acts) {
+			units += 3
+			r.complete(id, 0, ServerError)
+		}
+	}
+	return units
+}
+
+func TestSlowStartBoundsUnits(t *testing.T) {
+	units := unitsSent(newSlowStartRig(t, 0), 3*time.Second)
+	if units > 3*1.5*evenShare+6 || units == 0 {
+		t.Errorf("%g units without history, want above 0 and at most the even share", units)
+	}
+	most := evenShare + usualThroughput*2.5*0.2*slowStartSafetyFactor
+	units = unitsSent(newSlowStartRig(t, usualThroughput), time.Second)
+	if units > most+6 || units < most/2 {
+		t.Errorf("%g units in the first second, want about %g by the shard's usual throughput", units, most)
+	}
+}
+
+func TestSlowStartEndsAfterWarmUp(t *testing.T) {
+	r := newRig(t, testConfig())
+	r.updateEndpoints(Delta, Node{ID: "n0", Shard: 0, Started: r.now - 12*time.Second})
+	id, acts := r.request(Request{Shard: 0, Units: 8, Plan: unlimitedPlan})
+	expectOutcome(t, "a warm node", acts, id, sent)
+}
+
+func TestUsualThroughputOutlivesNodeAndDecays(t *testing.T) {
+	r := newSlowStartRig(t, usualThroughput)
+	r.updateEndpoints(Delta,
+		Node{ID: "n0", Shard: 0, State: Removed}, Node{ID: "n9", Shard: 0, Started: r.now})
+	got := r.d.usualThroughput(r.d.nodes["n9"])
+	if got < usualThroughput*0.99 || got > usualThroughput*1.01 {
+		t.Errorf("%g, want %g", got, usualThroughput)
+	}
+	r.now += shardThroughputWindow
+	r.handle(TimerFired{"wake"})
+	if got := r.d.usualThroughput(r.d.nodes["n9"]); got > usualThroughput/2 {
+		t.Errorf("%g one window later", got)
+	}
+}
+
+func TestRestartedDispatcherStartsInDebt(t *testing.T) {
+	const seeds = 40
+	meanDebt := 0.0
+	for seed := range uint64(seeds) {
+		d, err := New(testConfig(), seed)
+		if err != nil {
+			t.Fatal(err)
+		}
+		starting := Node{ID: "n0", Started: time.Hour - time.Second}
+		d.Handle(time.Hour, EndpointUpdate{Kind: Cached, Nodes: []Node{starting}})
+		d.slowStartReadyAt(d.nodes["n0"], 0)
+		meanDebt += d.nodes["n0"].slowStartDebt / seeds
+	}
+	if meanDebt < 0.7 || meanDebt > 1.3 {
+		t.Errorf("a mean debt of %g units, want half a mean request", meanDebt)
+	}
+}
+
+func TestSlowStartPrefersReservedWork(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		reserve float64
+		want    outcome
+	}{
+		{"within the reserve", 0, sent},
+		{"beyond the reserve", -20, rejected},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			r := newSlowStartRig(t, usualThroughput)
+			n := r.d.nodes["n0"]
+			r.d.slowStartReadyAt(n, 0)
+			n.slowStartDebt = -0.5 // paid in advance: less than a mean request
+			id, _ := r.request(Request{Shard: 1, Plan: unlimitedPlan})
+			r.complete(id, 0, OK)
+			if c.reserve < 0 {
+				r.d.volumes["v"].reserve = c.reserve
+			}
+			id, acts := r.request(Request{Shard: 0, Plan: unlimitedPlan})
+			expectOutcome(t, c.name, acts, id, c.want)
+		})
+	}
+}
+
+func TestSlowStartAmongManyDispatchers(t *testing.T) {
+	cfg := testConfig()
+	cfg.DispatcherCount = 200 // above SlowStart.InitialUnits
+	r := newRig(t, cfg)
+	r.updateEndpoints(Delta, Node{ID: "n0", Shard: 0, Started: r.now})
+	if units := unitsSent(r, time.Second); units > 3 {
+		t.Errorf("%g units without history, want one request at most", units)
+	}
+}
