--- /dev/null
+++ b/forwarder/endpoints.go
@@ -0,0 +1,73 @@
+// The endpoint list: it owns the nodes, and closes idle connections to nodes that are no
+// longer used.
+
+package forwarder
+
+import (
+	"chalkstand/attribution"
+	"chalkstand/dispatch"
+	"slices"
+	"strings"
+)
+
+// node is a storage node with its connections.
+type node struct {
+	Node
+	connCount        int // including those that are dialed or busy
+	streamCount      int
+	occupancyHistory *attribution.Occupancy // nil until it is needed
+	idleConns        []*conn                // the most recently used last
+}
+
+// onEndpointUpdate applies an update to the nodes and passes it on to the dispatcher.
+func (f *Forwarder) onEndpointUpdate(e EndpointUpdate) {
+	update := dispatch.EndpointUpdate{Kind: e.Kind}
+	if e.Kind == dispatch.Snapshot || e.Kind == dispatch.Cached {
+		for _, n := range f.sortedNodes {
+			n.State = dispatch.Removed
+		}
+	}
+	for _, entry := range e.Nodes {
+		f.updateNode(entry)
+		update.Nodes = append(update.Nodes, entry.Node)
+	}
+	slices.SortFunc(f.sortedNodes, func(a, b *node) int {
+		return strings.Compare(string(a.ID), string(b.ID))
+	})
+	f.sortedNodes = slices.DeleteFunc(f.sortedNodes, func(n *node) bool {
+		if n.State != dispatch.Ready {
+			f.closeIdleConns(n)
+		}
+		unused := n.State == dispatch.Removed && n.connCount == 0
+		if unused {
+			delete(f.nodes, n.ID)
+		}
+		return unused
+	})
+	f.notify(update)
+}
+
+// updateNode adds or updates the node of an entry. An entry without an address keeps the
+// node's address.
+func (f *Forwarder) updateNode(entry Node) {
+	n := f.nodes[entry.ID]
+	if n == nil {
+		n = &node{}
+		f.nodes[entry.ID] = n
+		f.sortedNodes = append(f.sortedNodes, n)
+	}
+	if entry.Addr == "" {
+		entry.Addr = n.Addr
+	}
+	if n.Addr != entry.Addr || n.Started != entry.Started { // another process
+		f.closeIdleConns(n)
+	}
+	n.Node = entry
+}
+
+// closeIdleConns closes a node's idle connections.
+func (f *Forwarder) closeIdleConns(n *node) {
+	for len(n.idleConns) > 0 {
+		f.closeConn(n.idleConns[len(n.idleConns)-1])
+	}
+}
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -221,8 +221,8 @@
 			t.Fatalf("request %d: %+v", i, c)
 		}
 	}
-	if r.x.Conns() != 1 || r.x.Calls() != 0 {
-		t.Fatalf("%d connections, %d calls", r.x.Conns(), r.x.Calls())
+	if r.x.Conns() != 1 || r.x.Requests() != 0 {
+		t.Fatalf("%d connections, %d calls", r.x.Conns(), r.x.Requests())
 	}
 	r.wait(3 * time.Second)
 	if r.x.Conns() != 0 {
@@ -286,7 +286,7 @@
 	r.node("a", 0, dispatch.Ready)
 	c := r.begin(1, 1, 0, "k", true)
 	r.tell(ResponseCompleted{Conn: r.dialed(true), Info: ResponseInfo{Result: dispatch.Rejected}})
-	if _, refused := c.last.(Reject); !refused || r.x.Calls() != 0 {
+	if _, refused := c.last.(Reject); !refused || r.x.Requests() != 0 {
 		t.Fatalf("a full node: %#v", c.last)
 	}
 }
@@ -326,14 +326,14 @@
 		r.tell(ResponseHeaders{Conn: k, Info: served()})
 		ks = append(ks, k)
 	}
-	if n := r.x.nodes["a"].streams; n != 2 || r.x.calls[3].settled || !r.x.calls[2].settled {
+	if n := r.x.nodes["a"].streamCount; n != 2 || r.x.requests[3].resultReported || !r.x.requests[2].resultReported {
 		t.Fatalf("%d streams", n)
 	}
 	for _, k := range ks {
 		r.tell(ResponseCompleted{Conn: k, Info: served(), Reuse: true})
 	}
-	if n := r.x.nodes["a"].streams; n != 0 || r.x.Calls() != 0 {
-		t.Fatalf("%d streams, %d calls left", n, r.x.Calls())
+	if n := r.x.nodes["a"].streamCount; n != 0 || r.x.Requests() != 0 {
+		t.Fatalf("%d streams, %d calls left", n, r.x.Requests())
 	}
 }
 
@@ -376,8 +376,8 @@
 				t.Errorf("%s: %v accounted of %v, behind %v: %v", e.Volume, e.Parts.Total(), e.Ended-began[e.Volume], behind, e.Parts)
 			}
 		}
-		if r.entries+len(r.x.calls) != len(began) {
-			t.Errorf("%d accounts of %d requests, %d in hand", r.entries, len(began), len(r.x.calls))
+		if r.entries+len(r.x.requests) != len(began) {
+			t.Errorf("%d accounts of %d requests, %d in hand", r.entries, len(began), len(r.x.requests))
 		}
 	}()
 	for i := range 4 {
@@ -385,7 +385,7 @@
 	}
 	next := 0
 	pick := func(ok func(*rigConn) bool) *rigConn {
-		for id := ConnID(1); id <= r.x.lastID; id++ { // in order: the same history every time
+		for id := ConnID(1); id <= r.x.lastConnID; id++ { // in order: the same history every time
 			if k := r.conns[id]; k != nil && ok(k) && rng.IntN(3) == 0 {
 				return k
 			}
@@ -449,20 +449,20 @@
 	}
 	r.wait(15 * time.Second)
 	streams := 0
-	for _, c := range r.x.calls {
-		if c.streams != nil {
+	for _, c := range r.x.requests {
+		if c.streamNode != nil {
 			streams++
 		}
 	}
 	for _, n := range r.x.nodes {
-		if streams -= n.streams; n.streams < 0 || n.streams > 2 {
-			t.Fatalf("%d streams at %s", n.streams, n.ID)
+		if streams -= n.streamCount; n.streamCount < 0 || n.streamCount > 2 {
+			t.Fatalf("%d streams at %s", n.streamCount, n.ID)
 		}
 	}
 	if streams != 0 {
 		t.Fatalf("%d more calls stream than nodes count", streams)
 	}
-	for id := range r.x.calls {
+	for id := range r.x.requests {
 		if !r.calls[id].headed {
 			t.Fatalf("request %d is never answered", id)
 		}
@@ -473,7 +473,7 @@
 		}
 	}
 	for _, k := range r.x.conns {
-		if k.call == nil && k.state != dialing {
+		if k.request == nil && k.state != connDialing {
 			t.Fatal("an unused connection is left")
 		}
 	}
@@ -486,10 +486,10 @@
 	r.node("a", 0, dispatch.Ready)
 	c := r.begin(1, 0, 0, "", false)
 	r.dialed(true)
-	r.x.acts = nil
-	r.x.attempt(dispatch.SendAttempt{ID: 1, Node: "a"})
-	if len(r.x.acts) > 0 || len(r.x.inbox) > 0 || c.sends != 1 || r.x.Conns() != 1 || r.x.calls[1].stage != out {
-		t.Fatalf("a second attempt does %v", r.x.acts)
+	r.x.actions = nil
+	r.x.startAttempt(dispatch.SendAttempt{ID: 1, Node: "a"})
+	if len(r.x.actions) > 0 || len(r.x.dispatcherEvents) > 0 || c.sends != 1 || r.x.Conns() != 1 || r.x.requests[1].stage != stageInFlight {
+		t.Fatalf("a second attempt does %v", r.x.actions)
 	}
 	for _, s := range []dispatch.NodeState{dispatch.Draining, dispatch.Removed} {
 		r := newRig(t, settings())
@@ -497,14 +497,14 @@
 		r.begin(1, 0, 0, "", false)
 		k := r.dialed(true)
 		r.tell(ResponseCompleted{Conn: k, Info: served(), Reuse: true})
-		r.x.calls[2] = &call{req: dispatch.Request{ID: 2}, class: &r.x.cfg.Dispatch.Classes[0], attempt: -1, deadline: r.now + time.Second}
+		r.x.requests[2] = &request{req: dispatch.Request{ID: 2}, class: &r.x.cfg.Dispatch.Classes[0], attempt: -1, deadline: r.now + time.Second}
 		if r.x.nodes["a"].State = s; s == dispatch.Removed {
 			delete(r.x.nodes, "a")
 		}
-		r.x.acts = nil
-		r.x.attempt(dispatch.SendAttempt{ID: 2, Node: "a"})
-		if len(r.x.acts) != 0 || r.x.calls[2].stage != asked {
-			t.Fatalf("an attempt at a node of state %d does %v", s, r.x.acts)
+		r.x.actions = nil
+		r.x.startAttempt(dispatch.SendAttempt{ID: 2, Node: "a"})
+		if len(r.x.actions) != 0 || r.x.requests[2].stage != stageWaiting {
+			t.Fatalf("an attempt at a node of state %d does %v", s, r.x.actions)
 		}
 	}
 }
--- a/internal/modelcheck/coverage.go
+++ b/internal/modelcheck/coverage.go
@@ -33,7 +33,7 @@
 }
 
 // stageNames are those of the forwarder's stages, in their order.
-var stageNames = []string{"asked", "opening", "out", "passing", "released", "done"}
+var stageNames = []string{"waiting", "dialing", "inFlight", "streaming", "detached", "done"}
 
 const none = "-"
 
@@ -41,7 +41,7 @@
 // no need to tell.
 func stages(x *forwarder.Forwarder) map[dispatch.RequestID]string {
 	out := map[dispatch.RequestID]string{}
-	calls := reflect.ValueOf(x).Elem().FieldByName("calls")
+	calls := reflect.ValueOf(x).Elem().FieldByName("requests")
 	for it := calls.MapRange(); it.Next(); {
 		out[dispatch.RequestID(it.Key().Uint())] = stageNames[it.Value().Elem().FieldByName("stage").Int()]
 	}
@@ -62,7 +62,7 @@
 	onConn := func(id forwarder.ConnID) {
 		conns := reflect.ValueOf(w.x).Elem().FieldByName("conns")
 		if k := conns.MapIndex(reflect.ValueOf(id)); k.IsValid() {
-			if call := k.Elem().FieldByName("call"); !call.IsNil() {
+			if call := k.Elem().FieldByName("request"); !call.IsNil() {
 				o.of = dispatch.RequestID(call.Elem().FieldByName("req").FieldByName("ID").Uint())
 			}
 		}
@@ -158,10 +158,10 @@
 // Pairs are all pairs of an event and a stage at which it can find its request.
 func Pairs() []string {
 	return []string{
-		"StartRequest -", "ClientCanceled asked", "ClientCanceled opening", "ClientCanceled out", "ClientCanceled passing", "ClientCanceled released", "ClientCanceled -",
-		"DialCompleted opening", "DialCompleted -", "ResponseHeaders out", "ResponseHeaders released", "ResponseHeaders -", "ResponseCompleted out", "ResponseCompleted passing", "ResponseCompleted released", "ResponseCompleted -",
-		"ConnectionLost opening", "ConnectionLost out", "ConnectionLost passing", "ConnectionLost released", "ConnectionLost -", "BodyStreaming out", "BodyStreaming released", "BodySent out", "BodySent released",
-		"TimerFired asked", "TimerFired opening", "TimerFired out", "TimerFired passing", "TimerFired released",
-		"EndpointUpdate asked", "EndpointUpdate opening", "EndpointUpdate out", "EndpointUpdate passing", "EndpointUpdate released",
+		"StartRequest -", "ClientCanceled waiting", "ClientCanceled dialing", "ClientCanceled inFlight", "ClientCanceled streaming", "ClientCanceled detached", "ClientCanceled -",
+		"DialCompleted dialing", "DialCompleted -", "ResponseHeaders inFlight", "ResponseHeaders detached", "ResponseHeaders -", "ResponseCompleted inFlight", "ResponseCompleted streaming", "ResponseCompleted detached", "ResponseCompleted -",
+		"ConnectionLost dialing", "ConnectionLost inFlight", "ConnectionLost streaming", "ConnectionLost detached", "ConnectionLost -", "BodyStreaming inFlight", "BodyStreaming detached", "BodySent inFlight", "BodySent detached",
+		"TimerFired waiting", "TimerFired dialing", "TimerFired inFlight", "TimerFired streaming", "TimerFired detached",
+		"EndpointUpdate waiting", "EndpointUpdate dialing", "EndpointUpdate inFlight", "EndpointUpdate streaming", "EndpointUpdate detached",
 	}
 }
--- a/internal/modelcheck/fingerprint.go
+++ b/internal/modelcheck/fingerprint.go
@@ -65,39 +65,31 @@
 	"upstreamhttp.Reader.Limits":   skip,
 	"upstreamhttp.Reader.Response": skip, // its parts that matter follow from state and scan
 
-	"forwarder.Forwarder.cfg":              skip,
-	"forwarder.Forwarder.now":              skip,
-	"forwarder.Forwarder.lastID":           skip,
-	"forwarder.Forwarder.seq":              skip,
-	"forwarder.Forwarder.acts":             skip,
-	"forwarder.Forwarder.wakeAt":           near,
-	"forwarder.Forwarder.dispatchTimer.at": near,
-	"forwarder.Forwarder.order":            skip, // follows from nodes
-
-	"forwarder.call.class":    skip,
-	"forwarder.call.deadline": due,
-	"forwarder.call.sentAt":   moment,
-	"forwarder.call.headAt":   moment,
-	"forwarder.call.doubtAt":  moment,
-	// Accounts: told, decided on by nothing.
-	"forwarder.call.span":     skip,
-	"forwarder.call.begun":    skip,
-	"forwarder.call.behind":   skip,
-	"forwarder.call.occupies": skip,
-	"forwarder.call.ahead":    skip,
-	"forwarder.call.told":     skip,
-	"forwarder.call.entry":    skip,
-	"forwarder.call.untold":   skip,
-
-	"forwarder.node.out": skip,
+	"forwarder.Forwarder.cfg":         skip,
+	"forwarder.Forwarder.now":         skip,
+	"forwarder.Forwarder.lastConnID":  skip,
+	"forwarder.Forwarder.actions":     skip,
+	"forwarder.Forwarder.wakeAt":      near,
+	"forwarder.Forwarder.sortedNodes": skip, // follows from nodes
+
+	"forwarder.dispatcherTimer.at": near,
+
+	"forwarder.request.class":            skip,
+	"forwarder.request.deadline":         due,
+	"forwarder.request.attemptStartedAt": moment,
+	"forwarder.request.headersAt":        moment,
+	"forwarder.request.ambiguousSince":   moment,
+	"forwarder.request.attribution":      skip, // no decision depends on it
+
+	"forwarder.node.occupancyHistory": skip,
 
 	"forwarder.ResponseInfo.HasTiming":   skip,
 	"forwarder.ResponseInfo.QueueTime":   skip,
 	"forwarder.ResponseInfo.ServiceTime": skip,
 
-	"forwarder.conn.id":    rank,
-	"forwarder.conn.born":  moment,
-	"forwarder.conn.since": moment,
+	"forwarder.conn.id":        rank,
+	"forwarder.conn.createdAt": moment,
+	"forwarder.conn.idleSince": moment,
 
 	"timerqueue.Timer.at":    near,
 	"timerqueue.Timer.seq":   skip,
@@ -254,7 +246,7 @@
 		skipAll("dispatch.Dispatcher.taken", "modelcheck.rules.took")
 	}
 	if w.cfg.IdleTimeout > far && w.cfg.MaxConnAge > far {
-		skipAll("forwarder.conn.born", "forwarder.conn.since")
+		skipAll("forwarder.conn.createdAt", "forwarder.conn.idleSince")
 	}
 	return off
 }
@@ -317,12 +309,8 @@
 	return i
 }
 
-// typeName is a type's name with its package's; of a struct without a name, the one
-// that stands in the forwarder is the only one.
+// typeName is a type's name with its package's.
 func typeName(t reflect.Type) string {
-	if t.Name() == "" && t.Kind() == reflect.Struct {
-		return "forwarder.Forwarder.dispatchTimer"
-	}
 	path := t.PkgPath()
 	name, _, _ := strings.Cut(t.Name(), "[") // without type arguments
 	return path[strings.LastIndexByte(path, '/')+1:] + "." + name
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -233,7 +233,7 @@
 		}
 	}
 	// The controller's task is the kind that is left out.
-	agenda := reflect.ValueOf(w.x).Elem().FieldByName("d").Elem().FieldByName("agenda").FieldByName("timers")
+	agenda := reflect.ValueOf(w.x).Elem().FieldByName("dispatcher").Elem().FieldByName("agenda").FieldByName("timers")
 	if agenda.Len() != 1 || agenda.Index(0).Elem().FieldByName("Value").FieldByName("kind").Int() != doControl {
 		t.Error("the first task of a dispatcher is not its controller's")
 	}
--- a/internal/modelcheck/rules.go
+++ b/internal/modelcheck/rules.go
@@ -303,7 +303,7 @@
 	if w.working() {
 		return // a body that flows, and stands still
 	}
-	if n := w.x.Calls(); n > 0 {
+	if n := w.x.Requests(); n > 0 {
 		w.broke("stuck", "the forwarder still has %d requests", n)
 	}
 	if n := dispatched(w.x); n > 0 {
@@ -315,7 +315,7 @@
 // dispatched is how many requests the dispatcher has, by reflection: it has no need
 // to tell.
 func dispatched(x *forwarder.Forwarder) int {
-	return reflect.ValueOf(x).Elem().FieldByName("d").Elem().FieldByName("reqs").Len()
+	return reflect.ValueOf(x).Elem().FieldByName("dispatcher").Elem().FieldByName("reqs").Len()
 }
 
 // checkConns lets the time pass in which unused connections are closed: then none
--- a/lab/mutation/list.go
+++ b/lab/mutation/list.go
@@ -1,9 +1,14 @@
 package mutation
 
 const (
-	exchangeFile = "forwarder/forwarder.go"
-	readerFile   = "internal/upstreamhttp/reader.go"
-	choiceFile   = "dispatch/dispatcher.go"
+	requestsFile  = "forwarder/requests.go"
+	attemptsFile  = "forwarder/attempts.go"
+	responsesFile = "forwarder/responses.go"
+	connPoolFile  = "forwarder/connpool.go"
+	endpointsFile = "forwarder/endpoints.go"
+
+	readerFile = "internal/upstreamhttp/reader.go"
+	choiceFile = "dispatch/dispatcher.go"
 )
 
 // All returns the faults.
@@ -11,51 +16,179 @@
 	return []Mutant{
 		// The forwarder.
 		{
-			Name: "a second attempt while one is out", File: exchangeFile, From: "	if c.stage != asked {\n		return // cannot happen", To: "	if false {\n		return // cannot happen",
-			Equal: "the dispatcher never decides a second attempt before it heard of the first one's end: the guard stands behind another",
+			Name:  "a second attempt while one is in flight",
+			File:  attemptsFile,
+			From:  "\tif r.stage != stageWaiting {\n\t\treturn // cannot happen",
+			To:    "\tif false {\n\t\treturn // cannot happen",
+			Equal: "the dispatcher never starts a second attempt before the result of the first: the guard is behind another",
+		},
+		{
+			Name:  "an attempt at a draining node",
+			File:  attemptsFile,
+			From:  "if n == nil || n.State != dispatch.Ready {",
+			To:    "if n == nil {",
+			Equal: "the dispatcher and the forwarder handle a drain in one event: the guard is behind the dispatcher's",
+		},
+		{
+			Name: "a drain while dialing is ignored",
+			File: connPoolFile,
+			From: "\tcase c.node.State != dispatch.Ready:",
+			To:   "\tcase false && c.node.State != dispatch.Ready:",
+		},
+		{
+			Name: "a dedup window that ends while dialing is ignored",
+			File: connPoolFile,
+			From: "\tcase f.dedupWindowExpired(r):",
+			To:   "\tcase false && f.dedupWindowExpired(r):",
+		},
+		{
+			Name: "a connection on which a response may arrive is kept",
+			File: requestsFile,
+			From: "\tif c.state == connBusy {\n\t\tf.closeConn(c)\n\t}",
+			To:   "\tif false {\n\t\tf.closeConn(c)\n\t}",
+		},
+		{
+			Name: "a request that is not replayable is sent again",
+			File: attemptsFile,
+			From: "\tif r.notReplayable && r.stage == stageInFlight {",
+			To:   "\tif false {",
+		},
+		{
+			Name:  "a result is reported twice",
+			File:  attemptsFile,
+			From:  "\tif r.resultReported {\n\t\treturn\n\t}\n\tr.resultReported = responded",
+			To:    "\tr.resultReported = responded",
+			Equal: "the dispatcher takes one result of an attempt and ignores the others",
+		},
+		{
+			Name: "a cancellation while dialing is not reported",
+			File: requestsFile,
+			From: "\t\tf.reportResult(r, dispatch.NotSent, ResponseInfo{}, true)",
+			To:   "\t\t_ = r",
+		},
+		{
+			Name: "a cancellation while in flight is not reported",
+			File: requestsFile,
+			From: "\t\tf.notify(dispatch.ClientCanceled{ID: id})\n\t\tf.reportResult(r, dispatch.Canceled, ResponseInfo{}, true)",
+			To:   "\t\tf.notify(dispatch.ClientCanceled{ID: id})",
+		},
+		{
+			Name:  "a connection to a draining node is put back",
+			File:  connPoolFile,
+			From:  "if c.node.State != dispatch.Ready || f.now-c.createdAt >= f.cfg.MaxConnAge || f.conns[c.id] == nil {",
+			To:    "if f.now-c.createdAt >= f.cfg.MaxConnAge || f.conns[c.id] == nil {",
+			Equal: "nothing is sent to a draining node; its connections are closed by their age",
+		},
+		{
+			Name: "a connection that the node closes is reused",
+			File: responsesFile,
+			From: "\tif e.Reuse {",
+			To:   "\tif true {",
+		},
+		{
+			Name: "connections to an earlier process are kept",
+			File: endpointsFile,
+			From: "if n.Addr != entry.Addr || n.Started != entry.Started {",
+			To:   "if n.Addr != entry.Addr {",
+		},
+		{
+			Name: "no bound on connections",
+			File: connPoolFile,
+			From: "\tif n.connCount >= f.cfg.MaxConnsPerNode {",
+			To:   "\tif false {",
+		},
+		{
+			Name: "an evicted connection is not closed",
+			File: connPoolFile,
+			From: "\t\tf.closeConn(n.idleConns[0])",
+			To:   "\t\tf.removeConn(n.idleConns[0])",
+		},
+		{
+			Name: "a connection dialed too late is left with its request",
+			File: attemptsFile,
+			From: "\t\tf.failAttempt(r, dispatch.ConnectFailed, ResponseInfo{})\n\t\tr.conn = nil\n\t\tc.request = nil",
+			To:   "\t\tf.failAttempt(r, dispatch.ConnectFailed, ResponseInfo{})\n\t\tr.conn = nil\n\t\t_ = c",
+		},
+		{
+			Name: "an attempt that timed out keeps its connection",
+			File: attemptsFile,
+			From: "\tif r.conn == c {\n\t\tf.releaseConn(r)\n\t}",
+			To:   "\t_ = c",
+		},
+		{
+			Name: "a connection reset is not reported",
+			File: connPoolFile,
+			From: "\t\tf.failAttempt(r, dispatch.ConnectionReset, ResponseInfo{})",
+			To:   "\t\t_ = r",
+		},
+		{
+			Name: "a response that breaks off is not aborted",
+			File: connPoolFile,
+			From: "\t\tf.finish(r, AbortResponse{ID: r.req.ID, Loop: r.loop})",
+			To:   "\t\tf.finish(r, nil)",
+		},
+		{
+			Name: "a failed dial is not removed",
+			File: connPoolFile,
+			From: "\tif !e.OK {\n\t\tc.request = nil\n\t\tf.removeConn(c)",
+			To:   "\tif !e.OK {\n\t\tc.request = nil",
+		},
+		{
+			Name: "an attempt outlasts its client",
+			File: attemptsFile,
+			From: "\tuntil := r.deadline\n",
+			To:   "\tuntil := r.deadline + 1e9\n",
+		},
+		{
+			Name:  "a response starts twice",
+			File:  responsesFile,
+			From:  "c.request.stage != stageInFlight && c.request.stage != stageDetached {",
+			To:    "c.request.stage == stageDone {",
+			Equal: "the event loop reports the headers of each response once",
+		},
+		{
+			Name: "a rejection of a detached request goes to the dispatcher",
+			File: responsesFile,
+			From: "\tcase r.stage == stageDetached && info.Result != dispatch.OK:",
+			To:   "\tcase false:",
+		},
+		{
+			Name: "an ordered write is detached",
+			File: attemptsFile,
+			From: "if holdsKey := r.class.Ordered && r.req.Key != \"\"; holdsKey || !f.reserveStream(r) {",
+			To:   "if !f.reserveStream(r) {",
 		},
 		{
-			Name: "an attempt at a node that drains", File: exchangeFile, From: "if n == nil || n.State != dispatch.Ready {", To: "if n == nil {",
-			Equal: "the dispatcher and the forwarder hear of a drain in one event: the guard stands behind the dispatcher's",
+			Name: "a node that read the whole body has no timeout",
+			File: attemptsFile,
+			From: "\t\t\tf.setAttemptTimer(r, f.now+r.class.Deadline)",
+			To:   "\t\t\t_ = r.class",
 		},
-		{Name: "a drain while connecting", File: exchangeFile, From: "	case n.State != dispatch.Ready:", To: "	case false && n.State != dispatch.Ready:"},
-		{Name: "a window that ends while connecting", File: exchangeFile, From: "	case x.tooLate(c):", To: "	case false && x.tooLate(c):"},
-		{Name: "a connection in doubt is kept", File: exchangeFile, From: "	if k.state == busy {\n		x.close(k)\n	}", To: "	if false {\n		x.close(k)\n	}"},
-		{Name: "a body that is gone is sent again", File: exchangeFile, From: "	if c.once && c.stage == out {", To: "	if false {"},
 		{
-			Name: "the dispatcher hears of an end twice", File: exchangeFile, From: "	if c.settled {\n		return\n	}\n	c.settled = concluded", To: "	c.settled = concluded",
-			Equal: "the dispatcher takes one end of an attempt and leaves out the rest",
+			Name: "a response is discarded",
+			File: responsesFile,
+			From: "\tcase info.Result == dispatch.OK:\n",
+			To:   "\tcase false:\n",
 		},
-		{Name: "a client that leaves while connecting is not told", File: exchangeFile, From: "		x.give(c, dispatch.NotSent, ResponseInfo{}, true)", To: "		_ = c"},
-		{Name: "a client that leaves while out is not told", File: exchangeFile, From: "		x.tell(dispatch.ClientCanceled{ID: id})\n		x.give(c, dispatch.Canceled, ResponseInfo{}, true)", To: "		x.tell(dispatch.ClientCanceled{ID: id})"},
 		{
-			Name: "a connection to a drained node rests", File: exchangeFile, From: "if k.node.State != dispatch.Ready || x.now-k.born >= x.cfg.MaxConnAge || x.conns[k.id] == nil {", To: "if x.now-k.born >= x.cfg.MaxConnAge || x.conns[k.id] == nil {",
-			Equal: "nothing is sent to a drained node; its connections go when they are old",
+			Name: "a request is removed before its response",
+			File: requestsFile,
+			From: "\tif response != nil {\n\t\tf.emit(response)\n\t}",
+			To:   "\tif response != nil && r.attempt < 1 {\n\t\tf.emit(response)\n\t}",
 		},
-		{Name: "a connection that the node closes is used again", File: exchangeFile, From: "	if e.Reuse {", To: "	if true {"},
-		{Name: "connections to a former process are kept", File: exchangeFile, From: "if n.Addr != l.Addr || n.Started != l.Started {", To: "if n.Addr != l.Addr {"},
-		{Name: "no bound on connections", File: exchangeFile, From: "	if n.conns >= x.cfg.MaxConnsPerNode {", To: "	if false {"},
-		{Name: "an unused connection gives way and is not closed", File: exchangeFile, From: "		x.close(n.idle[0])", To: "		x.unlist(n.idle[0])"},
-		{Name: "a connection that comes late is left with its call", File: exchangeFile, From: "		x.end(c, dispatch.ConnectFailed, ResponseInfo{})\n		c.conn, k.call = nil, nil", To: "		x.end(c, dispatch.ConnectFailed, ResponseInfo{})\n		c.conn = nil\n		_ = k"},
-		{Name: "an attempt that ran out of time keeps its connection", File: exchangeFile, From: "	if c.conn == k {\n		x.detach(c)\n	}", To: "	_ = k"},
-		{Name: "a broken connection is not told", File: exchangeFile, From: "		x.end(c, dispatch.ConnectionReset, ResponseInfo{})", To: "		_ = c"},
-		{Name: "an answer that breaks off is not cut", File: exchangeFile, From: "		x.conclude(c, AbortResponse{ID: c.req.ID, Loop: c.lane})", To: "		x.conclude(c, nil)"},
-		{Name: "a connection that failed is not forgotten", File: exchangeFile, From: "	if !e.OK {\n		k.call = nil\n		x.unlist(k)", To: "	if !e.OK {\n		k.call = nil"},
-		{Name: "an attempt outlasts its client", File: exchangeFile, From: "	until := c.deadline\n", To: "	until := c.deadline + time.Second\n"},
 		{
-			Name: "an answer begins twice", File: exchangeFile, From: "k.call.stage != out && k.call.stage != released {", To: "k.call.stage == done {",
-			Equal: "the loop tells of one head for each answer",
+			Name:  "old connections are reused",
+			File:  connPoolFile,
+			From:  "if f.now-c.createdAt >= f.cfg.MaxConnAge || f.now-c.idleSince >= f.cfg.IdleTimeout {",
+			To:    "if false {",
+			Equal: "an old connection works like a new one",
 		},
-		{Name: "a refusal to a body that flowed goes to the dispatcher", File: exchangeFile, From: "	case c.stage == released && e.Info.Result != dispatch.OK:", To: "	case false:"},
-		{Name: "a write in its turn lets go of its key", File: exchangeFile, From: `c.bodySent || c.class.Ordered && c.req.Key != "" || !x.stream(c)`, To: "c.bodySent || !x.stream(c)"},
-		{Name: "a node that took the body has no time limit", File: exchangeFile, From: "			x.callTimer(c, x.now+c.class.Deadline)", To: "			_ = c.class"},
-		{Name: "a late answer is delivered as lost", File: exchangeFile, From: "	case e.Info.Result == dispatch.OK:\n", To: "	case false:\n"},
-		{Name: "a call is forgotten before its answer", File: exchangeFile, From: "	if a != nil {\n		x.act(a)\n	}", To: "	if a != nil && c.attempt < 1 {\n		x.act(a)\n	}"},
 		{
-			Name: "old connections are used", File: exchangeFile, From: "if x.now-k.born >= x.cfg.MaxConnAge || x.now-k.since >= x.cfg.IdleTimeout {", To: "if false {",
-			Equal: "an old connection works as a new one does; its age is a matter of prudence",
+			Name: "idle connections are never closed",
+			File: connPoolFile,
+			From: "\tcase f.now-c.idleSince >= f.cfg.IdleTimeout:\n\t\tf.closeConn(c)",
+			To:   "\tcase f.now-c.idleSince >= f.cfg.IdleTimeout:\n\t\t_ = c",
 		},
-		{Name: "idle connections are never closed", File: exchangeFile, From: "	case x.now-k.since >= x.cfg.IdleTimeout:\n		x.close(k)", To: "	case x.now-k.since >= x.cfg.IdleTimeout:\n		_ = k"},
 
 		// The reader of connections.
 		{
