--- a/cmd/chalkstand/badday.go
+++ b/cmd/chalkstand/badday.go
@@ -142,13 +142,13 @@
 					return fmt.Errorf("%s: %w", name, err)
 				}
 				torn := ""
-				if r.Torn {
+				if r.Truncated {
 					torn = ", where the record breaks off"
 				}
-				fmt.Fprintf(cmd.OutOrStdout(), "%s: %d events, %d actions, to %v%s\n", name, r.Events, r.Actions, r.Last, torn)
-				if s := r.Split; s != nil {
+				fmt.Fprintf(cmd.OutOrStdout(), "%s: %d events, %d actions, to %v%s\n", name, r.Events, r.Actions, r.End, torn)
+				if s := r.Divergence; s != nil {
 					split++
-					fmt.Fprintf(cmd.OutOrStdout(), "event %d at %v differs: %s\n  recorded %v\n  now      %v\n", s.Event, s.Now, s.What, s.Want, s.Have)
+					fmt.Fprintf(cmd.OutOrStdout(), "event %d at %v differs: %s\n  recorded %v\n  now      %v\n", s.Event, s.At, s.EventText, s.Recorded, s.Replayed)
 				}
 			}
 			if split > 0 {
--- a/lab/faultinjection/faultinjection_test.go
+++ b/lab/faultinjection/faultinjection_test.go
@@ -75,7 +75,7 @@
 			t.Fatal(err)
 		}
 		res, err := trace.Replay(records[i])
-		if err != nil || res.Split != nil || res.Torn || res.Events < 100 {
+		if err != nil || res.Divergence != nil || res.Truncated || res.Events < 100 {
 			t.Errorf("replay of life %d: %+v, %v", i, res, err)
 		}
 	}
--- a/trace/fixtures_test.go
+++ b/trace/fixtures_test.go
@@ -12,7 +12,7 @@
 )
 
 // Traces that were recorded by an earlier build stay readable: each event and each action of
-// these files is understood, and written again they give the same bytes.
+// these files is decoded, and encoded again they give the same bytes.
 func TestStoredTraces(t *testing.T) {
 	for _, c := range []struct {
 		name            string
@@ -28,15 +28,15 @@
 				t.Fatal(err)
 			}
 			res, err := Replay(bytes.NewReader(stored))
-			if err != nil || res.Split != nil || res.Torn {
-				t.Fatalf("%+v %+v %v", res, res.Split, err)
+			if err != nil || res.Divergence != nil || res.Truncated {
+				t.Fatalf("%+v %+v %v", res, res.Divergence, err)
 			}
 			if res.Events != c.events || res.Actions != c.actions {
 				t.Errorf("%d events and %d actions, want %d and %d", res.Events, res.Actions, c.events, c.actions)
 			}
 			want := decompress(t, stored)
-			if have := rewrite(t, want); !bytes.Equal(have, want) {
-				t.Errorf("written again, the trace differs:\n%s", firstDifference(have, want))
+			if got := rewrite(t, want); !bytes.Equal(got, want) {
+				t.Errorf("written again, the trace differs:\n%s", firstDifference(got, want))
 			}
 		})
 	}
@@ -56,7 +56,7 @@
 	return out
 }
 
-// rewrite plays the lines of a trace on a dispatcher and records what it does.
+// rewrite replays the lines of a trace on a dispatcher and records it again.
 func rewrite(t *testing.T, lines []byte) []byte {
 	t.Helper()
 	header, rest, _ := bytes.Cut(lines, []byte("\n"))
@@ -95,11 +95,11 @@
 	return v
 }
 
-func firstDifference(have, want []byte) string {
-	h, w := bytes.SplitAfter(have, []byte("\n")), bytes.SplitAfter(want, []byte("\n"))
-	for i := range min(len(h), len(w)) {
-		if !bytes.Equal(h[i], w[i]) {
-			return "have " + string(h[i]) + "want " + string(w[i])
+func firstDifference(got, want []byte) string {
+	g, w := bytes.SplitAfter(got, []byte("\n")), bytes.SplitAfter(want, []byte("\n"))
+	for i := range min(len(g), len(w)) {
+		if !bytes.Equal(g[i], w[i]) {
+			return "got " + string(g[i]) + "want " + string(w[i])
 		}
 	}
 	return "one is longer"
--- /dev/null
+++ b/trace/replay.go
@@ -0,0 +1,118 @@
+package trace
+
+import (
+	"bufio"
+	"chalkstand/dispatch"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"slices"
+	"time"
+
+	"github.com/klauspost/compress/zstd"
+)
+
+const (
+	minLineBuffer    = 64 << 10  // bytes
+	maxLine          = 16 << 20  // bytes of one line
+	maxDecoderMemory = 256 << 20 // bytes
+)
+
+// Result is the result of a replay.
+type Result struct {
+	Events     int
+	Actions    int
+	End        time.Duration // time of the last event
+	Truncated  bool          // the trace was cut off
+	Divergence *Divergence   // nil where all actions are the same
+}
+
+// Divergence is the first event whose replayed actions differ from the recorded ones.
+type Divergence struct {
+	Event     int // from 1
+	At        time.Duration
+	EventText string
+	Recorded  []string // actions
+	Replayed  []string // actions
+}
+
+// Replay replays a trace on a new dispatcher, up to the first event whose actions differ.
+// Its error may wrap ErrInvalidHeader or a *VersionError.
+func Replay(r io.Reader) (Result, error) {
+	res, err := replay(r)
+	if err != nil {
+		return res, fmt.Errorf("trace: %w", err)
+	}
+	return res, nil
+}
+
+func replay(r io.Reader) (Result, error) {
+	var res Result
+	z, err := zstd.NewReader(r, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecoderMemory))
+	if err != nil {
+		return res, err
+	}
+	defer z.Close()
+	lines := bufio.NewScanner(z)
+	lines.Buffer(make([]byte, minLineBuffer), maxLine)
+	h, err := readHeader(lines)
+	if err != nil {
+		return res, err
+	}
+	d, err := dispatch.New(h.Config.decode(), h.Seed)
+	if err != nil {
+		return res, err
+	}
+	for lines.Scan() {
+		var record eventRecord
+		if err := json.Unmarshal(lines.Bytes(), &record); err != nil {
+			res.Truncated = true
+			return res, nil
+		}
+		if err := res.replayEvent(d, &record); err != nil {
+			return res, fmt.Errorf("event %d: %w", res.Events, err)
+		}
+		if res.Divergence != nil {
+			return res, nil
+		}
+	}
+	res.Truncated = lines.Err() != nil
+	return res, nil
+}
+
+func readHeader(lines *bufio.Scanner) (*headerRecord, error) {
+	if !lines.Scan() {
+		return nil, fmt.Errorf("%w: %w", ErrInvalidHeader, errors.Join(lines.Err(), io.ErrUnexpectedEOF))
+	}
+	var h headerRecord
+	if err := json.Unmarshal(lines.Bytes(), &h); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrInvalidHeader, err)
+	}
+	if h.Version != Version {
+		return nil, &VersionError{Version: h.Version}
+	}
+	return &h, nil
+}
+
+// replayEvent passes an event to the dispatcher and compares the actions.
+func (res *Result) replayEvent(d *dispatch.Dispatcher, record *eventRecord) error {
+	ev, err := record.event()
+	if err != nil {
+		return err
+	}
+	actions := renderActions(d.Handle(record.Now, ev))
+	res.Events++
+	res.Actions += len(actions)
+	res.End = record.Now
+	if !slices.Equal(actions, record.Actions) {
+		res.Divergence = &Divergence{
+			Event:     res.Events,
+			At:        record.Now,
+			EventText: record.describe(),
+			Recorded:  record.Actions,
+			Replayed:  actions,
+		}
+	}
+	return nil
+}
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -3,67 +3,99 @@
 import (
 	"bytes"
 	"chalkstand/dispatch"
+	"errors"
 	"fmt"
 	"math/rand/v2"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
+
+	"github.com/klauspost/compress/zstd"
 )
 
-func config() dispatch.Config {
+func testConfig() dispatch.Config {
 	return dispatch.Config{
-		DispatcherIndex: 0, DispatcherCount: 2, MaxRetryAfter: time.Second, MeanUnits: 1, MaxUnits: 4,
-		Classes: []dispatch.Class{{Name: "read", LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1}},
-		Plans:   []dispatch.Plan{{Name: "p", Reserve: 20, Weight: 1, Price: 1, RateLimit: 100, Burst: 50, Slack: 10}},
+		DispatcherIndex: 0,
+		DispatcherCount: 2,
+		MaxRetryAfter:   time.Second,
+		MeanUnits:       1,
+		MaxUnits:        4,
+		Classes: []dispatch.Class{
+			{Name: "read", LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1},
+		},
+		Plans: []dispatch.Plan{
+			{Name: "p", Reserve: 20, Weight: 1, Price: 1, RateLimit: 100, Burst: 50, Slack: 10},
+		},
+	}
+}
+
+// randomDispatcher is a dispatcher that is traced while it handles random events.
+type randomDispatcher struct {
+	d        *dispatch.Dispatcher
+	w        *Writer
+	rng      *rand.Rand
+	now      time.Duration
+	inFlight []dispatch.SendAttempt
+}
+
+func (r *randomDispatcher) handle(ev dispatch.Event) {
+	actions := r.d.Handle(r.now, ev)
+	r.w.Record(r.now, ev, actions)
+	for _, a := range actions {
+		if a, ok := a.(dispatch.SendAttempt); ok {
+			r.inFlight = append(r.inFlight, a)
+		}
 	}
 }
 
-// record makes a history of a dispatcher, and its record.
-func record(t *testing.T, seed uint64, n int) []byte {
+// step draws one event.
+func (r *randomDispatcher) step(id dispatch.RequestID) {
+	r.now += time.Duration(r.rng.IntN(5)) * time.Millisecond
+	switch {
+	case r.rng.IntN(2) == 0:
+		r.handle(dispatch.Request{
+			ID:          id,
+			Volume:      dispatch.VolumeID(strconv.Itoa(r.rng.IntN(5))),
+			Shard:       dispatch.Shard(r.rng.IntN(2)),
+			Units:       r.rng.Float64() * 4,
+			Dispatchers: 1,
+			Timeout:     time.Second,
+		})
+	case len(r.inFlight) > 0:
+		a := r.inFlight[0]
+		r.inFlight = r.inFlight[1:]
+		r.handle(dispatch.AttemptCompleted{
+			ID:         a.ID,
+			Node:       a.Node,
+			Result:     dispatch.OK,
+			Responded:  true,
+			Latency:    3 * time.Millisecond,
+			QuotaUsage: 1 + 100*r.rng.Float64(),
+			LoadReport: dispatch.LoadReport{"inflight": r.rng.Float64()},
+		})
+	default:
+		r.handle(dispatch.TimerFired{Token: "wake"})
+	}
+}
+
+// randomTrace returns the trace of a dispatcher that handles an endpoint list and n random
+// events.
+func randomTrace(t *testing.T, seed uint64, n int) []byte {
+	t.Helper()
 	var out bytes.Buffer
-	w, err := NewWriter(&out, config(), seed, 1<<16)
+	w, err := NewWriter(&out, testConfig(), seed, 1<<16)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := dispatch.New(config(), seed)
+	d, err := dispatch.New(testConfig(), seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	rng := rand.New(rand.NewPCG(seed, 1))
-	now := time.Duration(0)
-	type attempt struct {
-		dispatch.SendAttempt
-		n int
-	}
-	var out1 []attempt
-	tell := func(ev dispatch.Event) {
-		acts := d.Handle(now, ev)
-		w.Record(now, ev, acts)
-		for _, a := range acts {
-			if a, ok := a.(dispatch.SendAttempt); ok {
-				out1 = append(out1, attempt{a, 0})
-			}
-		}
-	}
-	tell(dispatch.EndpointUpdate{Kind: dispatch.Snapshot, Nodes: []dispatch.Node{{ID: "a"}, {ID: "b", Shard: 1}}})
+	r := &randomDispatcher{d: d, w: w, rng: rand.New(rand.NewPCG(seed, 1))}
+	r.handle(dispatch.EndpointUpdate{Kind: dispatch.Snapshot, Nodes: []dispatch.Node{{ID: "a"}, {ID: "b", Shard: 1}}})
 	for i := range n {
-		now += time.Duration(rng.IntN(5)) * time.Millisecond
-		switch {
-		case rng.IntN(2) == 0:
-			tell(dispatch.Request{
-				ID: dispatch.RequestID(i + 1), Volume: dispatch.VolumeID(fmt.Sprint(rng.IntN(5))), Shard: dispatch.Shard(rng.IntN(2)),
-				Units: rng.Float64() * 4, Dispatchers: 1, Timeout: time.Second,
-			})
-		case len(out1) > 0:
-			a := out1[0]
-			out1 = out1[1:]
-			tell(dispatch.AttemptCompleted{
-				ID: a.ID, Node: a.Node, Result: dispatch.OK, Responded: true, Latency: 3 * time.Millisecond,
-				QuotaUsage: 1 + 100*rng.Float64(), LoadReport: dispatch.LoadReport{"inflight": rng.Float64()},
-			})
-		default:
-			tell(dispatch.TimerFired{Token: "wake"})
-		}
+		r.step(dispatch.RequestID(i + 1))
 	}
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
@@ -72,52 +104,71 @@
 }
 
 func TestReplayGivesTheSameActions(t *testing.T) {
-	b := record(t, 3, 5000)
-	res, err := Replay(bytes.NewReader(b))
-	if err != nil || res.Split != nil || res.Torn || res.Events != 5001 || res.Actions < 1000 {
+	res, err := Replay(bytes.NewReader(randomTrace(t, 3, 5000)))
+	if err != nil || res.Divergence != nil || res.Truncated || res.Events != 5001 || res.Actions < 1000 {
 		t.Fatalf("%+v %v", res, err)
 	}
 }
 
-func TestReplayFindsAnotherSeed(t *testing.T) {
+func TestReplayFindsDivergence(t *testing.T) {
 	var out bytes.Buffer
-	w, _ := NewWriter(&out, config(), 1, 10)
+	w, err := NewWriter(&out, testConfig(), 1, 10)
+	if err != nil {
+		t.Fatal(err)
+	}
 	w.Record(0, dispatch.ClientCanceled{ID: 1}, []dispatch.Action{dispatch.Fail{ID: 1}})
-	w.Close()
+	if err := w.Close(); err != nil {
+		t.Fatal(err)
+	}
 	res, err := Replay(&out)
-	if err != nil || res.Split == nil || !strings.Contains(fmt.Sprint(res.Split.Want), "Fail") {
+	if err != nil || res.Divergence == nil || !strings.Contains(fmt.Sprint(res.Divergence.Recorded), "Fail") {
 		t.Fatalf("%+v %v", res, err)
 	}
 }
 
-func TestTornRecordPlaysUpToItsEnd(t *testing.T) {
-	b := record(t, 4, 20000)
+func TestTruncatedTraceReplaysUpToItsEnd(t *testing.T) {
+	b := randomTrace(t, 4, 20000)
 	res, err := Replay(bytes.NewReader(b[:len(b)*2/3]))
-	if err != nil || !res.Torn || res.Events < 1000 || res.Split != nil {
+	if err != nil || !res.Truncated || res.Events < 1000 || res.Divergence != nil {
 		t.Fatalf("%+v %v", res, err)
 	}
 	for _, n := range []int{0, 3, 20} {
-		if _, err := Replay(bytes.NewReader(b[:n])); err == nil {
-			t.Fatalf("%d bytes are taken for a record", n)
+		if _, err := Replay(bytes.NewReader(b[:n])); !errors.Is(err, ErrInvalidHeader) {
+			t.Fatalf("%d bytes: %v", n, err)
 		}
 	}
 }
 
-func TestFullQueueEndsTheRecord(t *testing.T) {
-	block := make(chan struct{})
-	w, err := NewWriter(waiting{block}, config(), 1, 4)
+func TestReplayRefusesAnotherVersion(t *testing.T) {
+	z, err := zstd.NewWriter(nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, err = Replay(bytes.NewReader(z.EncodeAll([]byte("{\"Version\":2}\n"), nil)))
+	if other := (*VersionError)(nil); !errors.As(err, &other) || other.Version != 2 {
+		t.Fatal(err)
+	}
+}
+
+func TestFullQueueEndsTheTrace(t *testing.T) {
+	unblock := make(chan struct{})
+	w, err := NewWriter(blockedWriter{unblock}, testConfig(), 1, 4)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 1 << 14 { // more than the queue and the first flush hold
 		w.Record(0, dispatch.ClientCanceled{ID: 1}, nil)
 	}
-	close(block)
-	if err := w.Close(); err != ErrFull && !strings.Contains(fmt.Sprint(err), ErrFull.Error()) {
+	close(unblock)
+	if err := w.Close(); !errors.Is(err, ErrQueueFull) {
 		t.Fatal(err)
 	}
 }
 
-type waiting struct{ c chan struct{} }
+// blockedWriter blocks until its channel is closed.
+type blockedWriter struct{ unblock <-chan struct{} }
 
-func (w waiting) Write(p []byte) (int, error) { <-w.c; return len(p), nil }
+func (w blockedWriter) Write(p []byte) (int, error) {
+	<-w.unblock
+	return len(p), nil
+}
