--- a/internal/modelcheck/coverage.go
+++ b/internal/modelcheck/coverage.go
@@ -58,9 +58,9 @@
 	if c == nil {
 		return nil
 	}
-	o := &observed{event: strings.TrimPrefix(fmt.Sprintf("%T", ev), "forwarder."), from: stages(w.x)}
+	o := &observed{event: strings.TrimPrefix(fmt.Sprintf("%T", ev), "forwarder."), from: stages(w.fwd)}
 	onConn := func(id forwarder.ConnID) {
-		conns := reflect.ValueOf(w.x).Elem().FieldByName("conns")
+		conns := reflect.ValueOf(w.fwd).Elem().FieldByName("conns")
 		if k := conns.MapIndex(reflect.ValueOf(id)); k.IsValid() {
 			if call := k.Elem().FieldByName("request"); !call.IsNil() {
 				o.of = dispatch.RequestID(call.Elem().FieldByName("req").FieldByName("ID").Uint())
@@ -92,7 +92,7 @@
 	if o == nil {
 		return
 	}
-	now := stages(w.x)
+	now := stages(w.fwd)
 	ids := map[dispatch.RequestID]bool{}
 	for id := range now {
 		ids[id] = true
--- a/internal/modelcheck/fingerprint.go
+++ b/internal/modelcheck/fingerprint.go
@@ -19,8 +19,8 @@
 // the table: times are taken relative to now, numbers of connections and sequences
 // by their rank, and a few fields are left out, each for a reason.
 
-// Print is a fingerprint.
-type Print [2]uint64
+// Fingerprint is a fingerprint.
+type Fingerprint [2]uint64
 
 // treat is how a field is taken.
 type treat uint8
@@ -38,29 +38,29 @@
 // fields says how durations, and what else needs it, are taken. A duration that is
 // not here stops the walk with a panic: it has to be decided on.
 var fields = map[string]treat{
-	"modelcheck.World.spec":  skip,
-	"modelcheck.World.cfg":   skip,
-	"modelcheck.World.now":   skip,
-	"modelcheck.World.wake":  near,
-	"modelcheck.World.seen":  skip,
-	"modelcheck.World.first": skip,
-	"modelcheck.World.log":   skip,
-	"modelcheck.World.told":  mark,
+	"modelcheck.World.scenario":      skip,
+	"modelcheck.World.cfg":           skip,
+	"modelcheck.World.now":           skip,
+	"modelcheck.World.wakeAt":        near,
+	"modelcheck.World.coverage":      skip,
+	"modelcheck.World.firstArrival":  skip,
+	"modelcheck.World.log":           skip,
+	"modelcheck.World.unusableSince": mark,
 
-	"modelcheck.call.due":   due,
-	"modelcheck.call.doubt": moment,
-	"modelcheck.call.rest":  due,
+	"modelcheck.request.deadline":       due,
+	"modelcheck.request.ambiguousSince": moment,
+	"modelcheck.request.quiescentAt":    due,
 
-	"modelcheck.listed.started": moment,
-	"modelcheck.listed.place":   skip,
+	"modelcheck.node.started":  moment,
+	"modelcheck.node.nodeSpec": skip,
 
-	"modelcheck.call.ask": skip,
-	"modelcheck.call.end": skip,
+	"modelcheck.request.requestSpec": skip,
+	"modelcheck.request.outcome":     skip,
 
 	"modelcheck.conn.id": rank,
 
-	"modelcheck.rules.took":  moment,
-	"modelcheck.rules.extra": moment,
+	"modelcheck.checker.requestTimes": moment,
+	"modelcheck.checker.retryTimes":   moment,
 
 	"upstreamhttp.Reader.Limits":   skip,
 	"upstreamhttp.Reader.Response": skip, // its parts that matter follow from state and scan
@@ -180,16 +180,16 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// printer walks a state.
-type printer struct {
-	now    time.Duration
-	exact  bool // else figures that were learned are taken to two digits
-	b      []byte
-	seen   map[uintptr]uint64
-	ranked map[string][]rankAt // by group: values and where their ranks go
-	types  map[reflect.Type]*typeInfo
-	off    map[string]bool // fields without influence under the settings
-	tight  time.Duration   // by whose multiples what was learned fades
+// fingerprinter walks a state.
+type fingerprinter struct {
+	now               time.Duration
+	exact             bool // else figures that were learned are taken to two digits
+	buf               []byte
+	pointers          map[uintptr]uint64
+	ranks             map[string][]rankAt // by group: values and where their ranks go
+	types             map[reflect.Type]*typeInfo
+	inert             map[string]bool // fields without influence under the settings
+	tightestObjective time.Duration   // by whose multiples what was learned fades
 }
 
 type rankAt struct {
@@ -209,13 +209,13 @@
 	heap  []string
 }
 
-// far is how far ahead a moment counts as far: no request of a world lives longer,
+// horizon is how far ahead a moment counts as far: no request of a world lives longer,
 // and time passes only while one is in hand.
-const far = 1500 * ms
+const horizon = 1500 * ms
 
-// without returns the fields that have no influence under a world's settings, each
+// inertFields returns the fields that have no influence under a world's settings, each
 // with the setting that it needs.
-func without(w *World) map[string]bool {
+func inertFields(w *World) map[string]bool {
 	off := map[string]bool{}
 	skipAll := func(names ...string) {
 		for _, n := range names {
@@ -243,55 +243,55 @@
 		skipAll("dispatch.node.v", "dispatch.request.vArr", "dispatch.flow.lastS", "dispatch.flow.lastC", "dispatch.flow.lastF", "dispatch.flow.floor", "dispatch.flow.start")
 	}
 	if c.RetryBudget.Ratio == 0 {
-		skipAll("dispatch.Dispatcher.taken", "modelcheck.rules.took")
+		skipAll("dispatch.Dispatcher.taken", "modelcheck.checker.requestTimes")
 	}
-	if w.cfg.IdleTimeout > far && w.cfg.MaxConnAge > far {
+	if w.cfg.IdleTimeout > horizon && w.cfg.MaxConnAge > horizon {
 		skipAll("forwarder.conn.createdAt", "forwarder.conn.idleSince")
 	}
 	return off
 }
 
-func newPrinter(exact bool) *printer {
-	return &printer{exact: exact, seen: map[uintptr]uint64{}, ranked: map[string][]rankAt{}, types: map[reflect.Type]*typeInfo{}}
+func newFingerprinter(exact bool) *fingerprinter {
+	return &fingerprinter{exact: exact, pointers: map[uintptr]uint64{}, ranks: map[string][]rankAt{}, types: map[reflect.Type]*typeInfo{}}
 }
 
-// print returns the fingerprint of a world.
-func (p *printer) print(w *World) Print {
-	p.now, p.b = w.now, p.b[:0]
-	clear(p.seen)
-	for k := range p.ranked {
-		p.ranked[k] = p.ranked[k][:0]
+// fingerprint returns the fingerprint of a world.
+func (p *fingerprinter) fingerprint(w *World) Fingerprint {
+	p.now, p.buf = w.now, p.buf[:0]
+	clear(p.pointers)
+	for k := range p.ranks {
+		p.ranks[k] = p.ranks[k][:0]
 	}
-	if p.off == nil {
-		p.off, p.tight = without(w), w.cfg.Dispatch.Classes[0].LatencyObjective
+	if p.inert == nil {
+		p.inert, p.tightestObjective = inertFields(w), w.cfg.Dispatch.Classes[0].LatencyObjective
 		for _, c := range w.cfg.Dispatch.Classes {
-			p.tight = min(p.tight, c.LatencyObjective)
+			p.tightestObjective = min(p.tightestObjective, c.LatencyObjective)
 		}
 	}
 	p.walk(reflect.ValueOf(w).Elem(), 0)
-	if !slices.ContainsFunc(w.calls, func(c *call) bool { return !c.begun }) || w.first == 0 {
+	if !slices.ContainsFunc(w.requests, func(c *request) bool { return !c.started }) || w.firstArrival == 0 {
 		p.u64(0)
 	} else {
-		p.u64(uint64(w.first + w.spec.spread - w.now))
+		p.u64(uint64(w.firstArrival + w.scenario.spread - w.now))
 	}
-	for _, rs := range p.ranked { // each writes to its own places: the order is no matter
+	for _, rs := range p.ranks { // each writes to its own places: the order is no matter
 		slices.SortStableFunc(rs, func(a, b rankAt) int { return cmp.Compare(a.v, b.v) })
 		n, last := uint64(0), uint64(math.MaxUint64)
 		for _, r := range rs {
 			if r.v != last {
 				n, last = n+1, r.v
 			}
-			binary.LittleEndian.PutUint64(p.b[r.at:], n)
+			binary.LittleEndian.PutUint64(p.buf[r.at:], n)
 		}
 	}
 	h := xxhash.NewWithSeed(0x9e3779b97f4a7c15)
-	h.Write(p.b)
-	return Print{xxhash.Sum64(p.b), h.Sum64()}
+	h.Write(p.buf)
+	return Fingerprint{xxhash.Sum64(p.buf), h.Sum64()}
 }
 
-func (p *printer) u64(v uint64) { p.b = binary.LittleEndian.AppendUint64(p.b, v) }
+func (p *fingerprinter) u64(v uint64) { p.buf = binary.LittleEndian.AppendUint64(p.buf, v) }
 
-func (p *printer) info(t reflect.Type) *typeInfo {
+func (p *fingerprinter) info(t reflect.Type) *typeInfo {
 	if i := p.types[t]; i != nil {
 		return i
 	}
@@ -300,7 +300,7 @@
 		f := t.Field(k)
 		name := typeName(t) + "." + f.Name
 		how := fields[name]
-		if p.off[name] {
+		if p.inert[name] {
 			how = skip
 		}
 		i.fields = append(i.fields, fieldInfo{name, how, heaps[typeName(f.Type)]})
@@ -316,7 +316,7 @@
 	return path[strings.LastIndexByte(path, '/')+1:] + "." + name
 }
 
-func (p *printer) walk(v reflect.Value, how treat) {
+func (p *fingerprinter) walk(v reflect.Value, how treat) {
 	if v.Type() == durationType {
 		p.duration(time.Duration(v.Int()), how)
 		return
@@ -324,16 +324,16 @@
 	switch v.Kind() {
 	case reflect.Bool:
 		if v.Bool() {
-			p.b = append(p.b, 1)
+			p.buf = append(p.buf, 1)
 		} else {
-			p.b = append(p.b, 0)
+			p.buf = append(p.buf, 0)
 		}
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
 		p.u64(uint64(v.Int()))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64, reflect.Uintptr:
 		if how == rank || v.Type().Name() == "ConnID" {
 			group := v.Type().Name()
-			p.ranked[group] = append(p.ranked[group], rankAt{v.Uint(), len(p.b)})
+			p.ranks[group] = append(p.ranks[group], rankAt{v.Uint(), len(p.buf)})
 			p.u64(0)
 			return
 		}
@@ -342,16 +342,16 @@
 		p.float(v.Float())
 	case reflect.String:
 		p.u64(uint64(v.Len()))
-		p.b = append(p.b, v.String()...)
+		p.buf = append(p.buf, v.String()...)
 	case reflect.Pointer:
 		p.pointer(v)
 	case reflect.Interface:
 		if v.IsNil() {
-			p.b = append(p.b, 0)
+			p.buf = append(p.buf, 0)
 			return
 		}
-		p.b = append(p.b, 1)
-		p.b = append(p.b, v.Elem().Type().String()...)
+		p.buf = append(p.buf, 1)
+		p.buf = append(p.buf, v.Elem().Type().String()...)
 		p.walk(v.Elem(), how)
 	case reflect.Slice, reflect.Array:
 		p.u64(uint64(v.Len()))
@@ -359,7 +359,7 @@
 			p.walk(v.Index(i), how)
 		}
 	case reflect.Map:
-		p.mapping(v, how)
+		p.mapEntries(v, how)
 	case reflect.Struct:
 		p.fields(v)
 	case reflect.Func:
@@ -368,30 +368,30 @@
 	}
 }
 
-func (p *printer) pointer(v reflect.Value) {
+func (p *fingerprinter) pointer(v reflect.Value) {
 	if v.IsNil() {
-		p.b = append(p.b, 0)
+		p.buf = append(p.buf, 0)
 		return
 	}
-	if n, ok := p.seen[v.Pointer()]; ok {
-		p.b = append(p.b, 2)
+	if n, ok := p.pointers[v.Pointer()]; ok {
+		p.buf = append(p.buf, 2)
 		p.u64(n)
 		return
 	}
-	p.seen[v.Pointer()] = uint64(len(p.seen))
-	p.b = append(p.b, 1)
+	p.pointers[v.Pointer()] = uint64(len(p.pointers))
+	p.buf = append(p.buf, 1)
 	p.walk(v.Elem(), 0)
 }
 
-func (p *printer) fields(v reflect.Value) {
+func (p *fingerprinter) fields(v reflect.Value) {
 	info := p.info(v.Type())
 	switch info.name {
-	case "modelcheck.call":
-		if p.over(v) {
+	case "modelcheck.request":
+		if p.finishedRequest(v) {
 			return
 		}
 	case "dispatch.node":
-		p.learned(v)
+		p.nodeLatency(v)
 	}
 	for i := range info.fields {
 		f := &info.fields[i]
@@ -412,7 +412,7 @@
 const doControl = 0
 
 // heap takes what a heap holds, in order.
-func (p *printer) heap(v reflect.Value, by []string) {
+func (p *fingerprinter) heap(v reflect.Value, by []string) {
 	idx := make([]int, v.Len())
 	for i := range idx {
 		idx[i] = i
@@ -448,7 +448,7 @@
 	return cmp.Compare(a.Int(), b.Int())
 }
 
-func (p *printer) mapping(v reflect.Value, how treat) {
+func (p *fingerprinter) mapEntries(v reflect.Value, how treat) {
 	keys := v.MapKeys()
 	slices.SortFunc(keys, func(a, b reflect.Value) int {
 		if a.Kind() == reflect.String {
@@ -463,7 +463,7 @@
 	}
 }
 
-func (p *printer) duration(d time.Duration, how treat) {
+func (p *fingerprinter) duration(d time.Duration, how treat) {
 	switch {
 	case how == mark:
 	case how == span:
@@ -476,36 +476,36 @@
 		p.u64(2)
 	case how == due && d <= p.now:
 		p.u64(3)
-	case how == near && d-p.now > far:
+	case how == near && d-p.now > horizon:
 		p.u64(4)
 	default:
 		p.u64(uint64(d-p.now) ^ 1<<62)
 	}
 }
 
-// over takes a call that has ended for what is left of it; it tells whether it has.
-func (p *printer) over(v reflect.Value) bool {
-	ended := v.FieldByName("left").Bool() || v.FieldByName("answers").Int() > 0
+// finishedRequest takes a call that has ended for what is left of it; it tells whether it has.
+func (p *fingerprinter) finishedRequest(v reflect.Value) bool {
+	ended := v.FieldByName("canceled").Bool() || v.FieldByName("responses").Int() > 0
 	if !ended {
 		return false
 	}
-	p.b = append(p.b, 7)
+	p.buf = append(p.buf, 7)
 	p.walk(v.FieldByName("id"), 0)
-	p.walk(v.FieldByName("out"), 0)
-	p.duration(time.Duration(v.FieldByName("rest").Int()), due)
+	p.walk(v.FieldByName("conn"), 0)
+	p.duration(time.Duration(v.FieldByName("quiescentAt").Int()), due)
 	return true
 }
 
-// learned takes a node's delay as it has faded by now.
-func (p *printer) learned(v reflect.Value) {
+// nodeLatency takes a node's delay as it has faded by now.
+func (p *fingerprinter) nodeLatency(v reflect.Value) {
 	lat, at := v.FieldByName("lat").Float(), time.Duration(v.FieldByName("latAt").Int())
-	p.seconds(lat * math.Exp2(-float64(p.now-at)/(3*float64(p.tight))))
+	p.seconds(lat * math.Exp2(-float64(p.now-at)/(3*float64(p.tightestObjective))))
 	p.seconds(v.FieldByName("base").Float())
 }
 
 // seconds takes a length of time that was learned, by milliseconds where that is
 // enough.
-func (p *printer) seconds(s float64) {
+func (p *fingerprinter) seconds(s float64) {
 	if !p.exact {
 		s = math.Round(s * 1e3)
 	}
@@ -513,7 +513,7 @@
 }
 
 // float takes a figure, to two digits where that is enough.
-func (p *printer) float(f float64) {
+func (p *fingerprinter) float(f float64) {
 	if p.exact || f == 0 || math.IsInf(f, 0) {
 		p.u64(math.Float64bits(f))
 		return
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -60,13 +60,13 @@
 		name, rule string
 		bend       func(*World)
 	}{
-		{"window", "effects", func(w *World) { w.cfg.Dispatch.Classes[keyed].DedupWindow = 20 * ms }},
+		{"window", "effects", func(w *World) { w.cfg.Dispatch.Classes[keyedClass].DedupWindow = 20 * ms }},
 		{"turn", "order", func(w *World) { w.cfg.Dispatch.Quiescence = 200 * ms }},
-		{"drain", "answer", func(w *World) { w.wake = math.MaxInt64 }}, // the timer is lost
-		{"drain", "drain", func(w *World) { w.told["a"] = w.now }},     // of which the gateway did not hear
+		{"drain", "answer", func(w *World) { w.wakeAt = math.MaxInt64 }},    // the timer is lost
+		{"drain", "drain", func(w *World) { w.unusableSince["a"] = w.now }}, // of which the gateway did not hear
 		{"doubt", "connection", func(w *World) {
 			for _, k := range w.conns {
-				k.dead = true
+				k.unusable = true
 			}
 		}},
 		{"limits", "budget", func(w *World) { w.cfg.Dispatch.RetryBudget.MinRetries = 0 }},
@@ -75,7 +75,7 @@
 		// The gateway has the scenario's settings, the rules are held to others.
 		found := false
 		for seed := range uint64(3000) {
-			w := start(&s)
+			w := newWorld(&s)
 			w.cfg.Dispatch.Classes = slices.Clone(w.cfg.Dispatch.Classes) // the gateway keeps its own
 			rng := rand.New(rand.NewPCG(seed, 1))
 			for range 200 {
@@ -86,7 +86,7 @@
 				}
 				w.apply(m)
 			}
-			if b := w.rules.breach; b != nil && b.Rule == x.rule {
+			if b := w.checker.violation; b != nil && b.Rule == x.rule {
 				found = true
 				break
 			}
@@ -110,16 +110,16 @@
 	t.Logf("never: %v", cover.Never())
 	rapid.Check(t, func(t *rapid.T) {
 		s := Large(rapid.IntRange(2, 8).Draw(t, "nodes"), rapid.IntRange(1, 12).Draw(t, "requests"))
-		w := start(&s)
+		w := newWorld(&s)
 		for range rapid.IntRange(0, 200).Draw(t, "moves") {
 			m, ok := w.pick(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "which") })
 			if !ok {
-				w.checkRest()
+				w.checkEnd()
 				break
 			}
 			w.apply(m)
 		}
-		if b := w.rules.breach; b != nil {
+		if b := w.checker.violation; b != nil {
 			t.Fatal(b)
 		}
 	})
@@ -226,14 +226,14 @@
 			t.Errorf("the table names %s, which is not there", name)
 		}
 	}
-	w := start(&Scenario{asks: []ask{{}}, nodes: []place{{id: "a", first: true}}})
-	for name := range without(w) {
+	w := newWorld(&Scenario{requests: []requestSpec{{}}, nodes: []nodeSpec{{id: "a", initial: true}}})
+	for name := range inertFields(w) {
 		if !have[name] {
 			t.Errorf("%s, without influence under some settings, is not there", name)
 		}
 	}
 	// The controller's task is the kind that is left out.
-	agenda := reflect.ValueOf(w.x).Elem().FieldByName("dispatcher").Elem().FieldByName("agenda").FieldByName("timers")
+	agenda := reflect.ValueOf(w.fwd).Elem().FieldByName("dispatcher").Elem().FieldByName("agenda").FieldByName("timers")
 	if agenda.Len() != 1 || agenda.Index(0).Elem().FieldByName("Value").FieldByName("kind").Int() != doControl {
 		t.Error("the first task of a dispatcher is not its controller's")
 	}
@@ -243,16 +243,16 @@
 // only by names and by when they are have the same.
 func TestFingerprint(t *testing.T) {
 	s, _ := Named("two")
-	p := newPrinter(false)
-	at := func(ms ...Move) Print {
-		w := start(&s)
+	p := newFingerprinter(false)
+	at := func(ms ...Move) Fingerprint {
+		w := newWorld(&s)
 		for _, m := range ms {
-			if !slices.Contains(w.moves(false), m) {
-				t.Fatalf("%s cannot happen", w.text(m))
+			if !slices.Contains(w.enabledMoves(false), m) {
+				t.Fatalf("%s cannot happen", w.moveText(m))
 			}
 			w.apply(m)
 		}
-		return p.print(w)
+		return p.fingerprint(w)
 	}
 	a, b := Move{Arrive, 1}, Move{Arrive, 2}
 	if at(a) == at(b) || at(a) == at() || at(a, b) == at(a) {
--- a/internal/modelcheck/moves.go
+++ b/internal/modelcheck/moves.go
@@ -43,10 +43,10 @@
 	Truth                // and hears the true one
 	Before               // time passes to just before something is due
 	Reach                // to the moment
-	kinds
+	kindCount
 )
 
-var kindNames = [kinds]string{
+var kindNames = [kindCount]string{
 	"arrive", "follow", "follow-2", "fire", "dial-ok", "dial-fail", "served", "closing", "errored", "full", "headed", "rest",
 	"garbage", "twice", "reset", "leave", "flow", "body-sent", "drain", "remove", "list", "renew", "crash", "truth", "before", "reach",
 }
@@ -60,8 +60,8 @@
 	On   uint32
 }
 
-// takes tells what a kind of move acts on.
-func (k Kind) takes() string {
+// operand tells what a kind of move acts on.
+func (k Kind) operand() string {
 	switch k {
 	case Arrive, Leave, Flow, BodySent:
 		return "request"
@@ -73,9 +73,9 @@
 	return ""
 }
 
-// text is a move as a replay has it.
-func (w *World) text(m Move) string {
-	switch m.Kind.takes() {
+// moveText is a move as a replay has it.
+func (w *World) moveText(m Move) string {
+	switch m.Kind.operand() {
 	case "node":
 		return fmt.Sprintf("%v %s", m.Kind, w.nodes[m.On].id)
 	case "":
@@ -84,50 +84,50 @@
 	return fmt.Sprintf("%v %d", m.Kind, m.On)
 }
 
-// moves returns all that may happen now, in a fixed order.
-func (w *World) moves(reduce bool) []Move {
+// enabledMoves returns all that may happen now, in a fixed order.
+func (w *World) enabledMoves(reduce bool) []Move {
 	var ms []Move
 	add := func(k Kind, on int) { ms = append(ms, Move{k, uint32(on)}) }
-	for lane, kind := range [loops]Kind{Follow, Follow2} {
-		if len(w.queue[lane]) == 0 {
+	for lane, kind := range [loopCount]Kind{Follow, Follow2} {
+		if len(w.loopQueues[lane]) == 0 {
 			continue
 		}
-		if reduce && onlyAnswers(w.queue[lane]) {
+		if reduce && onlyResponses(w.loopQueues[lane]) {
 			return []Move{{Kind: kind}}
 		}
 		add(kind, 0)
 	}
-	due := w.wake <= w.now
+	due := w.wakeAt <= w.now
 	if due {
 		add(Fire, 0)
 	}
-	s, u := w.spec, &w.spent
-	for i, c := range w.calls {
+	s, u := w.scenario, &w.counts
+	for i, c := range w.requests {
 		switch {
-		case !c.begun:
-			if w.first == 0 || w.now <= w.first+w.spec.spread {
+		case !c.started:
+			if w.firstArrival == 0 || w.now <= w.firstArrival+w.scenario.spread {
 				add(Arrive, i+1)
 			}
 			continue
-		case c.over() || !c.inLane:
+		case c.finished() || !c.onLoop:
 			continue
 		}
 		if u.leaves < s.leaves {
 			add(Leave, i+1)
 		}
-		if c.source && c.out != nil && !c.sent {
-			if !c.flowing && u.flows < s.flows {
+		if c.sendingBody && c.conn != nil && !c.bodySent {
+			if !c.bodyStreaming && u.flows < s.flows {
 				add(Flow, i+1)
 			}
 			add(BodySent, i+1)
 		}
 	}
-	for _, k := range w.sorted() {
+	for _, k := range w.sortedConns() {
 		w.connMoves(k, add)
 	}
 	for i, n := range w.nodes {
 		switch {
-		case !n.on:
+		case !n.listed:
 			if u.lists < s.lists {
 				add(List, i)
 			}
@@ -135,25 +135,25 @@
 			if u.renews < s.renews {
 				add(Renew, i)
 			}
-			if n.first && u.drains < s.drains {
+			if n.initial && u.drains < s.drains {
 				add(Drain, i)
 			}
 			fallthrough
 		case n.state == dispatch.Draining:
-			if n.first && u.removes < s.removes {
+			if n.initial && u.removes < s.removes {
 				add(Remove, i)
 			}
 		}
 	}
-	if u.crashes < s.crashes && w.working() {
+	if u.crashes < s.crashes && w.anyUnfinished() {
 		add(Crash, 0)
 	}
 	if w.stale {
 		add(Truth, 0)
 	}
-	if !w.waiting() && !due && w.pending() {
-		if t := w.next(); t < math.MaxInt64 {
-			if w.before(t) > w.now {
+	if !w.loopsPending() && !due && w.anyResponseDue() {
+		if t := w.nextDeadline(); t < math.MaxInt64 {
+			if w.justBefore(t) > w.now {
 				add(Before, 0)
 			} else {
 				add(Reach, 0)
@@ -165,7 +165,7 @@
 
 // connMoves returns what may happen on one connection.
 func (w *World) connMoves(k *conn, add func(Kind, int)) {
-	s, u, id := w.spec, &w.spent, int(k.id)
+	s, u, id := w.scenario, &w.counts, int(k.id)
 	if !k.open {
 		add(DialOK, id)
 		if u.dialFails < s.dialFails {
@@ -173,11 +173,11 @@
 		}
 		return
 	}
-	if !k.has {
+	if !k.atNode {
 		if u.closes < s.closes {
 			add(Reset, id)
 		}
-		if u.garbage < s.garbage && k.call == nil {
+		if u.garbage < s.garbage && k.request == nil {
 			add(Garbage, id)
 		}
 		return
@@ -185,19 +185,19 @@
 	if u.resets < s.resets {
 		add(Reset, id)
 	}
-	if k.half {
+	if k.partial {
 		add(Rest, id)
 		return
 	}
-	c := k.call
-	if c != nil && c.source && !c.sent {
+	c := k.request
+	if c != nil && c.sendingBody && !c.bodySent {
 		// A node may answer an upload early, but only to turn it away.
 		if u.fulls < s.fulls {
 			add(Full, id)
 		}
 		return
 	}
-	if c != nil && c.big && u.heads < s.heads {
+	if c != nil && c.streamed && u.heads < s.heads {
 		add(Headed, id)
 	}
 	add(Served, id)
@@ -216,15 +216,15 @@
 	}
 }
 
-func (w *World) sorted() []*conn {
+func (w *World) sortedConns() []*conn {
 	return slices.SortedFunc(maps.Values(w.conns), func(a, b *conn) int { return cmp.Compare(a.id, b.id) })
 }
 
-// onlyAnswers tells whether all that waits for a loop is answers to clients of
+// onlyResponses tells whether all that waits for a loop is answers to clients of
 // which no connection is part. Doing it at once commutes with all else: nothing
 // that can happen before it looks at what it changes, but that a client may leave
 // whose answer is on its way, which is an answer all the same.
-func onlyAnswers(queue []forwarder.Action) bool {
+func onlyResponses(queue []forwarder.Action) bool {
 	for _, a := range queue {
 		switch a.(type) {
 		case forwarder.Reject, forwarder.Fail:
@@ -235,160 +235,160 @@
 	return true
 }
 
-// working tells whether a request is in hand.
-func (w *World) working() bool {
-	return slices.ContainsFunc(w.calls, func(c *call) bool { return c.begun && !c.over() })
+// anyUnfinished tells whether a request is in hand.
+func (w *World) anyUnfinished() bool {
+	return slices.ContainsFunc(w.requests, func(c *request) bool { return c.started && !c.finished() })
 }
 
-// pending tells whether a request is in hand for which time matters: a body that
+// anyResponseDue tells whether a request is in hand for which time matters: a body that
 // stands still may stand for as long as it likes, and a search would not end.
-func (w *World) pending() bool {
-	return slices.ContainsFunc(w.calls, (*call).owed)
+func (w *World) anyResponseDue() bool {
+	return slices.ContainsFunc(w.requests, (*request).responseDue)
 }
 
-// next is the next moment at which something is due: the forwarder's timer, the end
+// nextDeadline is the next moment at which something is due: the forwarder's timer, the end
 // of a window in which repeats are dropped, of the grace after a drain, or of the
 // time for an answer.
-func (w *World) next() time.Duration {
-	t := w.wake
+func (w *World) nextDeadline() time.Duration {
+	t := w.wakeAt
 	take := func(at time.Duration) {
 		if at > w.now {
 			t = min(t, at)
 		}
 	}
-	for _, c := range w.calls {
-		if !c.begun && w.first > 0 {
-			take(w.first + w.spec.spread) // the last moment for it to come
+	for _, c := range w.requests {
+		if !c.started && w.firstArrival > 0 {
+			take(w.firstArrival + w.scenario.spread) // the last moment for it to come
 		}
-		if !c.begun || c.over() {
+		if !c.started || c.finished() {
 			continue
 		}
-		if c.mayRun && w.class(c).Idempotency == dispatch.Deduplicated {
-			take(c.doubt + w.class(c).DedupWindow)
+		if c.ambiguous && w.class(c).Idempotency == dispatch.Deduplicated {
+			take(c.ambiguousSince + w.class(c).DedupWindow)
 		}
-		take(c.due)
+		take(c.deadline)
 	}
 	return t
 }
 
-// before is the last moment of the grid before one.
-func (w *World) before(t time.Duration) time.Duration { return (t - 1) / grid * grid }
+// justBefore is the last moment of the grid before one.
+func (w *World) justBefore(t time.Duration) time.Duration { return (t - 1) / timeGrid * timeGrid }
 
-func (w *World) class(c *call) *dispatch.Class { return &w.cfg.Dispatch.Classes[c.class] }
+func (w *World) class(c *request) *dispatch.Class { return &w.cfg.Dispatch.Classes[c.class] }
 
 // apply does a move. It must be one that moves returned.
 func (w *World) apply(m Move) {
 	if w.log != nil {
-		w.log("%v  %s", w.now-time.Second, w.text(m))
+		w.log("%v  %s", w.now-time.Second, w.moveText(m))
 	}
-	u := &w.spent
+	u := &w.counts
 	switch m.Kind {
 	case Arrive:
-		w.arrive(w.calls[m.On-1])
+		w.startRequest(w.requests[m.On-1])
 	case Follow:
-		w.follow(0)
+		w.runLoop(0)
 	case Follow2:
-		w.follow(1)
+		w.runLoop(1)
 	case Fire:
-		w.wake = math.MaxInt64
-		w.tell(forwarder.TimerFired{}, elsewhere)
+		w.wakeAt = math.MaxInt64
+		w.handle(forwarder.TimerFired{}, noLoop)
 	case DialOK, DialFail:
 		k := w.conns[forwarder.ConnID(m.On)]
 		if k.open = m.Kind == DialOK; !k.open {
 			u.dialFails++
 			delete(w.conns, k.id)
 		}
-		w.tell(forwarder.DialCompleted{Conn: k.id, OK: k.open}, k.lane)
+		w.handle(forwarder.DialCompleted{Conn: k.id, OK: k.open}, k.loop)
 	case Served, Closing, Errored, Full, Headed, Rest, Garbage, Twice:
-		w.answered(w.conns[forwarder.ConnID(m.On)], m.Kind)
+		w.respond(w.conns[forwarder.ConnID(m.On)], m.Kind)
 	case Reset:
 		k := w.conns[forwarder.ConnID(m.On)]
-		if k.has {
+		if k.atNode {
 			u.resets++
 		} else {
 			u.closes++
 		}
-		w.lost(k)
+		w.loseConn(k)
 	case Leave:
 		u.leaves++
-		w.leave(w.calls[m.On-1])
+		w.cancelRequest(w.requests[m.On-1])
 	case Flow:
-		c := w.calls[m.On-1]
+		c := w.requests[m.On-1]
 		u.flows++
-		c.flowing = true
-		w.tell(forwarder.BodyStreaming{ID: c.id}, c.lane)
+		c.bodyStreaming = true
+		w.handle(forwarder.BodyStreaming{ID: c.id}, c.loop)
 	case BodySent:
-		c := w.calls[m.On-1]
-		c.sent = true
-		if c.flowing {
-			c.due = max(c.due, w.now+w.class(c).Deadline)
+		c := w.requests[m.On-1]
+		c.bodySent = true
+		if c.bodyStreaming {
+			c.deadline = max(c.deadline, w.now+w.class(c).Deadline)
 		}
-		w.tell(forwarder.BodySent{ID: c.id}, c.lane)
+		w.handle(forwarder.BodySent{ID: c.id}, c.loop)
 	case Drain, Remove, List, Renew:
-		w.listing(m)
+		w.changeNode(m)
 	case Crash:
-		w.crash()
+		w.restartGateway()
 	case Truth:
 		w.stale = false
-		w.tell(w.list(dispatch.Snapshot), elsewhere)
+		w.handle(w.endpointList(dispatch.Snapshot), noLoop)
 	case Before:
-		w.now = w.before(w.next())
+		w.now = w.justBefore(w.nextDeadline())
 	case Reach:
-		w.now = w.next()
-		w.checkTime()
+		w.now = w.nextDeadline()
+		w.checkDeadlines()
 	}
-	w.checkForsaken()
+	w.checkOrphans()
 }
 
-func (w *World) arrive(c *call) {
-	if w.first == 0 {
-		w.first = w.now
+func (w *World) startRequest(c *request) {
+	if w.firstArrival == 0 {
+		w.firstArrival = w.now
 	}
 	k := w.class(c)
-	c.begun, c.inLane, c.due = true, true, w.now+k.Deadline
-	w.rules.taken(w, c)
-	w.tell(forwarder.StartRequest{NotReplayable: c.once, Loop: c.lane, Request: dispatch.Request{
+	c.started, c.onLoop, c.deadline = true, true, w.now+k.Deadline
+	w.checker.noteStart(w, c)
+	w.handle(forwarder.StartRequest{NotReplayable: c.notReplayable, Loop: c.loop, Request: dispatch.Request{
 		ID: c.id, Class: c.class, Volume: "v", Key: c.key,
 		Shard: c.shard, Units: 1, Dispatchers: 1, Timeout: k.Deadline,
-	}}, c.lane)
+	}}, c.loop)
 }
 
-// answered lets a node answer on a connection.
-func (w *World) answered(k *conn, kind Kind) {
-	u := &w.spent
+// respond lets a node answer on a connection.
+func (w *World) respond(k *conn, kind Kind) {
+	u := &w.counts
 	switch kind {
 	case Closing:
 		u.closes++
-		k.dead = true // the node closes it
+		k.unusable = true // the node closes it
 	case Errored:
 		u.errors++
 	case Full:
 		u.fulls++
 	case Headed:
 		u.heads++
-		k.half = true
+		k.partial = true
 	case Garbage, Twice:
 		u.garbage++
 	}
 	if kind != Headed {
-		k.has, k.half = false, false
+		k.atNode, k.partial = false, false
 	}
-	w.proven(k, kind)
-	if k.call == nil {
-		k.dead = true // bytes that nobody asked for
+	w.noteResponse(k, kind)
+	if k.request == nil {
+		k.unusable = true // bytes that nobody asked for
 	}
-	w.receive(k, []byte(answerText[kind]))
+	w.receive(k, []byte(responseText[kind]))
 }
 
-// leave lets a client go.
-func (w *World) leave(c *call) {
-	c.left, c.inLane, c.end = true, false, "left"
-	w.tell(forwarder.ClientCanceled{ID: c.id}, c.lane)
+// cancelRequest lets a client go.
+func (w *World) cancelRequest(c *request) {
+	c.canceled, c.onLoop, c.outcome = true, false, "left"
+	w.handle(forwarder.ClientCanceled{ID: c.id}, c.loop)
 }
 
-// listing tells the gateway of a node.
-func (w *World) listing(m Move) {
-	n, u := &w.nodes[m.On], &w.spent
+// changeNode tells the gateway of a node.
+func (w *World) changeNode(m Move) {
+	n, u := &w.nodes[m.On], &w.counts
 	switch m.Kind {
 	case Drain:
 		u.drains++
@@ -398,7 +398,7 @@
 		n.state = dispatch.Removed
 	case List:
 		u.lists++
-		n.on, n.started = true, w.now
+		n.listed, n.started = true, w.now
 	case Renew:
 		u.renews++
 		n.started = max(w.now, n.started+1) // no two start at one moment
@@ -407,29 +407,29 @@
 		return
 	}
 	if m.Kind == Renew {
-		w.renewed(n.id)
+		w.noteNodeRestart(n.id)
 	}
-	e := forwarder.EndpointUpdate{Kind: dispatch.Delta, Nodes: []forwarder.Node{node(*n, n.state)}}
-	w.hear(e)
-	w.tell(e, elsewhere)
+	e := forwarder.EndpointUpdate{Kind: dispatch.Delta, Nodes: []forwarder.Node{endpoint(*n, n.state)}}
+	w.noteEndpoints(e)
+	w.handle(e, noLoop)
 }
 
-// crash ends the gateway: its clients and nodes see their connections break. It
+// restartGateway ends the gateway: its clients and nodes see their connections break. It
 // begins again with the list that it had at the start.
-func (w *World) crash() {
-	w.spent.crashes++
-	w.queue = [loops][]forwarder.Action{}
-	for _, k := range w.sorted() {
-		w.doubted(k)
-		w.free(k)
+func (w *World) restartGateway() {
+	w.counts.crashes++
+	w.loopQueues = [loopCount][]forwarder.Action{}
+	for _, k := range w.sortedConns() {
+		w.noteInterrupted(k)
+		w.freeConn(k)
 		delete(w.conns, k.id)
 	}
-	for _, c := range w.calls {
-		if c.begun && !c.over() {
-			c.left, c.inLane = true, false
+	for _, c := range w.requests {
+		if c.started && !c.finished() {
+			c.canceled, c.onLoop = true, false
 		}
 	}
-	clear(w.told)
+	clear(w.unusableSince)
 	w.stale = true
-	w.begin(dispatch.Cached)
+	w.startGateway(dispatch.Cached)
 }
--- a/internal/modelcheck/replay.go
+++ b/internal/modelcheck/replay.go
@@ -28,12 +28,12 @@
 
 // WriteReplay writes a path as a replay.
 func WriteReplay(out io.Writer, s Scenario, path []Move) error {
-	w := start(&s)
+	w := newWorld(&s)
 	if _, err := fmt.Fprintf(out, "%s %d\nscenario %s\n", replayForm, replayVersion, s.Name); err != nil {
 		return err
 	}
 	for _, m := range path {
-		if _, err := fmt.Fprintln(out, w.text(m)); err != nil {
+		if _, err := fmt.Fprintln(out, w.moveText(m)); err != nil {
 			return err
 		}
 		w.apply(m)
@@ -45,7 +45,7 @@
 // is what names an unknown scenario, move, request, connection or node. tell, if it
 // is not nil, hears what happens.
 func Play(in io.Reader, tell func(format string, args ...any)) (*Breach, error) {
-	return (&player{tell: tell}).play(in)
+	return (&player{log: tell}).play(in)
 }
 
 func (p *player) play(in io.Reader) (*Breach, error) {
@@ -56,42 +56,42 @@
 		if len(f) == 0 {
 			continue
 		}
-		if err := p.line(n, f); err != nil {
+		if err := p.playLine(n, f); err != nil {
 			return nil, &ReplayError{n, err.Error()}
 		}
-		if p.w != nil && p.w.rules.breach != nil {
-			return p.w.rules.breach, nil
+		if p.world != nil && p.world.checker.violation != nil {
+			return p.world.checker.violation, nil
 		}
 	}
 	if err := sc.Err(); err != nil {
 		return nil, err
 	}
-	if p.w == nil {
+	if p.world == nil {
 		return nil, fmt.Errorf("the replay ends before its scenario is named")
 	}
-	if len(p.w.moves(false)) == 0 {
-		p.w.checkRest()
+	if len(p.world.enabledMoves(false)) == 0 {
+		p.world.checkEnd()
 	}
-	return p.w.rules.breach, nil
+	return p.world.checker.violation, nil
 }
 
 type player struct {
-	headed bool
-	w      *World
-	tell   func(format string, args ...any)
-	each   func(line int, m Move) // before a move
-	done   func()                 // after it
+	headerRead bool
+	world      *World
+	log        func(format string, args ...any)
+	beforeMove func(line int, m Move) // before a move
+	afterMove  func()                 // after it
 }
 
-func (p *player) line(n int, f []string) error {
+func (p *player) playLine(n int, f []string) error {
 	switch {
-	case !p.headed:
+	case !p.headerRead:
 		if len(f) != 2 || f[0] != replayForm || f[1] != strconv.Itoa(replayVersion) {
 			return fmt.Errorf("%q: want %q", strings.Join(f, " "), fmt.Sprintf("%s %d", replayForm, replayVersion))
 		}
-		p.headed = true
+		p.headerRead = true
 		return nil
-	case p.w == nil:
+	case p.world == nil:
 		if len(f) != 2 || f[0] != "scenario" {
 			return fmt.Errorf("%q: want \"scenario NAME\"", strings.Join(f, " "))
 		}
@@ -99,40 +99,40 @@
 		if err != nil {
 			return err
 		}
-		p.w = start(&s)
-		p.w.log = p.tell
+		p.world = newWorld(&s)
+		p.world.log = p.log
 		return nil
 	}
-	m, err := p.w.parse(f)
+	m, err := p.world.parseMove(f)
 	if err != nil {
 		return err
 	}
-	able := p.w.moves(false)
+	able := p.world.enabledMoves(false)
 	if !slices.Contains(able, m) {
 		var names []string
 		for _, x := range able {
-			names = append(names, p.w.text(x))
+			names = append(names, p.world.moveText(x))
 		}
-		return fmt.Errorf("%s cannot happen here; what can: %s", p.w.text(m), strings.Join(names, ", "))
+		return fmt.Errorf("%s cannot happen here; what can: %s", p.world.moveText(m), strings.Join(names, ", "))
 	}
-	if p.each != nil {
-		p.each(n, m)
+	if p.beforeMove != nil {
+		p.beforeMove(n, m)
 	}
-	p.w.apply(m)
-	if p.done != nil {
-		p.done()
+	p.world.apply(m)
+	if p.afterMove != nil {
+		p.afterMove()
 	}
 	return nil
 }
 
-// parse reads a move.
-func (w *World) parse(f []string) (Move, error) {
+// parseMove reads a move.
+func (w *World) parseMove(f []string) (Move, error) {
 	i := slices.Index(kindNames[:], f[0])
 	if i < 0 {
 		return Move{}, fmt.Errorf("%q: want a move, one of %s", f[0], strings.Join(kindNames[:], ", "))
 	}
 	k := Kind(i)
-	what := k.takes()
+	what := k.operand()
 	if what == "" {
 		if len(f) != 1 {
 			return Move{}, fmt.Errorf("%v takes nothing, not %q", k, f[1])
@@ -151,7 +151,7 @@
 		return Move{}, fmt.Errorf("%v: there is no node %q in this scenario", k, f[1])
 	}
 	n, err := strconv.ParseUint(f[1], 10, 32)
-	if err != nil || n == 0 || what == "request" && int(n) > len(w.calls) {
+	if err != nil || n == 0 || what == "request" && int(n) > len(w.requests) {
 		return Move{}, fmt.Errorf("%v: there is no %s %q", k, what, f[1])
 	}
 	return Move{k, uint32(n)}, nil
@@ -196,26 +196,26 @@
 func ReadScript(in io.Reader) (*Script, error) {
 	sc := &Script{}
 	p := &player{}
-	p.each = func(n int, m Move) {
-		s := Step{Line: n, Move: m, Text: p.w.text(m)}
-		switch m.Kind.takes() {
+	p.beforeMove = func(n int, m Move) {
+		s := Step{Line: n, Move: m, Text: p.world.moveText(m)}
+		switch m.Kind.operand() {
 		case "request":
 			s.Call = int(m.On)
 		case "connection":
-			k := p.w.conns[forwarder.ConnID(m.On)]
+			k := p.world.conns[forwarder.ConnID(m.On)]
 			s.Node = string(k.node)
-			if c := k.call; c != nil {
-				s.Call, s.Attempt = int(c.id), c.sends-1
+			if c := k.request; c != nil {
+				s.Call, s.Attempt = int(c.id), c.attempts-1
 			}
 		case "node":
-			s.Node = string(p.w.nodes[m.On].id)
+			s.Node = string(p.world.nodes[m.On].id)
 		}
 		sc.Steps = append(sc.Steps, s)
 	}
-	p.done = func() {
+	p.afterMove = func() {
 		s := &sc.Steps[len(sc.Steps)-1]
-		for _, c := range p.w.calls {
-			s.Sends = append(s.Sends, c.sends)
+		for _, c := range p.world.requests {
+			s.Sends = append(s.Sends, c.attempts)
 		}
 	}
 	b, err := p.play(in)
@@ -225,9 +225,9 @@
 	if err != nil {
 		return nil, err
 	}
-	sc.Scenario = *p.w.spec
-	for _, c := range p.w.calls {
-		sc.Ends = append(sc.Ends, c.end)
+	sc.Scenario = *p.world.scenario
+	for _, c := range p.world.requests {
+		sc.Ends = append(sc.Ends, c.outcome)
 	}
 	return sc, nil
 }
--- a/internal/modelcheck/rules.go
+++ b/internal/modelcheck/rules.go
@@ -30,99 +30,99 @@
 
 func (b *Breach) Error() string { return b.Rule + ": " + b.What }
 
-// rules are what the checks remember.
-type rules struct {
-	took   []time.Duration
-	extra  []time.Duration
-	order  map[string][]*call
-	breach *Breach
+// checker are what the checks remember.
+type checker struct {
+	requestTimes []time.Duration
+	retryTimes   []time.Duration
+	byKey        map[string][]*request
+	violation    *Breach
 }
 
 // reset forgets what a gateway that has ended did.
-func (r *rules) reset() { r.took, r.extra, r.order = nil, nil, map[string][]*call{} }
+func (r *checker) reset() { r.requestTimes, r.retryTimes, r.byKey = nil, nil, map[string][]*request{} }
 
-// broke notes the first breach.
-func (w *World) broke(rule, format string, args ...any) {
-	if w.rules.breach == nil {
-		w.rules.breach = &Breach{rule, fmt.Sprintf(format, args...)}
+// violate notes the first breach.
+func (w *World) violate(rule, format string, args ...any) {
+	if w.checker.violation == nil {
+		w.checker.violation = &Breach{rule, fmt.Sprintf(format, args...)}
 	}
 }
 
-func (r *rules) taken(w *World, c *call) {
-	r.took = append(r.took, w.now)
+func (r *checker) noteStart(w *World, c *request) {
+	r.requestTimes = append(r.requestTimes, w.now)
 	if k := w.class(c); k.Ordered && c.key != "" {
-		r.order[c.key] = append(r.order[c.key], c)
+		r.byKey[c.key] = append(r.byKey[c.key], c)
 	}
 }
 
-// decided checks what holds when the forwarder decides: no request is sent to a node
+// checkDecision checks what holds when the forwarder decides: no request is sent to a node
 // that it was told not to use.
-func (w *World) decided(a forwarder.Action) {
+func (w *World) checkDecision(a forwarder.Action) {
 	if s, ok := a.(forwarder.SendRequest); ok {
-		if at, told := w.told[s.Node]; told {
-			w.broke("drain", "request %d is sent to %s, of which was told %v before that it drains or is gone", s.ID, s.Node, w.now-at)
+		if at, told := w.unusableSince[s.Node]; told {
+			w.violate("drain", "request %d is sent to %s, of which was told %v before that it drains or is gone", s.ID, s.Node, w.now-at)
 		}
 	}
 }
 
-// dialing checks the bound on connections to a node. Those that a loop has yet to
+// checkDial checks the bound on connections to a node. Those that a loop has yet to
 // close do not count: the forwarder asked for it before.
-func (w *World) dialing(a forwarder.Dial) {
+func (w *World) checkDial(a forwarder.Dial) {
 	n := 1
 	for _, k := range w.conns {
-		closing := slices.ContainsFunc(w.queue[k.lane], func(x forwarder.Action) bool { c, ok := x.(forwarder.CloseConn); return ok && c.Conn == k.id })
+		closing := slices.ContainsFunc(w.loopQueues[k.loop], func(x forwarder.Action) bool { c, ok := x.(forwarder.CloseConn); return ok && c.Conn == k.id })
 		if k.node == a.Node && !closing {
 			n++
 		}
 	}
 	if n > w.cfg.MaxConnsPerNode {
-		w.broke("bounds", "%d connections to %s, bound %d", n, a.Node, w.cfg.MaxConnsPerNode)
+		w.violate("bounds", "%d connections to %s, bound %d", n, a.Node, w.cfg.MaxConnsPerNode)
 	}
 }
 
-// renewed notes that connections which wait unused are to a process that is gone.
+// noteNodeRestart notes that connections which wait unused are to a process that is gone.
 // What was decided to go out on one before cannot be held against the forwarder.
-func (w *World) renewed(id dispatch.NodeID) {
+func (w *World) noteNodeRestart(id dispatch.NodeID) {
 	for _, k := range w.conns {
-		decided := slices.ContainsFunc(w.queue[k.lane], func(a forwarder.Action) bool { s, ok := a.(forwarder.SendRequest); return ok && s.Conn == k.id })
-		if k.node == id && k.open && k.call == nil && !decided {
-			k.dead = true
+		decided := slices.ContainsFunc(w.loopQueues[k.loop], func(a forwarder.Action) bool { s, ok := a.(forwarder.SendRequest); return ok && s.Conn == k.id })
+		if k.node == id && k.open && k.request == nil && !decided {
+			k.unusable = true
 		}
 	}
 }
 
-// sending checks a request that goes out.
-func (w *World) sending(k *conn, c *call, a forwarder.SendRequest) {
+// checkSend checks a request that goes out.
+func (w *World) checkSend(k *conn, c *request, a forwarder.SendRequest) {
 	cl := w.class(c)
 	switch {
-	case c.answers > 0 || c.left:
-		w.broke("answer", "request %d is sent after its end", c.id)
-	case c.out != nil:
-		w.broke("attempts", "request %d is sent on connection %d while it is out on %d", c.id, k.id, c.out.id)
-	case !k.open || k.call != nil || k.has || k.dead:
-		w.broke("connection", "request %d is sent on connection %d: open %v, in use %v, in doubt %v", c.id, k.id, k.open, k.call != nil || k.has, k.dead)
-	case a.Loop != k.lane || a.Loop != c.lane:
-		w.broke("connection", "request %d of loop %d is sent on connection %d of loop %d", c.id, c.lane, k.id, k.lane)
+	case c.responses > 0 || c.canceled:
+		w.violate("answer", "request %d is sent after its end", c.id)
+	case c.conn != nil:
+		w.violate("attempts", "request %d is sent on connection %d while it is out on %d", c.id, k.id, c.conn.id)
+	case !k.open || k.request != nil || k.atNode || k.unusable:
+		w.violate("connection", "request %d is sent on connection %d: open %v, in use %v, in doubt %v", c.id, k.id, k.open, k.request != nil || k.atNode, k.unusable)
+	case a.Loop != k.loop || a.Loop != c.loop:
+		w.violate("connection", "request %d of loop %d is sent on connection %d of loop %d", c.id, c.loop, k.id, k.loop)
 	case a.Node != k.node:
-		w.broke("connection", "request %d for %s is sent on connection %d to %s", c.id, a.Node, k.id, k.node)
+		w.violate("connection", "request %d for %s is sent on connection %d to %s", c.id, a.Node, k.id, k.node)
 	case w.shardOf(k.node) != c.shard:
-		w.broke("effects", "request %d of shard %d is sent to %s", c.id, c.shard, k.node)
-	case c.once && c.sends > 0:
-		w.broke("effects", "request %d, whose body is gone, is sent again", c.id)
-	case c.mayRun && cl.Idempotency == dispatch.NonIdempotent:
-		w.broke("effects", "unsafe request %d is sent again though it may have run", c.id)
-	case c.mayRun && cl.Idempotency == dispatch.Deduplicated && w.now-c.doubt >= cl.DedupWindow:
-		w.broke("effects", "keyed request %d is sent again %v after it may have run, beyond its window", c.id, w.now-c.doubt)
-	case a.Attempt != c.sends && a.Attempt < c.sends:
-		w.broke("attempts", "request %d: attempt %d is sent after %d others", c.id, a.Attempt, c.sends)
+		w.violate("effects", "request %d of shard %d is sent to %s", c.id, c.shard, k.node)
+	case c.notReplayable && c.attempts > 0:
+		w.violate("effects", "request %d, whose body is gone, is sent again", c.id)
+	case c.ambiguous && cl.Idempotency == dispatch.NonIdempotent:
+		w.violate("effects", "unsafe request %d is sent again though it may have run", c.id)
+	case c.ambiguous && cl.Idempotency == dispatch.Deduplicated && w.now-c.ambiguousSince >= cl.DedupWindow:
+		w.violate("effects", "keyed request %d is sent again %v after it may have run, beyond its window", c.id, w.now-c.ambiguousSince)
+	case a.Attempt != c.attempts && a.Attempt < c.attempts:
+		w.violate("attempts", "request %d: attempt %d is sent after %d others", c.id, a.Attempt, c.attempts)
 	}
-	if most := w.cfg.Dispatch.MaxAttempts; most > 0 && c.sends >= most {
-		w.broke("bounds", "request %d is sent for the %dth time, bound %d", c.id, c.sends+1, most)
+	if most := w.cfg.Dispatch.MaxAttempts; most > 0 && c.attempts >= most {
+		w.violate("bounds", "request %d is sent for the %dth time, bound %d", c.id, c.attempts+1, most)
 	}
-	w.inOrder(c, cl)
-	if c.sends++; c.sends > 1 {
+	w.checkOrder(c, cl)
+	if c.attempts++; c.attempts > 1 {
 		at := w.now
-		w.rules.extra = append(w.rules.extra, at)
+		w.checker.retryTimes = append(w.checker.retryTimes, at)
 		b := w.cfg.Dispatch.RetryBudget
 		within := func(ts []time.Duration) (n int) {
 			for _, t := range ts {
@@ -132,41 +132,41 @@
 			}
 			return n
 		}
-		if b.Window > 0 && float64(within(w.rules.extra)) > b.MinRetries+b.Ratio*float64(within(w.rules.took)) {
-			w.broke("budget", "%d further attempts within %v", within(w.rules.extra), b.Window)
+		if b.Window > 0 && float64(within(w.checker.retryTimes)) > b.MinRetries+b.Ratio*float64(within(w.checker.requestTimes)) {
+			w.violate("budget", "%d further attempts within %v", within(w.checker.retryTimes), b.Window)
 		}
 	}
-	if !c.mayRun {
-		c.doubt = w.now
+	if !c.ambiguous {
+		c.ambiguousSince = w.now
 	}
 }
 
 func (w *World) shardOf(id dispatch.NodeID) dispatch.Shard {
-	i := slices.IndexFunc(w.nodes, func(n listed) bool { return n.id == id })
+	i := slices.IndexFunc(w.nodes, func(n node) bool { return n.id == id })
 	return w.nodes[i].shard
 }
 
-// inOrder checks the turns of a key.
-func (w *World) inOrder(c *call, cl *dispatch.Class) {
+// checkOrder checks the turns of a key.
+func (w *World) checkOrder(c *request, cl *dispatch.Class) {
 	if !cl.Ordered || c.key == "" {
 		return
 	}
-	for _, e := range w.rules.order[c.key] {
+	for _, e := range w.checker.byKey[c.key] {
 		switch {
 		case e == c:
 			return
-		case (!e.over() || e.out != nil) && !w.ending(e):
-			w.broke("order", "request %d is sent before %d of its key is over", c.id, e.id)
-		case w.now < e.rest:
-			w.broke("order", "request %d is sent %v before its key has rested", c.id, e.rest-w.now)
+		case (!e.finished() || e.conn != nil) && !w.responsePending(e):
+			w.violate("order", "request %d is sent before %d of its key is over", c.id, e.id)
+		case w.now < e.quiescentAt:
+			w.violate("order", "request %d is sent %v before its key has rested", c.id, e.quiescentAt-w.now)
 		}
 	}
 }
 
-// ending tells whether a request's end was decided and waits for its loop: another
+// responsePending tells whether a request's end was decided and waits for its loop: another
 // loop may act on what follows from it first.
-func (w *World) ending(c *call) bool {
-	return slices.ContainsFunc(w.queue[c.lane], func(a forwarder.Action) bool {
+func (w *World) responsePending(c *request) bool {
+	return slices.ContainsFunc(w.loopQueues[c.loop], func(a forwarder.Action) bool {
 		switch a := a.(type) {
 		case forwarder.ForwardResponse:
 			return a.ID == c.id
@@ -181,85 +181,85 @@
 	})
 }
 
-// doubted notes that a connection ends with a request on it, which may run on.
-func (w *World) doubted(k *conn) {
-	c := k.call
-	if c == nil || !k.has {
+// noteInterrupted notes that a connection ends with a request on it, which may run on.
+func (w *World) noteInterrupted(k *conn) {
+	c := k.request
+	if c == nil || !k.atNode {
 		return
 	}
-	c.mayRun = true
-	c.rest = max(c.rest, w.now+w.cfg.Dispatch.Quiescence)
+	c.ambiguous = true
+	c.quiescentAt = max(c.quiescentAt, w.now+w.cfg.Dispatch.Quiescence)
 }
 
-// proven notes what an answer says of a request's effects.
-func (w *World) proven(k *conn, kind Kind) {
-	c := k.call
+// noteResponse notes what an answer says of a request's effects.
+func (w *World) noteResponse(k *conn, kind Kind) {
+	c := k.request
 	if c == nil {
 		return
 	}
 	if kind != Full {
-		c.mayRun = true
+		c.ambiguous = true
 	}
 	if kind == Garbage {
-		c.rest = max(c.rest, w.now+w.cfg.Dispatch.Quiescence)
+		c.quiescentAt = max(c.quiescentAt, w.now+w.cfg.Dispatch.Quiescence)
 	}
 }
 
-// delivered checks that an answer belongs to its request.
-func (w *World) delivered(a forwarder.ForwardResponse, c *call, k *conn) {
+// checkForwarded checks that an answer belongs to its request.
+func (w *World) checkForwarded(a forwarder.ForwardResponse, c *request, k *conn) {
 	switch {
 	case k == nil:
-		w.broke("connection", "request %d is given the answer of connection %d, which is gone", a.ID, a.Conn)
-	case c == nil || k.call != c:
-		w.broke("connection", "request %d is given the answer of connection %d, which carries another", a.ID, a.Conn)
-	case k.r.State().String() != "complete":
-		w.broke("connection", "request %d is given an answer that is %v", a.ID, k.r.State())
+		w.violate("connection", "request %d is given the answer of connection %d, which is gone", a.ID, a.Conn)
+	case c == nil || k.request != c:
+		w.violate("connection", "request %d is given the answer of connection %d, which carries another", a.ID, a.Conn)
+	case k.reader.State().String() != "complete":
+		w.violate("connection", "request %d is given an answer that is %v", a.ID, k.reader.State())
 	}
 }
 
-// headed notes that an answer has begun at its client.
-func (w *World) headed(k *conn) {
-	c := k.call
-	if c.headed || c.over() {
-		w.broke("answer", "request %d: an answer begins after another, or after its end", c.id)
+// noteHeaders notes that an answer has begun at its client.
+func (w *World) noteHeaders(k *conn) {
+	c := k.request
+	if c.headersForwarded || c.finished() {
+		w.violate("answer", "request %d: an answer begins after another, or after its end", c.id)
 	}
-	c.headed = true
+	c.headersForwarded = true
 }
 
-// answer gives a client its final answer.
-func (w *World) answer(c *call, a forwarder.Action) {
+// finish gives a client its final answer.
+func (w *World) finish(c *request, a forwarder.Action) {
 	if c == nil {
-		w.broke("answer", "%T for a request that was never taken", a)
+		w.violate("answer", "%T for a request that was never taken", a)
 		return
 	}
-	if c.left {
+	if c.canceled {
 		return // nobody is there to see it
 	}
-	c.inLane = false
-	c.end = endName(a)
-	if c.answers++; c.answers > 1 {
-		w.broke("answer", "request %d has %d final answers", c.id, c.answers)
+	c.onLoop = false
+	c.outcome = outcomeName(a)
+	if c.responses++; c.responses > 1 {
+		w.violate("answer", "request %d has %d final answers", c.id, c.responses)
 	}
 	_, refused := a.(forwarder.Reject)
 	_, cut := a.(forwarder.AbortResponse)
 	_, whole := a.(forwarder.ForwardResponse)
 	k := w.class(c)
 	switch {
-	case c.headed && !cut && !whole:
-		w.broke("answer", "request %d: %T after its answer has begun", c.id, a)
-	case !c.headed && cut:
-		w.broke("answer", "request %d: cut before its answer has begun", c.id)
-	case w.now > c.due && !c.headed && !c.flowing:
-		w.broke("answer", "request %d is answered %v after its time", c.id, w.now-c.due)
-	case refused && c.mayRun && k.Idempotency != dispatch.Idempotent && !(k.Idempotency == dispatch.Deduplicated && k.DedupScope == dispatch.DedupEverywhere):
-		w.broke("effects", "request %d is refused as harmless to try again, though it may have run", c.id)
+	case c.headersForwarded && !cut && !whole:
+		w.violate("answer", "request %d: %T after its answer has begun", c.id, a)
+	case !c.headersForwarded && cut:
+		w.violate("answer", "request %d: cut before its answer has begun", c.id)
+	case w.now > c.deadline && !c.headersForwarded && !c.bodyStreaming:
+		w.violate("answer", "request %d is answered %v after its time", c.id, w.now-c.deadline)
+	case refused && c.ambiguous && k.Idempotency != dispatch.Idempotent && !(k.Idempotency == dispatch.Deduplicated && k.DedupScope == dispatch.DedupEverywhere):
+		w.violate("effects", "request %d is refused as harmless to try again, though it may have run", c.id)
 	case refused && a.(forwarder.Reject).RetryAfter <= 0:
-		w.broke("answer", "request %d is refused without a time to come back", c.id)
+		w.violate("answer", "request %d is refused without a time to come back", c.id)
 	}
 }
 
-// endName is the name of a final answer in scripts, which are played over sockets too.
-func endName(a forwarder.Action) string {
+// outcomeName is the name of a final answer in scripts, which are played over sockets too.
+func outcomeName(a forwarder.Action) string {
 	switch a.(type) {
 	case forwarder.ForwardResponse:
 		return "deliver"
@@ -273,48 +273,48 @@
 	return ""
 }
 
-// checkTime looks for requests that are overdue. A body that flows, either way,
+// checkDeadlines looks for requests that are overdue. A body that flows, either way,
 // takes its time; the gateway's own limits on standstill are not part of this.
-func (w *World) checkTime() {
-	for _, c := range w.calls {
-		if c.owed() && w.now > c.due {
-			w.broke("answer", "request %d has no answer %v after its time", c.id, w.now-c.due)
+func (w *World) checkDeadlines() {
+	for _, c := range w.requests {
+		if c.responseDue() && w.now > c.deadline {
+			w.violate("answer", "request %d has no answer %v after its time", c.id, w.now-c.deadline)
 		}
 	}
 }
 
-// checkForsaken looks for clients whose answer has begun, or whose body has, and
+// checkOrphans looks for clients whose answer has begun, or whose body has, and
 // whose connection to the node is gone: there is nothing left that could end them.
-func (w *World) checkForsaken() {
-	for _, c := range w.calls {
-		if (c.headed || c.flowing) && !c.over() && c.out == nil && !w.ending(c) {
-			w.broke("stuck", "request %d: its answer or body has begun, its connection is gone, and it has no end", c.id)
+func (w *World) checkOrphans() {
+	for _, c := range w.requests {
+		if (c.headersForwarded || c.bodyStreaming) && !c.finished() && c.conn == nil && !w.responsePending(c) {
+			w.violate("stuck", "request %d: its answer or body has begun, its connection is gone, and it has no end", c.id)
 		}
 	}
 }
 
-// checkRest looks at a world in which nothing more happens.
-func (w *World) checkRest() {
-	for _, c := range w.calls {
-		if c.begun && !c.over() && !c.headed && !c.flowing {
-			w.broke("stuck", "request %d waits, and nothing is due", c.id)
+// checkEnd looks at a world in which nothing more happens.
+func (w *World) checkEnd() {
+	for _, c := range w.requests {
+		if c.started && !c.finished() && !c.headersForwarded && !c.bodyStreaming {
+			w.violate("stuck", "request %d waits, and nothing is due", c.id)
 		}
 	}
-	if w.working() {
+	if w.anyUnfinished() {
 		return // a body that flows, and stands still
 	}
-	if n := w.x.Requests(); n > 0 {
-		w.broke("stuck", "the forwarder still has %d requests", n)
+	if n := w.fwd.Requests(); n > 0 {
+		w.violate("stuck", "the forwarder still has %d requests", n)
 	}
-	if n := dispatched(w.x); n > 0 {
-		w.broke("stuck", "the dispatcher still counts %d requests", n)
+	if n := dispatcherRequests(w.fwd); n > 0 {
+		w.violate("stuck", "the dispatcher still counts %d requests", n)
 	}
 	w.checkConns()
 }
 
-// dispatched is how many requests the dispatcher has, by reflection: it has no need
+// dispatcherRequests is how many requests the dispatcher has, by reflection: it has no need
 // to tell.
-func dispatched(x *forwarder.Forwarder) int {
+func dispatcherRequests(x *forwarder.Forwarder) int {
 	return reflect.ValueOf(x).Elem().FieldByName("dispatcher").Elem().FieldByName("reqs").Len()
 }
 
@@ -322,21 +322,21 @@
 // may be left on either side.
 func (w *World) checkConns() {
 	for range 1000 {
-		w.followAll()
-		if w.wake >= w.now+w.cfg.MaxConnAge || len(w.conns) == 0 && w.x.Conns() == 0 {
+		w.runLoops()
+		if w.wakeAt >= w.now+w.cfg.MaxConnAge || len(w.conns) == 0 && w.fwd.Conns() == 0 {
 			break
 		}
-		for _, k := range w.sorted() {
+		for _, k := range w.sortedConns() {
 			if !k.open {
 				k.open = true
-				w.tell(forwarder.DialCompleted{Conn: k.id, OK: true}, k.lane)
+				w.handle(forwarder.DialCompleted{Conn: k.id, OK: true}, k.loop)
 			}
 		}
-		w.now = max(w.now, w.wake)
-		w.wake = 1<<63 - 1
-		w.tell(forwarder.TimerFired{}, elsewhere)
+		w.now = max(w.now, w.wakeAt)
+		w.wakeAt = 1<<63 - 1
+		w.handle(forwarder.TimerFired{}, noLoop)
 	}
-	if len(w.conns) > 0 || w.x.Conns() > 0 {
-		w.broke("connection", "%d connections are left on the loop, %d in the forwarder, that nothing will close", len(w.conns), w.x.Conns())
+	if len(w.conns) > 0 || w.fwd.Conns() > 0 {
+		w.violate("connection", "%d connections are left on the loop, %d in the forwarder, that nothing will close", len(w.conns), w.fwd.Conns())
 	}
 }
--- a/internal/modelcheck/scenario.go
+++ b/internal/modelcheck/scenario.go
@@ -16,27 +16,27 @@
 
 // The classes of all scenarios.
 const (
-	safe = iota
-	keyed
-	inTurn
-	unsafe
+	idempotentClass = iota
+	keyedClass
+	orderedClass
+	unsafeClass
 )
 
-// ask is a request that clients may make.
-type ask struct {
-	class int
-	key   string
-	shard dispatch.Shard
-	once  bool // its body streams through and cannot be sent twice
-	big   bool // its answer streams through
-	lane  forwarder.LoopID
+// requestSpec is a request that clients may make.
+type requestSpec struct {
+	class         int
+	key           string
+	shard         dispatch.Shard
+	notReplayable bool // its body streams through and cannot be sent twice
+	streamed      bool // its answer streams through
+	loop          forwarder.LoopID
 }
 
-// place is a node that may be listed.
-type place struct {
-	id    dispatch.NodeID
-	shard dispatch.Shard
-	first bool // listed from the start
+// nodeSpec is a node that may be listed.
+type nodeSpec struct {
+	id      dispatch.NodeID
+	shard   dispatch.Shard
+	initial bool // listed from the start
 }
 
 // Scenario is a small world: what may happen in it, and how often.
@@ -44,8 +44,8 @@
 	Name string
 	What string
 
-	asks  []ask
-	nodes []place
+	requests []requestSpec
+	nodes    []nodeSpec
 
 	// How often each may happen, over all that it can happen to.
 	drains, removes, lists, leaves, crashes, resets, garbage, fulls, errors, heads, dialFails, closes, flows, renews int
@@ -53,7 +53,7 @@
 	// spread is how long after the first the last request may come.
 	spread time.Duration
 
-	change func(*forwarder.Config)
+	configure func(*forwarder.Config)
 
 	// prepare brings the world to where the exploring begins: what a gateway has
 	// learned by then takes more moves than a search goes deep. nil: it begins fresh.
@@ -62,126 +62,126 @@
 
 // Scenarios returns the worlds that are explored whole.
 func Scenarios() []Scenario {
-	successor := []place{{id: "a", first: true}, {id: "b"}}
+	successor := []nodeSpec{{id: "a", initial: true}, {id: "b"}}
 	return []Scenario{
 		{
 			Name: "drain", What: "a node drains, its successor is listed, then it is removed, while a safe and a keyed request run",
-			asks: []ask{{class: safe}, {class: keyed}}, nodes: successor,
+			requests: []requestSpec{{class: idempotentClass}, {class: keyedClass}}, nodes: successor,
 			drains: 1, lists: 1, removes: 1, resets: 1, spread: 20 * ms,
 		},
 		{
 			Name: "leave", What: "clients leave at any moment, also while a further attempt waits",
-			asks: []ask{{class: safe}, {class: keyed}}, nodes: successor, leaves: 2, resets: 1, errors: 1, dialFails: 1, spread: 60 * ms,
+			requests: []requestSpec{{class: idempotentClass}, {class: keyedClass}}, nodes: successor, leaves: 2, resets: 1, errors: 1, dialFails: 1, spread: 60 * ms,
 		},
 		{
 			Name: "turn", What: "two writes of one key, across a reset, a lost answer and a client that leaves",
-			asks: []ask{{class: inTurn, key: "k"}, {class: inTurn, key: "k"}}, nodes: successor, leaves: 1, resets: 1, drains: 1, lists: 1, spread: 60 * ms,
+			requests: []requestSpec{{class: orderedClass, key: "k"}, {class: orderedClass, key: "k"}}, nodes: successor, leaves: 1, resets: 1, drains: 1, lists: 1, spread: 60 * ms,
 		},
 		{
 			Name: "window", What: "a keyed write whose answer is lost, its window ending between decision and send",
-			asks: []ask{{class: keyed}}, nodes: successor, resets: 2, dialFails: 2, lists: 1, drains: 1, errors: 1,
-			change: func(c *forwarder.Config) { c.Dispatch.Classes[keyed].DedupWindow = 40 * ms },
+			requests: []requestSpec{{class: keyedClass}}, nodes: successor, resets: 2, dialFails: 2, lists: 1, drains: 1, errors: 1,
+			configure: func(c *forwarder.Config) { c.Dispatch.Classes[keyedClass].DedupWindow = 40 * ms },
 		},
 		{
 			Name: "stream", What: "bodies that flow, both ways, and break",
-			asks: []ask{{class: safe, big: true}, {class: keyed, once: true}}, nodes: successor, leaves: 1, resets: 1, heads: 2, flows: 1, fulls: 1, spread: 20 * ms,
+			requests: []requestSpec{{class: idempotentClass, streamed: true}, {class: keyedClass, notReplayable: true}}, nodes: successor, leaves: 1, resets: 1, heads: 2, flows: 1, fulls: 1, spread: 20 * ms,
 		},
 		{
 			Name: "upload", What: "uploads of one key that flow, and break",
-			asks: []ask{{class: inTurn, key: "k", once: true}, {class: inTurn, key: "k"}}, nodes: successor, leaves: 1, resets: 1, flows: 2, spread: 20 * ms,
+			requests: []requestSpec{{class: orderedClass, key: "k", notReplayable: true}, {class: orderedClass, key: "k"}}, nodes: successor, leaves: 1, resets: 1, flows: 2, spread: 20 * ms,
 		},
 		{
 			Name: "renew", What: "a node is announced as a new process; connections grow old and are closed unused",
-			asks: []ask{{class: safe}, {class: safe}}, nodes: successor, renews: 1, drains: 1, resets: 1, closes: 1, spread: 100 * ms,
-			change: func(c *forwarder.Config) { c.IdleTimeout, c.MaxConnAge = 60*ms, 100*ms },
+			requests: []requestSpec{{class: idempotentClass}, {class: idempotentClass}}, nodes: successor, renews: 1, drains: 1, resets: 1, closes: 1, spread: 100 * ms,
+			configure: func(c *forwarder.Config) { c.IdleTimeout, c.MaxConnAge = 60*ms, 100*ms },
 		},
 		{
 			Name: "silent", What: "answers that do not come, so that attempts are given up early",
-			asks: []ask{{class: safe}, {class: safe}, {class: safe}}, nodes: successor[:1], spread: 500 * ms,
+			requests: []requestSpec{{class: idempotentClass}, {class: idempotentClass}, {class: idempotentClass}}, nodes: successor[:1], spread: 500 * ms,
 		},
 		{
-			Name: "body", What: "one upload, whose node takes the body and may never answer", asks: []ask{{class: keyed, once: true}}, nodes: successor,
+			Name: "body", What: "one upload, whose node takes the body and may never answer", requests: []requestSpec{{class: keyedClass, notReplayable: true}}, nodes: successor,
 			flows: 1, leaves: 1, resets: 1, fulls: 1, drains: 1,
 		},
 		{
-			Name: "tries", What: "one request whose attempts break again and again, with a budget for more than it may have", asks: []ask{{class: safe}}, nodes: successor,
-			resets: 4, errors: 2, dialFails: 1, change: func(c *forwarder.Config) { c.Dispatch.RetryBudget.MinRetries = 8 },
+			Name: "tries", What: "one request whose attempts break again and again, with a budget for more than it may have", requests: []requestSpec{{class: idempotentClass}}, nodes: successor,
+			resets: 4, errors: 2, dialFails: 1, configure: func(c *forwarder.Config) { c.Dispatch.RetryBudget.MinRetries = 8 },
 		},
 		{
-			Name: "thrift", What: "the same with a budget for one further attempt", asks: []ask{{class: safe}}, nodes: successor,
-			resets: 3, errors: 1, change: func(c *forwarder.Config) { c.Dispatch.RetryBudget.MinRetries = 1 },
+			Name: "thrift", What: "the same with a budget for one further attempt", requests: []requestSpec{{class: idempotentClass}}, nodes: successor,
+			resets: 3, errors: 1, configure: func(c *forwarder.Config) { c.Dispatch.RetryBudget.MinRetries = 1 },
 		},
 		{
 			Name: "lossy", What: "a node that is known to lose answers, so that attempts end early and are made again",
-			asks: []ask{{class: safe}, {class: safe}, {class: safe}, {class: safe}, {class: keyed}}, nodes: successor, drains: 1, resets: 1, spread: 20 * ms,
-			prepare: loseOne,
+			requests: []requestSpec{{class: idempotentClass}, {class: idempotentClass}, {class: idempotentClass}, {class: idempotentClass}, {class: keyedClass}}, nodes: successor, drains: 1, resets: 1, spread: 20 * ms,
+			prepare: learnLostResponse,
 		},
 		{
 			Name: "crash", What: "the gateway ends and begins again with an old list, while a node drains",
-			asks: []ask{{class: safe}, {class: keyed}}, nodes: successor, crashes: 1, drains: 1, lists: 1, spread: 60 * ms,
+			requests: []requestSpec{{class: idempotentClass}, {class: keyedClass}}, nodes: successor, crashes: 1, drains: 1, lists: 1, spread: 60 * ms,
 		},
 		{
 			Name: "doubt", What: "bytes that are no answer, more bytes than the answer, nodes that close idle connections",
-			asks: []ask{{class: safe}, {class: safe}}, nodes: successor, garbage: 1, closes: 1, fulls: 1, resets: 1, spread: 20 * ms,
+			requests: []requestSpec{{class: idempotentClass}, {class: idempotentClass}}, nodes: successor, garbage: 1, closes: 1, fulls: 1, resets: 1, spread: 20 * ms,
 		},
 		{
 			Name: "loops", What: "two event loops that share one connection to a node",
-			asks: []ask{{class: safe}, {class: keyed, lane: 1}}, nodes: successor, leaves: 1, resets: 1, drains: 1, lists: 1, spread: 60 * ms,
-			change: func(c *forwarder.Config) { c.MaxConnsPerNode, c.MaxStreamsPerNode = 1, 0 },
+			requests: []requestSpec{{class: idempotentClass}, {class: keyedClass, loop: 1}}, nodes: successor, leaves: 1, resets: 1, drains: 1, lists: 1, spread: 60 * ms,
+			configure: func(c *forwarder.Config) { c.MaxConnsPerNode, c.MaxStreamsPerNode = 1, 0 },
 		},
 		{
 			Name: "limits", What: "few connections, a small budget, two shards",
-			asks: []ask{{class: safe}, {class: safe, shard: 1}, {class: unsafe}}, nodes: []place{{id: "a", first: true}, {id: "c", shard: 1, first: true}},
+			requests: []requestSpec{{class: idempotentClass}, {class: idempotentClass, shard: 1}, {class: unsafeClass}}, nodes: []nodeSpec{{id: "a", initial: true}, {id: "c", shard: 1, initial: true}},
 			resets: 2, errors: 1, dialFails: 1,
-			change: func(c *forwarder.Config) {
+			configure: func(c *forwarder.Config) {
 				c.MaxConnsPerNode, c.MaxStreamsPerNode = 1, 0
 				c.Dispatch.RetryBudget = dispatch.RetryBudget{MinRetries: 1, Ratio: 0, Window: 5 * time.Second}
 			},
 		},
 		{
 			Name: "three", What: "two nodes and three requests: one safe, one keyed, one in turn",
-			asks: []ask{{class: safe}, {class: keyed}, {class: inTurn, key: "k"}}, nodes: successor,
+			requests: []requestSpec{{class: idempotentClass}, {class: keyedClass}, {class: orderedClass, key: "k"}}, nodes: successor,
 			drains: 1, lists: 1,
 		},
 		{
 			Name: "lost", What: "the same three requests, while a connection breaks and a node drains",
-			asks: []ask{{class: safe}, {class: keyed}, {class: inTurn, key: "k"}}, nodes: successor, drains: 1, resets: 1,
+			requests: []requestSpec{{class: idempotentClass}, {class: keyedClass}, {class: orderedClass, key: "k"}}, nodes: successor, drains: 1, resets: 1,
 		},
 		{
-			Name: "two", What: "two nodes and two requests, in less than a minute", asks: []ask{{class: safe}, {class: inTurn, key: "k"}}, nodes: successor,
+			Name: "two", What: "two nodes and two requests, in less than a minute", requests: []requestSpec{{class: idempotentClass}, {class: orderedClass, key: "k"}}, nodes: successor,
 			drains: 1, lists: 1, resets: 1,
 		},
 	}
 }
 
-// loseOne lets the first request have its answer in 5 ms, the second none, and the
+// learnLostResponse lets the first request have its answer in 5 ms, the second none, and the
 // third one again: the node works, and answers were lost.
-func loseOne(w *World) {
-	serve := func(c *call) {
-		w.arrive(c)
-		for _, k := range w.sorted() {
+func learnLostResponse(w *World) {
+	serve := func(c *request) {
+		w.startRequest(c)
+		for _, k := range w.sortedConns() {
 			if !k.open {
 				w.apply(Move{DialOK, uint32(k.id)})
 			}
 		}
 		w.now += 5 * ms
-		w.apply(Move{Served, uint32(c.out.id)})
+		w.apply(Move{Served, uint32(c.conn.id)})
 	}
-	serve(w.calls[0])
-	w.arrive(w.calls[1])
-	w.passUntil(func() bool { return w.calls[1].over() })
+	serve(w.requests[0])
+	w.startRequest(w.requests[1])
+	w.advanceUntil(func() bool { return w.requests[1].finished() })
 	w.now += 3 * time.Second
-	serve(w.calls[2])
-	w.now = (w.now/grid + 1) * grid
-	w.first = 0
+	serve(w.requests[2])
+	w.now = (w.now/timeGrid + 1) * timeGrid
+	w.firstArrival = 0
 }
 
-// passUntil lets time pass, and the timer fire, until something is so.
-func (w *World) passUntil(done func() bool) {
+// advanceUntil lets time pass, and the timer fire, until something is so.
+func (w *World) advanceUntil(done func() bool) {
 	for !done() {
-		w.now = max(w.now, w.wake)
+		w.now = max(w.now, w.wakeAt)
 		w.apply(Move{Kind: Fire})
-		w.followAll()
+		w.runLoops()
 	}
 }
 
@@ -208,10 +208,10 @@
 	return out
 }
 
-// grid is how far before a moment at which something is due it counts as before. All
+// timeGrid is how far before a moment at which something is due it counts as before. All
 // times of the settings are multiples of twice as much, so that moments that follow
 // from each other in different ways coincide, and states do.
-const grid = 10 * ms
+const timeGrid = 10 * ms
 
 // config returns the settings of a scenario's gateway.
 func (s *Scenario) config() forwarder.Config {
@@ -231,8 +231,8 @@
 			Plans: []dispatch.Plan{{Name: "p", Weight: 1, Price: 1}},
 		},
 	}
-	if s.change != nil {
-		s.change(&c)
+	if s.configure != nil {
+		s.configure(&c)
 	}
 	return c
 }
@@ -248,8 +248,8 @@
 // Asked returns the scenario's requests, the first one being number 1.
 func (s *Scenario) Asked() []Asked {
 	var out []Asked
-	for _, a := range s.asks {
-		out = append(out, Asked{[]string{"safe", "keyed", "in turn", "unsafe"}[a.class], a.key, int(a.shard), a.once, a.big})
+	for _, a := range s.requests {
+		out = append(out, Asked{[]string{"safe", "keyed", "in turn", "unsafe"}[a.class], a.key, int(a.shard), a.notReplayable, a.streamed})
 	}
 	return out
 }
@@ -258,7 +258,7 @@
 func (s *Scenario) Places() map[string]bool {
 	out := map[string]bool{}
 	for _, p := range s.nodes {
-		out[string(p.id)] = p.first
+		out[string(p.id)] = p.initial
 	}
 	return out
 }
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -33,36 +33,36 @@
 	Cover    *Coverage
 }
 
-// step is a state by the move that first led to it.
-type step struct {
-	from *step
-	move Move
+// searchNode is a state by the move that first led to it.
+type searchNode struct {
+	parent *searchNode
+	move   Move
 }
 
-func (s *step) path() []Move {
+func (s *searchNode) path() []Move {
 	var ms []Move
-	for ; s != nil && s.from != nil; s = s.from {
+	for ; s != nil && s.parent != nil; s = s.parent {
 		ms = append(ms, s.move)
 	}
 	slices.Reverse(ms)
 	return ms
 }
 
-// visited is the set of known states, in parts that workers share.
-type visited struct {
+// stateSet is the set of known states, in parts that workers share.
+type stateSet struct {
 	parts [64]struct {
 		mu sync.Mutex
-		m  map[Print]struct{}
+		m  map[Fingerprint]struct{}
 	}
 	n atomic.Int64
 }
 
-func (v *visited) add(p Print) bool {
+func (v *stateSet) add(p Fingerprint) bool {
 	s := &v.parts[p[0]%64]
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.m == nil {
-		s.m = map[Print]struct{}{}
+		s.m = map[Fingerprint]struct{}{}
 	}
 	if _, ok := s.m[p]; ok {
 		return false
@@ -79,52 +79,52 @@
 	if o.Workers <= 0 {
 		o.Workers = runtime.GOMAXPROCS(0)
 	}
-	e := &searcher{s: &s, o: o, r: Result{Scenario: s.Name, Whole: true}}
+	e := &searcher{scenario: &s, options: o, result: Result{Scenario: s.Name, Whole: true}}
 	if o.Cover {
-		e.r.Cover = NewCoverage()
+		e.result.Cover = NewCoverage()
 	}
-	root := start(&s)
-	e.known.add(newPrinter(o.Exact).print(root))
-	front := []*step{{}}
-	for len(front) > 0 && e.r.Breach == nil {
+	root := newWorld(&s)
+	e.known.add(newFingerprinter(o.Exact).fingerprint(root))
+	front := []*searchNode{{}}
+	for len(front) > 0 && e.result.Breach == nil {
 		if ctx.Err() != nil || o.States > 0 && int(e.known.n.Load()) >= o.States {
-			e.r.Whole = false
+			e.result.Whole = false
 			break
 		}
 		front = e.level(ctx, front)
 		if len(front) > 0 {
-			e.r.Depth++
+			e.result.Depth++
 		}
 		if o.Until != nil {
-			o.Until(e.r.Depth, int(e.known.n.Load()))
+			o.Until(e.result.Depth, int(e.known.n.Load()))
 		}
 	}
-	if e.r.Breach != nil || ctx.Err() != nil {
-		e.r.Whole = false
+	if e.result.Breach != nil || ctx.Err() != nil {
+		e.result.Whole = false
 	}
-	e.r.States = int(e.known.n.Load())
-	return e.r
+	e.result.States = int(e.known.n.Load())
+	return e.result
 }
 
 type searcher struct {
-	s     *Scenario
-	o     Options
-	known visited
-	mu    sync.Mutex
-	r     Result
+	scenario *Scenario
+	options  Options
+	known    stateSet
+	mu       sync.Mutex
+	result   Result
 }
 
 // level takes every move from each state of one depth and returns the new states.
-func (e *searcher) level(ctx context.Context, front []*step) []*step {
-	next := make([][]*step, e.o.Workers)
+func (e *searcher) level(ctx context.Context, front []*searchNode) []*searchNode {
+	next := make([][]*searchNode, e.options.Workers)
 	var at atomic.Int64
 	var wg sync.WaitGroup
 	const chunk = 16
-	for i := range e.o.Workers {
+	for i := range e.options.Workers {
 		wg.Go(func() {
-			w := &worker{searcher: e, p: newPrinter(e.o.Exact)}
-			if e.o.Cover {
-				w.cover = NewCoverage()
+			w := &worker{searcher: e, fingerprinter: newFingerprinter(e.options.Exact)}
+			if e.options.Cover {
+				w.coverage = NewCoverage()
 			}
 			for {
 				n := int(at.Add(chunk)) - chunk
@@ -135,7 +135,7 @@
 					next[i] = w.expand(s, next[i])
 				}
 			}
-			w.done()
+			w.merge()
 		})
 	}
 	wg.Wait()
@@ -144,70 +144,70 @@
 
 type worker struct {
 	*searcher
-	p     *printer
-	cover *Coverage
-	moves int64
-	ends  int
+	fingerprinter *fingerprinter
+	coverage      *Coverage
+	moves         int64
+	ends          int
 }
 
-func (w *worker) done() {
+func (w *worker) merge() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.r.Moves += w.moves
-	w.r.Ends += w.ends
-	if w.cover != nil {
-		w.r.Cover.Add(w.cover)
+	w.result.Moves += w.moves
+	w.result.Ends += w.ends
+	if w.coverage != nil {
+		w.result.Cover.Add(w.coverage)
 	}
 }
 
 // expand takes every move from a state. The state is made again for each, by its
 // way: what is checked is the code itself, which has no copy of its state to give.
-func (w *worker) expand(s *step, next []*step) []*step {
+func (w *worker) expand(s *searchNode, next []*searchNode) []*searchNode {
 	path := s.path()
-	world := w.remake(path)
-	ms := world.moves(w.o.Reduce)
+	world := w.rebuild(path)
+	ms := world.enabledMoves(w.options.Reduce)
 	if len(ms) == 0 {
 		w.ends++
 	}
 	if len(ms) == 0 {
-		world.checkRest()
-		if b := world.rules.breach; b != nil {
-			w.found(b, path)
+		world.checkEnd()
+		if b := world.checker.violation; b != nil {
+			w.noteViolation(b, path)
 			return next
 		}
 	}
 	for i, m := range ms {
 		if i > 0 {
-			world = w.remake(path)
+			world = w.rebuild(path)
 		}
-		world.seen = w.cover
+		world.coverage = w.coverage
 		world.apply(m)
 		w.moves++
-		if b := world.rules.breach; b != nil {
-			w.found(b, append(slices.Clone(path), m))
+		if b := world.checker.violation; b != nil {
+			w.noteViolation(b, append(slices.Clone(path), m))
 			return next
 		}
-		if w.known.add(w.p.print(world)) {
-			next = append(next, &step{s, m})
+		if w.known.add(w.fingerprinter.fingerprint(world)) {
+			next = append(next, &searchNode{s, m})
 		}
 	}
 	return next
 }
 
-func (w *worker) remake(path []Move) *World {
-	world := start(w.s)
+func (w *worker) rebuild(path []Move) *World {
+	world := newWorld(w.scenario)
 	for _, m := range path {
 		world.apply(m)
 	}
 	return world
 }
 
-// found notes a breach; of several of one depth, the one whose way comes first.
-func (w *worker) found(b *Breach, path []Move) {
+// noteViolation notes a breach; of several of one depth, the one whose way comes first.
+func (w *worker) noteViolation(b *Breach, path []Move) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.r.Breach == nil || slices.CompareFunc(path, w.r.Path, compareMoves) < 0 {
-		w.r.Breach, w.r.Path = b, path
+	if w.result.Breach == nil || slices.CompareFunc(path, w.result.Path, compareMoves) < 0 {
+		w.result.Breach, w.result.Path = b, path
 	}
 }
 
@@ -232,12 +232,12 @@
 
 // Tell plays a path and writes what happens.
 func Tell(s Scenario, path []Move, out func(format string, args ...any)) *Breach {
-	w := start(&s)
+	w := newWorld(&s)
 	w.log = out
 	for _, m := range path {
 		w.apply(m)
-		if w.rules.breach != nil {
-			return w.rules.breach
+		if w.checker.violation != nil {
+			return w.checker.violation
 		}
 	}
 	return nil
--- a/internal/modelcheck/walk.go
+++ b/internal/modelcheck/walk.go
@@ -13,25 +13,25 @@
 	s := Scenario{Name: "large", What: "many nodes and requests, at random"}
 	shards := max(1, nodes*2/3)
 	for i := range nodes {
-		s.nodes = append(s.nodes, place{id: dispatch.NodeID(fmt.Sprint("n", i)), shard: dispatch.Shard(i % shards), first: i < shards})
+		s.nodes = append(s.nodes, nodeSpec{id: dispatch.NodeID(fmt.Sprint("n", i)), shard: dispatch.Shard(i % shards), initial: i < shards})
 	}
 	for i := range requests {
-		a := ask{class: i % 4, shard: dispatch.Shard(i * 7 % shards), lane: forwarder.LoopID(i / 5 % loops)}
+		a := requestSpec{class: i % 4, shard: dispatch.Shard(i * 7 % shards), loop: forwarder.LoopID(i / 5 % loopCount)}
 		switch {
-		case a.class == inTurn:
+		case a.class == orderedClass:
 			a.key = fmt.Sprint("k", i%3, "/", a.shard)
 		case i%8 == 0:
-			a.big = true
+			a.streamed = true
 		case i%8 == 1:
-			a.once = true
+			a.notReplayable = true
 		}
-		s.asks = append(s.asks, a)
+		s.requests = append(s.requests, a)
 	}
 	n := requests
 	s.drains, s.removes, s.lists, s.leaves, s.crashes = shards/2, shards/2, nodes, n/4, 1
 	s.resets, s.garbage, s.fulls, s.errors, s.heads, s.dialFails, s.closes, s.flows, s.renews = n/4, n/10, n/6, n/6, n/4, n/6, n/6, n/4, shards/2
 	s.spread = 1 << 40
-	s.change = func(c *forwarder.Config) {
+	s.configure = func(c *forwarder.Config) {
 		c.MaxConnsPerNode = 3
 		c.IdleTimeout = 60 * ms
 		c.Dispatch.RetryBudget = dispatch.RetryBudget{MinRetries: 2, Ratio: 0.3, Window: 5000 * ms}
@@ -39,9 +39,9 @@
 	return s
 }
 
-// weights says how likely the kinds of move are beside each other, so that a walk
+// moveWeights says how likely the kinds of move are beside each other, so that a walk
 // gets somewhere: most of what happens is work.
-var weights = [kinds]int{
+var moveWeights = [kindCount]int{
 	Arrive: 6, Follow: 12, Follow2: 12, Fire: 12, DialOK: 8, DialFail: 1, Served: 6, Closing: 1, Errored: 1, Full: 1, Headed: 3, Rest: 4,
 	Garbage: 1, Twice: 1, Reset: 1, Leave: 1, Flow: 3, BodySent: 3, Drain: 1, Remove: 1, List: 1, Renew: 1, Crash: 1, Truth: 2, Before: 3, Reach: 3,
 }
@@ -50,37 +50,37 @@
 // that it met. The same seed takes the same path.
 func Walk(s Scenario, seed uint64, most int, cover *Coverage) ([]Move, *Breach) {
 	rng := rand.New(rand.NewPCG(seed, 23))
-	w := start(&s)
-	w.seen = cover
+	w := newWorld(&s)
+	w.coverage = cover
 	var path []Move
 	for range most {
 		m, ok := w.pick(rng.IntN)
 		if !ok {
-			w.checkRest()
+			w.checkEnd()
 			break
 		}
 		path = append(path, m)
 		w.apply(m)
-		if w.rules.breach != nil {
+		if w.checker.violation != nil {
 			break
 		}
 	}
-	return path, w.rules.breach
+	return path, w.checker.violation
 }
 
 // pick chooses among what may happen, by weight.
 func (w *World) pick(draw func(int) int) (Move, bool) {
-	ms := w.moves(false)
+	ms := w.enabledMoves(false)
 	sum := 0
 	for _, m := range ms {
-		sum += weights[m.Kind]
+		sum += moveWeights[m.Kind]
 	}
 	if sum == 0 {
 		return Move{}, false
 	}
 	n := draw(sum)
 	for _, m := range ms {
-		if n -= weights[m.Kind]; n < 0 {
+		if n -= moveWeights[m.Kind]; n < 0 {
 			return m, true
 		}
 	}
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -14,222 +14,222 @@
 // World is a gateway's exchange with all around it: clients, one event loop with its
 // connections, nodes, discovery and time.
 type World struct {
-	spec  *Scenario
-	cfg   forwarder.Config
-	now   time.Duration
-	x     *forwarder.Forwarder
-	wake  time.Duration             // of the forwarder's timer
-	queue [loops][]forwarder.Action // what each event loop has yet to do
-	calls []*call
-	conns map[forwarder.ConnID]*conn
-	told  map[dispatch.NodeID]time.Duration // nodes that the gateway was told not to use, since when
-	nodes []listed
-	spent Spent
-	rules rules
-	stale bool          // a gateway that began with an old list has not heard the true one yet
-	first time.Duration // when the first request came
-	seen  *Coverage
-	log   func(format string, args ...any)
+	scenario      *Scenario
+	cfg           forwarder.Config
+	now           time.Duration
+	fwd           *forwarder.Forwarder
+	wakeAt        time.Duration                 // of the forwarder's timer
+	loopQueues    [loopCount][]forwarder.Action // what each event loop has yet to do
+	requests      []*request
+	conns         map[forwarder.ConnID]*conn
+	unusableSince map[dispatch.NodeID]time.Duration // nodes that the gateway was told not to use, since when
+	nodes         []node
+	counts        moveCounts
+	checker       checker
+	stale         bool          // a gateway that began with an old list has not heard the true one yet
+	firstArrival  time.Duration // when the first request came
+	coverage      *Coverage
+	log           func(format string, args ...any)
 }
 
-// Spent counts what has happened of what may happen only so often.
-type Spent struct {
+// moveCounts counts what has happened of what may happen only so often.
+type moveCounts struct {
 	drains, removes, lists, leaves, crashes, resets, garbage, fulls, errors, heads, dialFails, closes, flows, renews int
 }
 
-type listed struct {
-	place
+type node struct {
+	nodeSpec
 	state   dispatch.NodeState
-	on      bool
+	listed  bool
 	started time.Duration
 }
 
-// call is a client's request.
-type call struct {
-	ask
-	id      dispatch.RequestID
-	begun   bool
-	due     time.Duration // an answer must have been given
-	inLane  bool          // the loop knows it
-	left    bool
-	answers int
-	end     string // how it ended, in a word
-	headed  bool   // its answer has begun
-	flowing bool
-	sent    bool // its body has gone out
-	source  bool // its body is being sent
-	sends   int
-	out     *conn // that carries its attempt
-	mayRun  bool
-	doubt   time.Duration
-	rest    time.Duration // no later one of its key before
+// request is a client's request.
+type request struct {
+	requestSpec
+	id               dispatch.RequestID
+	started          bool
+	deadline         time.Duration // an answer must have been given
+	onLoop           bool          // the loop knows it
+	canceled         bool
+	responses        int
+	outcome          string // how it ended, in a word
+	headersForwarded bool   // its answer has begun
+	bodyStreaming    bool
+	bodySent         bool // its body has gone out
+	sendingBody      bool // its body is being sent
+	attempts         int
+	conn             *conn // that carries its attempt
+	ambiguous        bool
+	ambiguousSince   time.Duration
+	quiescentAt      time.Duration // no later one of its key before
 }
 
 // conn is a connection as the loop has it.
 type conn struct {
-	id   forwarder.ConnID
-	lane forwarder.LoopID
-	node dispatch.NodeID
-	open bool
-	r    upstreamhttp.Reader
-	call *call // that it carries, until its answer is taken
-	has  bool  // a request is at the node, unanswered
-	half bool  // the head of its answer was sent
-	dead bool  // doubt: it must carry nothing more
+	id       forwarder.ConnID
+	loop     forwarder.LoopID
+	node     dispatch.NodeID
+	open     bool
+	reader   upstreamhttp.Reader
+	request  *request // that it carries, until its answer is taken
+	atNode   bool     // a request is at the node, unanswered
+	partial  bool     // the head of its answer was sent
+	unusable bool     // doubt: it must carry nothing more
 }
 
-// start returns the world at its beginning.
-func start(s *Scenario) *World {
-	w := &World{spec: s, cfg: s.config(), conns: map[forwarder.ConnID]*conn{}, told: map[dispatch.NodeID]time.Duration{}, now: time.Second}
-	for i, a := range s.asks {
-		w.calls = append(w.calls, &call{ask: a, id: dispatch.RequestID(i + 1)})
+// newWorld returns the world at its beginning.
+func newWorld(s *Scenario) *World {
+	w := &World{scenario: s, cfg: s.config(), conns: map[forwarder.ConnID]*conn{}, unusableSince: map[dispatch.NodeID]time.Duration{}, now: time.Second}
+	for i, a := range s.requests {
+		w.requests = append(w.requests, &request{requestSpec: a, id: dispatch.RequestID(i + 1)})
 	}
 	for _, p := range s.nodes {
-		w.nodes = append(w.nodes, listed{place: p, on: p.first})
+		w.nodes = append(w.nodes, node{nodeSpec: p, listed: p.initial})
 	}
-	w.begin(dispatch.Snapshot)
+	w.startGateway(dispatch.Snapshot)
 	if s.prepare != nil {
 		s.prepare(w)
 	}
 	return w
 }
 
-// begin starts a gateway and tells it a list.
-func (w *World) begin(kind dispatch.EndpointUpdateKind) {
+// startGateway starts a gateway and tells it a list.
+func (w *World) startGateway(kind dispatch.EndpointUpdateKind) {
 	x, err := forwarder.New(w.cfg)
 	if err != nil {
 		panic("modelcheck: " + err.Error()) // the scenarios' own settings
 	}
-	w.x, w.wake = x, math.MaxInt64
-	w.rules.reset()
-	w.tell(w.list(kind), elsewhere)
-	w.followAll()
+	w.fwd, w.wakeAt = x, math.MaxInt64
+	w.checker.reset()
+	w.handle(w.endpointList(kind), noLoop)
+	w.runLoops()
 }
 
-// list is the node list of a kind: complete as it is, or as it was at the start.
-func (w *World) list(kind dispatch.EndpointUpdateKind) forwarder.EndpointUpdate {
+// endpointList is the node list of a kind: complete as it is, or as it was at the start.
+func (w *World) endpointList(kind dispatch.EndpointUpdateKind) forwarder.EndpointUpdate {
 	e := forwarder.EndpointUpdate{Kind: kind}
 	for _, n := range w.nodes {
 		if kind == dispatch.Cached {
-			if n.first {
-				e.Nodes = append(e.Nodes, node(n, dispatch.Ready))
+			if n.initial {
+				e.Nodes = append(e.Nodes, endpoint(n, dispatch.Ready))
 			}
-		} else if n.on && n.state != dispatch.Removed {
-			e.Nodes = append(e.Nodes, node(n, n.state))
+		} else if n.listed && n.state != dispatch.Removed {
+			e.Nodes = append(e.Nodes, endpoint(n, n.state))
 		}
 	}
-	w.hear(e)
+	w.noteEndpoints(e)
 	return e
 }
 
-// hear notes what the gateway is told of nodes.
-func (w *World) hear(e forwarder.EndpointUpdate) {
+// noteEndpoints notes what the gateway is told of nodes.
+func (w *World) noteEndpoints(e forwarder.EndpointUpdate) {
 	if e.Kind != dispatch.Delta {
 		for _, n := range w.nodes {
-			if _, ok := w.told[n.id]; !ok {
-				w.told[n.id] = w.now
+			if _, ok := w.unusableSince[n.id]; !ok {
+				w.unusableSince[n.id] = w.now
 			}
 		}
 	}
 	for _, n := range e.Nodes {
 		if n.State == dispatch.Ready {
-			delete(w.told, n.ID)
-		} else if _, ok := w.told[n.ID]; !ok {
-			w.told[n.ID] = w.now
+			delete(w.unusableSince, n.ID)
+		} else if _, ok := w.unusableSince[n.ID]; !ok {
+			w.unusableSince[n.ID] = w.now
 		}
 	}
 }
 
-func node(n listed, s dispatch.NodeState) forwarder.Node {
+func endpoint(n node, s dispatch.NodeState) forwarder.Node {
 	return forwarder.Node{Addr: string(n.id), Node: dispatch.Node{ID: n.id, Shard: n.shard, State: s, Started: n.started}}
 }
 
-// loops is how many event loops the gateway has. Requests of most worlds are on the
+// loopCount is how many event loops the gateway has. Requests of most worlds are on the
 // first alone.
-const loops = 2
+const loopCount = 2
 
-// elsewhere is where the timer and the node list come from: no loop.
-const elsewhere forwarder.LoopID = -1
+// noLoop is where the timer and the node list come from: no loop.
+const noLoop forwarder.LoopID = -1
 
-// tell hands the forwarder an event. From a loop, the actions for that loop are
+// handle hands the forwarder an event. From a loop, the actions for that loop are
 // followed before anything else happens there; all others wait until their loop
 // comes to them.
-func (w *World) tell(ev forwarder.Event, from forwarder.LoopID) {
-	before := w.seen.before(w, ev)
-	for _, a := range w.x.Handle(w.now, ev) {
-		w.decided(a)
+func (w *World) handle(ev forwarder.Event, from forwarder.LoopID) {
+	before := w.coverage.before(w, ev)
+	for _, a := range w.fwd.Handle(w.now, ev) {
+		w.checkDecision(a)
 		if t, ok := a.(forwarder.SetTimer); ok {
-			w.wake = t.At
+			w.wakeAt = t.At
 			continue
 		}
 		if lane, ok := a.OnLoop(); ok {
-			w.queue[lane] = append(w.queue[lane], a)
+			w.loopQueues[lane] = append(w.loopQueues[lane], a)
 		}
 	}
-	w.seen.after(w, before)
-	if from != elsewhere {
-		w.follow(from)
+	w.coverage.after(w, before)
+	if from != noLoop {
+		w.runLoop(from)
 	}
 }
 
-// follow does what the forwarder decided for a loop, as the loop does.
-func (w *World) follow(lane forwarder.LoopID) {
-	for len(w.queue[lane]) > 0 {
-		a := w.queue[lane][0]
-		w.queue[lane] = w.queue[lane][1:]
-		w.do(a)
+// runLoop does what the forwarder decided for a loop, as the loop does.
+func (w *World) runLoop(lane forwarder.LoopID) {
+	for len(w.loopQueues[lane]) > 0 {
+		a := w.loopQueues[lane][0]
+		w.loopQueues[lane] = w.loopQueues[lane][1:]
+		w.perform(a)
 	}
-	w.queue[lane] = nil
+	w.loopQueues[lane] = nil
 }
 
-func (w *World) followAll() {
-	for lane := range forwarder.LoopID(loops) {
-		w.follow(lane)
+func (w *World) runLoops() {
+	for lane := range forwarder.LoopID(loopCount) {
+		w.runLoop(lane)
 	}
 }
 
-// waiting tells whether a loop has something to do.
-func (w *World) waiting() bool { return len(w.queue[0])+len(w.queue[1]) > 0 }
+// loopsPending tells whether a loop has something to do.
+func (w *World) loopsPending() bool { return len(w.loopQueues[0])+len(w.loopQueues[1]) > 0 }
 
-// do is the loop's part: the same as gateway/lane.go does with sockets.
-func (w *World) do(a forwarder.Action) {
+// perform is the loop's part: the same as gateway/lane.go does with sockets.
+func (w *World) perform(a forwarder.Action) {
 	if w.log != nil {
 		w.log("    %s", strings.TrimPrefix(fmt.Sprintf("%T %+v", a, a), "forwarder."))
 	}
 	switch a := a.(type) {
 	case forwarder.Dial:
-		w.dialing(a)
-		w.conns[a.Conn] = &conn{id: a.Conn, lane: a.Loop, node: a.Node, r: upstreamhttp.Reader{Limits: http1.DefaultLimits}}
+		w.checkDial(a)
+		w.conns[a.Conn] = &conn{id: a.Conn, loop: a.Loop, node: a.Node, reader: upstreamhttp.Reader{Limits: http1.DefaultLimits}}
 	case forwarder.SendRequest:
-		if k, c := w.conns[a.Conn], w.byID(a.ID); k != nil && c != nil && c.inLane {
+		if k, c := w.conns[a.Conn], w.requestByID(a.ID); k != nil && c != nil && c.onLoop {
 			w.send(k, c, a)
 		}
 	case forwarder.CloseConn:
 		if k := w.conns[a.Conn]; k != nil {
-			w.shut(k)
+			w.closeConn(k)
 		}
 	case forwarder.ForwardResponse:
-		c, k := w.byID(a.ID), w.conns[a.Conn]
-		w.delivered(a, c, k)
+		c, k := w.requestByID(a.ID), w.conns[a.Conn]
+		w.checkForwarded(a, c, k)
 		if k != nil {
-			w.handOver(k)
+			w.takeResponse(k)
 		}
-		w.answer(c, a)
+		w.finish(c, a)
 	case forwarder.DiscardResponse:
 		if k := w.conns[a.Conn]; k != nil {
-			w.handOver(k)
+			w.takeResponse(k)
 		}
 	case forwarder.Reject:
-		w.answer(w.byID(a.ID), a)
+		w.finish(w.requestByID(a.ID), a)
 	case forwarder.Fail:
-		w.answer(w.byID(a.ID), a)
+		w.finish(w.requestByID(a.ID), a)
 	case forwarder.AbortResponse:
-		w.answer(w.byID(a.ID), a)
+		w.finish(w.requestByID(a.ID), a)
 	}
 }
 
-func (w *World) byID(id dispatch.RequestID) *call {
-	for _, c := range w.calls {
+func (w *World) requestByID(id dispatch.RequestID) *request {
+	for _, c := range w.requests {
 		if c.id == id {
 			return c
 		}
@@ -238,57 +238,57 @@
 }
 
 // send puts a request on a connection.
-func (w *World) send(k *conn, c *call, a forwarder.SendRequest) {
-	w.sending(k, c, a)
-	if !k.r.RequestSent("GET", small) {
-		w.broke("connection", "request %d is sent on connection %d, which is %v", c.id, k.id, k.r.State())
+func (w *World) send(k *conn, c *request, a forwarder.SendRequest) {
+	w.checkSend(k, c, a)
+	if !k.reader.RequestSent("GET", maxBuffered) {
+		w.violate("connection", "request %d is sent on connection %d, which is %v", c.id, k.id, k.reader.State())
 	}
-	k.call, k.has, k.half = c, true, false
-	c.out, c.source = k, c.once
+	k.request, k.atNode, k.partial = c, true, false
+	c.conn, c.sendingBody = k, c.notReplayable
 }
 
-// handOver takes an answer from its connection.
-func (w *World) handOver(k *conn) {
-	k.r.ResponseTaken()
-	w.free(k)
+// takeResponse takes an answer from its connection.
+func (w *World) takeResponse(k *conn) {
+	k.reader.ResponseTaken()
+	w.freeConn(k)
 }
 
-// free ends what a connection carries.
-func (w *World) free(k *conn) {
-	if c := k.call; c != nil {
-		c.source = false
-		if c.out == k {
-			c.out = nil
+// freeConn ends what a connection carries.
+func (w *World) freeConn(k *conn) {
+	if c := k.request; c != nil {
+		c.sendingBody = false
+		if c.conn == k {
+			c.conn = nil
 		}
 	}
-	k.call = nil
+	k.request = nil
 }
 
-// shut closes a connection from this side. What is at the node may run on.
-func (w *World) shut(k *conn) {
-	w.doubted(k)
-	k.r.Break()
-	w.free(k)
+// closeConn closes a connection from this side. What is at the node may run on.
+func (w *World) closeConn(k *conn) {
+	w.noteInterrupted(k)
+	k.reader.Break()
+	w.freeConn(k)
 	delete(w.conns, k.id)
 }
 
-// lost ends a connection from the other side, or for its bytes.
-func (w *World) lost(k *conn) {
-	w.doubted(k)
-	k.r.Break()
-	w.free(k)
+// loseConn ends a connection from the other side, or for its bytes.
+func (w *World) loseConn(k *conn) {
+	w.noteInterrupted(k)
+	k.reader.Break()
+	w.freeConn(k)
 	delete(w.conns, k.id)
-	w.tell(forwarder.ConnectionLost{Conn: k.id}, k.lane)
+	w.handle(forwarder.ConnectionLost{Conn: k.id}, k.loop)
 }
 
 // The bodies that nodes answer with: a small one is collected, a large one passed on.
 const (
-	small     = 8
-	largeBody = 16
+	maxBuffered = 8
+	largeBody   = 16
 )
 
 // bytes of answers, by the names that moves have.
-var answerText = map[Kind]string{
+var responseText = map[Kind]string{
 	Served:  "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
 	Closing: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok",
 	Errored: "HTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\nno",
@@ -302,53 +302,55 @@
 // receive reads bytes that a node sent, as gateway/call.go does.
 func (w *World) receive(k *conn, b []byte) {
 	for {
-		s := k.r.Next(b)
+		s := k.reader.Next(b)
 		b = b[s.Used:]
 		switch s.Kind {
 		case upstreamhttp.NeedMore:
 			return
 		case upstreamhttp.ProtocolError:
-			k.dead = true
+			k.unusable = true
 			if w.conns[k.id] == k {
-				w.lost(k)
+				w.loseConn(k)
 			}
 			return
 		case upstreamhttp.Headers:
-			if word(k).Result != dispatch.OK {
-				if k.r.Buffer().Kind == upstreamhttp.ProtocolError {
-					w.lost(k)
+			if responseInfo(k).Result != dispatch.OK {
+				if k.reader.Buffer().Kind == upstreamhttp.ProtocolError {
+					w.loseConn(k)
 					return
 				}
 				continue
 			}
-			k.r.Stream()
-			w.tell(forwarder.ResponseHeaders{Conn: k.id, Info: word(k)}, k.lane)
-			if k.call == nil {
+			k.reader.Stream()
+			w.handle(forwarder.ResponseHeaders{Conn: k.id, Info: responseInfo(k)}, k.loop)
+			if k.request == nil {
 				return
 			}
-			w.headed(k)
+			w.noteHeaders(k)
 		case upstreamhttp.BodyData:
-			if k.call == nil {
+			if k.request == nil {
 				return
 			}
 		case upstreamhttp.BufferedResponse, upstreamhttp.ResponseEnd:
-			w.tell(forwarder.ResponseCompleted{Conn: k.id, Info: word(k), Reuse: k.r.Reusable() && !k.sending()}, k.lane)
+			w.handle(forwarder.ResponseCompleted{Conn: k.id, Info: responseInfo(k), Reuse: k.reader.Reusable() && !k.sendingBody()}, k.loop)
 			if w.conns[k.id] != k {
 				return
 			}
-			if k.call != nil && len(b) > 0 {
-				w.broke("connection", "bytes that came before request %d was sent are read as its answer", k.call.id)
+			if k.request != nil && len(b) > 0 {
+				w.violate("connection", "bytes that came before request %d was sent are read as its answer", k.request.id)
 				return
 			}
 		}
 	}
 }
 
-// sending tells whether a body is still going out.
-func (k *conn) sending() bool { return k.call != nil && k.call.source && !k.call.sent }
+// sendingBody tells whether a body is still going out.
+func (k *conn) sendingBody() bool {
+	return k.request != nil && k.request.sendingBody && !k.request.bodySent
+}
 
-func word(k *conn) forwarder.ResponseInfo {
-	switch s := k.r.Response.Status; {
+func responseInfo(k *conn) forwarder.ResponseInfo {
+	switch s := k.reader.Response.Status; {
 	case s == 503:
 		return forwarder.ResponseInfo{Result: dispatch.Rejected}
 	case s >= 500:
@@ -357,10 +359,10 @@
 	return forwarder.ResponseInfo{Result: dispatch.OK}
 }
 
-// owed tells whether an answer is due by a time: none has begun, and no body flows, which
+// responseDue tells whether an answer is due by a time: none has begun, and no body flows, which
 // takes as long as it likes.
-func (c *call) owed() bool {
-	return c.begun && !c.over() && !c.headed && !(c.flowing && !c.sent)
+func (c *request) responseDue() bool {
+	return c.started && !c.finished() && !c.headersForwarded && !(c.bodyStreaming && !c.bodySent)
 }
 
-func (c *call) over() bool { return c.answers > 0 || c.left }
+func (c *request) finished() bool { return c.responses > 0 || c.canceled }
