--- a/cmd/chalkstand/explore.go
+++ b/cmd/chalkstand/explore.go
@@ -33,16 +33,16 @@
 			defer cancel()
 			out := cmd.OutOrStdout()
 			if len(names) == 0 {
-				names = modelcheck.Names()
+				names = modelcheck.ScenarioNames()
 			}
-			o.Reduce, o.Cover = !full, cover
+			o.Reduce, o.Coverage = !full, cover
 			for _, n := range names {
-				s, err := modelcheck.Named(n)
+				s, err := modelcheck.ScenarioByName(n)
 				if err != nil {
 					return err
 				}
 				begun := time.Now()
-				o.Until = func(depth, states int) {
+				o.Progress = func(depth, states int) {
 					if !quiet {
 						fmt.Fprintf(cmd.ErrOrStderr(), "\r%s: depth %d, %d states, %v ", n, depth, states, time.Since(begun).Round(time.Second))
 					}
@@ -52,20 +52,20 @@
 					fmt.Fprint(cmd.ErrOrStderr(), "\r")
 				}
 				fmt.Fprintf(out, "%v, %v\n", r, time.Since(begun).Round(10*time.Millisecond))
-				if r.Cover != nil {
-					tellCoverage(out, r.Cover)
+				if r.Coverage != nil {
+					tellCoverage(out, r.Coverage)
 				}
-				if r.Breach != nil {
-					modelcheck.Tell(s, r.Path, func(f string, a ...any) { fmt.Fprintf(out, "  "+f+"\n", a...) })
+				if r.Violation != nil {
+					modelcheck.Explain(s, r.Path, func(f string, a ...any) { fmt.Fprintf(out, "  "+f+"\n", a...) })
 					fmt.Fprintln(out, "\nas a replay:")
 					if err := modelcheck.WriteReplay(out, s, r.Path); err != nil {
 						return err
 					}
 					fmt.Fprintln(out, "\nas a test:")
-					if err := modelcheck.GoTest(out, s, r.Path, r.Breach); err != nil {
+					if err := modelcheck.GoTest(out, s, r.Path, r.Violation); err != nil {
 						return err
 					}
-					return fmt.Errorf("%s: %w", n, r.Breach)
+					return fmt.Errorf("%s: %w", n, r.Violation)
 				}
 			}
 			return nil
@@ -76,7 +76,7 @@
 	f.StringSliceVar(&names, "scenario", nil, "only these")
 	f.BoolVar(&full, "full", false, "without leaving out orders that commute")
 	f.BoolVar(&o.Exact, "exact", false, "tell states apart by every digit of what was learned")
-	f.IntVar(&o.States, "states", 0, "stop after so many; 0: no bound")
+	f.IntVar(&o.MaxStates, "states", 0, "stop after so many; 0: no bound")
 	f.IntVar(&o.Workers, "workers", 0, "0: all cores")
 	f.DurationVar(&limit, "limit", time.Hour, "longest time")
 	f.BoolVar(&cover, "coverage", false, "tell which transitions of requests were never taken")
@@ -113,12 +113,12 @@
 		Use: "walk", Short: "Walk at random through a world too large to be explored whole", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := cmd.OutOrStdout()
-			s, cover, moves := modelcheck.Large(nodes, requests), modelcheck.NewCoverage(), 0
+			s, cover, moves := modelcheck.LargeScenario(nodes, requests), modelcheck.NewCoverage(), 0
 			for i := range walks {
 				path, b := modelcheck.Walk(s, seed+uint64(i), most, cover)
 				moves += len(path)
 				if b != nil {
-					modelcheck.Tell(s, path, func(f string, a ...any) { fmt.Fprintf(out, "  "+f+"\n", a...) })
+					modelcheck.Explain(s, path, func(f string, a ...any) { fmt.Fprintf(out, "  "+f+"\n", a...) })
 					return fmt.Errorf("seed %d, after %d moves: %w", seed+uint64(i), len(path), b)
 				}
 			}
@@ -137,11 +137,11 @@
 }
 
 func tellCoverage(out io.Writer, c *modelcheck.Coverage) {
-	ts, n := c.Taken()
+	ts, n := c.Transitions()
 	for _, t := range ts {
 		fmt.Fprintf(out, "  %10d  %v\n", n[t], t)
 	}
-	for _, p := range c.Never() {
+	for _, p := range c.Missing() {
 		fmt.Fprintf(out, "       never  %s\n", p)
 	}
 }
--- a/internal/modelcheck/coverage.go
+++ b/internal/modelcheck/coverage.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// Taken returns the transitions that were taken, in order, with their counts.
-func (c *Coverage) Taken() ([]Transition, map[Transition]int64) {
+// Transitions returns the transitions that were taken, in order, with their counts.
+func (c *Coverage) Transitions() ([]Transition, map[Transition]int64) {
 	var ts []Transition
 	for t := range c.taken {
 		ts = append(ts, t)
@@ -137,9 +137,9 @@
 	return ts, c.taken
 }
 
-// Never returns the pairs of event and stage that no request met: each kind of event
+// Missing returns the pairs of event and stage that no request met: each kind of event
 // at each stage that it could find its request at.
-func (c *Coverage) Never() []string {
+func (c *Coverage) Missing() []string {
 	met := map[string]bool{}
 	for t := range c.taken {
 		if !t.OtherEvent {
@@ -147,7 +147,7 @@
 		}
 	}
 	var out []string
-	for _, p := range Pairs() {
+	for _, p := range EventStages() {
 		if !met[p] {
 			out = append(out, p)
 		}
@@ -155,8 +155,8 @@
 	return out
 }
 
-// Pairs are all pairs of an event and a stage at which it can find its request.
-func Pairs() []string {
+// EventStages are all pairs of an event and a stage at which it can find its request.
+func EventStages() []string {
 	return []string{
 		"StartRequest -", "ClientCanceled waiting", "ClientCanceled dialing", "ClientCanceled inFlight", "ClientCanceled streaming", "ClientCanceled detached", "ClientCanceled -",
 		"DialCompleted dialing", "DialCompleted -", "ResponseHeaders inFlight", "ResponseHeaders detached", "ResponseHeaders -", "ResponseCompleted inFlight", "ResponseCompleted streaming", "ResponseCompleted detached", "ResponseCompleted -",
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -22,17 +22,17 @@
 		name   string
 		states int
 	}{{"window", 0}, {"body", 0}, {"tries", 0}, {"thrift", 0}, {"upload", 0}, {"lossy", 20_000}, {"two", 60_000}, {"drain", 20_000}, {"leave", 20_000}, {"turn", 20_000}, {"stream", 20_000}, {"crash", 20_000}, {"doubt", 20_000}, {"renew", 20_000}, {"silent", 0}, {"loops", 20_000}, {"limits", 20_000}} {
-		s, err := Named(x.name)
+		s, err := ScenarioByName(x.name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := Search(context.Background(), s, Options{States: max(x.states, (slower-1)*2000) / slower, Reduce: true})
+		r := Search(context.Background(), s, Options{MaxStates: max(x.states, (slower-1)*2000) / slower, Reduce: true})
 		t.Log(r)
-		if r.Breach != nil {
-			Tell(s, r.Path, t.Logf)
-			t.Fatal(r.Breach)
+		if r.Violation != nil {
+			Explain(s, r.Path, t.Logf)
+			t.Fatal(r.Violation)
 		}
-		if x.states == 0 && slower == 1 && !r.Whole {
+		if x.states == 0 && slower == 1 && !r.Complete {
 			t.Errorf("%s is not whole", x.name)
 		}
 	}
@@ -41,14 +41,14 @@
 // The reduction hides nothing: with and without it the same breaches are found, and
 // the same ends reached. And the result does not depend on the workers.
 func TestReductionAndWorkers(t *testing.T) {
-	s, _ := Named("window")
+	s, _ := ScenarioByName("window")
 	reduced := Search(context.Background(), s, Options{Reduce: true, Workers: 1})
 	again := Search(context.Background(), s, Options{Reduce: true, Workers: 3})
 	full := Search(context.Background(), s, Options{})
-	if reduced.States != again.States || reduced.Ends != again.Ends || reduced.Moves != again.Moves {
+	if reduced.States != again.States || reduced.EndStates != again.EndStates || reduced.Moves != again.Moves {
 		t.Errorf("one worker: %v\nthree: %v", reduced, again)
 	}
-	if full.States < reduced.States || full.Breach != nil || reduced.Breach != nil || full.Ends != reduced.Ends {
+	if full.States < reduced.States || full.Violation != nil || reduced.Violation != nil || full.EndStates != reduced.EndStates {
 		t.Errorf("reduced: %v\nfull: %v", reduced, full)
 	}
 }
@@ -71,7 +71,7 @@
 		}},
 		{"limits", "budget", func(w *World) { w.cfg.Dispatch.RetryBudget.MinRetries = 0 }},
 	} {
-		s, _ := Named(x.name)
+		s, _ := ScenarioByName(x.name)
 		// The gateway has the scenario's settings, the rules are held to others.
 		found := false
 		for seed := range uint64(3000) {
@@ -102,14 +102,14 @@
 func TestRandomWalks(t *testing.T) {
 	cover := NewCoverage()
 	for seed := range uint64(60 / slower) {
-		if path, b := Walk(Large(24, 200), seed, 6000, cover); b != nil {
-			Tell(Large(24, 200), path, t.Logf)
+		if path, b := Walk(LargeScenario(24, 200), seed, 6000, cover); b != nil {
+			Explain(LargeScenario(24, 200), path, t.Logf)
 			t.Fatalf("seed %d: %v", seed, b)
 		}
 	}
-	t.Logf("never: %v", cover.Never())
+	t.Logf("never: %v", cover.Missing())
 	rapid.Check(t, func(t *rapid.T) {
-		s := Large(rapid.IntRange(2, 8).Draw(t, "nodes"), rapid.IntRange(1, 12).Draw(t, "requests"))
+		s := LargeScenario(rapid.IntRange(2, 8).Draw(t, "nodes"), rapid.IntRange(1, 12).Draw(t, "requests"))
 		w := newWorld(&s)
 		for range rapid.IntRange(0, 200).Draw(t, "moves") {
 			m, ok := w.pick(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "which") })
@@ -165,7 +165,7 @@
 
 // A path that is written as a replay plays to the same state, and as a test too.
 func TestWriteReplay(t *testing.T) {
-	s, _ := Named("turn")
+	s, _ := ScenarioByName("turn")
 	path, b := Walk(s, 5, 40, nil)
 	if b != nil || len(path) < 10 {
 		t.Fatal(b, len(path))
@@ -178,7 +178,7 @@
 		t.Fatal(b, err)
 	}
 	var src strings.Builder
-	if err := GoTest(&src, s, path, &Breach{"order", "as an example"}); err != nil || !strings.Contains(src.String(), "func TestTurn") || !strings.Contains(src.String(), text.String()) {
+	if err := GoTest(&src, s, path, &Violation{"order", "as an example"}); err != nil || !strings.Contains(src.String(), "func TestTurn") || !strings.Contains(src.String(), text.String()) {
 		t.Fatal(err, src.String())
 	}
 }
@@ -242,7 +242,7 @@
 // States that differ in what matters have other fingerprints; those that differ
 // only by names and by when they are have the same.
 func TestFingerprint(t *testing.T) {
-	s, _ := Named("two")
+	s, _ := ScenarioByName("two")
 	p := newFingerprinter(false)
 	at := func(ms ...Move) Fingerprint {
 		w := newWorld(&s)
@@ -254,17 +254,17 @@
 		}
 		return p.fingerprint(w)
 	}
-	a, b := Move{Arrive, 1}, Move{Arrive, 2}
+	a, b := Move{StartRequest, 1}, Move{StartRequest, 2}
 	if at(a) == at(b) || at(a) == at() || at(a, b) == at(a) {
 		t.Error("states that differ look alike")
 	}
-	if at(a, b, Move{DialOK, 1}) == at(a, b, Move{DialOK, 2}) {
+	if at(a, b, Move{CompleteDial, 1}) == at(a, b, Move{CompleteDial, 2}) {
 		t.Error("it is not seen whose connection is there")
 	}
-	if at(a, b, Move{DialOK, 1}, Move{DialOK, 2}) != at(a, b, Move{DialOK, 2}, Move{DialOK, 1}) {
+	if at(a, b, Move{CompleteDial, 1}, Move{CompleteDial, 2}) != at(a, b, Move{CompleteDial, 2}, Move{CompleteDial, 1}) {
 		t.Error("two orders to one state look different")
 	}
-	if at(a, Move{DialOK, 1}, Move{Served, 1}) == at(a, Move{DialOK, 1}) {
+	if at(a, Move{CompleteDial, 1}, Move{RespondOK, 1}) == at(a, Move{CompleteDial, 1}) {
 		t.Error("an answer is not seen")
 	}
 }
--- a/internal/modelcheck/moves.go
+++ b/internal/modelcheck/moves.go
@@ -17,32 +17,32 @@
 // The kinds of move. What they act on is a request's number, a connection's, or a
 // node's place in the scenario.
 const (
-	Arrive   Kind = iota // a client's request comes
-	Follow               // the loop comes to what was decided elsewhere
-	Follow2              // the second loop does
-	Fire                 // the forwarder's timer
-	DialOK               // a connection is there
-	DialFail             // it is not
-	Served               // a node answers
-	Closing              // it answers and closes
-	Errored              // 500
-	Full                 // 503
-	Headed               // the head of a large answer, and half of it
-	Rest                 // the rest
-	Garbage              // what is no answer
-	Twice                // more than an answer
-	Reset                // a connection breaks
-	Leave                // a client leaves
-	Flow                 // a body flows
-	BodySent             // it has gone out
-	Drain                // a node is said to drain
-	Remove               // to be gone
-	List                 // to serve, for the first time
-	Renew                // to be another process at the same place
-	Crash                // the gateway ends, and begins again with an old list
-	Truth                // and hears the true one
-	Before               // time passes to just before something is due
-	Reach                // to the moment
+	StartRequest     Kind = iota // a client's request comes
+	RunLoop0                     // the loop comes to what was decided elsewhere
+	RunLoop1                     // the second loop does
+	FireTimer                    // the forwarder's timer
+	CompleteDial                 // a connection is there
+	FailDial                     // it is not
+	RespondOK                    // a node answers
+	RespondAndClose              // it answers and closes
+	RespondError                 // 500
+	RespondReject                // 503
+	RespondStart                 // the head of a large answer, and half of it
+	RespondRest                  // the rest
+	RespondInvalid               // what is no answer
+	RespondTwice                 // more than an answer
+	ResetConn                    // a connection breaks
+	CancelRequest                // a client leaves
+	StreamBody                   // a body flows
+	FinishBody                   // it has gone out
+	DrainNode                    // a node is said to drain
+	RemoveNode                   // to be gone
+	AddNode                      // to serve, for the first time
+	RestartNode                  // to be another process at the same place
+	RestartGateway               // the gateway ends, and begins again with an old list
+	RefreshEndpoints             // and hears the true one
+	AdvanceBefore                // time passes to just before something is due
+	AdvanceTo                    // to the moment
 	kindCount
 )
 
@@ -56,18 +56,18 @@
 
 // Move is one thing that happens.
 type Move struct {
-	Kind Kind
-	On   uint32
+	Kind   Kind
+	Target uint32
 }
 
 // operand tells what a kind of move acts on.
 func (k Kind) operand() string {
 	switch k {
-	case Arrive, Leave, Flow, BodySent:
+	case StartRequest, CancelRequest, StreamBody, FinishBody:
 		return "request"
-	case DialOK, DialFail, Served, Closing, Errored, Full, Headed, Rest, Garbage, Twice, Reset:
+	case CompleteDial, FailDial, RespondOK, RespondAndClose, RespondError, RespondReject, RespondStart, RespondRest, RespondInvalid, RespondTwice, ResetConn:
 		return "connection"
-	case Drain, Remove, List, Renew:
+	case DrainNode, RemoveNode, AddNode, RestartNode:
 		return "node"
 	}
 	return ""
@@ -77,18 +77,18 @@
 func (w *World) moveText(m Move) string {
 	switch m.Kind.operand() {
 	case "node":
-		return fmt.Sprintf("%v %s", m.Kind, w.nodes[m.On].id)
+		return fmt.Sprintf("%v %s", m.Kind, w.nodes[m.Target].id)
 	case "":
 		return m.Kind.String()
 	}
-	return fmt.Sprintf("%v %d", m.Kind, m.On)
+	return fmt.Sprintf("%v %d", m.Kind, m.Target)
 }
 
 // enabledMoves returns all that may happen now, in a fixed order.
 func (w *World) enabledMoves(reduce bool) []Move {
 	var ms []Move
 	add := func(k Kind, on int) { ms = append(ms, Move{k, uint32(on)}) }
-	for lane, kind := range [loopCount]Kind{Follow, Follow2} {
+	for lane, kind := range [loopCount]Kind{RunLoop0, RunLoop1} {
 		if len(w.loopQueues[lane]) == 0 {
 			continue
 		}
@@ -99,27 +99,27 @@
 	}
 	due := w.wakeAt <= w.now
 	if due {
-		add(Fire, 0)
+		add(FireTimer, 0)
 	}
 	s, u := w.scenario, &w.counts
 	for i, c := range w.requests {
 		switch {
 		case !c.started:
 			if w.firstArrival == 0 || w.now <= w.firstArrival+w.scenario.spread {
-				add(Arrive, i+1)
+				add(StartRequest, i+1)
 			}
 			continue
 		case c.finished() || !c.onLoop:
 			continue
 		}
 		if u.leaves < s.leaves {
-			add(Leave, i+1)
+			add(CancelRequest, i+1)
 		}
 		if c.sendingBody && c.conn != nil && !c.bodySent {
 			if !c.bodyStreaming && u.flows < s.flows {
-				add(Flow, i+1)
+				add(StreamBody, i+1)
 			}
-			add(BodySent, i+1)
+			add(FinishBody, i+1)
 		}
 	}
 	for _, k := range w.sortedConns() {
@@ -129,34 +129,34 @@
 		switch {
 		case !n.listed:
 			if u.lists < s.lists {
-				add(List, i)
+				add(AddNode, i)
 			}
 		case n.state == dispatch.Ready:
 			if u.renews < s.renews {
-				add(Renew, i)
+				add(RestartNode, i)
 			}
 			if n.initial && u.drains < s.drains {
-				add(Drain, i)
+				add(DrainNode, i)
 			}
 			fallthrough
 		case n.state == dispatch.Draining:
 			if n.initial && u.removes < s.removes {
-				add(Remove, i)
+				add(RemoveNode, i)
 			}
 		}
 	}
 	if u.crashes < s.crashes && w.anyUnfinished() {
-		add(Crash, 0)
+		add(RestartGateway, 0)
 	}
 	if w.stale {
-		add(Truth, 0)
+		add(RefreshEndpoints, 0)
 	}
 	if !w.loopsPending() && !due && w.anyResponseDue() {
 		if t := w.nextDeadline(); t < math.MaxInt64 {
 			if w.justBefore(t) > w.now {
-				add(Before, 0)
+				add(AdvanceBefore, 0)
 			} else {
-				add(Reach, 0)
+				add(AdvanceTo, 0)
 			}
 		}
 	}
@@ -167,52 +167,52 @@
 func (w *World) connMoves(k *conn, add func(Kind, int)) {
 	s, u, id := w.scenario, &w.counts, int(k.id)
 	if !k.open {
-		add(DialOK, id)
+		add(CompleteDial, id)
 		if u.dialFails < s.dialFails {
-			add(DialFail, id)
+			add(FailDial, id)
 		}
 		return
 	}
 	if !k.atNode {
 		if u.closes < s.closes {
-			add(Reset, id)
+			add(ResetConn, id)
 		}
 		if u.garbage < s.garbage && k.request == nil {
-			add(Garbage, id)
+			add(RespondInvalid, id)
 		}
 		return
 	}
 	if u.resets < s.resets {
-		add(Reset, id)
+		add(ResetConn, id)
 	}
 	if k.partial {
-		add(Rest, id)
+		add(RespondRest, id)
 		return
 	}
 	c := k.request
 	if c != nil && c.sendingBody && !c.bodySent {
 		// A node may answer an upload early, but only to turn it away.
 		if u.fulls < s.fulls {
-			add(Full, id)
+			add(RespondReject, id)
 		}
 		return
 	}
 	if c != nil && c.streamed && u.heads < s.heads {
-		add(Headed, id)
+		add(RespondStart, id)
 	}
-	add(Served, id)
+	add(RespondOK, id)
 	if u.closes < s.closes {
-		add(Closing, id)
+		add(RespondAndClose, id)
 	}
 	if u.errors < s.errors {
-		add(Errored, id)
+		add(RespondError, id)
 	}
 	if u.fulls < s.fulls {
-		add(Full, id)
+		add(RespondReject, id)
 	}
 	if u.garbage < s.garbage {
-		add(Garbage, id)
-		add(Twice, id)
+		add(RespondInvalid, id)
+		add(RespondTwice, id)
 	}
 }
 
@@ -283,57 +283,57 @@
 	}
 	u := &w.counts
 	switch m.Kind {
-	case Arrive:
-		w.startRequest(w.requests[m.On-1])
-	case Follow:
+	case StartRequest:
+		w.startRequest(w.requests[m.Target-1])
+	case RunLoop0:
 		w.runLoop(0)
-	case Follow2:
+	case RunLoop1:
 		w.runLoop(1)
-	case Fire:
+	case FireTimer:
 		w.wakeAt = math.MaxInt64
 		w.handle(forwarder.TimerFired{}, noLoop)
-	case DialOK, DialFail:
-		k := w.conns[forwarder.ConnID(m.On)]
-		if k.open = m.Kind == DialOK; !k.open {
+	case CompleteDial, FailDial:
+		k := w.conns[forwarder.ConnID(m.Target)]
+		if k.open = m.Kind == CompleteDial; !k.open {
 			u.dialFails++
 			delete(w.conns, k.id)
 		}
 		w.handle(forwarder.DialCompleted{Conn: k.id, OK: k.open}, k.loop)
-	case Served, Closing, Errored, Full, Headed, Rest, Garbage, Twice:
-		w.respond(w.conns[forwarder.ConnID(m.On)], m.Kind)
-	case Reset:
-		k := w.conns[forwarder.ConnID(m.On)]
+	case RespondOK, RespondAndClose, RespondError, RespondReject, RespondStart, RespondRest, RespondInvalid, RespondTwice:
+		w.respond(w.conns[forwarder.ConnID(m.Target)], m.Kind)
+	case ResetConn:
+		k := w.conns[forwarder.ConnID(m.Target)]
 		if k.atNode {
 			u.resets++
 		} else {
 			u.closes++
 		}
 		w.loseConn(k)
-	case Leave:
+	case CancelRequest:
 		u.leaves++
-		w.cancelRequest(w.requests[m.On-1])
-	case Flow:
-		c := w.requests[m.On-1]
+		w.cancelRequest(w.requests[m.Target-1])
+	case StreamBody:
+		c := w.requests[m.Target-1]
 		u.flows++
 		c.bodyStreaming = true
 		w.handle(forwarder.BodyStreaming{ID: c.id}, c.loop)
-	case BodySent:
-		c := w.requests[m.On-1]
+	case FinishBody:
+		c := w.requests[m.Target-1]
 		c.bodySent = true
 		if c.bodyStreaming {
 			c.deadline = max(c.deadline, w.now+w.class(c).Deadline)
 		}
 		w.handle(forwarder.BodySent{ID: c.id}, c.loop)
-	case Drain, Remove, List, Renew:
+	case DrainNode, RemoveNode, AddNode, RestartNode:
 		w.changeNode(m)
-	case Crash:
+	case RestartGateway:
 		w.restartGateway()
-	case Truth:
+	case RefreshEndpoints:
 		w.stale = false
 		w.handle(w.endpointList(dispatch.Snapshot), noLoop)
-	case Before:
+	case AdvanceBefore:
 		w.now = w.justBefore(w.nextDeadline())
-	case Reach:
+	case AdvanceTo:
 		w.now = w.nextDeadline()
 		w.checkDeadlines()
 	}
@@ -357,20 +357,20 @@
 func (w *World) respond(k *conn, kind Kind) {
 	u := &w.counts
 	switch kind {
-	case Closing:
+	case RespondAndClose:
 		u.closes++
 		k.unusable = true // the node closes it
-	case Errored:
+	case RespondError:
 		u.errors++
-	case Full:
+	case RespondReject:
 		u.fulls++
-	case Headed:
+	case RespondStart:
 		u.heads++
 		k.partial = true
-	case Garbage, Twice:
+	case RespondInvalid, RespondTwice:
 		u.garbage++
 	}
-	if kind != Headed {
+	if kind != RespondStart {
 		k.atNode, k.partial = false, false
 	}
 	w.noteResponse(k, kind)
@@ -388,25 +388,25 @@
 
 // changeNode tells the gateway of a node.
 func (w *World) changeNode(m Move) {
-	n, u := &w.nodes[m.On], &w.counts
+	n, u := &w.nodes[m.Target], &w.counts
 	switch m.Kind {
-	case Drain:
+	case DrainNode:
 		u.drains++
 		n.state = dispatch.Draining
-	case Remove:
+	case RemoveNode:
 		u.removes++
 		n.state = dispatch.Removed
-	case List:
+	case AddNode:
 		u.lists++
 		n.listed, n.started = true, w.now
-	case Renew:
+	case RestartNode:
 		u.renews++
 		n.started = max(w.now, n.started+1) // no two start at one moment
 	}
 	if w.stale { // the true list will have it
 		return
 	}
-	if m.Kind == Renew {
+	if m.Kind == RestartNode {
 		w.noteNodeRestart(n.id)
 	}
 	e := forwarder.EndpointUpdate{Kind: dispatch.Delta, Nodes: []forwarder.Node{endpoint(*n, n.state)}}
--- a/internal/modelcheck/replay.go
+++ b/internal/modelcheck/replay.go
@@ -20,11 +20,11 @@
 
 // ReplayError is a replay that cannot be played.
 type ReplayError struct {
-	Line int
-	What string
+	Line    int
+	Message string
 }
 
-func (e *ReplayError) Error() string { return fmt.Sprintf("line %d: %s", e.Line, e.What) }
+func (e *ReplayError) Error() string { return fmt.Sprintf("line %d: %s", e.Line, e.Message) }
 
 // WriteReplay writes a path as a replay.
 func WriteReplay(out io.Writer, s Scenario, path []Move) error {
@@ -44,11 +44,11 @@
 // Play plays a replay. A move that cannot happen where it stands is an error, and so
 // is what names an unknown scenario, move, request, connection or node. tell, if it
 // is not nil, hears what happens.
-func Play(in io.Reader, tell func(format string, args ...any)) (*Breach, error) {
+func Play(in io.Reader, tell func(format string, args ...any)) (*Violation, error) {
 	return (&player{log: tell}).play(in)
 }
 
-func (p *player) play(in io.Reader) (*Breach, error) {
+func (p *player) play(in io.Reader) (*Violation, error) {
 	sc := bufio.NewScanner(in)
 	for n := 1; sc.Scan(); n++ {
 		line, _, _ := strings.Cut(sc.Text(), "#")
@@ -95,7 +95,7 @@
 		if len(f) != 2 || f[0] != "scenario" {
 			return fmt.Errorf("%q: want \"scenario NAME\"", strings.Join(f, " "))
 		}
-		s, err := Named(f[1])
+		s, err := ScenarioByName(f[1])
 		if err != nil {
 			return err
 		}
@@ -158,7 +158,7 @@
 }
 
 // GoTest writes a path as a test of this package.
-func GoTest(out io.Writer, s Scenario, path []Move, b *Breach) error {
+func GoTest(out io.Writer, s Scenario, path []Move, b *Violation) error {
 	var text strings.Builder
 	if err := WriteReplay(&text, s, path); err != nil {
 		return err
@@ -170,26 +170,26 @@
 		t.Fatal(b, err)
 	}
 }
-`, b.Rule, b.What, strings.ToUpper(s.Name[:1])+s.Name[1:], len(path), "`"+text.String()+"`")
+`, b.Rule, b.Message, strings.ToUpper(s.Name[:1])+s.Name[1:], len(path), "`"+text.String()+"`")
 	return err
 }
 
 // Step is a move of a replay with what it is about, for those who play it elsewhere.
 type Step struct {
-	Line    int
-	Move    Move
-	Text    string
-	Call    int    // the request's number, or the one that the connection carries; 0: none
-	Attempt int    // of the request, on the connection
-	Node    string // of the connection, or the node told of
-	Sends   []int  // attempts sent of each request after the move
+	Line         int
+	Move         Move
+	Text         string
+	Request      int    // the request's number, or the one that the connection carries; 0: none
+	Attempt      int    // of the request, on the connection
+	Node         string // of the connection, or the node told of
+	AttemptsSent []int  // attempts sent of each request after the move
 }
 
 // Script is a replay, played here, with how each request ended.
 type Script struct {
 	Scenario Scenario
 	Steps    []Step
-	Ends     []string // by request: deliver, refuse, fail, cut, left, or "" for none
+	Outcomes []string // by request: deliver, refuse, fail, cut, left, or "" for none
 }
 
 // ReadScript plays a replay and tells its steps.
@@ -200,22 +200,22 @@
 		s := Step{Line: n, Move: m, Text: p.world.moveText(m)}
 		switch m.Kind.operand() {
 		case "request":
-			s.Call = int(m.On)
+			s.Request = int(m.Target)
 		case "connection":
-			k := p.world.conns[forwarder.ConnID(m.On)]
+			k := p.world.conns[forwarder.ConnID(m.Target)]
 			s.Node = string(k.node)
 			if c := k.request; c != nil {
-				s.Call, s.Attempt = int(c.id), c.attempts-1
+				s.Request, s.Attempt = int(c.id), c.attempts-1
 			}
 		case "node":
-			s.Node = string(p.world.nodes[m.On].id)
+			s.Node = string(p.world.nodes[m.Target].id)
 		}
 		sc.Steps = append(sc.Steps, s)
 	}
 	p.afterMove = func() {
 		s := &sc.Steps[len(sc.Steps)-1]
 		for _, c := range p.world.requests {
-			s.Sends = append(s.Sends, c.attempts)
+			s.AttemptsSent = append(s.AttemptsSent, c.attempts)
 		}
 	}
 	b, err := p.play(in)
@@ -227,7 +227,7 @@
 	}
 	sc.Scenario = *p.world.scenario
 	for _, c := range p.world.requests {
-		sc.Ends = append(sc.Ends, c.outcome)
+		sc.Outcomes = append(sc.Outcomes, c.outcome)
 	}
 	return sc, nil
 }
--- a/internal/modelcheck/rules.go
+++ b/internal/modelcheck/rules.go
@@ -22,20 +22,20 @@
 //	bounds      connections and streams of a node, and attempts of a request, stay within their bounds
 //	stuck       when events stop, each request ends by its deadline
 
-// Breach is a property that does not hold.
-type Breach struct {
-	Rule string
-	What string
+// Violation is a property that does not hold.
+type Violation struct {
+	Rule    string
+	Message string
 }
 
-func (b *Breach) Error() string { return b.Rule + ": " + b.What }
+func (b *Violation) Error() string { return b.Rule + ": " + b.Message }
 
 // checker are what the checks remember.
 type checker struct {
 	requestTimes []time.Duration
 	retryTimes   []time.Duration
 	byKey        map[string][]*request
-	violation    *Breach
+	violation    *Violation
 }
 
 // reset forgets what a gateway that has ended did.
@@ -44,7 +44,7 @@
 // violate notes the first breach.
 func (w *World) violate(rule, format string, args ...any) {
 	if w.checker.violation == nil {
-		w.checker.violation = &Breach{rule, fmt.Sprintf(format, args...)}
+		w.checker.violation = &Violation{rule, fmt.Sprintf(format, args...)}
 	}
 }
 
@@ -197,10 +197,10 @@
 	if c == nil {
 		return
 	}
-	if kind != Full {
+	if kind != RespondReject {
 		c.ambiguous = true
 	}
-	if kind == Garbage {
+	if kind == RespondInvalid {
 		c.quiescentAt = max(c.quiescentAt, w.now+w.cfg.Dispatch.Quiescence)
 	}
 }
--- a/internal/modelcheck/scenario.go
+++ b/internal/modelcheck/scenario.go
@@ -41,8 +41,8 @@
 
 // Scenario is a small world: what may happen in it, and how often.
 type Scenario struct {
-	Name string
-	What string
+	Name        string
+	Description string
 
 	requests []requestSpec
 	nodes    []nodeSpec
@@ -65,72 +65,72 @@
 	successor := []nodeSpec{{id: "a", initial: true}, {id: "b"}}
 	return []Scenario{
 		{
-			Name: "drain", What: "a node drains, its successor is listed, then it is removed, while a safe and a keyed request run",
+			Name: "drain", Description: "a node drains, its successor is listed, then it is removed, while a safe and a keyed request run",
 			requests: []requestSpec{{class: idempotentClass}, {class: keyedClass}}, nodes: successor,
 			drains: 1, lists: 1, removes: 1, resets: 1, spread: 20 * ms,
 		},
 		{
-			Name: "leave", What: "clients leave at any moment, also while a further attempt waits",
+			Name: "leave", Description: "clients leave at any moment, also while a further attempt waits",
 			requests: []requestSpec{{class: idempotentClass}, {class: keyedClass}}, nodes: successor, leaves: 2, resets: 1, errors: 1, dialFails: 1, spread: 60 * ms,
 		},
 		{
-			Name: "turn", What: "two writes of one key, across a reset, a lost answer and a client that leaves",
+			Name: "turn", Description: "two writes of one key, across a reset, a lost answer and a client that leaves",
 			requests: []requestSpec{{class: orderedClass, key: "k"}, {class: orderedClass, key: "k"}}, nodes: successor, leaves: 1, resets: 1, drains: 1, lists: 1, spread: 60 * ms,
 		},
 		{
-			Name: "window", What: "a keyed write whose answer is lost, its window ending between decision and send",
+			Name: "window", Description: "a keyed write whose answer is lost, its window ending between decision and send",
 			requests: []requestSpec{{class: keyedClass}}, nodes: successor, resets: 2, dialFails: 2, lists: 1, drains: 1, errors: 1,
 			configure: func(c *forwarder.Config) { c.Dispatch.Classes[keyedClass].DedupWindow = 40 * ms },
 		},
 		{
-			Name: "stream", What: "bodies that flow, both ways, and break",
+			Name: "stream", Description: "bodies that flow, both ways, and break",
 			requests: []requestSpec{{class: idempotentClass, streamed: true}, {class: keyedClass, notReplayable: true}}, nodes: successor, leaves: 1, resets: 1, heads: 2, flows: 1, fulls: 1, spread: 20 * ms,
 		},
 		{
-			Name: "upload", What: "uploads of one key that flow, and break",
+			Name: "upload", Description: "uploads of one key that flow, and break",
 			requests: []requestSpec{{class: orderedClass, key: "k", notReplayable: true}, {class: orderedClass, key: "k"}}, nodes: successor, leaves: 1, resets: 1, flows: 2, spread: 20 * ms,
 		},
 		{
-			Name: "renew", What: "a node is announced as a new process; connections grow old and are closed unused",
+			Name: "renew", Description: "a node is announced as a new process; connections grow old and are closed unused",
 			requests: []requestSpec{{class: idempotentClass}, {class: idempotentClass}}, nodes: successor, renews: 1, drains: 1, resets: 1, closes: 1, spread: 100 * ms,
 			configure: func(c *forwarder.Config) { c.IdleTimeout, c.MaxConnAge = 60*ms, 100*ms },
 		},
 		{
-			Name: "silent", What: "answers that do not come, so that attempts are given up early",
+			Name: "silent", Description: "answers that do not come, so that attempts are given up early",
 			requests: []requestSpec{{class: idempotentClass}, {class: idempotentClass}, {class: idempotentClass}}, nodes: successor[:1], spread: 500 * ms,
 		},
 		{
-			Name: "body", What: "one upload, whose node takes the body and may never answer", requests: []requestSpec{{class: keyedClass, notReplayable: true}}, nodes: successor,
+			Name: "body", Description: "one upload, whose node takes the body and may never answer", requests: []requestSpec{{class: keyedClass, notReplayable: true}}, nodes: successor,
 			flows: 1, leaves: 1, resets: 1, fulls: 1, drains: 1,
 		},
 		{
-			Name: "tries", What: "one request whose attempts break again and again, with a budget for more than it may have", requests: []requestSpec{{class: idempotentClass}}, nodes: successor,
+			Name: "tries", Description: "one request whose attempts break again and again, with a budget for more than it may have", requests: []requestSpec{{class: idempotentClass}}, nodes: successor,
 			resets: 4, errors: 2, dialFails: 1, configure: func(c *forwarder.Config) { c.Dispatch.RetryBudget.MinRetries = 8 },
 		},
 		{
-			Name: "thrift", What: "the same with a budget for one further attempt", requests: []requestSpec{{class: idempotentClass}}, nodes: successor,
+			Name: "thrift", Description: "the same with a budget for one further attempt", requests: []requestSpec{{class: idempotentClass}}, nodes: successor,
 			resets: 3, errors: 1, configure: func(c *forwarder.Config) { c.Dispatch.RetryBudget.MinRetries = 1 },
 		},
 		{
-			Name: "lossy", What: "a node that is known to lose answers, so that attempts end early and are made again",
+			Name: "lossy", Description: "a node that is known to lose answers, so that attempts end early and are made again",
 			requests: []requestSpec{{class: idempotentClass}, {class: idempotentClass}, {class: idempotentClass}, {class: idempotentClass}, {class: keyedClass}}, nodes: successor, drains: 1, resets: 1, spread: 20 * ms,
 			prepare: learnLostResponse,
 		},
 		{
-			Name: "crash", What: "the gateway ends and begins again with an old list, while a node drains",
+			Name: "crash", Description: "the gateway ends and begins again with an old list, while a node drains",
 			requests: []requestSpec{{class: idempotentClass}, {class: keyedClass}}, nodes: successor, crashes: 1, drains: 1, lists: 1, spread: 60 * ms,
 		},
 		{
-			Name: "doubt", What: "bytes that are no answer, more bytes than the answer, nodes that close idle connections",
+			Name: "doubt", Description: "bytes that are no answer, more bytes than the answer, nodes that close idle connections",
 			requests: []requestSpec{{class: idempotentClass}, {class: idempotentClass}}, nodes: successor, garbage: 1, closes: 1, fulls: 1, resets: 1, spread: 20 * ms,
 		},
 		{
-			Name: "loops", What: "two event loops that share one connection to a node",
+			Name: "loops", Description: "two event loops that share one connection to a node",
 			requests: []requestSpec{{class: idempotentClass}, {class: keyedClass, loop: 1}}, nodes: successor, leaves: 1, resets: 1, drains: 1, lists: 1, spread: 60 * ms,
 			configure: func(c *forwarder.Config) { c.MaxConnsPerNode, c.MaxStreamsPerNode = 1, 0 },
 		},
 		{
-			Name: "limits", What: "few connections, a small budget, two shards",
+			Name: "limits", Description: "few connections, a small budget, two shards",
 			requests: []requestSpec{{class: idempotentClass}, {class: idempotentClass, shard: 1}, {class: unsafeClass}}, nodes: []nodeSpec{{id: "a", initial: true}, {id: "c", shard: 1, initial: true}},
 			resets: 2, errors: 1, dialFails: 1,
 			configure: func(c *forwarder.Config) {
@@ -139,16 +139,16 @@
 			},
 		},
 		{
-			Name: "three", What: "two nodes and three requests: one safe, one keyed, one in turn",
+			Name: "three", Description: "two nodes and three requests: one safe, one keyed, one in turn",
 			requests: []requestSpec{{class: idempotentClass}, {class: keyedClass}, {class: orderedClass, key: "k"}}, nodes: successor,
 			drains: 1, lists: 1,
 		},
 		{
-			Name: "lost", What: "the same three requests, while a connection breaks and a node drains",
+			Name: "lost", Description: "the same three requests, while a connection breaks and a node drains",
 			requests: []requestSpec{{class: idempotentClass}, {class: keyedClass}, {class: orderedClass, key: "k"}}, nodes: successor, drains: 1, resets: 1,
 		},
 		{
-			Name: "two", What: "two nodes and two requests, in less than a minute", requests: []requestSpec{{class: idempotentClass}, {class: orderedClass, key: "k"}}, nodes: successor,
+			Name: "two", Description: "two nodes and two requests, in less than a minute", requests: []requestSpec{{class: idempotentClass}, {class: orderedClass, key: "k"}}, nodes: successor,
 			drains: 1, lists: 1, resets: 1,
 		},
 	}
@@ -161,11 +161,11 @@
 		w.startRequest(c)
 		for _, k := range w.sortedConns() {
 			if !k.open {
-				w.apply(Move{DialOK, uint32(k.id)})
+				w.apply(Move{CompleteDial, uint32(k.id)})
 			}
 		}
 		w.now += 5 * ms
-		w.apply(Move{Served, uint32(c.conn.id)})
+		w.apply(Move{RespondOK, uint32(c.conn.id)})
 	}
 	serve(w.requests[0])
 	w.startRequest(w.requests[1])
@@ -180,27 +180,27 @@
 func (w *World) advanceUntil(done func() bool) {
 	for !done() {
 		w.now = max(w.now, w.wakeAt)
-		w.apply(Move{Kind: Fire})
+		w.apply(Move{Kind: FireTimer})
 		w.runLoops()
 	}
 }
 
-// Prepared tells whether the world begins with a history, which a replay does not
+// HasHistory tells whether the world begins with a history, which a replay does not
 // have in it.
-func (s *Scenario) Prepared() bool { return s.prepare != nil }
+func (s *Scenario) HasHistory() bool { return s.prepare != nil }
 
-// Named returns a scenario by its name.
-func Named(name string) (Scenario, error) {
+// ScenarioByName returns a scenario by its name.
+func ScenarioByName(name string) (Scenario, error) {
 	all := Scenarios()
 	i := slices.IndexFunc(all, func(s Scenario) bool { return s.Name == name })
 	if i < 0 {
-		return Scenario{}, fmt.Errorf("no scenario is called %q; there are %v", name, Names())
+		return Scenario{}, fmt.Errorf("no scenario is called %q; there are %v", name, ScenarioNames())
 	}
 	return all[i], nil
 }
 
-// Names returns the names of all scenarios.
-func Names() []string {
+// ScenarioNames returns the names of all scenarios.
+func ScenarioNames() []string {
 	var out []string
 	for _, s := range Scenarios() {
 		out = append(out, s.Name)
@@ -237,25 +237,25 @@
 	return c
 }
 
-// Asked is a request of a scenario, for those who play it elsewhere.
-type Asked struct {
-	Class     string // safe, keyed, in turn, unsafe
-	Key       string
-	Shard     int
-	Once, Big bool
+// ScenarioRequest is a request of a scenario, for those who play it elsewhere.
+type ScenarioRequest struct {
+	Class                   string // safe, keyed, in turn, unsafe
+	Key                     string
+	Shard                   int
+	NotReplayable, Streamed bool
 }
 
-// Asked returns the scenario's requests, the first one being number 1.
-func (s *Scenario) Asked() []Asked {
-	var out []Asked
+// Requests returns the scenario's requests, the first one being number 1.
+func (s *Scenario) Requests() []ScenarioRequest {
+	var out []ScenarioRequest
 	for _, a := range s.requests {
-		out = append(out, Asked{[]string{"safe", "keyed", "in turn", "unsafe"}[a.class], a.key, int(a.shard), a.notReplayable, a.streamed})
+		out = append(out, ScenarioRequest{[]string{"safe", "keyed", "in turn", "unsafe"}[a.class], a.key, int(a.shard), a.notReplayable, a.streamed})
 	}
 	return out
 }
 
-// Places returns the scenario's nodes, with whether they are listed from the start.
-func (s *Scenario) Places() map[string]bool {
+// Nodes returns the scenario's nodes, with whether they are listed from the start.
+func (s *Scenario) Nodes() map[string]bool {
 	out := map[string]bool{}
 	for _, p := range s.nodes {
 		out[string(p.id)] = p.initial
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -12,25 +12,25 @@
 
 // Options bound a search.
 type Options struct {
-	Workers int  // 0: all cores
-	States  int  // at most; 0: no bound
-	Reduce  bool // leave out orders that commute
-	Exact   bool // tell states apart by every digit of what was learned
-	Cover   bool // count the transitions taken
-	Until   func(depth, states int)
+	Workers   int  // 0: all cores
+	MaxStates int  // at most; 0: no bound
+	Reduce    bool // leave out orders that commute
+	Exact     bool // tell states apart by every digit of what was learned
+	Coverage  bool // count the transitions taken
+	Progress  func(depth, states int)
 }
 
 // Result is what a search found.
 type Result struct {
-	Scenario string
-	States   int
-	Moves    int64 // taken, with those that led to known states
-	Depth    int   // the longest way to a new state
-	Ends     int   // states in which nothing more can happen
-	Whole    bool  // every state was visited
-	Breach   *Breach
-	Path     []Move // the shortest way to it
-	Cover    *Coverage
+	Scenario  string
+	States    int
+	Moves     int64 // taken, with those that led to known states
+	Depth     int   // the longest way to a new state
+	EndStates int   // states in which nothing more can happen
+	Complete  bool  // every state was visited
+	Violation *Violation
+	Path      []Move // the shortest way to it
+	Coverage  *Coverage
 }
 
 // searchNode is a state by the move that first led to it.
@@ -79,28 +79,28 @@
 	if o.Workers <= 0 {
 		o.Workers = runtime.GOMAXPROCS(0)
 	}
-	e := &searcher{scenario: &s, options: o, result: Result{Scenario: s.Name, Whole: true}}
-	if o.Cover {
-		e.result.Cover = NewCoverage()
+	e := &searcher{scenario: &s, options: o, result: Result{Scenario: s.Name, Complete: true}}
+	if o.Coverage {
+		e.result.Coverage = NewCoverage()
 	}
 	root := newWorld(&s)
 	e.known.add(newFingerprinter(o.Exact).fingerprint(root))
 	front := []*searchNode{{}}
-	for len(front) > 0 && e.result.Breach == nil {
-		if ctx.Err() != nil || o.States > 0 && int(e.known.n.Load()) >= o.States {
-			e.result.Whole = false
+	for len(front) > 0 && e.result.Violation == nil {
+		if ctx.Err() != nil || o.MaxStates > 0 && int(e.known.n.Load()) >= o.MaxStates {
+			e.result.Complete = false
 			break
 		}
 		front = e.level(ctx, front)
 		if len(front) > 0 {
 			e.result.Depth++
 		}
-		if o.Until != nil {
-			o.Until(e.result.Depth, int(e.known.n.Load()))
+		if o.Progress != nil {
+			o.Progress(e.result.Depth, int(e.known.n.Load()))
 		}
 	}
-	if e.result.Breach != nil || ctx.Err() != nil {
-		e.result.Whole = false
+	if e.result.Violation != nil || ctx.Err() != nil {
+		e.result.Complete = false
 	}
 	e.result.States = int(e.known.n.Load())
 	return e.result
@@ -123,7 +123,7 @@
 	for i := range e.options.Workers {
 		wg.Go(func() {
 			w := &worker{searcher: e, fingerprinter: newFingerprinter(e.options.Exact)}
-			if e.options.Cover {
+			if e.options.Coverage {
 				w.coverage = NewCoverage()
 			}
 			for {
@@ -154,9 +154,9 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.result.Moves += w.moves
-	w.result.Ends += w.ends
+	w.result.EndStates += w.ends
 	if w.coverage != nil {
-		w.result.Cover.Add(w.coverage)
+		w.result.Coverage.Add(w.coverage)
 	}
 }
 
@@ -203,11 +203,11 @@
 }
 
 // noteViolation notes a breach; of several of one depth, the one whose way comes first.
-func (w *worker) noteViolation(b *Breach, path []Move) {
+func (w *worker) noteViolation(b *Violation, path []Move) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.result.Breach == nil || slices.CompareFunc(path, w.result.Path, compareMoves) < 0 {
-		w.result.Breach, w.result.Path = b, path
+	if w.result.Violation == nil || slices.CompareFunc(path, w.result.Path, compareMoves) < 0 {
+		w.result.Violation, w.result.Path = b, path
 	}
 }
 
@@ -215,23 +215,23 @@
 	if a.Kind != b.Kind {
 		return int(a.Kind) - int(b.Kind)
 	}
-	return int(a.On) - int(b.On)
+	return int(a.Target) - int(b.Target)
 }
 
 // String tells of a result in a line.
 func (r Result) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%-8s %9d states, %10d moves, depth %3d, %6d ends", r.Scenario, r.States, r.Moves, r.Depth, r.Ends)
-	if r.Breach != nil {
-		fmt.Fprintf(&b, ": BROKEN after %d moves: %v", len(r.Path), r.Breach)
-	} else if !r.Whole {
+	fmt.Fprintf(&b, "%-8s %9d states, %10d moves, depth %3d, %6d ends", r.Scenario, r.States, r.Moves, r.Depth, r.EndStates)
+	if r.Violation != nil {
+		fmt.Fprintf(&b, ": BROKEN after %d moves: %v", len(r.Path), r.Violation)
+	} else if !r.Complete {
 		b.WriteString(": not whole")
 	}
 	return b.String()
 }
 
-// Tell plays a path and writes what happens.
-func Tell(s Scenario, path []Move, out func(format string, args ...any)) *Breach {
+// Explain plays a path and writes what happens.
+func Explain(s Scenario, path []Move, out func(format string, args ...any)) *Violation {
 	w := newWorld(&s)
 	w.log = out
 	for _, m := range path {
--- a/internal/modelcheck/walk.go
+++ b/internal/modelcheck/walk.go
@@ -7,10 +7,10 @@
 	"math/rand/v2"
 )
 
-// Large returns a world that is too large to be explored whole: so many nodes, two
+// LargeScenario returns a world that is too large to be explored whole: so many nodes, two
 // in three listed from the start, and requests of all kinds. It is walked at random.
-func Large(nodes, requests int) Scenario {
-	s := Scenario{Name: "large", What: "many nodes and requests, at random"}
+func LargeScenario(nodes, requests int) Scenario {
+	s := Scenario{Name: "large", Description: "many nodes and requests, at random"}
 	shards := max(1, nodes*2/3)
 	for i := range nodes {
 		s.nodes = append(s.nodes, nodeSpec{id: dispatch.NodeID(fmt.Sprint("n", i)), shard: dispatch.Shard(i % shards), initial: i < shards})
@@ -42,13 +42,13 @@
 // moveWeights says how likely the kinds of move are beside each other, so that a walk
 // gets somewhere: most of what happens is work.
 var moveWeights = [kindCount]int{
-	Arrive: 6, Follow: 12, Follow2: 12, Fire: 12, DialOK: 8, DialFail: 1, Served: 6, Closing: 1, Errored: 1, Full: 1, Headed: 3, Rest: 4,
-	Garbage: 1, Twice: 1, Reset: 1, Leave: 1, Flow: 3, BodySent: 3, Drain: 1, Remove: 1, List: 1, Renew: 1, Crash: 1, Truth: 2, Before: 3, Reach: 3,
+	StartRequest: 6, RunLoop0: 12, RunLoop1: 12, FireTimer: 12, CompleteDial: 8, FailDial: 1, RespondOK: 6, RespondAndClose: 1, RespondError: 1, RespondReject: 1, RespondStart: 3, RespondRest: 4,
+	RespondInvalid: 1, RespondTwice: 1, ResetConn: 1, CancelRequest: 1, StreamBody: 3, FinishBody: 3, DrainNode: 1, RemoveNode: 1, AddNode: 1, RestartNode: 1, RestartGateway: 1, RefreshEndpoints: 2, AdvanceBefore: 3, AdvanceTo: 3,
 }
 
 // Walk takes moves at random, up to a number, and returns its path and the breach
 // that it met. The same seed takes the same path.
-func Walk(s Scenario, seed uint64, most int, cover *Coverage) ([]Move, *Breach) {
+func Walk(s Scenario, seed uint64, most int, cover *Coverage) ([]Move, *Violation) {
 	rng := rand.New(rand.NewPCG(seed, 23))
 	w := newWorld(&s)
 	w.coverage = cover
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -289,14 +289,14 @@
 
 // bytes of answers, by the names that moves have.
 var responseText = map[Kind]string{
-	Served:  "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
-	Closing: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok",
-	Errored: "HTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\nno",
-	Full:    "HTTP/1.1 503 Full\r\nContent-Length: 2\r\n\r\nno",
-	Headed:  "HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\nabcdefgh",
-	Rest:    "ijklmnop",
-	Garbage: "what?\r\n\r\n",
-	Twice:   "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n\r\n",
+	RespondOK:       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
+	RespondAndClose: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok",
+	RespondError:    "HTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\nno",
+	RespondReject:   "HTTP/1.1 503 Full\r\nContent-Length: 2\r\n\r\nno",
+	RespondStart:    "HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\nabcdefgh",
+	RespondRest:     "ijklmnop",
+	RespondInvalid:  "what?\r\n\r\n",
+	RespondTwice:    "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n\r\n",
 }
 
 // receive reads bytes that a node sent, as gateway/call.go does.
--- a/lab/schedulereplay/schedulereplay.go
+++ b/lab/schedulereplay/schedulereplay.go
@@ -56,14 +56,14 @@
 
 // answers are what nodes send, by the names of the moves.
 var answers = map[modelcheck.Kind]string{
-	modelcheck.Served:  "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
-	modelcheck.Closing: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok",
-	modelcheck.Errored: "HTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\nno",
-	modelcheck.Full:    "HTTP/1.1 503 Full\r\nContent-Length: 2\r\n\r\nno",
-	modelcheck.Headed:  fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(large), large[:len(large)/2]),
-	modelcheck.Rest:    large[len(large)/2:],
-	modelcheck.Garbage: "what?\r\n\r\n",
-	modelcheck.Twice:   "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad",
+	modelcheck.RespondOK:       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
+	modelcheck.RespondAndClose: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok",
+	modelcheck.RespondError:    "HTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\nno",
+	modelcheck.RespondReject:   "HTTP/1.1 503 Full\r\nContent-Length: 2\r\n\r\nno",
+	modelcheck.RespondStart:    fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(large), large[:len(large)/2]),
+	modelcheck.RespondRest:     large[len(large)/2:],
+	modelcheck.RespondInvalid:  "what?\r\n\r\n",
+	modelcheck.RespondTwice:    "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad",
 }
 
 // Report is what a play showed.
@@ -77,7 +77,7 @@
 type player struct {
 	g    *gateway.Gateway
 	addr string
-	asks []modelcheck.Asked
+	asks []modelcheck.ScenarioRequest
 
 	mu      sync.Mutex
 	changed *sync.Cond
@@ -109,15 +109,15 @@
 	if err != nil {
 		return nil, err
 	}
-	if script.Scenario.Prepared() {
+	if script.Scenario.HasHistory() {
 		return nil, fmt.Errorf("scenario %s begins with a history that a replay has not in it: it cannot be forced on sockets", script.Scenario.Name)
 	}
 	p := &player{
-		asks: script.Scenario.Asked(), got: map[attempt]net.Conn{}, seen: map[attempt]bool{}, out: map[string]int{}, ends: map[int]string{}, nodes: map[string]*node{},
+		asks: script.Scenario.Requests(), got: map[attempt]net.Conn{}, seen: map[attempt]bool{}, out: map[string]int{}, ends: map[int]string{}, nodes: map[string]*node{},
 		clients: map[int]net.Conn{}, conns: map[uint32]net.Conn{},
 	}
 	p.changed = sync.NewCond(&p.mu)
-	if err := p.start(script.Scenario.Places()); err != nil {
+	if err := p.start(script.Scenario.Nodes()); err != nil {
 		return nil, err
 	}
 	defer p.stop()
@@ -125,7 +125,7 @@
 		if err := p.step(s); err != nil {
 			return nil, fmt.Errorf("line %d: %s: %w", s.Line, s.Text, err)
 		}
-		for i, n := range s.Sends { // what was sent there must be at a node here
+		for i, n := range s.AttemptsSent { // what was sent there must be at a node here
 			if n > 0 {
 				a := attempt{strconv.Itoa(i + 1), n - 1}
 				if err := p.wait(func() bool { return p.seen[a] }); err != nil {
@@ -134,8 +134,8 @@
 			}
 		}
 	}
-	r := &Report{Want: script.Ends}
-	for i, want := range script.Ends {
+	r := &Report{Want: script.Outcomes}
+	for i, want := range script.Outcomes {
 		if want == "" {
 			r.Ends = append(r.Ends, "")
 			continue
@@ -269,36 +269,36 @@
 // step does a move.
 func (p *player) step(s modelcheck.Step) error {
 	switch s.Move.Kind {
-	case modelcheck.Arrive:
-		return p.ask(s.Call)
-	case modelcheck.Leave:
+	case modelcheck.StartRequest:
+		return p.ask(s.Request)
+	case modelcheck.CancelRequest:
 		p.mu.Lock()
-		c := p.clients[s.Call]
-		p.ends[s.Call] = "left"
+		c := p.clients[s.Request]
+		p.ends[s.Request] = "left"
 		p.mu.Unlock()
 		c.Close()
 		return p.until(func() bool { return p.g.InFlight() == p.inHand() })
-	case modelcheck.DialOK, modelcheck.Follow, modelcheck.Follow2, modelcheck.Fire, modelcheck.Before, modelcheck.Reach:
+	case modelcheck.CompleteDial, modelcheck.RunLoop0, modelcheck.RunLoop1, modelcheck.FireTimer, modelcheck.AdvanceBefore, modelcheck.AdvanceTo:
 		return nil // by itself; waited for where it matters
-	case modelcheck.Drain:
+	case modelcheck.DrainNode:
 		p.g.UpdateEndpoints(dispatch.Delta, []forwarder.Node{p.entry(s.Node, dispatch.Draining)})
 		return nil
-	case modelcheck.Remove:
+	case modelcheck.RemoveNode:
 		p.g.UpdateEndpoints(dispatch.Delta, []forwarder.Node{p.entry(s.Node, dispatch.Removed)})
 		return nil
-	case modelcheck.List:
+	case modelcheck.AddNode:
 		p.g.UpdateEndpoints(dispatch.Delta, []forwarder.Node{p.entry(s.Node, dispatch.Ready)})
 		return nil
 	}
 	text, isAnswer := answers[s.Move.Kind]
-	if !isAnswer && s.Move.Kind != modelcheck.Reset {
+	if !isAnswer && s.Move.Kind != modelcheck.ResetConn {
 		return fmt.Errorf("cannot be forced on sockets")
 	}
 	c, err := p.conn(s)
 	if err != nil {
 		return err
 	}
-	if s.Move.Kind == modelcheck.Reset {
+	if s.Move.Kind == modelcheck.ResetConn {
 		if t, ok := c.(*net.TCPConn); ok {
 			t.SetLinger(0)
 		}
@@ -311,16 +311,16 @@
 // conn finds the connection that a move is about: by the request that it carries,
 // or as the one that was found for its number before.
 func (p *player) conn(s modelcheck.Step) (net.Conn, error) {
-	if s.Call > 0 {
-		a := attempt{strconv.Itoa(s.Call), s.Attempt}
+	if s.Request > 0 {
+		a := attempt{strconv.Itoa(s.Request), s.Attempt}
 		if err := p.wait(func() bool { return p.got[a] != nil }); err != nil {
-			return nil, fmt.Errorf("attempt %d of request %d is at no node: %w", s.Attempt, s.Call, err)
+			return nil, fmt.Errorf("attempt %d of request %d is at no node: %w", s.Attempt, s.Request, err)
 		}
 		p.mu.Lock()
-		p.conns[s.Move.On] = p.got[a]
+		p.conns[s.Move.Target] = p.got[a]
 		p.mu.Unlock()
 	}
-	if c := p.conns[s.Move.On]; c != nil {
+	if c := p.conns[s.Move.Target]; c != nil {
 		return c, nil
 	}
 	return nil, fmt.Errorf("the connection has carried nothing: it cannot be told from others")
@@ -352,7 +352,7 @@
 func (p *player) ask(i int) error {
 	a := p.asks[i-1]
 	method := methods[a.Class]
-	if method == "" || a.Once || a.Shard != 0 {
+	if method == "" || a.NotReplayable || a.Shard != 0 {
 		return fmt.Errorf("a request of this kind cannot be forced on sockets")
 	}
 	key := a.Key
