--- a/internal/modelcheck/coverage.go
+++ b/internal/modelcheck/coverage.go
@@ -33,7 +33,7 @@
 }
 
 // stageNames are those of the forwarder's stages, in their order.
-var stageNames = []string{"asked", "opening", "out", "passing", "released", "done"}
+var stageNames = []string{"waiting", "dialing", "inFlight", "streaming", "detached", "done"}
 
 const none = "-"
 
@@ -41,7 +41,7 @@
 // no need to tell.
 func stages(x *forwarder.Forwarder) map[dispatch.RequestID]string {
 	out := map[dispatch.RequestID]string{}
-	calls := reflect.ValueOf(x).Elem().FieldByName("calls")
+	calls := reflect.ValueOf(x).Elem().FieldByName("requests")
 	for it := calls.MapRange(); it.Next(); {
 		out[dispatch.RequestID(it.Key().Uint())] = stageNames[it.Value().Elem().FieldByName("stage").Int()]
 	}
@@ -58,11 +58,11 @@
 	if c == nil {
 		return nil
 	}
-	o := &observed{event: strings.TrimPrefix(fmt.Sprintf("%T", ev), "forwarder."), from: stages(w.x)}
+	o := &observed{event: strings.TrimPrefix(fmt.Sprintf("%T", ev), "forwarder."), from: stages(w.fwd)}
 	onConn := func(id forwarder.ConnID) {
-		conns := reflect.ValueOf(w.x).Elem().FieldByName("conns")
+		conns := reflect.ValueOf(w.fwd).Elem().FieldByName("conns")
 		if k := conns.MapIndex(reflect.ValueOf(id)); k.IsValid() {
-			if call := k.Elem().FieldByName("call"); !call.IsNil() {
+			if call := k.Elem().FieldByName("request"); !call.IsNil() {
 				o.of = dispatch.RequestID(call.Elem().FieldByName("req").FieldByName("ID").Uint())
 			}
 		}
@@ -92,7 +92,7 @@
 	if o == nil {
 		return
 	}
-	now := stages(w.x)
+	now := stages(w.fwd)
 	ids := map[dispatch.RequestID]bool{}
 	for id := range now {
 		ids[id] = true
@@ -127,8 +127,8 @@
 	}
 }
 
-// Taken returns the transitions that were taken, in order, with their counts.
-func (c *Coverage) Taken() ([]Transition, map[Transition]int64) {
+// Transitions returns the transitions that were taken, in order, with their counts.
+func (c *Coverage) Transitions() ([]Transition, map[Transition]int64) {
 	var ts []Transition
 	for t := range c.taken {
 		ts = append(ts, t)
@@ -137,9 +137,9 @@
 	return ts, c.taken
 }
 
-// Never returns the pairs of event and stage that no request met: each kind of event
+// Missing returns the pairs of event and stage that no request met: each kind of event
 // at each stage that it could find its request at.
-func (c *Coverage) Never() []string {
+func (c *Coverage) Missing() []string {
 	met := map[string]bool{}
 	for t := range c.taken {
 		if !t.OtherEvent {
@@ -147,7 +147,7 @@
 		}
 	}
 	var out []string
-	for _, p := range Pairs() {
+	for _, p := range EventStages() {
 		if !met[p] {
 			out = append(out, p)
 		}
@@ -155,13 +155,13 @@
 	return out
 }
 
-// Pairs are all pairs of an event and a stage at which it can find its request.
-func Pairs() []string {
+// EventStages are all pairs of an event and a stage at which it can find its request.
+func EventStages() []string {
 	return []string{
-		"StartRequest -", "ClientCanceled asked", "ClientCanceled opening", "ClientCanceled out", "ClientCanceled passing", "ClientCanceled released", "ClientCanceled -",
-		"DialCompleted opening", "DialCompleted -", "ResponseHeaders out", "ResponseHeaders released", "ResponseHeaders -", "ResponseCompleted out", "ResponseCompleted passing", "ResponseCompleted released", "ResponseCompleted -",
-		"ConnectionLost opening", "ConnectionLost out", "ConnectionLost passing", "ConnectionLost released", "ConnectionLost -", "BodyStreaming out", "BodyStreaming released", "BodySent out", "BodySent released",
-		"TimerFired asked", "TimerFired opening", "TimerFired out", "TimerFired passing", "TimerFired released",
-		"EndpointUpdate asked", "EndpointUpdate opening", "EndpointUpdate out", "EndpointUpdate passing", "EndpointUpdate released",
+		"StartRequest -", "ClientCanceled waiting", "ClientCanceled dialing", "ClientCanceled inFlight", "ClientCanceled streaming", "ClientCanceled detached", "ClientCanceled -",
+		"DialCompleted dialing", "DialCompleted -", "ResponseHeaders inFlight", "ResponseHeaders detached", "ResponseHeaders -", "ResponseCompleted inFlight", "ResponseCompleted streaming", "ResponseCompleted detached", "ResponseCompleted -",
+		"ConnectionLost dialing", "ConnectionLost inFlight", "ConnectionLost streaming", "ConnectionLost detached", "ConnectionLost -", "BodyStreaming inFlight", "BodyStreaming detached", "BodySent inFlight", "BodySent detached",
+		"TimerFired waiting", "TimerFired dialing", "TimerFired inFlight", "TimerFired streaming", "TimerFired detached",
+		"EndpointUpdate waiting", "EndpointUpdate dialing", "EndpointUpdate inFlight", "EndpointUpdate streaming", "EndpointUpdate detached",
 	}
 }
--- a/lab/mutation/list.go
+++ b/lab/mutation/list.go
@@ -1,14 +1,19 @@
 package mutation
 
 const (
-	exchangeFile = "forwarder/forwarder.go"
-	readerFile   = "internal/upstreamhttp/reader.go"
+	forwarderRequests  = "forwarder/requests.go"
+	forwarderAttempts  = "forwarder/attempts.go"
+	forwarderResponses = "forwarder/responses.go"
+	forwarderConnPool  = "forwarder/connpool.go"
+	forwarderEndpoints = "forwarder/endpoints.go"
 
-	attemptsFile  = "dispatch/attempts.go"
-	endpointsFile = "dispatch/endpoints.go"
-	orderingFile  = "dispatch/ordering.go"
-	requestFile   = "dispatch/request.go"
-	retryFile     = "dispatch/retry.go"
+	nodeReader = "internal/upstreamhttp/reader.go"
+
+	dispatchAttempts  = "dispatch/attempts.go"
+	dispatchEndpoints = "dispatch/endpoints.go"
+	dispatchOrdering  = "dispatch/ordering.go"
+	dispatchRequest   = "dispatch/request.go"
+	dispatchRetry     = "dispatch/retry.go"
 )
 
 // All returns the faults.
@@ -16,93 +21,221 @@
 	return []Mutant{
 		// The forwarder.
 		{
-			Name: "a second attempt while one is out", File: exchangeFile, From: "	if c.stage != asked {\n		return // cannot happen", To: "	if false {\n		return // cannot happen",
-			Equal: "the dispatcher never decides a second attempt before it heard of the first one's end: the guard stands behind another",
+			Name:  "a second attempt while one is in flight",
+			File:  forwarderAttempts,
+			From:  "\tif r.stage != stageWaiting {\n\t\treturn // cannot happen",
+			To:    "\tif false {\n\t\treturn // cannot happen",
+			Equal: "the dispatcher never starts a second attempt before the result of the first: the guard is behind another",
+		},
+		{
+			Name:  "an attempt at a draining node",
+			File:  forwarderAttempts,
+			From:  "if n == nil || n.State != dispatch.Ready {",
+			To:    "if n == nil {",
+			Equal: "the dispatcher and the forwarder handle a drain in one event: the guard is behind the dispatcher's",
+		},
+		{
+			Name: "a drain while dialing is ignored",
+			File: forwarderConnPool,
+			From: "\tcase c.node.State != dispatch.Ready:",
+			To:   "\tcase false && c.node.State != dispatch.Ready:",
+		},
+		{
+			Name: "a dedup window that ends while dialing is ignored",
+			File: forwarderConnPool,
+			From: "\tcase f.dedupWindowExpired(r):",
+			To:   "\tcase false && f.dedupWindowExpired(r):",
+		},
+		{
+			Name: "a connection on which a response may arrive is kept",
+			File: forwarderRequests,
+			From: "\tif c.state == connBusy {\n\t\tf.closeConn(c)\n\t}",
+			To:   "\tif false {\n\t\tf.closeConn(c)\n\t}",
+		},
+		{
+			Name: "a request that is not replayable is sent again",
+			File: forwarderAttempts,
+			From: "\tif r.notReplayable && r.stage == stageInFlight {",
+			To:   "\tif false {",
+		},
+		{
+			Name:  "a result is reported twice",
+			File:  forwarderAttempts,
+			From:  "\tif r.resultReported {\n\t\treturn\n\t}\n\tr.resultReported = responded",
+			To:    "\tr.resultReported = responded",
+			Equal: "the dispatcher takes one result of an attempt and ignores the others",
+		},
+		{
+			Name: "a cancellation while dialing is not reported",
+			File: forwarderRequests,
+			From: "\t\tf.reportResult(r, dispatch.NotSent, ResponseInfo{}, true)",
+			To:   "\t\t_ = r",
+		},
+		{
+			Name: "a cancellation while in flight is not reported",
+			File: forwarderRequests,
+			From: "\t\tf.notify(dispatch.ClientCanceled{ID: id})\n\t\tf.reportResult(r, dispatch.Canceled, ResponseInfo{}, true)",
+			To:   "\t\tf.notify(dispatch.ClientCanceled{ID: id})",
+		},
+		{
+			Name:  "a connection to a draining node is put back",
+			File:  forwarderConnPool,
+			From:  "if c.node.State != dispatch.Ready || f.now-c.createdAt >= f.cfg.MaxConnAge || f.conns[c.id] == nil {",
+			To:    "if f.now-c.createdAt >= f.cfg.MaxConnAge || f.conns[c.id] == nil {",
+			Equal: "nothing is sent to a draining node; its connections are closed by their age",
+		},
+		{
+			Name: "a connection that the node closes is reused",
+			File: forwarderResponses,
+			From: "\tif e.Reuse {",
+			To:   "\tif true {",
+		},
+		{
+			Name: "connections to an earlier process are kept",
+			File: forwarderEndpoints,
+			From: "if n.Addr != entry.Addr || n.Started != entry.Started {",
+			To:   "if n.Addr != entry.Addr {",
+		},
+		{
+			Name: "no bound on connections",
+			File: forwarderConnPool,
+			From: "\tif n.connCount >= f.cfg.MaxConnsPerNode {",
+			To:   "\tif false {",
+		},
+		{
+			Name: "an evicted connection is not closed",
+			File: forwarderConnPool,
+			From: "\t\tf.closeConn(n.idleConns[0])",
+			To:   "\t\tf.removeConn(n.idleConns[0])",
+		},
+		{
+			Name: "a connection dialed too late is left with its request",
+			File: forwarderAttempts,
+			From: "\t\tf.failAttempt(r, dispatch.ConnectFailed, ResponseInfo{})\n\t\tr.conn = nil\n\t\tc.request = nil",
+			To:   "\t\tf.failAttempt(r, dispatch.ConnectFailed, ResponseInfo{})\n\t\tr.conn = nil\n\t\t_ = c",
+		},
+		{
+			Name: "an attempt that timed out keeps its connection",
+			File: forwarderAttempts,
+			From: "\tif r.conn == c {\n\t\tf.releaseConn(r)\n\t}",
+			To:   "\t_ = c",
+		},
+		{
+			Name: "a connection reset is not reported",
+			File: forwarderConnPool,
+			From: "\t\tf.failAttempt(r, dispatch.ConnectionReset, ResponseInfo{})",
+			To:   "\t\t_ = r",
+		},
+		{
+			Name: "a response that breaks off is not aborted",
+			File: forwarderConnPool,
+			From: "\t\tf.finish(r, AbortResponse{ID: r.req.ID, Loop: r.loop})",
+			To:   "\t\tf.finish(r, nil)",
+		},
+		{
+			Name: "a failed dial is not removed",
+			File: forwarderConnPool,
+			From: "\tif !e.OK {\n\t\tc.request = nil\n\t\tf.removeConn(c)",
+			To:   "\tif !e.OK {\n\t\tc.request = nil",
+		},
+		{
+			Name: "an attempt outlasts its client",
+			File: forwarderAttempts,
+			From: "\tuntil := r.deadline\n",
+			To:   "\tuntil := r.deadline + 1e9\n",
+		},
+		{
+			Name:  "a response starts twice",
+			File:  forwarderResponses,
+			From:  "c.request.stage != stageInFlight && c.request.stage != stageDetached {",
+			To:    "c.request.stage == stageDone {",
+			Equal: "the event loop reports the headers of each response once",
+		},
+		{
+			Name: "a rejection of a detached request goes to the dispatcher",
+			File: forwarderResponses,
+			From: "\tcase r.stage == stageDetached && info.Result != dispatch.OK:",
+			To:   "\tcase false:",
+		},
+		{
+			Name: "an ordered write is detached",
+			File: forwarderAttempts,
+			From: "if holdsKey := r.class.Ordered && r.req.Key != \"\"; holdsKey || !f.reserveStream(r) {",
+			To:   "if !f.reserveStream(r) {",
 		},
 		{
-			Name: "an attempt at a node that drains", File: exchangeFile, From: "if n == nil || n.State != dispatch.Ready {", To: "if n == nil {",
-			Equal: "the dispatcher and the forwarder hear of a drain in one event: the guard stands behind the dispatcher's",
+			Name: "a node that read the whole body has no timeout",
+			File: forwarderAttempts,
+			From: "\t\t\tf.setAttemptTimer(r, f.now+r.class.Deadline)",
+			To:   "\t\t\t_ = r.class",
 		},
-		{Name: "a drain while connecting", File: exchangeFile, From: "	case n.State != dispatch.Ready:", To: "	case false && n.State != dispatch.Ready:"},
-		{Name: "a window that ends while connecting", File: exchangeFile, From: "	case x.tooLate(c):", To: "	case false && x.tooLate(c):"},
-		{Name: "a connection in doubt is kept", File: exchangeFile, From: "	if k.state == busy {\n		x.close(k)\n	}", To: "	if false {\n		x.close(k)\n	}"},
-		{Name: "a body that is gone is sent again", File: exchangeFile, From: "	if c.once && c.stage == out {", To: "	if false {"},
 		{
-			Name: "the dispatcher hears of an end twice", File: exchangeFile, From: "	if c.settled {\n		return\n	}\n	c.settled = concluded", To: "	c.settled = concluded",
-			Equal: "the dispatcher takes one end of an attempt and leaves out the rest",
+			Name: "a response is discarded",
+			File: forwarderResponses,
+			From: "\tcase info.Result == dispatch.OK:\n",
+			To:   "\tcase false:\n",
 		},
-		{Name: "a client that leaves while connecting is not told", File: exchangeFile, From: "		x.give(c, dispatch.NotSent, ResponseInfo{}, true)", To: "		_ = c"},
-		{Name: "a client that leaves while out is not told", File: exchangeFile, From: "		x.tell(dispatch.ClientCanceled{ID: id})\n		x.give(c, dispatch.Canceled, ResponseInfo{}, true)", To: "		x.tell(dispatch.ClientCanceled{ID: id})"},
 		{
-			Name: "a connection to a drained node rests", File: exchangeFile, From: "if k.node.State != dispatch.Ready || x.now-k.born >= x.cfg.MaxConnAge || x.conns[k.id] == nil {", To: "if x.now-k.born >= x.cfg.MaxConnAge || x.conns[k.id] == nil {",
-			Equal: "nothing is sent to a drained node; its connections go when they are old",
+			Name: "a request is removed before its response",
+			File: forwarderRequests,
+			From: "\tif response != nil {\n\t\tf.emit(response)\n\t}",
+			To:   "\tif response != nil && r.attempt < 1 {\n\t\tf.emit(response)\n\t}",
 		},
-		{Name: "a connection that the node closes is used again", File: exchangeFile, From: "	if e.Reuse {", To: "	if true {"},
-		{Name: "connections to a former process are kept", File: exchangeFile, From: "if n.Addr != l.Addr || n.Started != l.Started {", To: "if n.Addr != l.Addr {"},
-		{Name: "no bound on connections", File: exchangeFile, From: "	if n.conns >= x.cfg.MaxConnsPerNode {", To: "	if false {"},
-		{Name: "an unused connection gives way and is not closed", File: exchangeFile, From: "		x.close(n.idle[0])", To: "		x.unlist(n.idle[0])"},
-		{Name: "a connection that comes late is left with its call", File: exchangeFile, From: "		x.end(c, dispatch.ConnectFailed, ResponseInfo{})\n		c.conn, k.call = nil, nil", To: "		x.end(c, dispatch.ConnectFailed, ResponseInfo{})\n		c.conn = nil\n		_ = k"},
-		{Name: "an attempt that ran out of time keeps its connection", File: exchangeFile, From: "	if c.conn == k {\n		x.detach(c)\n	}", To: "	_ = k"},
-		{Name: "a broken connection is not told", File: exchangeFile, From: "		x.end(c, dispatch.ConnectionReset, ResponseInfo{})", To: "		_ = c"},
-		{Name: "an answer that breaks off is not cut", File: exchangeFile, From: "		x.conclude(c, AbortResponse{ID: c.req.ID, Loop: c.lane})", To: "		x.conclude(c, nil)"},
-		{Name: "a connection that failed is not forgotten", File: exchangeFile, From: "	if !e.OK {\n		k.call = nil\n		x.unlist(k)", To: "	if !e.OK {\n		k.call = nil"},
-		{Name: "an attempt outlasts its client", File: exchangeFile, From: "	until := c.deadline\n", To: "	until := c.deadline + time.Second\n"},
 		{
-			Name: "an answer begins twice", File: exchangeFile, From: "k.call.stage != out && k.call.stage != released {", To: "k.call.stage == done {",
-			Equal: "the loop tells of one head for each answer",
+			Name:  "old connections are reused",
+			File:  forwarderConnPool,
+			From:  "if f.now-c.createdAt >= f.cfg.MaxConnAge || f.now-c.idleSince >= f.cfg.IdleTimeout {",
+			To:    "if false {",
+			Equal: "an old connection works like a new one",
 		},
-		{Name: "a refusal to a body that flowed goes to the dispatcher", File: exchangeFile, From: "	case c.stage == released && e.Info.Result != dispatch.OK:", To: "	case false:"},
-		{Name: "a write in its turn lets go of its key", File: exchangeFile, From: `c.bodySent || c.class.Ordered && c.req.Key != "" || !x.stream(c)`, To: "c.bodySent || !x.stream(c)"},
-		{Name: "a node that took the body has no time limit", File: exchangeFile, From: "			x.callTimer(c, x.now+c.class.Deadline)", To: "			_ = c.class"},
-		{Name: "a late answer is delivered as lost", File: exchangeFile, From: "	case e.Info.Result == dispatch.OK:\n", To: "	case false:\n"},
-		{Name: "a call is forgotten before its answer", File: exchangeFile, From: "	if a != nil {\n		x.act(a)\n	}", To: "	if a != nil && c.attempt < 1 {\n		x.act(a)\n	}"},
 		{
-			Name: "old connections are used", File: exchangeFile, From: "if x.now-k.born >= x.cfg.MaxConnAge || x.now-k.since >= x.cfg.IdleTimeout {", To: "if false {",
-			Equal: "an old connection works as a new one does; its age is a matter of prudence",
+			Name: "idle connections are never closed",
+			File: forwarderConnPool,
+			From: "\tcase f.now-c.idleSince >= f.cfg.IdleTimeout:\n\t\tf.closeConn(c)",
+			To:   "\tcase f.now-c.idleSince >= f.cfg.IdleTimeout:\n\t\t_ = c",
 		},
-		{Name: "idle connections are never closed", File: exchangeFile, From: "	case x.now-k.since >= x.cfg.IdleTimeout:\n		x.close(k)", To: "	case x.now-k.since >= x.cfg.IdleTimeout:\n		_ = k"},
 
 		// The reader of connections.
 		{
-			Name: "a second request on a connection", File: readerFile, From: "	if r.state != Idle {\n		return false\n	}", To: "	if r.state == Broken {\n		return false\n	}",
+			Name: "a second request on a connection", File: nodeReader, From: "	if r.state != Idle {\n		return false\n	}", To: "	if r.state == Broken {\n		return false\n	}",
 			Equal: "the forwarder sends one at a time: the guard stands behind it",
 		},
-		{Name: "an answer without a request is taken", File: readerFile, From: `	return r.fault("an answer came without a request")`, To: "	return Step{Kind: NeedMore, Used: len(b)}"},
-		{Name: "more than the answer does not end the connection", File: readerFile, From: "!r.Response.Close && !r.more", To: "!r.Response.Close"},
-		{Name: "the node's word to close is not heard", File: readerFile, From: "r.state == Complete && !r.Response.Close && !r.more", To: "r.state == Complete && !r.more"},
+		{Name: "an answer without a request is taken", File: nodeReader, From: `	return r.fault("an answer came without a request")`, To: "	return Step{Kind: NeedMore, Used: len(b)}"},
+		{Name: "more than the answer does not end the connection", File: nodeReader, From: "!r.Response.Close && !r.more", To: "!r.Response.Close"},
+		{Name: "the node's word to close is not heard", File: nodeReader, From: "r.state == Complete && !r.Response.Close && !r.more", To: "r.state == Complete && !r.more"},
 		{
-			Name: "half an answer leaves the connection good", File: readerFile, From: "		r.state = Broken\n	}\n}\n\n// Break", To: "		r.state = Idle\n	}\n}\n\n// Break",
+			Name: "half an answer leaves the connection good", File: nodeReader, From: "		r.state = Broken\n	}\n}\n\n// Break", To: "		r.state = Idle\n	}\n}\n\n// Break",
 			Equal: "the forwarder closes the connection of a call that ends before its answer",
 		},
-		{Name: "a body ends short", File: readerFile, From: "		case r.left == 0:", To: "		case r.left <= 8:"},
+		{Name: "a body ends short", File: nodeReader, From: "		case r.left == 0:", To: "		case r.left <= 8:"},
 
 		// The dispatcher.
 		{
-			Name: "a drained node is sent to", File: attemptsFile, From: "d.now >= r.deadline || !n.listed || n.State != Ready {", To: "d.now >= r.deadline || !n.listed {",
+			Name: "a drained node is sent to", File: dispatchAttempts, From: "d.now >= r.deadline || !n.listed || n.State != Ready {", To: "d.now >= r.deadline || !n.listed {",
 			Equal: "what a node that drains holds has been taken from it in the same event",
 		},
-		{Name: "attempts without end", File: retryFile, From: "d.cfg.MaxAttempts > 0 && r.attempts >= d.cfg.MaxAttempts", To: "false"},
-		{Name: "an unsafe request is repeated", File: retryFile, From: "	case NonIdempotent:\n		return false", To: "	case NonIdempotent:\n		return true"},
-		{Name: "the window is not looked at", File: retryFile, From: "return inScope && d.now-r.ambiguousSince < r.class.DedupWindow", To: "return inScope"},
-		{Name: "no budget", File: retryFile, From: "	return float64(len(d.budgetRetries)+1) <= allowed", To: "	_ = allowed\n	return true"},
-		{Name: "a refusal where an attempt may have run", File: requestFile, From: "	return !r.ambiguous && !r.outstanding || r.class.Idempotency == Idempotent ||", To: "	return true || r.class.Idempotency == Idempotent ||"},
-		{Name: "a key does not rest", File: orderingFile, From: "	q.quiescentAt = max(q.quiescentAt, d.now+d.cfg.Quiescence)", To: "	q.quiescentAt = max(q.quiescentAt, d.now)"},
+		{Name: "attempts without end", File: dispatchRetry, From: "d.cfg.MaxAttempts > 0 && r.attempts >= d.cfg.MaxAttempts", To: "false"},
+		{Name: "an unsafe request is repeated", File: dispatchRetry, From: "	case NonIdempotent:\n		return false", To: "	case NonIdempotent:\n		return true"},
+		{Name: "the window is not looked at", File: dispatchRetry, From: "return inScope && d.now-r.ambiguousSince < r.class.DedupWindow", To: "return inScope"},
+		{Name: "no budget", File: dispatchRetry, From: "	return float64(len(d.budgetRetries)+1) <= allowed", To: "	_ = allowed\n	return true"},
+		{Name: "a refusal where an attempt may have run", File: dispatchRequest, From: "	return !r.ambiguous && !r.outstanding || r.class.Idempotency == Idempotent ||", To: "	return true || r.class.Idempotency == Idempotent ||"},
+		{Name: "a key does not rest", File: dispatchOrdering, From: "	q.quiescentAt = max(q.quiescentAt, d.now+d.cfg.Quiescence)", To: "	q.quiescentAt = max(q.quiescentAt, d.now)"},
 		{
-			Name: "the next of a key before the last has left its node", File: orderingFile, From: "q.requests[0].state == completed && !q.requests[0].outstanding {", To: "q.requests[0].state == completed {",
+			Name: "the next of a key before the last has left its node", File: dispatchOrdering, From: "q.requests[0].state == completed && !q.requests[0].outstanding {", To: "q.requests[0].state == completed {",
 			Equal: "the forwarder tells of an attempt's end in the event in which it tells of its request's; the guard counts where attempts outlast requests, as on the bench",
 		},
 		{
-			Name: "a key's turn is not passed on", File: orderingFile, From: "		d.place(q.requests[0])\n	default:", To: "	default:",
+			Name: "a key's turn is not passed on", File: dispatchOrdering, From: "		d.place(q.requests[0])\n	default:", To: "	default:",
 			Equal: "no rule is broken: the next request is refused at its aim; the dispatcher's TestOrderByKey finds it",
 		},
 		{
-			Name: "a further attempt forgets its queue", File: retryFile, From: "	if n := r.node; n.listed && n.State == Ready && d.mayRetry(r, n) {", To: "	if n := r.node; n.listed && n.State == Ready {",
+			Name: "a further attempt forgets its queue", File: dispatchRetry, From: "	if n := r.node; n.listed && n.State == Ready && d.mayRetry(r, n) {", To: "	if n := r.node; n.listed && n.State == Ready {",
 			Equal: "what may not be repeated is not sent, by the guard on what leaves; the request is refused at its aim, not at once",
 		},
 		{
-			Name: "what a drained node holds stays", File: endpointsFile, From: "		if n.State != Ready {\n			d.requeueFrom(n)\n		}", To: "",
+			Name: "what a drained node holds stays", File: dispatchEndpoints, From: "		if n.State != Ready {\n			d.requeueFrom(n)\n		}", To: "",
 			Equal: "no rule is broken: nothing is sent to the node, and what it holds is refused at its aim; the dispatcher's TestNodeThatIsNotReadyGetsNoRequests finds it",
 		},
-		{Name: "no end by the aim", File: requestFile, From: "	if r.state == queued || r.state == awaitingTurn {", To: "	if r.state == queued {"},
+		{Name: "no end by the aim", File: dispatchRequest, From: "	if r.state == queued || r.state == awaitingTurn {", To: "	if r.state == queued {"},
 	}
 }
