--- a/internal/eventloop/history.go
+++ b/internal/eventloop/history.go
@@ -2,75 +2,79 @@
 
 import "time"
 
-// remembered is how many turns a loop remembers; those of one flow that follow each other
-// count as one.
-const remembered = 512
+// historySize is how many runs of time slices a loop remembers. Consecutive slices of one flow
+// are one run.
+const historySize = 512
 
-// history is who had a loop's last turns.
+// history is a ring of the last runs of time slices on a loop.
 type history struct {
-	a    [remembered]stretch
-	last int
+	runs [historySize]run
+	last int // index of the newest run
 }
 
-// stretch is the turns of one flow, one after the other.
-type stretch struct {
+// run is consecutive time slices of one flow.
+type run struct {
 	flow       *Flow
-	begun, end time.Duration
-	work       time.Duration // of the time between, without looking for events
+	begin, end time.Duration
+	work       time.Duration // of the time between, without polling for events
 }
 
-func (h *history) add(f *Flow, begun, end time.Duration) {
-	s := &h.a[h.last]
-	if s.flow == f {
-		s.end = end
-		s.work += end - begun
+// add records a time slice.
+func (h *history) add(f *Flow, begin, end time.Duration) {
+	r := &h.runs[h.last]
+	if r.flow == f {
+		r.end = end
+		r.work += end - begin
 		return
 	}
-	h.last = (h.last + 1) % remembered
-	h.a[h.last] = stretch{f, begun, end, end - begun}
+	h.last = (h.last + 1) % historySize
+	h.runs[h.last] = run{flow: f, begin: begin, end: end, work: end - begin}
 }
 
-// SliceUsage is time of a loop that a flow had.
+// workSince returns the part of a run's work after a time, as if the work were spread evenly.
+func (r *run) workSince(from time.Duration) time.Duration {
+	if r.begin >= from {
+		return r.work
+	}
+	return time.Duration(float64(r.work) * float64(r.end-from) / float64(r.end-r.begin))
+}
+
+// SliceUsage is the time of a loop that a flow used.
 type SliceUsage struct {
 	Flow *Flow
 	Time time.Duration
 }
 
-// tellApart is how many flows a wait is divided among; what others had is nobody's.
-const tellApart = 8
+// maxFlowsReported is how many flows WaitedBehind tells apart. The usage of further flows is
+// left out.
+const maxFlowsReported = 8
 
-// WaitedBehind appends who had the loop while the connection waited for its present turn. The sum is no more
-// than it waited: looking for events takes time too, and of a long wait among many
-// flows only the last turns are remembered.
+// WaitedBehind appends which flows used the loop while the connection waited for its present time
+// slice. The sum is at most SliceWait: polling for events takes time too, and of a long wait
+// behind many flows only the last runs are remembered.
 func (c *Conn) WaitedBehind(to []SliceUsage) []SliceUsage {
 	l := c.loop
-	from, first := l.t-c.held, len(to)
-	for i := range remembered {
-		s := &l.past.a[(l.past.last-i+remembered)%remembered]
-		if s.flow == nil || s.end <= from {
+	from := l.now - c.sliceWait
+	first := len(to)
+	for i := range historySize {
+		r := &l.history.runs[(l.history.last-i+historySize)%historySize]
+		if r.flow == nil || r.end <= from {
 			break
 		}
-		to = addTurns(to, first, s.flow, s.within(from))
+		to = addUsage(to, first, r.flow, r.workSince(from))
 	}
 	return to
 }
 
-// within returns the part of a stretch's work after a moment, as if it were spread evenly.
-func (s *stretch) within(from time.Duration) time.Duration {
-	if s.begun >= from {
-		return s.work
-	}
-	return time.Duration(float64(s.work) * float64(s.end-from) / float64(s.end-s.begun))
-}
-
-func addTurns(to []SliceUsage, first int, f *Flow, d time.Duration) []SliceUsage {
+// addUsage adds a flow's time to the entries from index first on.
+func addUsage(to []SliceUsage, first int, f *Flow, d time.Duration) []SliceUsage {
 	for i := first; i < len(to); i++ {
 		if to[i].Flow == f {
 			to[i].Time += d
 			return to
 		}
 	}
-	if len(to)-first < tellApart {
+	if len(to)-first < maxFlowsReported {
 		to = append(to, SliceUsage{f, d})
 	}
 	return to
--- a/internal/eventloop/history_test.go
+++ b/internal/eventloop/history_test.go
@@ -6,41 +6,37 @@
 	"time"
 )
 
-// Who had the loop during a wait is told by flow, also where the wait began in the middle of
-// a stretch of turns, and no more than was waited.
-func TestBehindTellsWhoHadTheLoop(t *testing.T) {
-	l, err := NewLoop(0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	go l.Run()
-	defer l.Stop()
-	a, b := l.sched.Flow(0, "a", fairshare.FlowConfig{}, nil), l.sched.Flow(0, "b", fairshare.FlowConfig{}, nil)
+// WaitedBehind tells by flow who used the loop during a wait, also where the wait began within
+// a run of time slices, and reports no more than was waited.
+func TestWaitedBehind(t *testing.T) {
+	l := newLoop(t)
+	a := l.scheduler.Flow(0, "a", fairshare.FlowConfig{}, nil)
+	b := l.scheduler.Flow(0, "b", fairshare.FlowConfig{}, nil)
 	const us = time.Microsecond
 	var h history
 	h.add(a, 0, 40*us)
-	h.add(a, 50*us, 110*us) // one stretch, 100 of 110 µs
+	h.add(a, 50*us, 110*us) // one run, 100 of 110 µs
 	h.add(b, 110*us, 150*us)
 	h.add(a, 160*us, 190*us)
-	loop := &Loop{past: h, t: 200 * us}
-	got := (&Conn{loop: loop, held: 145 * us}).WaitedBehind(nil)
+	loop := &Loop{history: h, now: 200 * us}
+	got := (&Conn{loop: loop, sliceWait: 145 * us}).WaitedBehind(nil)
 	if len(got) != 2 || got[0] != (SliceUsage{a, 30*us + 50*us}) || got[1] != (SliceUsage{b, 40 * us}) {
 		t.Errorf("%v", got)
 	}
 	if got := (&Conn{loop: loop}).WaitedBehind(nil); len(got) != 0 {
 		t.Errorf("without a wait: %v", got)
 	}
-	for i := range 2 * remembered { // more turns than are remembered, of more flows than are told apart
-		f := l.sched.Flow(0, string(rune('c'+i%20)), fairshare.FlowConfig{}, nil)
-		loop.past.add(f, time.Duration(200+i)*us, time.Duration(201+i)*us)
-		loop.t = time.Duration(201+i) * us
+	for i := range 2 * historySize { // more runs than are remembered, of more flows than are reported
+		f := l.scheduler.Flow(0, string(rune('c'+i%20)), fairshare.FlowConfig{}, nil)
+		loop.history.add(f, time.Duration(200+i)*us, time.Duration(201+i)*us)
+		loop.now = time.Duration(201+i) * us
 	}
 	sum := time.Duration(0)
-	got = (&Conn{loop: loop, held: loop.t}).WaitedBehind(nil)
+	got = (&Conn{loop: loop, sliceWait: loop.now}).WaitedBehind(nil)
 	for _, x := range got {
 		sum += x.Time
 	}
-	if len(got) != tellApart || sum > remembered*us {
+	if len(got) != maxFlowsReported || sum > historySize*us {
 		t.Errorf("%d flows, %v", len(got), sum)
 	}
 }
--- /dev/null
+++ b/internal/eventloop/tasks_test.go
@@ -0,0 +1,43 @@
+package eventloop
+
+import (
+	"chalkstand/fairshare"
+	"testing"
+	"time"
+)
+
+// Tasks share time slices by the weights of their flows, and are stopped with the loop.
+func TestTasksShareSlices(t *testing.T) {
+	var clock time.Duration // advanced by the tasks
+	o := DefaultOptions
+	o.Now = func() time.Duration { return clock }
+	l, err := NewLoopWith(0, o)
+	if err != nil {
+		t.Fatal(err)
+	}
+	stopped := make(chan bool, 1)
+	heavy, light := 0, 0
+	l.Post(func() {
+		countSlices := func(n *int, limit int) func(func() bool) {
+			return func(pause func() bool) {
+				for *n < limit {
+					*n++
+					clock += o.Slice
+					if !pause() {
+						stopped <- true
+						return
+					}
+				}
+				l.stopping = true
+			}
+		}
+		l.RunInSlices(l.Flow("heavy", fairshare.FlowConfig{Weight: 4}, nil), countSlices(&heavy, 400))
+		l.RunInSlices(l.Flow("light", fairshare.FlowConfig{Weight: 1}, nil), countSlices(&light, 1000))
+	})
+	if err := l.Run(); err != nil {
+		t.Fatal(err)
+	}
+	if !<-stopped || light < 98 || light > 102 {
+		t.Errorf("%d slices of the light task beside %d of the heavy one", light, heavy)
+	}
+}
