--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,10 +1,9 @@
-// Package discovery follows the list of storage nodes of the platform's discovery. A
-// watch is one call: it tells each list and each change as it comes, and its end once.
-// When to ask again is not for it to say.
+// Package discovery watches the list of storage nodes that the platform's discovery service
+// publishes. A watch is one HTTP call: it passes on each document as it comes and reports its end
+// once. When to open the next one is the caller's to decide.
 package discovery
 
 import (
-	"bytes"
 	"chalkstand/internal/endpoints"
 	"context"
 	"encoding/json"
@@ -16,109 +15,127 @@
 	"time"
 )
 
-// Options bound a watch.
+// Buffers and bounds of a watch's HTTP call, in bytes. Documents are small and rare, and there
+// is one watch at a time.
+const (
+	maxHeaderBytes  = 16 << 10
+	readBufferSize  = 4 << 10
+	writeBufferSize = 1 << 10
+)
+
+// Reasons of a watch's end. A watch may end with other errors, too: of the network, or of a
+// document that cannot be parsed.
+var (
+	// ErrSilent means that nothing came for too long: the service's machine may be gone.
+	ErrSilent = errors.New("the watch fell silent")
+	// ErrEnded means that the service ended the watch in order.
+	ErrEnded = errors.New("the watch ended")
+	// ErrTooLarge means that a document has more than endpoints.MaxDocument bytes.
+	ErrTooLarge = fmt.Errorf("discovery: a document of over %d bytes", endpoints.MaxDocument)
+)
+
+// StatusError means that the service answered the call with another status than 200.
+type StatusError struct {
+	Status string // code and reason phrase
+}
+
+func (e *StatusError) Error() string { return "discovery answered " + e.Status }
+
+// Options are the settings of a watch.
 type Options struct {
 	Names           endpoints.Names
-	ResponseTimeout time.Duration // until the answer's head is there
+	ResponseTimeout time.Duration // until the response's headers are there
 	SilenceTimeout  time.Duration // without a byte, or from a document's first to its last
 }
 
-// Watch follows discovery at an address from a version on; below 0: from the whole list.
-// tell is called from another goroutine for every document, and end once, unless the
-// context ended before.
-func Watch(ctx context.Context, addr string, since int64, o Options, tell func(endpoints.Document), end func(error)) {
+// Watch watches the service at addr from a version on; below 0, from a snapshot on. It returns
+// at once. On a goroutine of the watch, onDocument is called for each document, and then onEnd
+// once with the reason, unless ctx has ended: that ends the watch and its goroutine silently.
+func Watch(
+	ctx context.Context, addr string, since int64, o Options,
+	onDocument func(endpoints.Document), onEnd func(error),
+) {
 	go func() {
-		err := follow(ctx, addr, since, o, tell)
+		err := run(ctx, addr, since, o, onDocument)
 		if ctx.Err() == nil {
-			end(err)
+			onEnd(err)
 		}
 	}()
 }
 
-// ErrSilent ends a watch on which nothing came for too long: its machine may be gone.
-var ErrSilent = errors.New("the watch fell silent")
-
-func follow(ctx context.Context, addr string, since int64, o Options, tell func(endpoints.Document)) error {
+// run makes the call and reads documents until the watch ends. The error is never nil.
+func run(ctx context.Context, addr string, since int64, o Options, onDocument func(endpoints.Document)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	alarm := time.AfterFunc(o.ResponseTimeout, func() { cancel(ErrSilent) })
-	defer alarm.Stop()
-	url := fmt.Sprintf("http://%s/api/targets?follow=1&since=%d", addr, since)
-	if since < 0 {
-		url = fmt.Sprintf("http://%s/api/targets?follow=1", addr)
-	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	silence := time.AfterFunc(o.ResponseTimeout, func() { cancel(ErrSilent) })
+	defer silence.Stop()
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, watchURL(addr, since), nil)
 	if err != nil {
 		return err
 	}
-	tr := &http.Transport{
-		DisableKeepAlives: true, DisableCompression: true, MaxResponseHeaderBytes: 16 << 10, ReadBufferSize: 4 << 10,
-		WriteBufferSize: 1 << 10, DialContext: (&net.Dialer{Timeout: o.ResponseTimeout}).DialContext,
-	}
-	defer tr.CloseIdleConnections()
-	r, err := tr.RoundTrip(req)
+	transport := newTransport(o)
+	defer transport.CloseIdleConnections()
+	resp, err := transport.RoundTrip(req)
 	if err != nil {
-		return cause(ctx, err)
+		return causeOf(ctx, err)
 	}
-	defer r.Body.Close()
-	if r.StatusCode != http.StatusOK {
-		return fmt.Errorf("discovery answered %s", r.Status)
-	}
-	in := &body{r: r.Body, alarm: alarm, silence: o.SilenceTimeout}
-	docs := json.NewDecoder(in) // a document may come on many lines
-	for alarm.Reset(o.SilenceTimeout); ; {
-		var text json.RawMessage
-		if err := docs.Decode(&text); err != nil {
-			if errors.Is(err, io.EOF) {
-				err = errors.New("the watch ended")
-			}
-			return cause(ctx, err)
-		}
-		in.ended()
-		d, err := endpoints.Parse(text, o.Names)
-		if err != nil {
-			return err
-		}
-		tell(d)
+	defer func() { _ = resp.Body.Close() }() // the call is over, whatever it returns
+	if resp.StatusCode != http.StatusOK {
+		return &StatusError{Status: resp.Status}
 	}
+	silence.Reset(o.SilenceTimeout)
+	body := &documentReader{r: resp.Body, timer: silence, timeout: o.SilenceTimeout}
+	return readDocuments(ctx, body, o.Names, onDocument)
 }
 
-// body is what a watch reads. White space between documents shows that the watch stands; a document
-// that has begun has to end in the same time, and within its bound on size.
-type body struct {
-	r       io.Reader
-	alarm   *time.Timer
-	silence time.Duration
-	within  bool // a document has begun
-	size    int  // bytes since the last document
+// watchURL returns the URL of a watch.
+func watchURL(addr string, since int64) string {
+	if since < 0 {
+		return fmt.Sprintf("http://%s/api/targets?follow=1", addr)
+	}
+	return fmt.Sprintf("http://%s/api/targets?follow=1&since=%d", addr, since)
 }
 
-// Read reads, and puts the alarm off where nothing but white space has come since the last document.
-func (b *body) Read(p []byte) (int, error) {
-	n, err := b.r.Read(p)
-	if n > 0 && !b.within {
-		b.alarm.Reset(b.silence)
-		b.within = len(bytes.TrimSpace(p[:n])) > 0
+// newTransport returns a transport for a single call.
+func newTransport(o Options) *http.Transport {
+	return &http.Transport{
+		DisableKeepAlives:      true,
+		DisableCompression:     true,
+		MaxResponseHeaderBytes: maxHeaderBytes,
+		ReadBufferSize:         readBufferSize,
+		WriteBufferSize:        writeBufferSize,
+		DialContext:            (&net.Dialer{Timeout: o.ResponseTimeout}).DialContext,
 	}
-	if b.size += n; !b.within {
-		b.size = 0
-	}
-	if b.size > endpoints.MaxDocument {
-		return n, fmt.Errorf("discovery: a document of over %d bytes", endpoints.MaxDocument)
-	}
-	return n, err
 }
 
-// ended notes that a document is whole. What was read behind it may be the beginning of another,
-// whose time counts from the next read.
-func (b *body) ended() {
-	b.alarm.Reset(b.silence)
-	b.within, b.size = false, 0
+// readDocuments passes on documents until there is an error, which it returns. A document may
+// span any number of lines.
+func readDocuments(
+	ctx context.Context, body *documentReader, names endpoints.Names, onDocument func(endpoints.Document),
+) error {
+	decoder := json.NewDecoder(body)
+	for {
+		var text json.RawMessage
+		err := decoder.Decode(&text)
+		if errors.Is(err, io.EOF) {
+			err = ErrEnded
+		}
+		if err != nil {
+			return causeOf(ctx, err)
+		}
+		body.documentEnded()
+		d, err := endpoints.Parse(text, names)
+		if err != nil {
+			return err
+		}
+		onDocument(d)
+	}
 }
 
-func cause(ctx context.Context, err error) error {
-	if c := context.Cause(ctx); c != nil {
-		return c
+// causeOf returns why ctx has ended, or err if it has not.
+func causeOf(ctx context.Context, err error) error {
+	if cause := context.Cause(ctx); cause != nil {
+		return cause
 	}
 	return err
 }
