--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -1,5 +1,5 @@
-// Package endpoints reads the documents of the platform's discovery: lists of storage
-// nodes and their changes. It does no I/O.
+// Package endpoints parses the documents of the platform's discovery service: lists of storage
+// nodes and changes to them. It does no I/O.
 package endpoints
 
 import (
@@ -10,6 +10,7 @@
 	"hash/fnv"
 	"net/netip"
 	"slices"
+	"strconv"
 	"time"
 )
 
@@ -17,102 +18,154 @@
 const (
 	MaxDocument = 4 << 20 // bytes
 	maxNodes    = 16384
-	maxID       = 256 // bytes
+	maxID       = 256     // bytes
+	maxShard    = 1 << 24 // the largest number
+	maxStarted  = 1e15    // milliseconds since the Unix epoch
 )
 
-// Names gives zones and kinds of machine their numbers.
+// FormatError means that a document does not have the expected form.
+type FormatError struct {
+	Field    string // as in "servers[3].id"; empty for the document as a whole
+	Expected string
+	Got      string
+}
+
+func (e *FormatError) Error() string {
+	text := "discovery: "
+	if e.Field != "" {
+		text += e.Field + ": "
+	}
+	return text + "expected " + e.Expected + ", got " + e.Got
+}
+
+// Names are the names of zones and machine kinds; the number of each is its index.
 type Names struct{ Zones, Kinds []string }
 
-// Document is a list of nodes, or of changes to one.
+// Document is a list of nodes: all of them in a snapshot, else those that have changed since an
+// earlier version.
 type Document struct {
 	Version  int64
 	Snapshot bool
 	Nodes    []forwarder.Node
 }
 
-type document struct {
-	Version *int64   `json:"version"`
-	Full    bool     `json:"full"`
-	Servers []server `json:"servers"`
+// documentJSON is a document as it is sent.
+type documentJSON struct {
+	Version *int64       `json:"version"`
+	Full    bool         `json:"full"`
+	Servers []serverJSON `json:"servers"`
 }
 
-type server struct {
-	ID      string  `json:"id"`
-	Addr    string  `json:"addr"`
-	Zone    string  `json:"zone"`
-	Kind    string  `json:"kind"`
-	Cell    int     `json:"cell"`
-	State   string  `json:"state"`
-	Started float64 `json:"started_ms"`
+// serverJSON is a storage node as it is sent.
+type serverJSON struct {
+	ID        string  `json:"id"`
+	Addr      string  `json:"addr"`
+	Zone      string  `json:"zone"`
+	Kind      string  `json:"kind"`
+	Cell      int     `json:"cell"`
+	State     string  `json:"state"`
+	StartedMS float64 `json:"started_ms"`
 }
 
-var states = map[string]dispatch.NodeState{"Ready": dispatch.Ready, "Terminating": dispatch.Draining, "Gone": dispatch.Removed}
+// nodeStates maps the names of states that are sent.
+var nodeStates = map[string]dispatch.NodeState{
+	"Ready":       dispatch.Ready,
+	"Terminating": dispatch.Draining,
+	"Gone":        dispatch.Removed,
+}
 
-// Parse reads a document. A bad entry makes the whole of it bad: a list with a part
-// missing would be another list. Times of start are since the Unix epoch.
+// Parse parses a document. An invalid entry makes the whole document invalid: a list without it
+// would be another list. The error is a *FormatError, or one of package json. Start times are
+// since the Unix epoch.
 func Parse(text []byte, names Names) (Document, error) {
-	var d document
 	if len(text) > MaxDocument {
-		return Document{}, fmt.Errorf("discovery: %d bytes, at most %d", len(text), MaxDocument)
+		return Document{}, &FormatError{
+			Expected: fmt.Sprintf("at most %d bytes", MaxDocument),
+			Got:      strconv.Itoa(len(text)),
+		}
 	}
+	var d documentJSON
 	if err := json.Unmarshal(text, &d); err != nil {
 		return Document{}, fmt.Errorf("discovery: %w", err)
 	}
-	switch {
-	case d.Version == nil:
-		return Document{}, fmt.Errorf("discovery: version: missing")
-	case len(d.Servers) > maxNodes:
-		return Document{}, fmt.Errorf("discovery: %d servers, at most %d", len(d.Servers), maxNodes)
+	if d.Version == nil {
+		return Document{}, &FormatError{Field: "version", Expected: "a number", Got: "none"}
+	}
+	if len(d.Servers) > maxNodes {
+		return Document{}, &FormatError{
+			Field:    "servers",
+			Expected: fmt.Sprintf("at most %d", maxNodes),
+			Got:      strconv.Itoa(len(d.Servers)),
+		}
 	}
 	out := Document{Version: *d.Version, Snapshot: d.Full}
-	for i, s := range d.Servers {
-		n, err := s.node(names)
+	for i := range d.Servers {
+		n, err := d.Servers[i].node(names)
 		if err != nil {
-			return Document{}, fmt.Errorf("discovery: servers[%d].%w", i, err)
+			err.Field = fmt.Sprintf("servers[%d].%s", i, err.Field)
+			return Document{}, err
 		}
 		out.Nodes = append(out.Nodes, n)
 	}
 	return out, nil
 }
 
-func (s *server) node(names Names) (forwarder.Node, error) {
-	state, known := states[s.State]
+// node returns the node that an entry describes, or the first of its fields that is invalid.
+func (s *serverJSON) node(names Names) (forwarder.Node, *FormatError) {
+	state, known := nodeStates[s.State]
+	if err := s.check(state, known); err != nil {
+		return forwarder.Node{}, err
+	}
+	return forwarder.Node{
+		Addr: s.Addr,
+		Node: dispatch.Node{
+			ID:      dispatch.NodeID(s.ID),
+			Zone:    zoneNumber(names.Zones, s.Zone),
+			Kind:    indexOrLen(names.Kinds, s.Kind),
+			Shard:   dispatch.Shard(s.Cell),
+			State:   state,
+			Started: time.Duration(s.StartedMS * float64(time.Millisecond)),
+		},
+	}, nil
+}
+
+// check returns the first field that is invalid. A removed node needs no address.
+func (s *serverJSON) check(state dispatch.NodeState, known bool) *FormatError {
 	switch {
 	case s.ID == "" || len(s.ID) > maxID:
-		return forwarder.Node{}, fmt.Errorf("id: expected 1 to %d bytes, got %d", maxID, len(s.ID))
+		return &FormatError{"id", fmt.Sprintf("1 to %d bytes", maxID), strconv.Itoa(len(s.ID))}
 	case !known:
-		return forwarder.Node{}, fmt.Errorf("state: expected Ready, Terminating or Gone, got %q", s.State)
-	case s.Started < 0 || s.Started > 1e15:
-		return forwarder.Node{}, fmt.Errorf("started_ms: expected Unix time in milliseconds, got %g", s.Started)
-	case s.Cell < -1 || s.Cell > 1<<24:
-		return forwarder.Node{}, fmt.Errorf("cell: expected a shard, got %d", s.Cell)
+		return &FormatError{"state", "Ready, Terminating or Gone", fmt.Sprintf("%q", s.State)}
+	case s.StartedMS < 0 || s.StartedMS > maxStarted:
+		return &FormatError{"started_ms", "Unix time in milliseconds", fmt.Sprintf("%g", s.StartedMS)}
+	case s.Cell < int(dispatch.AnyShard) || s.Cell > maxShard:
+		return &FormatError{"cell", "a shard", strconv.Itoa(s.Cell)}
+	}
+	if state == dispatch.Removed {
+		return nil
 	}
-	if _, err := netip.ParseAddrPort(s.Addr); err != nil && state != dispatch.Removed {
-		return forwarder.Node{}, fmt.Errorf("addr: %w", err)
+	if _, err := netip.ParseAddrPort(s.Addr); err != nil {
+		return &FormatError{"addr", "address:port", fmt.Sprintf("%q", s.Addr)}
 	}
-	return forwarder.Node{Addr: s.Addr, Node: dispatch.Node{
-		ID: dispatch.NodeID(s.ID), Zone: zone(names.Zones, s.Zone),
-		Kind: place(names.Kinds, s.Kind), Shard: dispatch.Shard(s.Cell), State: state,
-		Started: time.Duration(s.Started * float64(time.Millisecond)),
-	}}, nil
+	return nil
 }
 
-// place is a name's number; those that the settings don't name share one.
-func place(names []string, s string) int {
-	if i := slices.Index(names, s); i >= 0 {
+// indexOrLen returns a name's index; len(names) for all names that are not in the list.
+func indexOrLen(names []string, name string) int {
+	if i := slices.Index(names, name); i >= 0 {
 		return i
 	}
 	return len(names)
 }
 
-// zone is a zone's number. One that the settings don't name has a number of its own behind theirs: what
-// may be repeated within a zone must not be repeated in another.
-func zone(names []string, s string) int {
-	i := place(names, s)
-	if i == len(names) {
-		h := fnv.New32a()
-		h.Write([]byte(s))
-		i += int(h.Sum32())
+// zoneNumber returns a zone's number. One that the settings do not name has a number of its own
+// beyond theirs, as what may be retried within a zone must not be retried in another.
+func zoneNumber(names []string, name string) int {
+	i := indexOrLen(names, name)
+	if i < len(names) {
+		return i
 	}
-	return i
+	h := fnv.New32a()
+	_, _ = h.Write([]byte(name)) // a hash.Hash never returns an error
+	return i + int(h.Sum32())
 }
