--- /dev/null
+++ b/internal/resp/command_test.go
@@ -0,0 +1,93 @@
+package resp
+
+import (
+	"bytes"
+	"errors"
+	"strings"
+	"testing"
+)
+
+// A command that comes in pieces is the same, and no incomplete command is an error.
+func TestCommandInPieces(t *testing.T) {
+	text := AppendCount(nil, 3)
+	for _, word := range []string{"OBJ.GET", "", "a\r\nb"} {
+		text = AppendBulk(text, word)
+	}
+	for i := range text {
+		if _, n, err := Command(text[:i], nil); n != 0 || err != nil {
+			t.Fatalf("%d of %d bytes: %d, %v", i, len(text), n, err)
+		}
+	}
+	words, n, err := Command(append(text, "*1"...), nil)
+	if err != nil || n != len(text) || len(words) != 3 || string(words[2]) != "a\r\nb" {
+		t.Fatalf("%q, %d, %v", words, n, err)
+	}
+}
+
+// An invalid command is found with its first invalid line, before what that announces has come.
+func TestBadCommands(t *testing.T) {
+	for name, text := range map[string]string{
+		"inline command":     "PING\r\n",
+		"empty array":        "*0\r\n",
+		"null array":         "*-1\r\n",
+		"too many words":     "*17\r\n",
+		"integer":            "*1\r\n:1\r\n",
+		"bulk too long":      "*1\r\n$65537\r\n",
+		"null bulk":          "*1\r\n$-1\r\n",
+		"bulk without CRLF":  "*1\r\n$1\r\nab",
+		"no number":          "*x",
+		"bare LF":            "*1\n",
+		"CR in place of LF":  "*1\r\n$1\r\na\r\r",
+		"frame too long":     "*2\r\n$65536\r\n" + strings.Repeat("x", 65536) + "\r\n$65536\r\n",
+		"too many digits":    "*" + strings.Repeat("1", 30),
+		"sign without digit": "*-\r\n",
+	} {
+		t.Run(name, func(t *testing.T) {
+			_, _, err := Command([]byte(text), nil)
+			if protocol := (*Error)(nil); !errors.As(err, &protocol) {
+				t.Errorf("%.40q: %v, want an *Error", text, err)
+			}
+		})
+	}
+}
+
+// The pieces in which a command comes make no difference, and it keeps to the bounds.
+func FuzzCommand(f *testing.F) {
+	for _, s := range []string{
+		"*1\r\n$4\r\nPING\r\n",
+		"*2\r\n$0\r\n\r\n$1\r\nx\r\n",
+		"*-1\r\n",
+		"*1\r\n$-1\r\n",
+		"*1\r\n$70000\r\n",
+		"*16\r\n",
+		"GET / HTTP/1.1\r\n",
+		"*1\r\n$3\r\nabcd\r\n",
+	} {
+		f.Add([]byte(s), 3)
+	}
+	f.Fuzz(func(t *testing.T, b []byte, cut int) {
+		words, n, err := Command(b, nil)
+		if n > len(b) || n > MaxFrame+2 || len(words) > MaxArguments || err != nil && n != 0 {
+			t.Fatalf("%d words, %d of %d bytes, %v", len(words), n, len(b), err)
+		}
+		if n == 0 || cut < 0 || cut >= n {
+			return
+		}
+		if _, m, err := Command(b[:cut], nil); m != 0 || err != nil {
+			t.Errorf("its first %d bytes: %d, %v", cut, m, err)
+		}
+		again := appendCommand(words)
+		if len(again) > n || bytes.Count(again, []byte("\r\n")) > bytes.Count(b[:n], []byte("\r\n")) {
+			t.Errorf("%q, written again %q", b[:n], again)
+		}
+	})
+}
+
+// appendCommand returns a command of these words.
+func appendCommand(words [][]byte) []byte {
+	out := AppendCount(nil, len(words))
+	for _, word := range words {
+		out = AppendBulk(out, word)
+	}
+	return out
+}
