--- a/internal/upstreamhttp/reader.go
+++ b/internal/upstreamhttp/reader.go
@@ -1,130 +1,99 @@
-// Package upstreamhttp reads the answers that come on one connection to a storage node.
-// It is a state machine without I/O: its owner tells what was sent and what came,
-// and hears what that means. A connection of whose framing there is any doubt is
-// broken and stays so.
+// Package upstreamhttp reads the HTTP responses on one connection to a storage node. It is a state
+// machine without I/O: its owner reports what was sent and passes in what was received, and gets
+// steps that say what that means. A connection whose framing is in any doubt is broken and
+// stays so.
 package upstreamhttp
 
-import (
-	"chalkstand/internal/http1"
-)
-
-// State is where a connection's answers stand.
-type State uint8
-
-// The states.
-const (
-	Idle            State = iota // no request is out
-	AwaitingHeaders              // waits for an answer's head
-	HeadersReceived              // a head is there that the owner must decide on
-	Buffered                     // an answer is collected
-	Streaming                    // an answer's body is passed on piece by piece
-	Complete                     // the answer is whole; its owner has yet to take it
-	Broken                       // nothing more is read
-)
+import "chalkstand/internal/http1"
 
-var stateNames = [...]string{"resting", "heading", "deciding", "holding", "passing", "complete", "broken"}
-
-// String returns the state's name.
-func (s State) String() string { return stateNames[s] }
-
-// Kind is what a step of reading brought.
-type Kind uint8
-
-// The kinds of step.
+// Status codes that decide on framing.
 const (
-	NeedMore         Kind = iota // more bytes are needed
-	Headers                      // a head whose body is not collected at once: Stream or Collect
-	BodyData                     // a piece of the body that is passed on
-	BufferedResponse             // a collected answer is whole
-	ResponseEnd                  // an answer that was passed on is whole
-	ProtocolError                // what came is no answer: the connection is broken
+	statusSwitchingProtocols = 101
+	firstFinalStatus         = 200 // those below are interim responses
 )
 
-// Step is what reading brought.
-type Step struct {
-	Kind Kind
-	Used int    // bytes that are consumed
-	Body []byte // of Data and Whole; it belongs to the buffer that was read
-	Last bool   // with Data: nothing of the body follows
-	Why  string // of Fault
-}
-
-// Reader reads one connection. The zero value, with its limits set, is resting.
+// Reader reads the responses on one connection. With its Limits set, the zero value is ready to use.
 type Reader struct {
 	Limits http1.Limits
 
-	// Response is the answer's head from Head, Data, Whole or End on. Its bytes are
-	// valid as long as the buffer that was read.
+	// Response is the present response's head from the steps Headers, BodyData, BufferedResponse
+	// and ResponseEnd on. Its bytes are valid as long as the input, unless Buffer was called.
 	Response http1.Response
 
-	state   State
-	method  string
-	collect int // an answer's body up to this is collected
-	scan    http1.Head
-	need    int   // bytes of head and body together, while collecting
-	left    int64 // of a body framed by its length; -1: it ends with the connection
-	chunk   *http1.Chunked
-	held    []byte // of a chunked answer that is collected
-	more    bool   // bytes came with the end of the answer that are not part of it
+	state       State
+	method      string // of the request
+	bufferLimit int    // a body of up to so many bytes is buffered
+	head        http1.Head
+	total       int            // bytes of head and body, of a buffered response of known length
+	remaining   int64          // bytes of a streamed body of known length; untilClose
+	chunks      *http1.Chunked // of a chunked body, else nil
+	body        []byte         // of a chunked response that is buffered
+	surplus     bool           // bytes came with the response's end that are not part of it
 }
 
+// untilClose is the value of Reader.remaining for a body that ends with its connection.
+const untilClose = -1
+
 // State returns the present state.
 func (r *Reader) State() State { return r.state }
 
-// RequestSent tells that a request went out. An answer's body of up to collect bytes is
-// collected. A connection that is not resting must carry none: it reports false.
-func (r *Reader) RequestSent(method string, collect int) bool {
+// RequestSent has to be called when a request is sent. A response's body of up to bufferLimit bytes
+// is buffered. It returns false where the connection must not carry a request.
+func (r *Reader) RequestSent(method string, bufferLimit int) bool {
 	if r.state != Idle {
 		return false
 	}
-	r.state, r.method, r.collect = AwaitingHeaders, method, collect
-	r.scan.Reset()
+	r.state = AwaitingHeaders
+	r.method = method
+	r.bufferLimit = bufferLimit
+	r.head.Reset()
 	return true
 }
 
-// ResponseTaken tells that the answer was taken, or thrown away: another request may go
-// out. An answer that is not whole cannot be: the connection is then broken.
+// ResponseTaken has to be called when the owner is done with the response: another request may be
+// sent. If the response is not whole, the connection is broken instead.
 func (r *Reader) ResponseTaken() {
-	r.held, r.chunk = nil, nil
-	if r.state == Complete {
+	r.body = nil
+	r.chunks = nil
+	switch r.state {
+	case Idle:
+	case Complete:
 		r.state = Idle
-	} else if r.state != Idle {
+	default:
 		r.state = Broken
 	}
 }
 
-// Break ends reading.
-func (r *Reader) Break() { r.state, r.held, r.chunk = Broken, nil, nil }
-
-// Reusable tells whether the connection may carry another request after the answer
-// that is complete: the node lets it, and nothing came with the answer's end that
-// would be taken for the next answer.
-func (r *Reader) Reusable() bool { return r.state == Complete && !r.Response.Close && !r.more }
-
-// whole ends an answer of which used of b was the last.
-func (r *Reader) whole(s Step, b []byte) Step {
-	r.state, r.more = Complete, len(b) > s.Used
-	return s
+// Break marks the connection as broken.
+func (r *Reader) Break() {
+	r.state = Broken
+	r.body = nil
+	r.chunks = nil
 }
 
-func (r *Reader) fault(why string) Step {
-	r.Break()
-	return Step{Kind: ProtocolError, Why: why}
+// Reusable reports whether the connection may carry another request after the response that is
+// complete: the node allows it, and no bytes came after the response that would be taken for the
+// next one.
+func (r *Reader) Reusable() bool {
+	return r.state == Complete && !r.Response.Close && !r.surplus
 }
 
-// Next reads what it can of b, the bytes that have come and were not consumed. It
-// is called again with the rest until it needs more.
+// Next reads what it can of b, the bytes that were received and not yet consumed. It has to be
+// called again with the rest until it returns NeedMore.
 func (r *Reader) Next(b []byte) Step {
 	switch r.state {
 	case AwaitingHeaders:
-		return r.head(b)
+		return r.readHead(b)
 	case Buffered:
-		if r.chunk != nil {
-			return r.holdChunks(b)
+		if r.chunks != nil {
+			return r.bufferChunks(b)
 		}
-		return r.hold(b, 0)
+		return r.bufferBody(b, 0)
 	case Streaming:
-		return r.pass(b)
+		if r.chunks != nil {
+			return r.streamChunks(b)
+		}
+		return r.streamBody(b)
 	case HeadersReceived:
 		return Step{Kind: NeedMore}
 	case Broken:
@@ -134,87 +103,118 @@
 		return Step{Kind: NeedMore}
 	}
 	if r.state == Complete {
-		return r.fault("more came than the answer")
+		return r.fail("bytes after the response")
+	}
+	return r.fail("a response without a request")
+}
+
+// Stream passes on the body of the response whose headers were received.
+func (r *Reader) Stream() {
+	if r.state == HeadersReceived {
+		r.state = Streaming
 	}
-	return r.fault("an answer came without a request")
 }
 
-func (r *Reader) head(b []byte) Step {
-	n, err := r.scan.ParseResponse(b, r.Limits, r.method, &r.Response)
+// Buffer collects the body of the response whose headers were received. It is meant for chunked
+// responses, whose length is not known; one of known length that gets here is too large.
+func (r *Reader) Buffer() Step {
+	if r.state != HeadersReceived || r.chunks == nil {
+		return r.fail(tooLarge)
+	}
+	r.state = Buffered
+	r.Response.Headers = r.Response.Headers.Clone() // the input moves on
+	return Step{Kind: NeedMore}
+}
+
+// PeerClosed has to be called when the node has closed its side. The result is ResponseEnd where
+// that is how the response ends, and ProtocolError otherwise.
+func (r *Reader) PeerClosed() Step {
+	if r.state == Streaming && r.chunks == nil && r.remaining < 0 {
+		r.state = Complete
+		r.Response.Close = true
+		return Step{Kind: ResponseEnd}
+	}
+	return r.fail("connection closed by the node")
+}
+
+const tooLarge = "the response is larger than may be buffered"
+
+// fail breaks the connection.
+func (r *Reader) fail(reason string) Step {
+	r.Break()
+	return Step{Kind: ProtocolError, Why: reason}
+}
+
+// complete ends a response with a step that consumes its last bytes of b.
+func (r *Reader) complete(s Step, b []byte) Step {
+	r.state = Complete
+	r.surplus = len(b) > s.Used
+	return s
+}
+
+// readHead reads a response's head. Interim responses are skipped.
+func (r *Reader) readHead(b []byte) Step {
+	n, err := r.head.ParseResponse(b, r.Limits, r.method, &r.Response)
 	if err != nil {
-		return r.fault(err.Reason)
+		return r.fail(err.Reason)
 	}
 	if n == 0 {
 		return Step{Kind: NeedMore}
 	}
-	h := &r.Response
-	if h.Status < 200 {
-		if h.Status == 101 {
-			return r.fault("the node changed the protocol unasked")
-		}
-		r.scan.Reset()
+	res := &r.Response
+	if res.Status == statusSwitchingProtocols {
+		return r.fail("the node changed the protocol unasked")
+	}
+	if res.Status < firstFinalStatus {
+		r.head.Reset()
 		s := r.Next(b[n:])
 		s.Used += n
 		return s
 	}
-	r.left, r.chunk = h.Length, nil
-	if h.Chunked {
-		r.chunk = &http1.Chunked{}
-	} else if h.UntilClose {
-		r.left = -1
-	}
-	if !h.Chunked && !h.UntilClose && h.Length <= int64(r.collect) {
-		r.need, r.state = n+int(h.Length), Buffered
-		return r.hold(b, n)
+	r.remaining = res.Length
+	r.chunks = nil
+	switch {
+	case res.Chunked:
+		r.chunks = &http1.Chunked{}
+	case res.UntilClose:
+		r.remaining = untilClose
+	case res.Length <= int64(r.bufferLimit):
+		r.total = n + int(res.Length)
+		r.state = Buffered
+		return r.bufferBody(b, n)
 	}
 	r.state = HeadersReceived
 	return Step{Kind: Headers, Used: n}
 }
 
-// Stream has the body of the answer that is being decided on passed on.
-func (r *Reader) Stream() {
-	if r.state == HeadersReceived {
-		r.state = Streaming
-	}
-}
-
-// Buffer has it collected. That is for answers in chunks, whose length is not
-// known; one that is known to be larger is a fault.
-func (r *Reader) Buffer() Step {
-	if r.state != HeadersReceived || r.chunk == nil {
-		return r.fault("the answer is larger than may be held")
-	}
-	r.state = Buffered
-	r.Response.Headers = r.Response.Headers.Clone() // the buffer moves on
-	return Step{Kind: NeedMore}
-}
-
-// hold waits until the whole answer is in b; it stays in the connection's buffer
-// until then. n is the length of its head, where that was parsed from this very b.
-func (r *Reader) hold(b []byte, n int) Step {
-	if len(b) < r.need {
+// bufferBody waits until a response of known length is whole. Until then all of it stays in the
+// owner's buffer. headLength is the length of the head where it was parsed from this very b, or 0.
+func (r *Reader) bufferBody(b []byte, headLength int) Step {
+	if len(b) < r.total {
 		return Step{Kind: NeedMore}
 	}
-	if n == 0 { // again: the buffer may have moved since
-		n, _ = r.scan.ParseResponse(b, r.Limits, r.method, &r.Response)
+	if headLength == 0 {
+		// Parsed again, as the buffer may have moved and Response points into it.
+		headLength, _ = r.head.ParseResponse(b, r.Limits, r.method, &r.Response)
 	}
-	return r.whole(Step{Kind: BufferedResponse, Used: r.need, Body: b[n:r.need]}, b)
+	return r.complete(Step{Kind: BufferedResponse, Used: r.total, Body: b[headLength:r.total]}, b)
 }
 
-func (r *Reader) holdChunks(b []byte) Step {
+// bufferChunks collects a chunked body.
+func (r *Reader) bufferChunks(b []byte) Step {
 	used := 0
 	for {
-		step, data, n, err := r.chunk.Next(b[used:])
+		step, data, n, err := r.chunks.Next(b[used:])
 		if err != nil {
-			return r.fault(err.Reason)
+			return r.fail(err.Reason)
 		}
-		if len(r.held)+len(data) > r.collect {
-			return r.fault("the answer is larger than may be held")
+		if len(r.body)+len(data) > r.bufferLimit {
+			return r.fail(tooLarge)
 		}
-		r.held = append(r.held, data...)
+		r.body = append(r.body, data...)
 		used += n
 		if step == http1.Done {
-			return r.whole(Step{Kind: BufferedResponse, Used: used, Body: r.held}, b)
+			return r.complete(Step{Kind: BufferedResponse, Used: used, Body: r.body}, b)
 		}
 		if n == 0 {
 			return Step{Kind: NeedMore, Used: used}
@@ -222,49 +222,38 @@
 	}
 }
 
-// pass brings the next piece of a body.
-func (r *Reader) pass(b []byte) Step {
-	used := 0
-	for {
-		switch {
-		case r.chunk != nil:
-			if len(b) == used {
-				return Step{Kind: NeedMore, Used: used}
-			}
-			step, data, n, err := r.chunk.Next(b[used:])
-			if err != nil {
-				return r.fault(err.Reason)
-			}
-			used += n
-			switch {
-			case step == http1.Done:
-				return r.whole(Step{Kind: ResponseEnd, Used: used}, b)
-			case len(data) > 0:
-				return Step{Kind: BodyData, Used: used, Body: data}
-			case n == 0:
-				return Step{Kind: NeedMore, Used: used}
-			}
-		case r.left == 0:
-			return r.whole(Step{Kind: ResponseEnd}, b)
-		case len(b) == 0:
-			return Step{Kind: NeedMore}
-		case r.left > 0:
-			b = b[:min(int64(len(b)), r.left)]
-			r.left -= int64(len(b))
-			return Step{Kind: BodyData, Used: len(b), Body: b, Last: r.left == 0}
-		default:
-			return Step{Kind: BodyData, Used: len(b), Body: b}
-		}
+// streamBody returns the next piece of a body that is not chunked.
+func (r *Reader) streamBody(b []byte) Step {
+	switch {
+	case r.remaining == 0:
+		return r.complete(Step{Kind: ResponseEnd}, b)
+	case len(b) == 0:
+		return Step{Kind: NeedMore}
+	case r.remaining < 0:
+		return Step{Kind: BodyData, Used: len(b), Body: b}
 	}
+	b = b[:min(int64(len(b)), r.remaining)]
+	r.remaining -= int64(len(b))
+	return Step{Kind: BodyData, Used: len(b), Body: b, Last: r.remaining == 0}
 }
 
-// PeerClosed tells that the node has closed its side. End: that was how the answer ends.
-// Otherwise nothing whole came.
-func (r *Reader) PeerClosed() Step {
-	if r.state == Streaming && r.chunk == nil && r.left < 0 {
-		r.state = Complete
-		r.Response.Close = true
-		return Step{Kind: ResponseEnd}
+// streamChunks returns the next piece of a chunked body.
+func (r *Reader) streamChunks(b []byte) Step {
+	used := 0
+	for used < len(b) {
+		step, data, n, err := r.chunks.Next(b[used:])
+		if err != nil {
+			return r.fail(err.Reason)
+		}
+		used += n
+		switch {
+		case step == http1.Done:
+			return r.complete(Step{Kind: ResponseEnd, Used: used}, b)
+		case len(data) > 0:
+			return Step{Kind: BodyData, Used: used, Body: data}
+		case n == 0:
+			return Step{Kind: NeedMore, Used: used}
+		}
 	}
-	return r.fault("the connection ended")
+	return Step{Kind: NeedMore, Used: used}
 }
--- a/internal/upstreamhttp/reader_test.go
+++ b/internal/upstreamhttp/reader_test.go
@@ -3,16 +3,27 @@
 import (
 	"chalkstand/internal/http1"
 	"fmt"
+	"net/http"
 	"strings"
 	"testing"
 )
 
-// read plays the owner of a connection over which text comes in the pieces given.
-// stream decides on large answers. It returns what was heard, in short.
-func read(r *Reader, pieces []string, stream bool) string {
-	var out strings.Builder
+// testBufferLimit is up to how many bytes of a body are buffered in these tests.
+const testBufferLimit = 10
+
+// sentReader returns a reader whose connection has sent a request.
+func sentReader(method string) *Reader {
+	r := &Reader{Limits: http1.DefaultLimits}
+	r.RequestSent(method, testBufferLimit)
+	return r
+}
+
+// readAll acts as the owner of a connection that receives text in the given pieces. Responses whose
+// headers are to be decided on are streamed or buffered. It returns a summary of the steps and the
+// state at the end.
+func readAll(r *Reader, pieces []string, stream bool) string {
+	var out, data strings.Builder
 	var buf []byte
-	var data strings.Builder
 	for _, p := range pieces {
 		buf = append(buf, p...)
 		for {
@@ -23,18 +34,16 @@
 			}
 			switch s.Kind {
 			case ProtocolError:
-				return out.String() + "fault"
+				return out.String() + "error"
 			case Headers:
-				fmt.Fprintf(&out, "head %d ", r.Response.Status)
-				if stream {
-					r.Stream()
-				} else if r.Buffer().Kind == ProtocolError {
-					return out.String() + "fault"
+				fmt.Fprintf(&out, "headers %d ", r.Response.Status)
+				if decide(r, stream) == ProtocolError {
+					return out.String() + "error"
 				}
 			case BodyData:
 				data.Write(s.Body)
 			case BufferedResponse:
-				fmt.Fprintf(&out, "whole %d %q ", r.Response.Status, s.Body)
+				fmt.Fprintf(&out, "buffered %d %q ", r.Response.Status, s.Body)
 			case ResponseEnd:
 				fmt.Fprintf(&out, "end %q ", data.String())
 			}
@@ -43,123 +52,201 @@
 	return out.String() + r.State().String()
 }
 
-var answers = []struct {
+// decide has the response whose headers were received streamed or buffered.
+func decide(r *Reader, stream bool) Kind {
+	if !stream {
+		return r.Buffer().Kind
+	}
+	r.Stream()
+	return NeedMore
+}
+
+var responses = []struct {
 	name, text, method string
 	stream             bool
-	want               string
+	want               string // of readAll
 }{
-	{"small", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", "GET", true, `whole 200 "abc" complete`},
-	{"empty", "HTTP/1.1 204 No Content\r\n\r\n", "GET", true, `whole 204 "" complete`},
-	{"of HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 300\r\n\r\n", "HEAD", true, `whole 200 "" complete`},
-	{"after interim", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", "PUT", true, `whole 200 "x" complete`},
-	{"large", "HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\nabcdefghijkl", "GET", true, `head 200 end "abcdefghijkl" complete`},
-	{"large, not for passing on", "HTTP/1.1 500 Oops\r\nContent-Length: 12\r\n\r\nabcdefghijkl", "GET", false, "head 500 fault"},
-	{"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n9\r\ndefghijkl\r\n0\r\n\r\n", "GET", true, `head 200 end "abcdefghijkl" complete`},
-	{"chunks collected", "HTTP/1.1 500 Oops\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n", "GET", false, `head 500 whole 500 "abcde" complete`},
-	{"too many chunks", "HTTP/1.1 500 Oops\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n8\r\ndefghijk\r\n0\r\n\r\n", "GET", false, "head 500 fault"},
-	{"protocol changed", "HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n", "GET", true, "fault"},
-	{"no HTTP", "SSH-2.0-OpenSSH\r\n\r\n", "GET", true, "fault"},
-	{"more than its answer", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nxHTTP/1.1 200 OK\r\n\r\n", "GET", true, `whole 200 "x" fault`},
-	{"bad chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", "GET", true, "head 200 fault"},
-	{"cut", "HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\nabc", "GET", true, "head 200 passing"},
-	{"until its end", "HTTP/1.1 200 OK\r\n\r\nabc", "GET", true, "head 200 passing"},
+	{
+		"small", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc",
+		http.MethodGet, true, `buffered 200 "abc" complete`,
+	},
+	{
+		"empty", "HTTP/1.1 204 No Content\r\n\r\n",
+		http.MethodGet, true, `buffered 204 "" complete`,
+	},
+	{
+		"to HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 300\r\n\r\n",
+		http.MethodHead, true, `buffered 200 "" complete`,
+	},
+	{
+		"after interim responses",
+		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx",
+		http.MethodPut, true, `buffered 200 "x" complete`,
+	},
+	{
+		"large", "HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\nabcdefghijkl",
+		http.MethodGet, true, `headers 200 end "abcdefghijkl" complete`,
+	},
+	{
+		"large, to be buffered", "HTTP/1.1 500 Oops\r\nContent-Length: 12\r\n\r\nabcdefghijkl",
+		http.MethodGet, false, "headers 500 error",
+	},
+	{
+		"chunked",
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n9\r\ndefghijkl\r\n0\r\n\r\n",
+		http.MethodGet, true, `headers 200 end "abcdefghijkl" complete`,
+	},
+	{
+		"chunked, to be buffered",
+		"HTTP/1.1 500 Oops\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n",
+		http.MethodGet, false, `headers 500 buffered 500 "abcde" complete`,
+	},
+	{
+		"chunked and large, to be buffered",
+		"HTTP/1.1 500 Oops\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n8\r\ndefghijk\r\n0\r\n\r\n",
+		http.MethodGet, false, "headers 500 error",
+	},
+	{
+		"protocol changed", "HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n",
+		http.MethodGet, true, "error",
+	},
+	{
+		"no HTTP", "SSH-2.0-OpenSSH\r\n\r\n",
+		http.MethodGet, true, "error",
+	},
+	{
+		"bytes after the response", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nxHTTP/1.1 200 OK\r\n\r\n",
+		http.MethodGet, true, `buffered 200 "x" error`,
+	},
+	{
+		"bad chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+		http.MethodGet, true, "headers 200 error",
+	},
+	{
+		"partial", "HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\nabc",
+		http.MethodGet, true, "headers 200 streaming",
+	},
+	{
+		"until close", "HTTP/1.1 200 OK\r\n\r\nabc",
+		http.MethodGet, true, "headers 200 streaming",
+	},
 }
 
-// However an answer is cut into pieces, it means the same.
+// The pieces in which a response comes make no difference.
 func TestPiecesMakeNoDifference(t *testing.T) {
-	for _, a := range answers {
-		n := len(a.text)
-		try := func(pieces ...string) {
-			r := &Reader{Limits: http1.DefaultLimits}
-			r.RequestSent(a.method, 10)
-			if got := read(r, pieces, a.stream); got != a.want {
-				t.Errorf("%s in %q: %s, want %s", a.name, pieces, got, a.want)
+	for _, c := range responses {
+		t.Run(c.name, func(t *testing.T) {
+			check := func(pieces ...string) {
+				t.Helper()
+				if got := readAll(sentReader(c.method), pieces, c.stream); got != c.want {
+					t.Errorf("in %q: %s, want %s", pieces, got, c.want)
+				}
 			}
-		}
-		try(a.text)
-		try(strings.Split(a.text, "")...)
-		for i := 1; i < n; i++ {
-			for j := i; j < n; j += 3 {
-				try(a.text[:i], a.text[i:j], a.text[j:])
+			check(c.text)
+			check(strings.Split(c.text, "")...)
+			n := len(c.text)
+			for i := 1; i < n; i++ {
+				for j := i; j < n; j += 3 {
+					check(c.text[:i], c.text[i:j], c.text[j:])
+				}
 			}
-		}
+		})
 	}
 }
 
-// A connection carries one request at a time, and none after doubt.
-func TestOneAtATimeAndNoneAfterDoubt(t *testing.T) {
-	ok := "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"
+func TestResponseWithoutRequest(t *testing.T) {
 	r := &Reader{Limits: http1.DefaultLimits}
-	if s := r.Next([]byte("x")); s.Kind != ProtocolError || r.State() != Broken || r.RequestSent("GET", 10) {
-		t.Error("an answer without a request is taken")
+	s := r.Next([]byte("x"))
+	if s.Kind != ProtocolError || r.State() != Broken || r.RequestSent(http.MethodGet, testBufferLimit) {
+		t.Error("a response without a request is accepted")
 	}
-	r = &Reader{Limits: http1.DefaultLimits}
-	if !r.RequestSent("GET", 10) || r.RequestSent("GET", 10) {
+}
+
+// A connection carries one request at a time, and none after a partial response.
+func TestOneRequestAtATime(t *testing.T) {
+	r := &Reader{Limits: http1.DefaultLimits}
+	if !r.RequestSent(http.MethodGet, testBufferLimit) || r.RequestSent(http.MethodGet, testBufferLimit) {
 		t.Error("two requests on one connection")
 	}
-	r.Next([]byte(ok))
-	if r.RequestSent("GET", 10) || !r.Reusable() {
-		t.Error("a request before the answer was taken")
+	r.Next([]byte("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"))
+	if r.RequestSent(http.MethodGet, testBufferLimit) || !r.Reusable() {
+		t.Error("a request before the response was taken")
 	}
-	if r.ResponseTaken(); !r.RequestSent("GET", 10) {
-		t.Error("not reused after a whole answer")
+	if r.ResponseTaken(); !r.RequestSent(http.MethodGet, testBufferLimit) {
+		t.Error("not reused after a whole response")
 	}
 	r.Next([]byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nx"))
-	if r.ResponseTaken(); r.RequestSent("GET", 10) || r.State() != Broken {
-		t.Error("reused after half an answer")
+	if r.ResponseTaken(); r.RequestSent(http.MethodGet, testBufferLimit) || r.State() != Broken {
+		t.Error("reused after a partial response")
 	}
-	r = &Reader{Limits: http1.DefaultLimits}
-	r.RequestSent("GET", 10)
+}
+
+// A connection is reusable after a complete response, unless the node closes it or more bytes came.
+func TestReusable(t *testing.T) {
+	r := sentReader(http.MethodGet)
 	if r.Next([]byte("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx")); r.Reusable() {
 		t.Error("reusable, though the node closes")
 	}
-	for _, a := range answers {
-		r = &Reader{Limits: http1.DefaultLimits}
-		r.RequestSent(a.method, 10)
-		if read(r, []string{a.text}, a.stream); r.State() == Complete && !r.Reusable() {
-			t.Errorf("%s: not reusable", a.name)
-		}
-		r = &Reader{Limits: http1.DefaultLimits}
-		r.RequestSent(a.method, 10)
-		b := []byte(a.text + "H")
-		for s := r.Next(b); s.Kind != NeedMore && s.Kind != ProtocolError && r.State() != Complete; s = r.Next(b) {
-			if b = b[s.Used:]; s.Kind == Headers && a.stream {
-				r.Stream()
-			} else if s.Kind == Headers {
-				r.Buffer()
+	for _, c := range responses {
+		t.Run(c.name, func(t *testing.T) {
+			r := sentReader(c.method)
+			if readAll(r, []string{c.text}, c.stream); r.State() == Complete && !r.Reusable() {
+				t.Error("not reusable")
 			}
+			if reusableAfter(sentReader(c.method), []byte(c.text+"H"), c.stream) {
+				t.Error("reusable, though more came with it")
+			}
+		})
+	}
+}
+
+// reusableAfter reads one response that comes in one piece, and reports whether the connection is
+// reusable then.
+func reusableAfter(r *Reader, b []byte, stream bool) bool {
+	s := r.Next(b)
+	for s.Kind != NeedMore && s.Kind != ProtocolError && r.State() != Complete {
+		b = b[s.Used:]
+		if s.Kind == Headers {
+			decide(r, stream)
 		}
-		if r.Reusable() {
-			t.Errorf("%s: reusable, though more came with it", a.name)
-		}
+		s = r.Next(b)
 	}
-	for text, whole := range map[string]bool{
-		"HTTP/1.1 200 OK\r\n\r\nabc": true, "HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\nabc": false,
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n": false, "HTTP/1.1 200": false,
+	return r.Reusable()
+}
+
+// A close by the node ends a response only where that is its framing, and never leaves the
+// connection reusable.
+func TestPeerClosed(t *testing.T) {
+	for name, c := range map[string]struct {
+		text  string
+		whole bool
+	}{
+		"until close":    {"HTTP/1.1 200 OK\r\n\r\nabc", true},
+		"partial body":   {"HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\nabc", false},
+		"partial chunks": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", false},
+		"partial head":   {"HTTP/1.1 200", false},
 	} {
-		r := &Reader{Limits: http1.DefaultLimits}
-		r.RequestSent("GET", 2)
-		read(r, []string{text}, true)
-		if s := r.PeerClosed(); (s.Kind == ResponseEnd) != whole || r.Reusable() {
-			t.Errorf("%q and then its end: %v, reusable %v", text, s.Kind, r.Reusable())
-		}
+		t.Run(name, func(t *testing.T) {
+			r := &Reader{Limits: http1.DefaultLimits}
+			r.RequestSent(http.MethodGet, 2)
+			readAll(r, []string{c.text}, true)
+			if s := r.PeerClosed(); (s.Kind == ResponseEnd) != c.whole || r.Reusable() {
+				t.Errorf("%q: kind %v, reusable %v", c.text, s.Kind, r.Reusable())
+			}
+		})
 	}
 }
 
 func FuzzReader(f *testing.F) {
-	for _, a := range answers {
-		f.Add([]byte(a.text), 7, a.stream)
+	for _, c := range responses {
+		f.Add([]byte(c.text), 7, c.stream)
 	}
 	f.Fuzz(func(t *testing.T, b []byte, cut int, stream bool) {
-		if cut = max(cut, 0); cut > len(b) {
-			cut = len(b)
-		}
-		one, two := &Reader{Limits: http1.DefaultLimits}, &Reader{Limits: http1.DefaultLimits}
-		one.RequestSent("GET", 10)
-		two.RequestSent("GET", 10)
-		x, y := read(one, []string{string(b)}, stream), read(two, []string{string(b[:cut]), string(b[cut:])}, stream)
-		if x != y && !strings.HasSuffix(x, "fault") && !strings.HasSuffix(y, "fault") {
-			t.Fatalf("whole %s, cut at %d %s", x, cut, y)
+		cut = min(max(cut, 0), len(b))
+		whole := readAll(sentReader(http.MethodGet), []string{string(b)}, stream)
+		pieces := readAll(sentReader(http.MethodGet), []string{string(b[:cut]), string(b[cut:])}, stream)
+		if whole != pieces && !strings.HasSuffix(whole, "error") && !strings.HasSuffix(pieces, "error") {
+			t.Fatalf("whole %s, cut at %d %s", whole, cut, pieces)
 		}
 	})
 }
--- a/lab/mutation/list.go
+++ b/lab/mutation/list.go
@@ -57,19 +57,19 @@
 		},
 		{Name: "idle connections are never closed", File: exchangeFile, From: "	case x.now-k.since >= x.cfg.IdleTimeout:\n		x.close(k)", To: "	case x.now-k.since >= x.cfg.IdleTimeout:\n		_ = k"},
 
-		// The reader of connections.
+		// The reader of responses.
 		{
 			Name: "a second request on a connection", File: readerFile, From: "	if r.state != Idle {\n		return false\n	}", To: "	if r.state == Broken {\n		return false\n	}",
 			Equal: "the forwarder sends one at a time: the guard stands behind it",
 		},
-		{Name: "an answer without a request is taken", File: readerFile, From: `	return r.fault("an answer came without a request")`, To: "	return Step{Kind: NeedMore, Used: len(b)}"},
-		{Name: "more than the answer does not end the connection", File: readerFile, From: "!r.Response.Close && !r.more", To: "!r.Response.Close"},
-		{Name: "the node's word to close is not heard", File: readerFile, From: "r.state == Complete && !r.Response.Close && !r.more", To: "r.state == Complete && !r.more"},
+		{Name: "a response without a request is accepted", File: readerFile, From: `	return r.fail("a response without a request")`, To: "	return Step{Kind: NeedMore, Used: len(b)}"},
+		{Name: "bytes after the response do not end the connection", File: readerFile, From: "!r.Response.Close && !r.surplus", To: "!r.Response.Close"},
+		{Name: "the node's Connection: close is ignored", File: readerFile, From: "r.state == Complete && !r.Response.Close && !r.surplus", To: "r.state == Complete && !r.surplus"},
 		{
-			Name: "half an answer leaves the connection good", File: readerFile, From: "		r.state = Broken\n	}\n}\n\n// Break", To: "		r.state = Idle\n	}\n}\n\n// Break",
-			Equal: "the forwarder closes the connection of a call that ends before its answer",
+			Name: "a partial response leaves the connection reusable", File: readerFile, From: "		r.state = Broken\n	}\n}\n\n// Break", To: "		r.state = Idle\n	}\n}\n\n// Break",
+			Equal: "the forwarder closes the connection of a request that ends before its response",
 		},
-		{Name: "a body ends short", File: readerFile, From: "		case r.left == 0:", To: "		case r.left <= 8:"},
+		{Name: "a body ends short", File: readerFile, From: "	case r.remaining == 0:", To: "	case r.remaining <= 8:"},
 
 		// The dispatcher.
 		{
