--- a/lab/mutation/list.go
+++ b/lab/mutation/list.go
@@ -195,19 +195,19 @@
 			To:   "\tcase f.now-c.idleSince >= f.cfg.IdleTimeout:\n\t\t_ = c",
 		},
 
-		// The reader of connections.
+		// The reader of responses.
 		{
 			Name: "a second request on a connection", File: nodeReader, From: "	if r.state != Idle {\n		return false\n	}", To: "	if r.state == Broken {\n		return false\n	}",
 			Equal: "the forwarder sends one at a time: the guard stands behind it",
 		},
-		{Name: "an answer without a request is taken", File: nodeReader, From: `	return r.fault("an answer came without a request")`, To: "	return Step{Kind: NeedMore, Used: len(b)}"},
-		{Name: "more than the answer does not end the connection", File: nodeReader, From: "!r.Response.Close && !r.more", To: "!r.Response.Close"},
-		{Name: "the node's word to close is not heard", File: nodeReader, From: "r.state == Complete && !r.Response.Close && !r.more", To: "r.state == Complete && !r.more"},
+		{Name: "a response without a request is accepted", File: nodeReader, From: `	return r.fail("a response without a request")`, To: "	return Step{Kind: NeedMore, Used: len(b)}"},
+		{Name: "bytes after the response do not end the connection", File: nodeReader, From: "!r.Response.Close && !r.surplus", To: "!r.Response.Close"},
+		{Name: "the node's Connection: close is ignored", File: nodeReader, From: "r.state == Complete && !r.Response.Close && !r.surplus", To: "r.state == Complete && !r.surplus"},
 		{
-			Name: "half an answer leaves the connection good", File: nodeReader, From: "		r.state = Broken\n	}\n}\n\n// Break", To: "		r.state = Idle\n	}\n}\n\n// Break",
-			Equal: "the forwarder closes the connection of a call that ends before its answer",
+			Name: "a partial response leaves the connection reusable", File: nodeReader, From: "		r.state = Broken\n	}\n}\n\n// Break", To: "		r.state = Idle\n	}\n}\n\n// Break",
+			Equal: "the forwarder closes the connection of a request that ends before its response",
 		},
-		{Name: "a body ends short", File: nodeReader, From: "		case r.left == 0:", To: "		case r.left <= 8:"},
+		{Name: "a body ends short", File: nodeReader, From: "	case r.remaining == 0:", To: "	case r.remaining <= 8:"},
 
 		// The dispatcher.
 		{
