--- a/fairshare/gate.go
+++ b/fairshare/gate.go
@@ -1,142 +1,129 @@
 package fairshare
 
-import (
-	"fmt"
-	"time"
-)
+import "time"
 
-// GateConfig holds the settings of a gate.
-type GateConfig struct {
-	Depth   int           // streams that move at a time
-	Crowd   int           // one more for each so many that wait
-	Quantum int           // bytes that one moves before it gives way
-	Lease   time.Duration // after which it gives way at the latest
-	Window  time.Duration // of time, a nanosecond a byte, by which a flow can be behind
-	Flows   int
-	Arrival bool
-}
+// bytePrice is the cost of a byte behind a gate, where bytes alone count, in nanoseconds.
+const bytePrice = 1
 
-// Gate bounds how many streams draw on one thing at a time, such as the link of a node:
-// start-time fair queuing with a depth (Jin, Chase and Kaur 2004). Where that thing, not
-// the loop, is scarce, all that wait for it seem ready as soon as they get some, and
-// whoever has more streams has more of it; behind a gate they wait here, where weights
-// count. A stream that has leave keeps its place though nothing has come for a moment:
-// what the thing can do is on its way to it, once those without leave are held back.
+// Gate bounds how many streams use a shared resource at a time, such as the link of a node, by
+// start-time fair queuing with a depth (Jin, Chase and Kaur 2004). Where that resource is the
+// bottleneck and not the loop, streams that are not gated appear ready as soon as they receive
+// anything, so that a flow with more streams gets more of the resource. Behind a gate they wait for
+// a grant, by weight. A stream keeps its grant while it has nothing to read for a moment:
+// the resource's capacity goes to the streams with grants, once the others are
+// held back.
+//
+// A grant expires, so that a stream that is slow for other reasons does not keep it, and is then
+// charged in full, since the slot was occupied. Data for streams without a grant collects in their
+// socket buffers meanwhile. With many slow streams those buffers can fill up before it is
+// their turn; so the depth grows with the number of waiting streams, and each waits for
+// WaitersPerGrant times GrantTimeout at most.
 //
-// A stream that is slow for reasons of its own would keep its place for long. So a lease
-// ends, and is charged in full: the place was taken. Meanwhile what others are sent gathers
-// in their buffers. It may do harm where so many slow streams wait that their buffers fill
-// before their turns; the depth grows with the crowd, so that a round of turns is Crowd
-// leases long at most.
+// It is not safe for concurrent use.
 type Gate[T any] struct {
-	c      GateConfig
-	s      *Scheduler[T]
-	out    int
-	leases []*Grant[T] // by when they were given
+	cfg         GateConfig
+	sched       *Scheduler[T]
+	outstanding int         // grants that have not ended
+	grants      []*Grant[T] // in the order of their expiry; may contain ended ones
 }
 
-// Grant is a stream's leave to move a quantum.
+// Grant permits a stream to move GateConfig.Quantum bytes.
 type Grant[T any] struct {
-	Item  T
-	flow  *Flow[T] // nil: ended
-	until time.Duration
+	Item    T
+	flow    *Flow[T] // nil once the grant has ended
+	expires time.Duration
 }
 
-// NewGate returns a gate.
+// NewGate returns a gate. The error is a *ConfigError.
 func NewGate[T any](c GateConfig) (*Gate[T], error) {
-	switch {
-	case c.Depth < 1:
-		return nil, fmt.Errorf("fairshare: a depth of %d, want 1 or more", c.Depth)
-	case c.Crowd < 1:
-		return nil, fmt.Errorf("fairshare: a crowd of %d, want 1 or more", c.Crowd)
-	case c.Quantum < 1:
-		return nil, fmt.Errorf("fairshare: a quantum of %d bytes, want 1 or more", c.Quantum)
-	case c.Lease <= 0:
-		return nil, fmt.Errorf("fairshare: a lease of %v, want more than nothing", c.Lease)
+	if err := c.check(); err != nil {
+		return nil, err
 	}
-	s, err := New[T](Config{ByteTime: 1, Window: c.Window, Flows: c.Flows, Arrival: c.Arrival}, 0)
+	sched, err := New[T](Config{ByteTime: bytePrice, Window: c.Window, Flows: c.Flows, FIFO: c.FIFO}, 0)
 	if err != nil {
 		return nil, err
 	}
-	return &Gate[T]{c: c, s: s}, nil
+	return &Gate[T]{cfg: c, sched: sched}, nil
 }
 
-// Request has a stream of a flow wait for its leave.
-func (g *Gate[T]) Request(now time.Duration, name string, t FlowConfig, item T) {
-	t.Rate = 0 // what a limit in bytes is kept by, is the loop
-	f := g.s.Flow(now, name, t, nil)
-	if f.terms.Weight != t.valid().Weight && f != g.s.others {
-		g.s.Configure(now, f, t)
+// Request queues a stream for a grant in the flow of the given name. The rate limit of c is not
+// used: limits are enforced on the loop.
+func (g *Gate[T]) Request(now time.Duration, name string, c FlowConfig, item T) {
+	c.Rate = 0
+	f := g.sched.Flow(now, name, c, nil)
+	if f.config.Weight != c.normalized().Weight && f != g.sched.overflow {
+		g.sched.Configure(now, f, c)
 	}
-	g.s.Push(now, f, item)
+	g.sched.Push(now, f, item)
 }
 
-// NextGrant gives leave to the stream whose turn it is, if there is a place. It is charged
-// for the quantum at once, so that those beside it are chosen by what is out too.
+// NextGrant returns a grant for the stream that is next by weight; false if none is waiting or all
+// slots are taken. The flow is charged for the whole quantum at once, so that outstanding
+// grants count when the next is chosen.
 func (g *Gate[T]) NextGrant(now time.Duration) (*Grant[T], bool) {
-	if g.out >= g.c.Depth+g.s.Len()/g.c.Crowd {
+	if g.outstanding >= g.cfg.Depth+g.sched.Len()/g.cfg.WaitersPerGrant {
 		return nil, false
 	}
-	item, f, ok := g.s.Next(now)
+	item, f, ok := g.sched.Next(now)
 	if !ok {
 		return nil, false
 	}
-	g.s.Done(now, f, Cost{Bytes: g.c.Quantum})
-	l := &Grant[T]{Item: item, flow: f, until: now + g.c.Lease}
-	g.out++
-	g.leases = append(g.leases, l)
-	return l, true
+	g.sched.Done(now, f, Cost{Bytes: g.cfg.Quantum})
+	grant := &Grant[T]{Item: item, flow: f, expires: now + g.cfg.GrantTimeout}
+	g.outstanding++
+	g.grants = append(g.grants, grant)
+	return grant, true
 }
 
-// Done takes a lease back from a stream that has moved so many bytes under it, and has
-// no more to move for now.
-func (g *Gate[T]) Done(now time.Duration, l *Grant[T], bytes int) {
-	if l.flow == nil {
-		return // given back before
+// Done ends a grant under which the stream has moved the given number of bytes, and gives back the
+// charge for the rest of the quantum. Ending a grant twice has no effect.
+func (g *Gate[T]) Done(now time.Duration, grant *Grant[T], bytes int) {
+	if grant.flow == nil {
+		return
 	}
-	g.s.Charge(now, l.flow, Cost{Bytes: bytes - g.c.Quantum})
-	g.end(l)
+	g.sched.Charge(now, grant.flow, Cost{Bytes: bytes - g.cfg.Quantum})
+	g.end(grant)
 }
 
-// Expired returns a lease that has ended by time, until there is none. It was charged
-// in full.
+// Expired ends and returns a grant whose time has passed; false if there is none. It stays
+// charged in full.
 func (g *Gate[T]) Expired(now time.Duration) (*Grant[T], bool) {
-	g.trim()
-	if len(g.leases) == 0 || g.leases[0].until > now {
+	g.dropEnded()
+	if len(g.grants) == 0 || g.grants[0].expires > now {
 		return nil, false
 	}
-	l := g.leases[0]
-	g.end(l)
-	return l, true
+	grant := g.grants[0]
+	g.end(grant)
+	return grant, true
 }
 
-func (g *Gate[T]) end(l *Grant[T]) {
-	l.flow = nil
-	g.out--
-	g.trim()
+func (g *Gate[T]) end(grant *Grant[T]) {
+	grant.flow = nil
+	g.outstanding--
+	g.dropEnded()
 }
 
-// trim forgets leases at the front that have ended.
-func (g *Gate[T]) trim() {
-	for len(g.leases) > 0 && g.leases[0].flow == nil {
-		g.leases[0] = nil
-		g.leases = g.leases[1:]
+// dropEnded removes ended grants from the front of the list.
+func (g *Gate[T]) dropEnded() {
+	for len(g.grants) > 0 && g.grants[0].flow == nil {
+		g.grants[0] = nil
+		g.grants = g.grants[1:]
 	}
-	if len(g.leases) == 0 {
-		g.leases = nil
+	if len(g.grants) == 0 {
+		g.grants = nil
 	}
 }
 
-// NextWake returns when the next place is freed by time, where somebody waits for it.
+// NextWake returns when the next grant expires; false if no stream is waiting for its slot.
 func (g *Gate[T]) NextWake() (time.Duration, bool) {
-	if g.s.Len() == 0 || len(g.leases) == 0 {
+	if g.sched.Len() == 0 || len(g.grants) == 0 {
 		return 0, false
 	}
-	return g.leases[0].until, true
+	return g.grants[0].expires, true
 }
 
-// Idle tells whether nobody waits and nothing is out.
-func (g *Gate[T]) Idle() bool { return g.s.Len() == 0 && g.out == 0 }
+// Idle reports whether no stream is waiting and no grant is outstanding.
+func (g *Gate[T]) Idle() bool { return g.sched.Len() == 0 && g.outstanding == 0 }
 
-// Flows calls f for each flow.
-func (g *Gate[T]) Flows(f func(*Flow[T])) { g.s.Flows(f) }
+// Flows calls visit for each flow.
+func (g *Gate[T]) Flows(visit func(*Flow[T])) { g.sched.Flows(visit) }
--- a/fairshare/queue.go
+++ b/fairshare/queue.go
@@ -1,141 +1,88 @@
 package fairshare
 
-// ring is a queue that keeps its room.
+const (
+	minRingSize = 4  // items
+	keptRing    = 64 // items; a longer ring is released when it becomes empty
+)
+
+// ring is a FIFO queue in a buffer that grows as needed and is reused.
 type ring[T any] struct {
-	a    []T
+	buf  []T
 	head int
-	n    int
+	len  int
 }
 
 func (r *ring[T]) push(x T) {
-	if r.n == len(r.a) {
-		a := make([]T, max(4, 2*r.n))
-		for i := range r.n {
-			a[i] = r.a[(r.head+i)%len(r.a)]
-		}
-		r.a, r.head = a, 0
+	if r.len == len(r.buf) {
+		r.grow()
 	}
-	r.a[(r.head+r.n)%len(r.a)] = x
-	r.n++
+	r.buf[(r.head+r.len)%len(r.buf)] = x
+	r.len++
 }
 
-func (r *ring[T]) pop() T {
-	var none T
-	x := r.a[r.head]
-	r.a[r.head] = none
-	r.head = (r.head + 1) % len(r.a)
-	if r.n--; r.n == 0 && len(r.a) > 64 { // a crowd has gone
-		r.a, r.head = nil, 0
+func (r *ring[T]) grow() {
+	buf := make([]T, max(minRingSize, 2*r.len))
+	for i := range r.len {
+		buf[i] = r.buf[(r.head+i)%len(r.buf)]
 	}
-	return x
+	r.buf = buf
+	r.head = 0
 }
 
-// lot holds what waits in one flow: what is under way apart from what is new, each in
-// the order of its coming. Between the two the same start-time fair queuing holds, one
-// floor lower.
-type lot[T any] struct {
-	rings  [2]ring[T]
-	tags   [2]float64 // of the next turn of each
-	n      int
-	turned int // whose turn is, or was the last
+func (r *ring[T]) pop() T {
+	var zero T
+	x := r.buf[r.head]
+	r.buf[r.head] = zero
+	r.head = (r.head + 1) % len(r.buf)
+	r.len--
+	if r.len == 0 && len(r.buf) > keptRing {
+		r.buf = nil
+		r.head = 0
+	}
+	return x
 }
 
+// Classes of items within a flow.
 const (
-	underWay = iota
-	fresh
+	inProgress = iota
+	notStarted
+	itemClasses
 )
 
-func (l *lot[T]) push(which int, x T) {
-	if l.rings[which].n == 0 { // who had nothing to do has saved up nothing
-		l.tags[which] = max(l.tags[which], l.tags[l.turned])
-	}
-	l.rings[which].push(x)
-	l.n++
-}
-
-func (l *lot[T]) pop() T {
-	l.turned = underWay
-	if l.rings[underWay].n == 0 || l.rings[fresh].n > 0 && l.tags[fresh] < l.tags[underWay] {
-		l.turned = fresh
-	}
-	l.n--
-	return l.rings[l.turned].pop()
+// itemQueue holds the items of one flow in two classes, each first in, first out. The classes share
+// the flow's service by start-time fair queuing, one level below that of the flows.
+type itemQueue[T any] struct {
+	rings   [itemClasses]ring[T]
+	tags    [itemClasses]float64 // of the next service of each class
+	len     int
+	serving int // class of the last item that was popped
 }
 
-// charge has the last turn's part pay for it. Tags start anew where nothing waits, so that
-// they do not grow without end.
-func (l *lot[T]) charge(cost, finishing float64) {
-	if l.n == 0 {
-		l.tags = [2]float64{}
-	}
-	if l.turned == underWay {
-		cost /= finishing
+func (q *itemQueue[T]) push(class int, x T) {
+	if q.rings[class].len == 0 { // an idle class accumulates no credit
+		q.tags[class] = max(q.tags[class], q.tags[q.serving])
 	}
-	l.tags[l.turned] += cost
-}
-
-// heap is a binary heap of flows that knows where each is.
-type heap[T any] struct {
-	a    []*Flow[T]
-	less func(a, b *Flow[T]) bool
-}
-
-func (h *heap[T]) push(f *Flow[T]) {
-	f.pos = len(h.a)
-	h.a = append(h.a, f)
-	h.up(f.pos)
+	q.rings[class].push(x)
+	q.len++
 }
 
-func (h *heap[T]) remove(f *Flow[T]) {
-	i, last := f.pos, len(h.a)-1
-	h.a[i] = h.a[last]
-	h.a[i].pos = i
-	h.a[last] = nil
-	h.a = h.a[:last]
-	if i < last {
-		h.fix(h.a[i])
+func (q *itemQueue[T]) pop() T {
+	q.serving = inProgress
+	if q.rings[inProgress].len == 0 || q.rings[notStarted].len > 0 && q.tags[notStarted] < q.tags[inProgress] {
+		q.serving = notStarted
 	}
+	q.len--
+	return q.rings[q.serving].pop()
 }
 
-// fix puts a flow whose tag has changed in its place.
-func (h *heap[T]) fix(f *Flow[T]) {
-	i := f.pos
-	h.up(i)
-	if f.pos == i {
-		h.down(i)
+// charge adds a cost to the class that was served last. Tags are reset when the queue is empty, so
+// that they do not grow without bound.
+func (q *itemQueue[T]) charge(cost, inProgressWeight float64) {
+	if q.len == 0 {
+		q.tags = [itemClasses]float64{}
 	}
-}
-
-func (h *heap[T]) up(i int) {
-	f := h.a[i]
-	for i > 0 {
-		p := (i - 1) / 2
-		if !h.less(f, h.a[p]) {
-			break
-		}
-		h.a[i] = h.a[p]
-		h.a[i].pos = i
-		i = p
-	}
-	h.a[i], f.pos = f, i
-}
-
-func (h *heap[T]) down(i int) {
-	f := h.a[i]
-	for {
-		c := 2*i + 1
-		if c >= len(h.a) {
-			break
-		}
-		if c+1 < len(h.a) && h.less(h.a[c+1], h.a[c]) {
-			c++
-		}
-		if !h.less(h.a[c], f) {
-			break
-		}
-		h.a[i] = h.a[c]
-		h.a[i].pos = i
-		i = c
+	if q.serving == inProgress {
+		cost /= inProgressWeight
 	}
-	h.a[i], f.pos = f, i
+	q.tags[q.serving] += cost
 }
--- /dev/null
+++ b/fairshare/scheduler_test.go
@@ -0,0 +1,344 @@
+package fairshare
+
+import (
+	"errors"
+	"math"
+	"strconv"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+const ms = time.Millisecond
+
+var testConfig = Config{Window: time.Second, Flows: 64}
+
+func newScheduler(tb testing.TB, c Config, loop int) *Scheduler[int] {
+	tb.Helper()
+	s, err := New[int](c, loop)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return s
+}
+
+// newTwoFlows returns flows a and b, with the given weight and with a weight of 1.
+func newTwoFlows(s *Scheduler[int], weightA float64) []*Flow[int] {
+	return []*Flow[int]{
+		s.Flow(0, "a", FlowConfig{Weight: weightA}, nil),
+		s.Flow(0, "b", FlowConfig{Weight: 1}, nil),
+	}
+}
+
+// serve performs a number of services of the same cost, and returns what each flow got. Each
+// flow that is not nil stays backlogged.
+func serve(s *Scheduler[int], flows []*Flow[int], cost time.Duration, services int) []float64 {
+	served := make([]float64, len(flows))
+	for i, f := range flows {
+		if f != nil && f.Waiting() == 0 {
+			s.Push(0, f, i)
+		}
+	}
+	for range services {
+		i, f, ok := s.Next(0)
+		if !ok {
+			break
+		}
+		served[i] += float64(cost)
+		s.Push(0, f, i)
+		s.Done(0, f, Cost{Work: cost})
+	}
+	return served
+}
+
+// The bound of start-time fair queuing (Goyal, Vin and Cheng 1996, theorem 1): over any time in which
+// two flows are backlogged, their services by weight differ by at most one largest service of
+// each by its weight. Other flows come and go and change their weights meanwhile.
+func TestLagOfBackloggedFlowsIsBounded(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s, _ := New[int](testConfig, 0)
+		n := rapid.IntRange(2, 6).Draw(t, "flows")
+		var flows []*Flow[int]
+		var largest []float64
+		for i := range n {
+			weight := rapid.Float64Range(0.1, 20).Draw(t, "weight")
+			flows = append(flows, s.Flow(0, strconv.Itoa(i), FlowConfig{Weight: weight}, nil))
+			largest = append(largest, rapid.Float64Range(10, 1e6).Draw(t, "largest"))
+		}
+		s.Push(0, flows[0], 0)
+		s.Push(0, flows[1], 1)
+		served := make([]float64, n)
+		low, high := 0.0, 0.0
+		for range rapid.IntRange(1, 300).Draw(t, "services") {
+			if i := rapid.IntRange(0, n-1).Draw(t, "flow"); i > 1 {
+				if rapid.Bool().Draw(t, "reconfigure") {
+					s.Configure(0, flows[i], FlowConfig{Weight: rapid.Float64Range(0.1, 20).Draw(t, "new weight")})
+				}
+				s.Push(0, flows[i], i)
+			}
+			i, f, ok := s.Next(0)
+			if !ok {
+				t.Fatal("no flow is next, though two are backlogged")
+			}
+			cost := math.Floor(rapid.Float64Range(0, largest[i]).Draw(t, "cost"))
+			served[i] += cost
+			if i < 2 { // stays backlogged
+				s.Push(0, f, i)
+			}
+			s.Done(0, f, Cost{Work: time.Duration(cost)})
+			lag := served[0]/flows[0].config.Weight - served[1]/flows[1].config.Weight
+			low, high = min(low, lag), max(high, lag)
+		}
+		bound := largest[0]/flows[0].config.Weight + largest[1]/flows[1].config.Weight
+		if high-low > bound*(1+1e-9) {
+			t.Fatalf("lag %g, bound %g", high-low, bound)
+		}
+	})
+}
+
+func TestSharesByWeight(t *testing.T) {
+	for _, weight := range []float64{1, 4, 16} {
+		s := newScheduler(t, testConfig, 0)
+		served := serve(s, newTwoFlows(s, weight), time.Microsecond, 10000)
+		if got := served[0] / served[1]; math.Abs(got/weight-1) > 0.01 {
+			t.Errorf("%g to 1: served %.3f to 1", weight, got)
+		}
+	}
+}
+
+// The number of a flow's items does not matter, and an idle flow accumulates no credit.
+func TestManyItemsAndIdleFlow(t *testing.T) {
+	s := newScheduler(t, testConfig, 0)
+	flows := newTwoFlows(s, 1)
+	for range 1000 {
+		s.Push(0, flows[1], 1)
+	}
+	serve(s, []*Flow[int]{nil, flows[1]}, time.Microsecond, 5000) // a is idle
+	served := serve(s, flows, time.Microsecond, 100)
+	if served[0] < 49e3 || served[0] > 51e3 {
+		t.Errorf("one item beside a thousand got %v of 100 services", served[0]/1e3)
+	}
+	// An item of a new flow is among the next.
+	c := s.Flow(0, "c", FlowConfig{Weight: 1}, nil)
+	s.Push(0, c, 7)
+	services := 0
+	for i := -1; i != 7; services++ {
+		var f *Flow[int]
+		i, f, _ = s.Next(0)
+		if i != 7 {
+			s.Push(0, f, i)
+		}
+		s.Done(0, f, Cost{Work: time.Microsecond})
+	}
+	if services > 3 {
+		t.Errorf("a new flow waited for %d services", services-1)
+	}
+}
+
+// A changed weight applies to later services; earlier ones count by the old weight.
+func TestWeightChange(t *testing.T) {
+	s := newScheduler(t, testConfig, 0)
+	flows := newTwoFlows(s, 1)
+	serve(s, flows, ms, 101)
+	s.Configure(0, flows[0], FlowConfig{Weight: 9})
+	served := serve(s, flows, ms, 100)
+	if served[0] < 88e6 || served[0] > 92e6 {
+		t.Errorf("got %v of 100 after its weight rose to nine tenths", served[0]/1e6)
+	}
+	s.Configure(0, flows[0], FlowConfig{Weight: 1})
+	if served = serve(s, flows, ms, 100); served[0] < 48e6 || served[0] > 52e6 {
+		t.Errorf("got %v of 100 after its weight fell to half", served[0]/1e6)
+	}
+}
+
+// What a flow is ahead of virtual time is paid off at its new weight.
+func TestDebtIsScaledWithTheWeight(t *testing.T) {
+	s := newScheduler(t, testConfig, 0)
+	flows := newTwoFlows(s, 1)
+	s.Push(0, flows[0], 0)
+	s.Push(0, flows[1], 1)
+	_, f, _ := s.Next(0)
+	s.Push(0, f, 0)
+	s.Done(0, f, Cost{Work: 100 * ms})
+	s.Configure(0, flows[0], FlowConfig{Weight: 10})
+	services := 0
+	for i, f, _ := s.Next(0); i != 0; i, f, _ = s.Next(0) {
+		s.Push(0, f, i)
+		s.Done(0, f, Cost{Work: ms})
+		services++
+	}
+	if services < 9 || services > 12 {
+		t.Errorf("100 ms at a tenth of the new weight: %d ms of the other flow before its next service, want 10", services)
+	}
+}
+
+func TestWindowBoundsTheDebt(t *testing.T) {
+	c := testConfig
+	c.Window = 10 * ms
+	s := newScheduler(t, c, 0)
+	flows := newTwoFlows(s, 1)
+	s.Push(0, flows[0], 0)
+	_, f, _ := s.Next(0)
+	s.Push(0, f, 0)
+	s.Done(0, f, Cost{Work: time.Minute})
+	served := serve(s, flows, ms, 20)
+	if served[0] < 4e6 || served[0] > 6e6 { // ten services behind, then in turn
+		t.Errorf("got %v of 20 services", served[0]/1e6)
+	}
+}
+
+// A flow beyond its rate waits while others are served, and accumulates no more than its burst.
+func TestRateLimit(t *testing.T) {
+	s := newScheduler(t, testConfig, 0)
+	limited := s.Flow(0, "a", FlowConfig{Weight: 1, Rate: 1000, Burst: 500}, nil)
+	other := s.Flow(0, "b", FlowConfig{Weight: 1}, nil)
+	s.Push(0, limited, 0)
+	s.Push(0, other, 1)
+	bytes, otherServices := 0, 0
+	for now := time.Duration(0); now < 10*time.Second; now += ms {
+		i, f, ok := s.Next(now)
+		if !ok {
+			t.Fatal("b may be served")
+		}
+		s.Push(now, f, i)
+		if i == 0 {
+			bytes += 100
+			s.Done(now, f, Cost{Work: 1, Bytes: 100})
+		} else {
+			otherServices++
+			s.Done(now, f, Cost{Work: 1})
+		}
+	}
+	if bytes < 10300 || bytes > 10700 {
+		t.Errorf("%d bytes in 10 s at a rate of 1000 and a burst of 500", bytes)
+	}
+	if otherServices < 9800 {
+		t.Errorf("the other flow got %d of 10000 services", otherServices)
+	}
+	if d := s.Delay(10*time.Second, limited, 1000); d < 900*ms || d > 1200*ms {
+		t.Errorf("a further item waits %v behind 1000 bytes", d)
+	}
+	if at, ok := s.NextWake(); !ok || at < 10*time.Second || at > 10100*ms {
+		t.Errorf("wakes at %v, %v", at, ok)
+	}
+	s.Configure(10*time.Second, limited, FlowConfig{Weight: 1})
+	if _, ok := limited.RateLimitedUntil(); ok {
+		t.Error("rate-limited without a limit")
+	}
+}
+
+// Flows are bounded; an idle one is forgotten, and those who hold it can still use it.
+func TestFlowsAreBounded(t *testing.T) {
+	c := testConfig
+	c.Flows = 2
+	s := newScheduler(t, c, 0)
+	flows := newTwoFlows(s, 1)
+	s.Push(0, flows[0], 1)
+	s.Push(0, flows[1], 2)
+	if f := s.Flow(0, "c", FlowConfig{Weight: 1}, nil); f.Name() != overflowFlow {
+		t.Errorf("a third of two flows is %s", f.Name())
+	}
+	for range 2 {
+		_, f, _ := s.Next(0)
+		s.Done(0, f, Cost{})
+	}
+	if f := s.Flow(0, "c", FlowConfig{Weight: 1}, nil); f.Name() != "c" || len(s.flows) != 2 {
+		t.Errorf("no idle flow is forgotten: %s, %d flows", f.Name(), len(s.flows))
+	}
+	for _, f := range flows {
+		s.Push(0, f, 9)
+		i, next, ok := s.Next(0)
+		if !ok || i != 9 {
+			t.Fatal("an item is lost")
+		}
+		s.Done(0, next, Cost{})
+	}
+	if len(s.flows) != 2 || len(s.byName) != 2 {
+		t.Errorf("%d flows, %d by name, want 2", len(s.flows), len(s.byName))
+	}
+}
+
+// After a time without work all flows start level.
+func TestIdleTimeClearsDebt(t *testing.T) {
+	s := newScheduler(t, testConfig, 0)
+	flows := newTwoFlows(s, 1)
+	s.Push(0, flows[0], 0)
+	_, f, _ := s.Next(0)
+	s.Done(0, f, Cost{Work: 100 * ms})
+	if _, _, ok := s.Next(0); ok {
+		t.Fatal("an item of an empty scheduler")
+	}
+	served := serve(s, flows, ms, 20)
+	if served[0] < 9e6 {
+		t.Errorf("got %v of 20 services after idle time", served[0]/1e6)
+	}
+}
+
+// A forgotten flow stands for the flow that was created under its name since.
+func TestForgottenFlowIsReplaced(t *testing.T) {
+	c := testConfig
+	c.Flows = 1
+	s := newScheduler(t, c, 0)
+	forgotten := s.Flow(0, "a", FlowConfig{Weight: 1}, nil)
+	s.Flow(0, "b", FlowConfig{Weight: 1}, nil)
+	recreated := s.Flow(0, "a", FlowConfig{Weight: 1}, nil)
+	if forgotten == recreated {
+		t.Fatal("not forgotten")
+	}
+	s.Push(0, forgotten, 1)
+	s.Push(0, recreated, 2)
+	if recreated.Waiting() != 2 {
+		t.Errorf("%d items in the flow, want both", recreated.Waiting())
+	}
+}
+
+func TestInvalidConfig(t *testing.T) {
+	for _, test := range []struct {
+		field string
+		cfg   Config
+	}{
+		{"Window", Config{}},
+		{"Flows", Config{Window: time.Second}},
+		{"Window", Config{Window: 1, Flows: 1}},
+		{"ByteTime", Config{Window: time.Second, Flows: 1, ByteTime: -1}},
+		{"ByteTime", Config{Window: time.Second, Flows: 1, ByteTime: math.NaN()}},
+		{"InProgressWeight", Config{Window: time.Second, Flows: 1, InProgressWeight: -1}},
+	} {
+		_, err := New[int](test.cfg, 0)
+		var configErr *ConfigError
+		if !errors.As(err, &configErr) || configErr.Field != test.field {
+			t.Errorf("%+v: %v, want an error of %s", test.cfg, err, test.field)
+		}
+	}
+}
+
+// Within a flow, items in progress are served before new ones by their weight, neither class starves, and
+// an idle class accumulates no credit.
+func TestInProgressWeight(t *testing.T) {
+	s := newScheduler(t, Config{Window: time.Second, Flows: 4, InProgressWeight: 4}, 0)
+	f := s.Flow(0, "a", FlowConfig{Weight: 1}, nil)
+	for range 100 {
+		s.PushNew(0, f, notStarted)
+	}
+	serveClasses := func(n int) (served [itemClasses]int) {
+		for range n {
+			class, f, _ := s.Next(0)
+			served[class]++
+			if class == inProgress {
+				s.Push(0, f, inProgress)
+			} else {
+				s.PushNew(0, f, notStarted)
+			}
+			s.Done(0, f, Cost{Work: time.Microsecond})
+		}
+		return served
+	}
+	if served := serveClasses(50); served[notStarted] != 50 { // no others are queued
+		t.Errorf("%v", served)
+	}
+	s.Push(0, f, inProgress)
+	if served := serveClasses(500); served[inProgress] < 398 || served[inProgress] > 402 {
+		t.Errorf("%v, want 400 and 100", served)
+	}
+}
--- a/gateway/client.go
+++ b/gateway/client.go
@@ -177,7 +177,7 @@
 	r := &c.req
 	t.minor, t.method, t.close, t.expect = r.Minor, string(r.Method), r.Close || c.lane.g.draining.Load(), r.Expect100
 	t.head = t.method == "HEAD"
-	if after, refuse := c.vol.over.Head(c.lane.g.core.now(), c.c.SliceWait()-c.c.RateLimitWait()); refuse {
+	if after, refuse := c.vol.over.ShouldReject(c.lane.g.core.now(), c.c.SliceWait()-c.c.RateLimitWait()); refuse {
 		t.overloaded(r, after)
 		return n
 	}
--- a/gateway/draw.go
+++ b/gateway/draw.go
@@ -24,8 +24,13 @@
 	}
 	x := l.g.cfg.Share
 	s, err := fairshare.NewGate[*nodeConn](fairshare.GateConfig{
-		Depth: x.Depth, Crowd: x.Crowd, Quantum: x.Draw, Lease: x.Lease.D(), Window: x.Window.D(), Flows: x.Flows,
-		Arrival: x.Order == "arrival",
+		Depth:           x.Depth,
+		WaitersPerGrant: x.Crowd,
+		Quantum:         x.Draw,
+		GrantTimeout:    x.Lease.D(),
+		Window:          x.Window.D(),
+		Flows:           x.Flows,
+		FIFO:            x.Order == "arrival",
 	})
 	if err != nil {
 		panic("gateway: " + err.Error()) // cannot happen: the settings were checked, and loops have the same
--- a/gateway/export_test.go
+++ b/gateway/export_test.go
@@ -10,8 +10,8 @@
 	l.loop.Post(func() {
 		interval := g.cfg.Share.Overload.Interval.D()
 		o := l.volumeOf(volume).over
-		o.Head(0, time.Minute)
-		o.Head(interval, time.Minute)
+		o.ShouldReject(0, time.Minute)
+		o.ShouldReject(interval, time.Minute)
 		close(held)
 		<-free
 	})
--- a/gateway/shares.go
+++ b/gateway/shares.go
@@ -16,16 +16,29 @@
 // loopOptions are a loop's settings.
 func loopOptions(s *settings.Settings, now func() time.Duration) eventloop.Options {
 	x := s.Share
-	return eventloop.Options{Quantum: x.Quantum, Slice: x.Slice.D(), Now: now, FairShare: fairshare.Config{
-		ByteTime: x.ByteTime, Window: x.Window.D(),
-		Flows: x.Flows, Finishing: x.Finishing, Arrival: x.Order == "arrival",
-	}}
+	return eventloop.Options{
+		Quantum: x.Quantum,
+		Slice:   x.Slice.D(),
+		Now:     now,
+		FairShare: fairshare.Config{
+			ByteTime:         x.ByteTime,
+			Window:           x.Window.D(),
+			Flows:            x.Flows,
+			InProgressWeight: x.Finishing,
+			FIFO:             x.Order == "arrival",
+		},
+	}
 }
 
 // newOverload returns the state of one flow's refusals.
 func (l *lane) newOverload() *overload.Controller {
 	x := l.g.cfg.Share.Overload
-	o, err := overload.New(overload.Config{Target: x.Target.D(), Interval: x.Interval.D(), Back: x.Back.D(), MaxBack: x.MaxBack.D()})
+	o, err := overload.New(overload.Config{
+		Target:        x.Target.D(),
+		Interval:      x.Interval.D(),
+		RetryAfter:    x.Back.D(),
+		MaxRetryAfter: x.MaxBack.D(),
+	})
 	if err != nil {
 		panic("gateway: " + err.Error()) // cannot happen: the settings were checked
 	}
--- a/overload/overload.go
+++ b/overload/overload.go
@@ -1,5 +1,5 @@
 // Package overload detects a standing queue of requests before an event loop and rejects those
-// that would wait too long, after controlled delay (CoDel). It does no I/O and reads no clock.
+// that have waited too long, after controlled delay (CoDel). It does no I/O and reads no clock.
 package overload
 
 import (
@@ -8,136 +8,167 @@
 	"time"
 )
 
+// maxTarget bounds Config.Target.
+const maxTarget = time.Minute
+
+// ConfigError reports a setting that is out of range.
+type ConfigError struct {
+	Field    string // the field of Config
+	Got      time.Duration
+	Expected string
+}
+
+func (e *ConfigError) Error() string {
+	return fmt.Sprintf("overload: %s is %v, want %s", e.Field, e.Got, e.Expected)
+}
+
 // Config holds the settings of a Controller.
 type Config struct {
-	// Target is what a request may wait for its first turn while its flow is overloaded.
-	// 0: nothing is refused.
+	// Target is the longest queue time of a request that is accepted during overload. 0: no
+	// request is rejected.
 	Target time.Duration
-	// Interval is for how long waits must be over Target, all of them, before the flow
-	// counts as overloaded, and for how long under it, all of them, before it does not.
+	// Interval is for how long all queue times must be at Target or above until the flow counts as
+	// overloaded, and below it until it no longer does. It is Target or more.
 	Interval time.Duration
-	// Back and MaxBack bound the time after which a refused client is asked to come back.
-	Back, MaxBack time.Duration
+	// RetryAfter and MaxRetryAfter bound the time after which rejected clients may retry.
+	RetryAfter, MaxRetryAfter time.Duration
 }
 
 func (c Config) check() error {
 	switch {
-	case c.Target < 0 || c.Target > time.Minute:
-		return fmt.Errorf("overload: a target of %v, want 0 to 1m", c.Target)
+	case c.Target < 0 || c.Target > maxTarget:
+		return &ConfigError{Field: "Target", Got: c.Target, Expected: "0 to 1m"}
 	case c.Target == 0:
 		return nil
 	case c.Interval < c.Target:
-		return fmt.Errorf("overload: an interval of %v, want the target, %v, or more", c.Interval, c.Target)
-	case c.Back <= 0 || c.MaxBack < c.Back:
-		return fmt.Errorf("overload: times to come back from %v to %v, want the first above 0 and the second no less", c.Back, c.MaxBack)
+		return &ConfigError{Field: "Interval", Got: c.Interval, Expected: fmt.Sprintf("Target, %v, or more", c.Target)}
+	case c.RetryAfter <= 0:
+		return &ConfigError{Field: "RetryAfter", Got: c.RetryAfter, Expected: "more than 0s"}
+	case c.MaxRetryAfter < c.RetryAfter:
+		return &ConfigError{
+			Field:    "MaxRetryAfter",
+			Got:      c.MaxRetryAfter,
+			Expected: fmt.Sprintf("RetryAfter, %v, or more", c.RetryAfter),
+		}
 	}
 	return nil
 }
 
-// Controller decides which requests of a flow on a loop are refused before they cost what a
-// request costs. It guards against a queue that stands: where more comes than the
-// flow's share of the loop can do, each request waits until its client has given up, all are
-// late, and the work is for nobody. A flow with its turns in order waits long only when
-// it is over its share itself, whatever others do; so its own waits tell.
+// Controller decides which requests of one flow on one loop are rejected before any work is
+// done for them. It guards against a standing queue: where more requests arrive than the flow's
+// share of the loop can serve, each waits until its client has timed out, and the work on it
+// is wasted. Under fair sharing a flow's requests wait long only when the flow itself exceeds its
+// share, so its own queue times are a sufficient signal.
+//
+// Detection follows controlled delay (Nichols and Jacobson, "Controlling Queue Delay", 2012): a
+// queue is standing when no queue time was below the target for an interval. While it
+// is, requests that waited for the target or longer are rejected and the others served, as in
+// Maurer, "Fail at Scale" (2015): the queue shrinks as fast as rejections are cheap, and
+// the loop always has work.
 //
-// It follows controlled delay (Nichols and Jacobson, "Controlling Queue Delay", 2012) in
-// what it takes for a standing queue: no wait was short for an interval. Once that
-// is so, whoever has waited longer than the target is refused, and whoever has not is
-// served, as in Maurer, "Fail at Scale" (2015): the queue melts as fast as refusals are cheap,
-// and the loop is never without work.
+// A burst longer than the interval is rejected in part even if all of its clients would have
+// waited for it. The retry time grows while many requests are rejected, so that rejections remain a
+// small part of the flow's cost.
 //
-// It may do harm where one burst is longer than the interval and all of its clients would
-// have waited for it. The time to come back grows while many are refused, so that refusals stay
-// a small part of what the flow costs.
+// It is not safe for concurrent use.
 type Controller struct {
-	c      Config
-	over   bool
-	turned time.Duration // since then waits were all on the side that would change over
-	last   time.Duration // the last request
-	begun  time.Duration // of the interval that is counted
-	back   time.Duration
-	served int // in it
-	gone   int // refused in it
-	n      uint64
+	cfg        Config
+	overloaded bool
+	steadyAt   time.Duration // the last time a queue time agreed with overloaded
+	lastSeen   time.Duration // time of the last request
+
+	countingSince time.Duration // start of the interval that accepted and rejected refer to
+	accepted      int
+	rejected      int
+	retryAfter    time.Duration // mean of the times that are returned
+	draws         uint64        // number of times returned
 }
 
-// New returns the state of one flow.
+// New returns a controller for one flow. The error is a *ConfigError.
 func New(c Config) (*Controller, error) {
 	if err := c.check(); err != nil {
 		return nil, err
 	}
-	return &Controller{c: c, back: c.Back}, nil
+	return &Controller{cfg: c, retryAfter: c.RetryAfter}, nil
 }
 
-// Over tells whether the flow is overloaded.
-func (o *Controller) Over() bool { return o.over }
+// Overloaded reports whether the flow is overloaded.
+func (c *Controller) Overloaded() bool { return c.overloaded }
 
-// Head decides on a request whose head was read now, and that had waited for its turn. It
-// returns true for one that is to be refused, and the time after which its client may come
-// back.
-func (o *Controller) Head(now, waited time.Duration) (after time.Duration, refuse bool) {
-	if o.c.Target == 0 {
+// ShouldReject reports whether a request that has waited for queueTime and is about to be served is
+// to be rejected, and after which time its client may retry.
+func (c *Controller) ShouldReject(now, queueTime time.Duration) (retryAfter time.Duration, reject bool) {
+	if c.cfg.Target == 0 {
 		return 0, false
 	}
-	o.see(now, waited)
-	refuse = o.over && waited >= o.c.Target
-	o.count(now, refuse)
-	if !refuse {
+	c.observe(now, queueTime)
+	reject = c.overloaded && queueTime >= c.cfg.Target
+	c.count(now, reject)
+	if !reject {
 		return 0, false
 	}
-	return o.spread(), true
+	return c.jitteredRetryAfter(), true
 }
 
-// see follows the waits from one side of the target to the other.
-func (o *Controller) see(now, waited time.Duration) {
-	long := waited >= o.c.Target
-	if now-o.last > o.c.Interval { // nothing came meanwhile: no queue has stood
-		o.over = false
-		o.turned = now
+// observe updates the overload state with the queue time of a request.
+func (c *Controller) observe(now, queueTime time.Duration) {
+	long := queueTime >= c.cfg.Target
+	if now-c.lastSeen > c.cfg.Interval { // no requests for an interval: no queue is standing
+		c.overloaded = false
+		c.steadyAt = now
 	}
-	o.last = now
-	if long == o.over { // as it is held to be
-		o.turned = now
+	c.lastSeen = now
+	if long == c.overloaded {
+		c.steadyAt = now
 		return
 	}
-	if now-o.turned >= o.c.Interval {
-		o.over = long
-		o.turned = now
+	if now-c.steadyAt >= c.cfg.Interval {
+		c.overloaded = long
+		c.steadyAt = now
 	}
 }
 
-// count moves the time to come back with what is refused of what comes.
-func (o *Controller) count(now time.Duration, refused bool) {
-	if now-o.begun >= o.c.Interval {
-		switch {
-		case now-o.begun >= 2*o.c.Interval+o.back: // as long as this nobody was seen
-			o.back = o.c.Back
-		case o.gone > o.served/refusedMost:
-			o.back = min(o.back*2, o.c.MaxBack)
-		case o.gone < o.served/refusedLeast:
-			o.back = max(o.back/2, o.c.Back)
-		}
-		o.begun, o.served, o.gone = now, 0, 0
+// The retry time is doubled when more than one request in an interval was rejected per
+// doubleAbove accepted ones, and halved when fewer than one was per halveBelow.
+const (
+	doubleAbove = 4
+	halveBelow  = 16
+)
+
+// count adds a request to the current interval. At the interval's end it adjusts the retry time.
+func (c *Controller) count(now time.Duration, rejected bool) {
+	if elapsed := now - c.countingSince; elapsed >= c.cfg.Interval {
+		c.adjustRetryAfter(elapsed)
+		c.countingSince = now
+		c.accepted = 0
+		c.rejected = 0
 	}
-	if refused {
-		o.gone++
+	if rejected {
+		c.rejected++
 	} else {
-		o.served++
+		c.accepted++
 	}
 }
 
-// Where more than one is refused for each so many that are served, clients are asked back later;
-// where fewer than one for each so many, sooner.
-const (
-	refusedMost  = 4
-	refusedLeast = 16
-)
+func (c *Controller) adjustRetryAfter(elapsed time.Duration) {
+	switch {
+	case elapsed >= 2*c.cfg.Interval+c.retryAfter: // rejected clients would have been back
+		c.retryAfter = c.cfg.RetryAfter
+	case c.rejected > c.accepted/doubleAbove:
+		c.retryAfter = min(c.retryAfter*2, c.cfg.MaxRetryAfter)
+	case c.rejected < c.accepted/halveBelow:
+		c.retryAfter = max(c.retryAfter/2, c.cfg.RetryAfter)
+	}
+}
+
+// drawCycle is after how many draws the sequence of jitteredRetryAfter repeats.
+const drawCycle = 1 << 20
 
-// spread draws the time to come back from half to one and a half of the present one, so
-// that those who were refused together do not come back together. Multiples of the golden ratio
-// cover the range evenly from the first on.
-func (o *Controller) spread() time.Duration {
-	o.n++
-	_, frac := math.Modf(float64(o.n%(1<<20)) * math.Phi)
-	return min(time.Duration((0.5+frac)*float64(o.back)), o.c.MaxBack)
+// jitteredRetryAfter returns a time from half to one and a half of the current retry time, so that
+// clients rejected together do not retry together. Multiples of the golden ratio cover the
+// range evenly from the first draw on.
+func (c *Controller) jitteredRetryAfter() time.Duration {
+	c.draws++
+	_, frac := math.Modf(float64(c.draws%drawCycle) * math.Phi)
+	return min(time.Duration((0.5+frac)*float64(c.retryAfter)), c.cfg.MaxRetryAfter)
 }
--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -1,6 +1,7 @@
 package overload
 
 import (
+	"errors"
 	"testing"
 	"time"
 
@@ -9,160 +10,183 @@
 
 const ms = time.Millisecond
 
-func overload(t interface{ Fatal(...any) }, c Config) *Controller {
-	o, err := New(c)
+var testConfig = Config{
+	Target:        20 * ms,
+	Interval:      100 * ms,
+	RetryAfter:    100 * ms,
+	MaxRetryAfter: 2 * time.Second,
+}
+
+func newController(tb rapid.TB, cfg Config) *Controller {
+	tb.Helper()
+	c, err := New(cfg)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	return o
+	return c
 }
 
-var overloadConfig = Config{Target: 20 * ms, Interval: 100 * ms, Back: 100 * ms, MaxBack: 2 * time.Second}
-
 func TestBurstIsServed(t *testing.T) {
-	o := overload(t, overloadConfig)
-	for at := time.Duration(0); at < 99*ms; at += ms { // waits as long as a burst's may be
-		if _, refuse := o.Head(at, 90*ms); refuse {
-			t.Fatalf("refused at %v", at)
+	c := newController(t, testConfig)
+	for now := time.Duration(0); now < 99*ms; now += ms { // queue times of a short burst
+		if _, reject := c.ShouldReject(now, 90*ms); reject {
+			t.Fatalf("rejected at %v", now)
 		}
 	}
-	o.Head(99*ms, 0) // one that waited for nothing: no queue stands
-	if _, refuse := o.Head(150*ms, 90*ms); refuse {
-		t.Error("refused after a short wait")
+	c.ShouldReject(99*ms, 0) // a short queue time: no queue is standing
+	if _, reject := c.ShouldReject(150*ms, 90*ms); reject {
+		t.Error("rejected after a short queue time")
 	}
 }
 
-func TestStandingQueueIsRefused(t *testing.T) {
-	o := overload(t, overloadConfig)
-	at := time.Duration(0)
-	for ; at < 110*ms; at += ms {
-		o.Head(at, 50*ms)
+func TestStandingQueueIsRejected(t *testing.T) {
+	c := newController(t, testConfig)
+	now := time.Duration(0)
+	for ; now < 110*ms; now += ms {
+		c.ShouldReject(now, 50*ms)
 	}
-	after, refuse := o.Head(at, 50*ms)
-	if !refuse || after < 50*ms || after > 2*time.Second {
-		t.Fatalf("%v, %v", after, refuse)
+	retryAfter, reject := c.ShouldReject(now, 50*ms)
+	if !reject || retryAfter < 50*ms || retryAfter > 2*time.Second {
+		t.Fatalf("%v, %v", retryAfter, reject)
 	}
-	if _, refuse := o.Head(at, 5*ms); refuse {
-		t.Error("one that waited little is refused")
+	if _, reject := c.ShouldReject(now, 5*ms); reject {
+		t.Error("a request with a short queue time is rejected")
 	}
-	for end := at + 110*ms; at < end; at += ms { // as long as waits are short, it is over after an interval
-		o.Head(at, 5*ms)
+	for end := now + 110*ms; now < end; now += ms { // overload ends after an interval of short queue times
+		c.ShouldReject(now, 5*ms)
 	}
-	if _, refuse := o.Head(at, 50*ms); refuse || o.Over() {
-		t.Error("refused after an interval of short waits")
+	if _, reject := c.ShouldReject(now, 50*ms); reject || c.Overloaded() {
+		t.Error("rejected after an interval of short queue times")
 	}
 }
 
-// A queue that was seen long ago does not stand.
+// An interval without requests ends overload: no queue can have been standing.
 func TestSilenceEndsOverload(t *testing.T) {
-	o := overload(t, overloadConfig)
-	for at := time.Duration(0); at < 200*ms; at += ms {
-		o.Head(at, 50*ms)
+	c := newController(t, testConfig)
+	for now := time.Duration(0); now < 200*ms; now += ms {
+		c.ShouldReject(now, 50*ms)
 	}
-	if _, refuse := o.Head(time.Second, 50*ms); refuse {
-		t.Error("refused after a second of silence")
+	if _, reject := c.ShouldReject(time.Second, 50*ms); reject {
+		t.Error("rejected after a second of silence")
 	}
-	if _, refuse := o.Head(1050*ms, 50*ms); refuse {
-		t.Error("refused before an interval has passed again")
+	if _, reject := c.ShouldReject(1050*ms, 50*ms); reject {
+		t.Error("rejected before an interval has passed again")
 	}
 }
 
-func TestTimeToComeBackFollowsRefusals(t *testing.T) {
-	o := overload(t, overloadConfig)
+func TestRetryAfterFollowsRejections(t *testing.T) {
+	c := newController(t, testConfig)
 	var last time.Duration
-	for at := time.Duration(0); at < 3*time.Second; at += ms {
-		last, _ = o.Head(at, 50*ms)
+	for now := time.Duration(0); now < 3*time.Second; now += ms {
+		last, _ = c.ShouldReject(now, 50*ms)
 	}
 	if last < time.Second || last > 2*time.Second {
-		t.Errorf("after 3 s of refusals only: %v", last)
+		t.Errorf("after 3 s of rejections only: %v", last)
 	}
-	for at := 3 * time.Second; at < 4*time.Second; at += ms {
-		o.Head(at, ms)
+	for now := 3 * time.Second; now < 4*time.Second; now += ms {
+		c.ShouldReject(now, ms)
 	}
-	if o.back != overloadConfig.Back {
-		t.Errorf("after a second without: %v", o.back)
+	if c.retryAfter != testConfig.RetryAfter {
+		t.Errorf("after a second without rejections: %v", c.retryAfter)
 	}
 }
 
-// A queue with a server of its own, some times as much as it can do, and clients who give up
-// after a while: what is done in time stays near what can be done; without refusals
-// it falls to nothing. Here refusing costs a twentieth of serving.
-func TestGoodputStaysUnderOverload(t *testing.T) {
-	const cost, cheap, patience = 100 * time.Microsecond, 5 * time.Microsecond, 250 * ms
-	play := func(times float64, c Config) (good int) {
-		o := overload(t, c)
-		var queue []time.Duration // when each came
-		now, next := time.Duration(0), 0.0
-		for now < 5*time.Second {
-			for next <= float64(now) {
-				queue = append(queue, time.Duration(next))
-				next += float64(cost) / times
-			}
-			if len(queue) == 0 {
-				now = time.Duration(next) + 1
-				continue
-			}
-			came := queue[0]
-			queue = queue[1:]
-			if _, refuse := o.Head(now, now-came); refuse {
-				now += cheap
-				continue
-			}
-			if now += cost; now-came <= patience && now > time.Second {
-				good++
-			}
+// Costs and the client timeout of the server that goodput simulates.
+const (
+	serviceTime   = 100 * time.Microsecond
+	rejectTime    = 5 * time.Microsecond // a twentieth of serviceTime
+	clientTimeout = 250 * ms
+)
+
+// goodput returns how many requests a server with a queue of its own completes within the
+// client timeout, in four seconds after one of warm-up, at the given multiple of its capacity.
+func goodput(t *testing.T, load float64, cfg Config) int {
+	t.Helper()
+	c := newController(t, cfg)
+	var arrivals []time.Duration // of the queued requests
+	now := time.Duration(0)
+	next := 0.0
+	good := 0
+	for now < 5*time.Second {
+		for next <= float64(now) {
+			arrivals = append(arrivals, time.Duration(next))
+			next += float64(serviceTime) / load
+		}
+		if len(arrivals) == 0 {
+			now = time.Duration(next) + 1
+			continue
+		}
+		arrived := arrivals[0]
+		arrivals = arrivals[1:]
+		if _, reject := c.ShouldReject(now, now-arrived); reject {
+			now += rejectTime
+			continue
+		}
+		now += serviceTime
+		if now-arrived <= clientTimeout && now > time.Second {
+			good++
 		}
-		return good
-	}
-	can := int(4 * time.Second / cost)
-	for _, times := range []float64{1.5, 2, 5, 10} {
-		with, without := play(times, overloadConfig), play(times, Config{})
-		// What is not served costs a twentieth: at 10 times, nearly half of the time.
-		if least := float64(can) * (1 - 0.06*times); float64(with) < least || without > can/20 {
-			t.Errorf("%g times: %d of %d in time, without refusals %d", times, with, can, without)
+	}
+	return good
+}
+
+// Under overload goodput stays near the capacity; without rejections it falls to nothing.
+func TestGoodputStaysUnderOverload(t *testing.T) {
+	capacity := int(4 * time.Second / serviceTime)
+	for _, load := range []float64{1.5, 2, 5, 10} {
+		with, without := goodput(t, load, testConfig), goodput(t, load, Config{})
+		// A rejection costs a twentieth of a service: at a load of 10 nearly half of the time.
+		if least := float64(capacity) * (1 - 0.06*load); float64(with) < least || without > capacity/20 {
+			t.Errorf("load %g: %d of %d in time, without rejections %d", load, with, capacity, without)
 		}
 	}
-	if good := play(0.9, overloadConfig); good < can*88/100 {
-		t.Errorf("at 0.9 times: %d of %d", good, can)
+	if good := goodput(t, 0.9, testConfig); good < capacity*88/100 {
+		t.Errorf("load 0.9: %d of %d", good, capacity)
 	}
 }
 
-// Whatever waits are seen: nobody is refused who waited less than the target, none before
-// waits were long for an interval, and times to come back are within their bounds.
-func TestOverloadBounds(t *testing.T) {
+// Whatever the queue times: no request with a queue time below the target is rejected, none before
+// queue times were long for an interval, and retry times are within their bounds.
+func TestRejectionBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := overload(t, overloadConfig)
-		now, short := time.Duration(0), time.Duration(0) // the last short wait, or the start
+		c := newController(t, testConfig)
+		now := time.Duration(0)
+		lastShort := time.Duration(0) // the last short queue time, or the start
 		for range rapid.IntRange(1, 300).Draw(t, "n") {
 			now += time.Duration(rapid.IntRange(0, 60).Draw(t, "gap")) * ms
-			waited := time.Duration(rapid.IntRange(0, 60).Draw(t, "waited")) * ms
-			was := o.Over()
-			after, refuse := o.Head(now, waited)
+			queueTime := time.Duration(rapid.IntRange(0, 60).Draw(t, "queue time")) * ms
+			before := c.Overloaded()
+			retryAfter, reject := c.ShouldReject(now, queueTime)
 			switch {
-			case refuse && waited < overloadConfig.Target:
-				t.Fatalf("refused after %v", waited)
-			case refuse && !was && now-short < overloadConfig.Interval:
-				t.Fatalf("refused %v after a short wait", now-short)
-			case refuse && (after < overloadConfig.Back/2 || after > overloadConfig.MaxBack):
-				t.Fatalf("come back after %v", after)
+			case reject && queueTime < testConfig.Target:
+				t.Fatalf("rejected after %v", queueTime)
+			case reject && !before && now-lastShort < testConfig.Interval:
+				t.Fatalf("rejected %v after a short queue time", now-lastShort)
+			case reject && (retryAfter < testConfig.RetryAfter/2 || retryAfter > testConfig.MaxRetryAfter):
+				t.Fatalf("retry after %v", retryAfter)
 			}
-			if waited < overloadConfig.Target {
-				short = now
+			if queueTime < testConfig.Target {
+				lastShort = now
 			}
 		}
 	})
 }
 
-func TestOverloadSettings(t *testing.T) {
-	for _, c := range []Config{
-		{Target: -1},
-		{Target: 2 * time.Minute, Interval: time.Hour, Back: 1, MaxBack: 1},
-		{Target: 20 * ms, Interval: 10 * ms, Back: 1, MaxBack: 1},
-		{Target: 20 * ms, Interval: 100 * ms},
-		{Target: 20 * ms, Interval: 100 * ms, Back: 2, MaxBack: 1},
+func TestInvalidConfig(t *testing.T) {
+	for _, test := range []struct {
+		field string
+		cfg   Config
+	}{
+		{"Target", Config{Target: -1}},
+		{"Target", Config{Target: 2 * time.Minute, Interval: time.Hour, RetryAfter: 1, MaxRetryAfter: 1}},
+		{"Interval", Config{Target: 20 * ms, Interval: 10 * ms, RetryAfter: 1, MaxRetryAfter: 1}},
+		{"RetryAfter", Config{Target: 20 * ms, Interval: 100 * ms}},
+		{"MaxRetryAfter", Config{Target: 20 * ms, Interval: 100 * ms, RetryAfter: 2, MaxRetryAfter: 1}},
 	} {
-		if _, err := New(c); err == nil {
-			t.Errorf("%+v is taken", c)
+		_, err := New(test.cfg)
+		var configErr *ConfigError
+		if !errors.As(err, &configErr) || configErr.Field != test.field {
+			t.Errorf("%+v: %v, want an error of %s", test.cfg, err, test.field)
 		}
 	}
 }
