--- a/cmd/chalkstand/run.go
+++ b/cmd/chalkstand/run.go
@@ -13,10 +13,13 @@
 	"go.uber.org/zap"
 )
 
+// runCommand returns the command that runs the RESP2 server.
 func runCommand() *cobra.Command {
 	var file, level string
 	c := &cobra.Command{
-		Use: "run", Short: "Run a dispatcher of the platform's protocol", Args: cobra.NoArgs,
+		Use:   "run",
+		Short: "Run a dispatcher of the platform's protocol",
+		Args:  cobra.NoArgs,
 		Long: `Run a dispatcher that speaks RESP2 with clients and storage nodes and follows the platform's
 discovery, until SIGTERM or SIGINT, which let it finish what it has taken. SIGHUP reads the
 configuration again and takes over where discovery is.`,
@@ -27,7 +30,7 @@
 			if file == "" {
 				return errors.New("run: RELAY_CONFIG: expected the path of the configuration")
 			}
-			return runRelay(file, level)
+			return runServer(file, level)
 		},
 	}
 	c.Flags().StringVar(&file, "config", "", "configuration file; empty: what RELAY_CONFIG names")
@@ -35,11 +38,12 @@
 	return c
 }
 
-// memoryPart of the limit is left to the collector; the rest is the program itself, the
-// kernel's buffers and what stands between two collections.
-const memoryPart = 0.6
+// softMemoryShare is the share of the memory limit that is the Go runtime's soft limit. The rest is for
+// the program itself, the kernel's buffers and garbage between two collections.
+const softMemoryShare = 0.6
 
-func runRelay(file, level string) error {
+// runServer serves with the configuration of a file until a graceful shutdown is complete.
+func runServer(file, level string) error {
 	cfg, err := respserver.LoadConfig(file)
 	if err != nil {
 		return err
@@ -48,31 +52,39 @@
 	if err != nil {
 		return err
 	}
-	defer log.Sync()
-	runtime.GOMAXPROCS(1) // one loop on one core: a second thread would only wait for the first
-	debug.SetMemoryLimit(int64(cfg.MemoryMB * memoryPart * (1 << 20)))
-	f, err := respserver.New(cfg, log)
+	defer func() { _ = log.Sync() }() // it fails where standard error is a terminal
+	runtime.GOMAXPROCS(1)             // one event loop on one core: a second thread would only wait for the first
+	debug.SetMemoryLimit(int64(cfg.MemoryMB * softMemoryShare * (1 << 20)))
+	server, err := respserver.New(cfg, log)
 	if err != nil {
 		return err
 	}
-	sig := make(chan os.Signal, 4)
-	signal.Notify(sig, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	go func() {
-		for s := range sig {
-			if s != syscall.SIGHUP {
-				log.Info("ending", zap.Stringer("signal", s))
-				f.Stop()
-				continue
-			}
-			next, err := respserver.LoadConfig(file)
-			if err != nil {
-				log.Error("the configuration stays as it is", zap.Error(err))
-				continue
-			}
-			f.Reload(next)
+	signals := make(chan os.Signal, 4)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
+	go handleSignals(signals, server, file, log)
+	log.Info("serving",
+		zap.String("name", cfg.Name),
+		zap.Stringer("listen", cfg.Listen),
+		zap.Float64("cores", cfg.Cores),
+		zap.Float64("memory_mb", cfg.MemoryMB),
+		zap.Int("sockets", cfg.Sockets))
+	return server.Run()
+}
+
+// handleSignals reloads the configuration on SIGHUP and starts a graceful shutdown on the other
+// signals. It runs until the process ends.
+func handleSignals(signals <-chan os.Signal, server *respserver.Server, file string, log *zap.Logger) {
+	for received := range signals {
+		if received != syscall.SIGHUP {
+			log.Info("graceful shutdown started", zap.Stringer("signal", received))
+			server.Shutdown()
+			continue
+		}
+		cfg, err := respserver.LoadConfig(file)
+		if err != nil {
+			log.Error("configuration reload rejected", zap.Error(err))
+			continue
 		}
-	}()
-	log.Info("serving", zap.String("name", cfg.Name), zap.Stringer("listen", cfg.Listen), zap.Float64("cores", cfg.Cores),
-		zap.Float64("memory_mb", cfg.MemoryMB), zap.Int("sockets", cfg.Sockets))
-	return f.Run()
+		server.Reload(cfg)
+	}
 }
--- a/respserver/export_test.go
+++ b/respserver/export_test.go
@@ -1,157 +1,162 @@
 package respserver
 
 import (
+	"slices"
 	"time"
 
 	"golang.org/x/sys/unix"
 )
 
-// OnLoop runs f on the front's loop and waits for it. What clients and nodes do meanwhile is in the
-// kernel when the loop goes on.
-func (f *Server) OnLoop(do func()) {
+// RunOnLoop runs f on the server's event loop and waits for it. What clients and nodes send meanwhile
+// stays in the kernel until the loop goes on.
+func (s *Server) RunOnLoop(f func()) {
 	done := make(chan struct{})
-	f.loop.Post(func() { defer close(done); do() })
+	s.loop.Post(func() {
+		defer close(done)
+		f()
+	})
 	<-done
 }
 
-// Kept is what a front keeps for requests: bytes, requests, ids.
-func (f *Server) Kept() (bytes, requests, ids int) { return f.held, len(f.tasks), len(f.ids) }
+// AdvanceClock advances the server's clock.
+func (s *Server) AdvanceClock(by time.Duration) { s.RunOnLoop(func() { s.epoch += by }) }
 
-// Clients is how many connections of clients there are.
-func (f *Server) Clients() int { return len(f.clients) }
+// Sweep checks the time-outs now.
+func (s *Server) Sweep() { s.RunOnLoop(func() { s.sweep(s.now()) }) }
 
-// Queued is how many commands of all clients are not answered yet.
-func (f *Server) Queued() (n int) {
-	for _, cl := range f.clients {
-		n += len(cl.queue)
-	}
-	return n
+// EndGracePeriod advances the clock by the grace period of a graceful shutdown and checks the time-outs.
+func (s *Server) EndGracePeriod() {
+	s.epoch += shutdownGracePeriod
+	s.sweep(s.now())
 }
 
-// FinishAll answers all open requests, as the forwarder would.
-func (f *Server) FinishAll(reply string) {
-	for _, cl := range f.clients {
-		for _, e := range append([]*entry(nil), cl.queue...) {
-			if e.task != nil && !e.done {
-				f.finish(e.task, []byte(reply))
-			}
-		}
-	}
+// ShutdownStarted returns when the graceful shutdown started, in Unix time.
+func (s *Server) ShutdownStarted() time.Duration { return s.shutdownStarted }
+
+// Retained returns the retained bytes and the number of registered requests and of their ids.
+func (s *Server) Retained() (bytes, requests, ids int) {
+	return s.retainedBytes, len(s.requests), len(s.requestsByClientID)
 }
 
-// Hung tells whether the kernel knows that a client's connection has ended. The loop has not been
-// told, as it stands still.
-func (f *Server) Hung() bool {
-	for _, cl := range f.clients {
-		p := []unix.PollFd{{Fd: int32(cl.c.FD()), Events: unix.POLLRDHUP}}
-		if n, _ := unix.Poll(p, 0); n > 0 && p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0 {
-			return true
+// StartedRequests returns how many requests were started.
+func (s *Server) StartedRequests() int { return int(s.lastRequestID) }
+
+// FinishAll gives all open requests a final reply, as the forwarder would.
+func (s *Server) FinishAll(reply string) {
+	for _, cl := range s.clients {
+		for _, pending := range slices.Clone(cl.pipeline) {
+			if pending.request != nil && !pending.done {
+				s.finish(pending.request, []byte(reply))
+			}
 		}
 	}
-	return false
 }
 
-// Advance puts the front's clock forward, on its loop.
-func (f *Server) Advance(by time.Duration) { f.OnLoop(func() { f.epoch += by }) }
+// ClientCount returns the number of client connections.
+func (s *Server) ClientCount() int { return len(s.clients) }
 
-// Sweep looks after connections as the clock would have it.
-func (f *Server) Sweep() { f.OnLoop(func() { f.sweep(f.now()) }) }
+// MaxClientConns returns the bound on client connections.
+func (s *Server) MaxClientConns() int { return s.cfg.maxClientConns() }
 
-// CloseListener does what a planned end does first, once its time has come.
-func (f *Server) CloseListener() {
-	f.epoch += goOn
-	f.sweep(f.now())
+// PendingReplies returns the number of commands of all clients without a reply.
+func (s *Server) PendingReplies() (n int) {
+	for _, cl := range s.clients {
+		n += len(cl.pipeline)
+	}
+	return n
 }
 
-// PauseClients has no client's connection read.
-func (f *Server) PauseClients() {
-	f.OnLoop(func() {
-		for _, cl := range f.clients {
-			cl.c.Pause()
+// PartialCommands returns the number of clients that have sent a part of a command.
+func (s *Server) PartialCommands() (n int) {
+	for _, cl := range s.clients {
+		if cl.partialSince > 0 {
+			n++
 		}
-	})
+	}
+	return n
 }
 
-// Parts is how many clients have sent a part of a command.
-func (f *Server) Parts() (n int) {
-	for _, cl := range f.clients {
-		if cl.part > 0 {
-			n++
-		}
+// UnsentBytes returns how many bytes of replies the kernel has not taken.
+func (s *Server) UnsentBytes() (n int) {
+	for _, cl := range s.clients {
+		n += cl.conn.Pending()
 	}
 	return n
 }
 
-// Version is that of the list which is known.
-func (f *Server) Version() int64 { return f.version }
+// PauseClients stops reading from all clients.
+func (s *Server) PauseClients() {
+	s.RunOnLoop(func() {
+		for _, cl := range s.clients {
+			cl.conn.Pause()
+		}
+	})
+}
 
-// NodeConns is how many connections to nodes the forwarder holds.
-func (f *Server) NodeConns() int { return f.x.Conns() }
+// ShrinkSendBuffers makes the kernel take few bytes of replies.
+func (s *Server) ShrinkSendBuffers() (err error) {
+	s.RunOnLoop(func() {
+		for _, cl := range s.clients {
+			if err == nil {
+				err = unix.SetsockoptInt(cl.conn.FD(), unix.SOL_SOCKET, unix.SO_SNDBUF, 4096)
+			}
+		}
+	})
+	return err
+}
 
-// HeardUnseen tells whether the kernel holds bytes of a node that the loop has not read.
-func (f *Server) HeardUnseen() bool {
-	for _, k := range f.nodes {
-		if !k.c.NoUnreadInput() {
+// ClientHangup reports whether the kernel knows that a client has closed its connection. The event
+// loop may not have noticed it.
+func (s *Server) ClientHangup() bool {
+	const hangup = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
+	for _, cl := range s.clients {
+		fds := []unix.PollFd{{Fd: int32(cl.conn.FD()), Events: unix.POLLRDHUP}}
+		n, _ := unix.Poll(fds, 0) // an error counts as no event: the caller asks again
+		if n > 0 && fds[0].Revents&hangup != 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// Command has the first client's connection read a command now, before anything else is read.
-func (f *Server) Command(text string) { f.clients[0].OnData(f.clients[0].c, []byte(text)) }
-
-// Answer has the first connection to a node that carries a request read bytes now.
-func (f *Server) Answer(text string) {
-	for _, k := range f.nodes {
-		if k.task != nil {
-			k.OnData(k.c, []byte(text))
-			return
+// ClientInputRead reports whether all that clients have sent was read.
+func (s *Server) ClientInputRead() bool {
+	for _, cl := range s.clients {
+		if !cl.conn.NoUnreadInput() {
+			return false
 		}
 	}
+	return true
 }
 
-// Begun is how many requests were begun.
-func (f *Server) Begun() int { return int(f.lastID) }
+// ReceiveCommand makes the first client's connection read a command before all other input.
+func (s *Server) ReceiveCommand(text string) { s.clients[0].OnData(s.clients[0].conn, []byte(text)) }
 
-// Pending is how many bytes of answers the kernel has not taken.
-func (f *Server) Pending() (n int) {
-	for _, cl := range f.clients {
-		n += cl.c.Pending()
-	}
-	return n
-}
+// NodeConnCount returns the number of connections to nodes.
+func (s *Server) NodeConnCount() int { return s.forwarder.Conns() }
 
-// Quiet tells whether nothing has come from clients that was not read.
-func (f *Server) Quiet() bool {
-	for _, cl := range f.clients {
-		if !cl.c.NoUnreadInput() {
-			return false
+// UnreadNodeInput reports whether the kernel holds bytes from a node that were not read.
+func (s *Server) UnreadNodeInput() bool {
+	for _, conn := range s.nodeConns {
+		if !conn.conn.NoUnreadInput() {
+			return true
 		}
 	}
-	return true
+	return false
 }
 
-// NarrowClients has the kernel take few bytes of answers.
-func (f *Server) NarrowClients() {
-	f.OnLoop(func() {
-		for _, cl := range f.clients {
-			unix.SetsockoptInt(cl.c.FD(), unix.SOL_SOCKET, unix.SO_SNDBUF, 4096)
+// ReceiveNodeReply makes a connection to a node with a request in flight read a reply.
+func (s *Server) ReceiveNodeReply(text string) {
+	for _, conn := range s.nodeConns {
+		if conn.request != nil {
+			conn.OnData(conn.conn, []byte(text))
+			return
 		}
-	})
-}
-
-// Watching tells whether a watch of discovery stands or is being opened.
-func (f *Server) Watching() bool { return f.watch != nil }
-
-// Ahead tells whether there is a client's connection, or none is expected yet.
-func (f *Server) Ahead(first bool) (yes bool) {
-	f.OnLoop(func() { yes = first || len(f.clients) > 0 })
-	return yes
+	}
 }
 
-// StoppedAt is when the front was told to end.
-func (f *Server) StoppedAt() time.Duration { return f.stopAt }
+// EndpointVersion returns the version of the endpoint list.
+func (s *Server) EndpointVersion() int64 { return s.endpointVersion }
 
-// MostClients is the bound on connections of clients.
-func (f *Server) MostClients() int { return f.cfg.clientConns() }
+// WatchOpen reports whether a discovery watch is open or being opened.
+func (s *Server) WatchOpen() bool { return s.watch != nil }
--- /dev/null
+++ b/respserver/nodes.go
@@ -0,0 +1,138 @@
+package respserver
+
+import (
+	"chalkstand/dispatch"
+	"chalkstand/forwarder"
+	"chalkstand/internal/eventloop"
+	"chalkstand/internal/objectcommand"
+	"net/netip"
+	"time"
+)
+
+var _ eventloop.ConnectHandler = (*nodeConn)(nil)
+
+// nodeConn is a connection to a storage node. It carries one request at a time.
+type nodeConn struct {
+	server         *Server
+	id             forwarder.ConnID
+	conn           *eventloop.Conn
+	dialDeadline   time.Duration
+	connected      bool
+	used           bool     // it has carried a request
+	request        *request // in flight; nil: none
+	requestWritten bool     // the kernel has all of the request
+	value          []byte   // of the reply that is being handled
+}
+
+// dial opens a connection to a node.
+func (s *Server) dial(a forwarder.Dial) {
+	addr, err := netip.ParseAddrPort(a.Addr)
+	conn := &nodeConn{server: s, id: a.Conn, dialDeadline: s.now() + a.Timeout}
+	if err == nil {
+		conn.conn, err = s.loop.Connect(addr, conn)
+	}
+	if err != nil {
+		s.handle(forwarder.DialCompleted{Conn: a.Conn})
+		return
+	}
+	conn.conn.AssignFlow(s.flows.nodes)
+	s.nodeConns[conn.id] = conn
+	s.dials = append(s.dials, conn)
+}
+
+// expireDials closes the connections that were not established by their deadline.
+func (s *Server) expireDials(now time.Duration) {
+	for len(s.dials) > 0 {
+		conn := s.dials[0]
+		pending := !conn.connected && s.nodeConns[conn.id] == conn
+		if pending && conn.dialDeadline > now {
+			return
+		}
+		s.dials[0] = nil
+		s.dials = s.dials[1:]
+		if pending {
+			delete(s.nodeConns, conn.id)
+			conn.conn.Close()
+			s.handle(forwarder.DialCompleted{Conn: conn.id})
+		}
+	}
+}
+
+// send writes a request that is to be replied to by the deadline. A connection on which something
+// has come since its last reply is lost: that would be taken for the reply to this request.
+func (c *nodeConn) send(req *request, deadline time.Duration) {
+	s := c.server
+	if c.used && !c.conn.NoUnreadInput() {
+		c.lose(forwarder.ConnectionLost{Conn: c.id, Stale: true})
+		return
+	}
+	c.request = req
+	c.used = true
+	s.writeBuffer = req.command.AppendTo(s.writeBuffer[:0], deadline-s.now())
+	c.conn.Write(s.writeBuffer)
+	c.requestWritten = c.conn.Open() && c.conn.Pending() == 0
+}
+
+// lose closes the connection and reports it as lost.
+func (c *nodeConn) lose(event forwarder.ConnectionLost) {
+	delete(c.server.nodeConns, c.id)
+	c.request = nil
+	c.conn.Close()
+	c.server.handle(event)
+}
+
+// OnOpen reports to the forwarder that the connection is established.
+func (c *nodeConn) OnOpen(*eventloop.Conn) {
+	c.connected = true
+	c.server.handle(forwarder.DialCompleted{Conn: c.id, OK: true})
+}
+
+// OnData reads a reply, which is complete before any of it is passed on. Input without a request in
+// flight, and what is no reply to an object command, ends the connection.
+func (c *nodeConn) OnData(_ *eventloop.Conn, b []byte) int {
+	s := c.server
+	if c.request == nil {
+		c.lose(forwarder.ConnectionLost{Conn: c.id})
+		return 0
+	}
+	n, err := s.nodeReply.Read(b)
+	if err != nil {
+		c.lose(forwarder.ConnectionLost{Conn: c.id})
+		return 0
+	}
+	if n == 0 {
+		return 0
+	}
+	value, info, ok := objectcommand.ParseReply(&s.nodeReply)
+	if !ok {
+		c.lose(forwarder.ConnectionLost{Conn: c.id})
+		return 0
+	}
+	reuse := n == len(b) && c.requestWritten && !c.conn.PeerClosed()
+	if info.Result == dispatch.ServerError {
+		reuse = false // it may be noise in the form of an error
+	}
+	c.request = nil
+	c.value = value
+	s.handle(forwarder.ResponseCompleted{Conn: c.id, Info: info, Reuse: reuse})
+	c.value = nil
+	return n
+}
+
+// OnDrained records that the kernel has all of the request.
+func (c *nodeConn) OnDrained(*eventloop.Conn) { c.requestWritten = true }
+
+// OnClose reports the connection's end to the forwarder, unless the forwarder asked for it.
+func (c *nodeConn) OnClose(*eventloop.Conn, error) {
+	s := c.server
+	if s.nodeConns[c.id] != c {
+		return
+	}
+	delete(s.nodeConns, c.id)
+	if !c.connected {
+		s.handle(forwarder.DialCompleted{Conn: c.id})
+		return
+	}
+	unsent := c.request != nil && !c.requestWritten
+	s.handle(forwarder.ConnectionLost{Conn: c.id, Unsent: unsent})
+}
--- /dev/null
+++ b/respserver/requests.go
@@ -0,0 +1,80 @@
+package respserver
+
+import (
+	"chalkstand/dispatch"
+	"chalkstand/internal/objectcommand"
+	"chalkstand/internal/resp"
+	"strconv"
+	"time"
+)
+
+// request is an open request: its final reply has not been given.
+type request struct {
+	id            dispatch.RequestID
+	client        *client
+	reply         *pendingReply
+	command       objectcommand.Command
+	retainedBytes int // of the command's arguments
+}
+
+// retainArguments copies the command's arguments, which are parts of the read buffer, to a buffer of
+// the request's own. size is the sum of their lengths in bytes.
+func (r *request) retainArguments(size int) {
+	buffer := make([]byte, 0, size)
+	retain := func(b []byte) []byte {
+		from := len(buffer)
+		buffer = append(buffer, b...)
+		return buffer[from:len(buffer):len(buffer)]
+	}
+	c := &r.command
+	c.Piece = retain(c.Piece)
+	c.ID = retain(c.ID)
+	c.Fields = retain(c.Fields)
+	c.Body = retain(c.Body)
+	r.retainedBytes = size
+}
+
+// addRequest registers a request of a client under a new id. size is that of its arguments in bytes.
+func (s *Server) addRequest(cl *client, command objectcommand.Command, size int) *request {
+	s.lastRequestID++
+	req := &request{id: s.lastRequestID, client: cl, command: command}
+	req.reply = &pendingReply{request: req}
+	req.command.Request.ID = req.id
+	req.retainArguments(size)
+	s.retainedBytes += size
+	s.requests[req.id] = req
+	s.requestsByClientID[string(req.command.ID)] = req
+	return req
+}
+
+// removeRequest unregisters a request.
+func (s *Server) removeRequest(req *request) {
+	delete(s.requests, req.id)
+	delete(s.requestsByClientID, string(req.command.ID))
+	s.retainedBytes -= req.retainedBytes
+}
+
+// finish gives a request its final reply.
+func (s *Server) finish(req *request, reply []byte) {
+	s.removeRequest(req)
+	req.client.completeReply(req.reply, reply)
+}
+
+// busyReply returns the reply to a rejected request: BUSY with the time after which to retry, in
+// milliseconds, rounded up. It is valid until the next message is written.
+func (s *Server) busyReply(retryAfter time.Duration) []byte {
+	s.writeBuffer = append(s.writeBuffer[:0], "-BUSY "...)
+	s.writeBuffer = strconv.AppendInt(s.writeBuffer, int64((retryAfter+time.Millisecond-1)/time.Millisecond), 10)
+	s.writeBuffer = append(s.writeBuffer, '\r', '\n')
+	return s.writeBuffer
+}
+
+// failureReply returns the reply to a failed request. It is valid until the next message is written.
+func (s *Server) failureReply(timedOut bool) []byte {
+	text := "ERR failed"
+	if timedOut {
+		text = "ERR failed: no answer in time"
+	}
+	s.writeBuffer = resp.AppendLine(s.writeBuffer[:0], resp.ErrorReply, text)
+	return s.writeBuffer
+}
--- /dev/null
+++ b/respserver/requests_test.go
@@ -0,0 +1,171 @@
+package respserver_test
+
+import (
+	fakediscovery "chalkstand/fake/discovery"
+	"chalkstand/fake/respnode"
+	"fmt"
+	"runtime"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Each command gets its reply, and an object command reaches the node with its own arguments.
+func TestCommands(t *testing.T) {
+	f := startFixture(t, 256)
+	c := f.client()
+	c.send(respnode.Command("PING"))
+	c.send(respnode.Command("CLIENT", "SETNAME", "x"))
+	c.send(respnode.Command("SELECT", "0"))
+	c.send(respnode.Command("HELLO", "3"))
+	for _, want := range []string{"+PONG", "+OK", "+OK", "-ERR"} {
+		c.expectReply(want)
+	}
+	c.send(getCommand("1"))
+	c.expectReply(replyTo("1"))
+	c.send(putCommand("2", strings.Repeat("b", 64<<10)))
+	c.expectReply(replyTo("2"))
+	commands, _ := f.node.Log()
+	if len(commands) != 2 {
+		t.Fatalf("%d commands at the node, want 2", len(commands))
+	}
+	get, put := commands[0].Words, commands[1].Words
+	if put[0] != "OBJ.PUT" || len(put[4]) != 64<<10 {
+		t.Errorf("at the node: %q with %d bytes", put[0], len(put[4]))
+	}
+	if get[1] != pieceID || get[2] != "1" {
+		t.Errorf("at the node: %q", get[:3])
+	}
+	timeoutMS := 0
+	format := "c=read,t=gold,d=%d,volume=00000003b4d60021,units=2,shard=0,hosts=1"
+	if _, err := fmt.Sscanf(get[3], format, &timeoutMS); err != nil || timeoutMS < 1 || timeoutMS > 2500 {
+		t.Errorf("at the node: %q", get[3])
+	}
+}
+
+// The commands of a connection run concurrently, and their replies come in the order of the commands.
+func TestPipelinedRepliesInOrder(t *testing.T) {
+	f := startFixture(t, 256)
+	c := f.client()
+	f.node.Next(respnode.Behavior{Hang: true}, respnode.Behavior{})
+	// A request that is not idempotent: a read would be retried once the next has overtaken it.
+	c.send(respnode.Command("OBJ.PUT", pieceID, "slow", fieldList("c", "c=write", "d", "d=400"), "body"))
+	f.waitForCommands(1)
+	c.send(getCommand("quick") + respnode.Command("PING"))
+	f.waitForCommands(2)
+	c.expectReply("-")
+	c.expectReply(replyTo("quick"))
+	c.expectReply("+PONG")
+}
+
+// A command that can't be executed gets an error and does not reach a node.
+func TestInvalidCommands(t *testing.T) {
+	f := startFixture(t, 256)
+	getWith := func(fields ...string) string {
+		return respnode.Command(append([]string{"OBJ.GET", pieceID, f.nextID()}, fields...)...)
+	}
+	for name, invalid := range map[string]string{
+		"empty id":           respnode.Command("OBJ.GET", pieceID, "", fieldList()),
+		"short piece":        respnode.Command("OBJ.GET", "short", f.nextID(), fieldList()),
+		"unknown class":      getWith(fieldList("c", "c=none")),
+		"class of writes":    getWith(fieldList("c", "c=write")),
+		"unknown plan":       getWith(fieldList("t", "t=none")),
+		"deadline is a word": getWith(fieldList("d", "d=soon")),
+		"negative deadline":  getWith(fieldList("d", "d=-5")),
+		"deadline is NaN":    getWith(fieldList("d", "d=NaN")),
+		"short volume":       getWith(fieldList("volume", "volume=1")),
+		"too many units":     getWith(fieldList("units", "units=9")),
+		"no units":           getWith(fieldList("units", "units=0")),
+		"unknown shard":      getWith(fieldList("shard", "shard=2")),
+		"no hosts":           getWith(fieldList("hosts", "hosts=0")),
+		"field given twice":  getWith(fieldList() + ",c=read"),
+		"fields missing":     getWith("c=read,t=gold"),
+		"no fields":          getWith(),
+		"unknown command":    respnode.Command("OBJ.DEL", pieceID),
+	} {
+		t.Run(name, func(t *testing.T) {
+			c := f.client()
+			c.t = t
+			c.send(invalid)
+			c.expectReply("-ERR ")
+			c.expectPong()
+		})
+	}
+	f.expectCommands(0)
+}
+
+// The id of an open request is rejected for another, and the first request is not affected.
+func TestDuplicateRequestID(t *testing.T) {
+	f := startFixture(t, 256)
+	f.node.SetDefault(respnode.Behavior{Delay: 100 * time.Millisecond})
+	a, b := f.client(), f.client()
+	a.send(getCommand("same"))
+	f.waitForCommands(1)
+	b.send(getCommand("same"))
+	b.expectReply("-ERR id")
+	a.expectReply(replyTo("same"))
+	b.send(getCommand("same")) // the first has ended
+	b.expectReply(replyTo("same"))
+}
+
+// A churn of nodes, volumes, connections and requests leaves nothing behind: the heap is as large
+// after many of them as after some.
+func TestChurn(t *testing.T) {
+	f := startFixture(t, 256)
+	f.waitFor(func() bool { return f.discovery.Send("") > 0 })
+	version := 41
+	churn := func(rounds int) {
+		for range rounds {
+			version++
+			f.churnRound(version)
+		}
+		f.waitOnLoop(func() bool { return f.server.ClientCount() == 0 })
+	}
+	churn(100)
+	some := f.heapBytes()
+	churn(600)
+	many := f.heapBytes()
+	t.Logf("%.0f KiB after 100 rounds, %.0f KiB after 700", some/1024, many/1024)
+	if many > some+256<<10 {
+		t.Error("the heap grows")
+	}
+	f.expectNothingRetained()
+	f.server.RunOnLoop(func() {
+		if n := f.server.NodeConnCount(); n > 8 {
+			t.Errorf("%d connections to nodes are open, want 8 at most", n)
+		}
+	})
+}
+
+// churnRound replaces the node of the previous version and sends requests of new volumes on a new
+// connection.
+func (f *fixture) churnRound(version int) {
+	f.t.Helper()
+	added := readyEndpoint(fmt.Sprintf("s%d", version), f.node)
+	added.StartedMS = int64(version)
+	removed := fakediscovery.Endpoint{ID: fmt.Sprintf("s%d", version-1), Addr: f.node.Addr(), State: "Gone"}
+	f.discovery.Send(fakediscovery.Document(version, false, added, removed))
+	f.waitOnLoop(func() bool { return f.server.EndpointVersion() == int64(version) })
+	c := f.dial() // without a cleanup function, which would grow the heap
+	for range 3 {
+		id := f.nextID()
+		volume := fmt.Sprintf("volume=%016x", f.lastID)
+		c.send(respnode.Command("OBJ.GET", pieceID, id, fieldList("volume", volume)))
+		got, err := respnode.ReadReply(c.in)
+		if err != nil || !strings.HasPrefix(got, "$") && !strings.HasPrefix(got, "-BUSY") {
+			f.t.Fatalf("%q, %v", got, err)
+		}
+	}
+	closeOrFail(f.t, c)
+	f.server.AdvanceClock(time.Second) // volumes are forgotten after half a minute
+}
+
+// heapBytes returns the size of the live heap without the node's log.
+func (f *fixture) heapBytes() float64 {
+	var stats runtime.MemStats
+	f.node.ClearLog()
+	runtime.GC()
+	runtime.GC()
+	runtime.ReadMemStats(&stats)
+	return float64(stats.HeapAlloc)
+}
--- a/respserver/server.go
+++ b/respserver/server.go
@@ -1,399 +1,228 @@
-// Package respserver is the front of the platform's protocol: clients ask in RESP, and
-// storage nodes are asked in RESP. One event loop owns the sockets, the forwarder and the
-// decisions; nothing on the path of a request crosses goroutines. It moves bytes and
-// says what happened; what is sent, held, refused or repeated, and how nodes are judged,
-// is said by the dispatcher through exchange.
+// Package respserver is the RESP2 server of the platform's protocol: clients send object commands
+// in RESP2, and storage nodes are asked in RESP2 too. One event loop owns the sockets, the
+// forwarder and the dispatcher, so that no request crosses goroutines. The server moves bytes and
+// reports events to the forwarder; the dispatcher behind it decides what is sent, queued, rejected
+// or retried, and which nodes are healthy.
 package respserver
 
 import (
 	"chalkstand/dispatch"
 	"chalkstand/fairshare"
 	"chalkstand/forwarder"
-	"chalkstand/internal/discovery"
-	"chalkstand/internal/endpoints"
 	"chalkstand/internal/eventloop"
 	"chalkstand/internal/objectcommand"
 	"chalkstand/internal/resp"
 	"context"
+	"errors"
 	"math"
 	"net"
 	"net/netip"
-	"slices"
-	"strconv"
 	"time"
 
 	"go.uber.org/zap"
 )
 
-// Server is one running dispatcher. All its fields belong to its loop.
-type Server struct {
-	cfg   Config
-	log   *zap.Logger
-	terms *objectcommand.Schema
-	loop  *eventloop.Loop
-	x     *forwarder.Forwarder
-	start time.Time
-	epoch time.Duration // of the start, by the Unix clock
-
-	inbox []forwarder.Event
-	busy  bool
-	wake  time.Duration // what the forwarder asked for
-
-	nodes   map[forwarder.ConnID]*nodeConn
-	dials   []*nodeConn // being opened, the oldest first
-	clients []*client
-	tasks   map[dispatch.RequestID]*task
-	ids     map[string]*task // open requests by their clients' ids
-	lastID  dispatch.RequestID
-	held    int // bytes of commands and answers kept
-	most    int // of them
-
-	words   [][]byte
-	answer  resp.Reply
-	scratch []byte
-
-	flows   struct{ fresh, clients, nodes *eventloop.Flow }
-	sweepAt time.Duration
+// Weights of the event loop's flows.
+const (
+	newConnsFlowWeight = 2
+	clientsFlowWeight  = 4
+	nodesFlowWeight    = 16
+)
 
-	discovery netip.AddrPort
-	version   int64
-	watch     *watch // the present one
-	old       *watch // at the address before, until the present one has told something
+// sweepInterval is how often the time-outs of client connections are checked.
+const sweepInterval = 20 * time.Millisecond
 
-	stopping bool
-	stopAt   time.Duration // since
-	closedAt time.Duration // the listener was, in a planned end
-	over     bool          // it has begun to end its loop
-}
-
-// task is an open request.
-type task struct {
-	id    dispatch.RequestID
-	cl    *client
-	entry *entry
-	cmd   objectcommand.Command // its words are in buf
-	buf   []byte
-}
+// noTimer is the time of a timer that is not set.
+const noTimer = time.Duration(math.MaxInt64)
 
-// heldPart of the memory limit may be bytes of commands and answers.
-const heldPart = 0.15
-
-// New opens a dispatcher's listener and loop. Run runs it.
+// Server is a running RESP2 server with its dispatcher. All its fields belong to its event loop.
+// Times are durations since the Unix epoch, as now returns them.
+type Server struct {
+	cfg       Config
+	log       *zap.Logger
+	schema    *objectcommand.Schema
+	loop      *eventloop.Loop
+	forwarder *forwarder.Forwarder
+	startTime time.Time
+	epoch     time.Duration // Unix time of startTime
+
+	events         []forwarder.Event // not yet handled, the oldest first
+	handlingEvents bool
+	forwarderTimer time.Duration
+	nextSweep      time.Duration
+
+	nodeConns          map[forwarder.ConnID]*nodeConn
+	dials              []*nodeConn // being opened, the oldest first
+	clients            []*client
+	requests           map[dispatch.RequestID]*request
+	requestsByClientID map[string]*request
+	lastRequestID      dispatch.RequestID
+	retainedBytes      int // of the arguments of open requests and of replies that wait for their turn
+	maxRetainedBytes   int
+
+	args        [][]byte   // reused for each command
+	nodeReply   resp.Reply // reused for each reply of a node
+	writeBuffer []byte     // reused for each message that is written
+
+	flows struct{ newConns, clients, nodes *eventloop.Flow }
+
+	discoveryAddr   netip.AddrPort
+	endpointVersion int64
+	watch           *watch
+	previousWatch   *watch // at the previous address, until watch has received an update
+
+	shuttingDown     bool
+	shutdownStarted  time.Duration
+	listenerClosedAt time.Duration // in a graceful shutdown; 0 while the listener is open
+	stopped          bool          // the event loop is being stopped
+}
+
+// New opens the listener and the event loop of a server. Run serves on them.
 func New(cfg Config, log *zap.Logger) (*Server, error) {
-	x, err := forwarder.New(cfg.exchange())
+	fwd, err := forwarder.New(cfg.forwarderConfig())
 	if err != nil {
 		return nil, err
 	}
-	f := &Server{
-		cfg: cfg, log: log, terms: objectcommand.NewSchema(cfg.Settings), x: x, start: time.Now(), wake: math.MaxInt64,
-		nodes: map[forwarder.ConnID]*nodeConn{}, tasks: map[dispatch.RequestID]*task{}, ids: map[string]*task{},
-		most: int(cfg.MemoryMB * heldPart * (1 << 20)), discovery: cfg.Discovery, version: cfg.Known.Version,
-	}
-	f.epoch = time.Duration(f.start.UnixNano())
-	o := eventloop.DefaultOptions
-	o.Now = func() time.Duration { return time.Since(f.start) }
-	if f.loop, err = eventloop.NewLoopWith(0, o); err != nil {
+	startTime := time.Now()
+	s := &Server{
+		cfg:                cfg,
+		log:                log,
+		schema:             objectcommand.NewSchema(cfg.Settings),
+		forwarder:          fwd,
+		startTime:          startTime,
+		epoch:              time.Duration(startTime.UnixNano()),
+		forwarderTimer:     noTimer,
+		nodeConns:          map[forwarder.ConnID]*nodeConn{},
+		requests:           map[dispatch.RequestID]*request{},
+		requestsByClientID: map[string]*request{},
+		maxRetainedBytes:   cfg.maxRetainedBytes(),
+		discoveryAddr:      cfg.Discovery,
+		endpointVersion:    cfg.Known.Version,
+	}
+	options := eventloop.DefaultOptions
+	options.Now = func() time.Duration { return time.Since(s.startTime) }
+	if s.loop, err = eventloop.NewLoopWith(0, options); err != nil {
 		return nil, err
 	}
-	f.flows.fresh = f.loop.Flow("new", fairshare.FlowConfig{Weight: 2}, nil)
-	f.flows.clients = f.loop.Flow("clients", fairshare.FlowConfig{Weight: 4}, nil)
-	f.flows.nodes = f.loop.Flow("nodes", fairshare.FlowConfig{Weight: 16}, nil)
-	ln, err := net.Listen("tcp", cfg.Listen.String())
-	if err != nil {
+	s.flows.newConns = s.loop.Flow("new", fairshare.FlowConfig{Weight: newConnsFlowWeight}, nil)
+	s.flows.clients = s.loop.Flow("clients", fairshare.FlowConfig{Weight: clientsFlowWeight}, nil)
+	s.flows.nodes = s.loop.Flow("nodes", fairshare.FlowConfig{Weight: nodesFlowWeight}, nil)
+	if err := s.listen(); err != nil {
 		return nil, err
 	}
-	defer ln.Close()
-	fd, err := eventloop.Detach(ln.(*net.TCPListener))
+	s.loop.SetTimer(s.nextTimer, s.onTimer)
+	return s, nil
+}
+
+// listen opens the listening socket on the event loop.
+func (s *Server) listen() error {
+	var config net.ListenConfig
+	ln, err := config.Listen(context.Background(), "tcp", s.cfg.Listen.String())
 	if err != nil {
-		return nil, err
+		return err
 	}
-	if err := f.loop.Listen(fd, f.flows.fresh, f.accept); err != nil {
-		return nil, err
+	fd, err := eventloop.Detach(ln.(*net.TCPListener)) // a duplicate, so that ln can be closed
+	if err := errors.Join(err, ln.Close()); err != nil {
+		return err
 	}
-	f.loop.SetTimer(f.nextAlarm, f.ring)
-	return f, nil
+	return s.loop.Listen(fd, s.flows.newConns, s.accept)
 }
 
-// Run serves until Stop has let it end.
-func (f *Server) Run() error {
-	f.tell(forwarder.EndpointUpdate{Kind: dispatch.Cached, Nodes: f.cfg.Known.Nodes})
-	return f.loop.Run()
+// Run serves until a graceful shutdown is complete.
+func (s *Server) Run() error {
+	s.handle(forwarder.EndpointUpdate{Kind: dispatch.Cached, Nodes: s.cfg.Known.Nodes})
+	return s.loop.Run()
 }
 
-// now is the time by the Unix clock at the start, and steady from there.
-func (f *Server) now() time.Duration { return f.epoch + time.Since(f.start) }
+// Addr returns the address on which the server listens.
+func (s *Server) Addr() string { return s.cfg.Listen.String() }
+
+// now returns the Unix time at the server's start, advanced by the monotonic clock.
+func (s *Server) now() time.Duration { return s.epoch + time.Since(s.startTime) }
 
-// tell hands an event to the forwarder and does what it says, in order.
-func (f *Server) tell(ev forwarder.Event) {
-	f.inbox = append(f.inbox, ev)
-	if f.busy {
+// handle passes an event to the forwarder and performs the actions that it returns, in order. An
+// event that arises while an action is performed is handled after the present one.
+func (s *Server) handle(event forwarder.Event) {
+	s.events = append(s.events, event)
+	if s.handlingEvents {
 		return
 	}
-	f.busy = true
-	for i := 0; i < len(f.inbox); i++ {
-		for _, a := range f.x.Handle(f.now(), f.inbox[i]) {
-			f.do(a)
+	s.handlingEvents = true
+	for handled := 0; handled < len(s.events); {
+		next := s.events[handled]
+		handled++
+		for _, action := range s.forwarder.Handle(s.now(), next) {
+			s.perform(action)
 		}
 	}
-	clear(f.inbox)
-	f.inbox, f.busy = f.inbox[:0], false
+	clear(s.events)
+	s.events = s.events[:0]
+	s.handlingEvents = false
 }
 
-func (f *Server) do(a forwarder.Action) {
-	switch a := a.(type) {
+// perform carries out an action of the forwarder.
+func (s *Server) perform(action forwarder.Action) {
+	switch a := action.(type) {
 	case forwarder.Dial:
-		f.dial(a)
+		s.dial(a)
 	case forwarder.SendRequest:
-		if k, t := f.nodes[a.Conn], f.tasks[a.ID]; k != nil && t != nil {
-			k.send(t, a)
+		conn, req := s.nodeConns[a.Conn], s.requests[a.ID]
+		if conn != nil && req != nil {
+			conn.send(req, a.Deadline)
 		}
 	case forwarder.CloseConn:
-		if k := f.nodes[a.Conn]; k != nil {
-			delete(f.nodes, a.Conn)
-			k.c.Close()
+		if conn := s.nodeConns[a.Conn]; conn != nil {
+			delete(s.nodeConns, a.Conn)
+			conn.conn.Close()
 		}
 	case forwarder.ForwardResponse:
-		if t, k := f.tasks[a.ID], f.nodes[a.Conn]; t != nil && k != nil {
-			f.scratch = resp.AppendBulk(f.scratch[:0], k.value)
-			f.finish(t, f.scratch)
+		req, conn := s.requests[a.ID], s.nodeConns[a.Conn]
+		if req != nil && conn != nil {
+			s.writeBuffer = resp.AppendBulk(s.writeBuffer[:0], conn.value)
+			s.finish(req, s.writeBuffer)
 		}
 	case forwarder.Reject:
-		if t := f.tasks[a.ID]; t != nil {
-			f.finish(t, f.busyAnswer(a.RetryAfter))
+		if req := s.requests[a.ID]; req != nil {
+			s.finish(req, s.busyReply(a.RetryAfter))
 		}
 	case forwarder.Fail:
-		if t := f.tasks[a.ID]; t != nil {
-			text := "ERR failed"
-			if a.TimedOut {
-				text = "ERR failed: no answer in time"
-			}
-			f.scratch = resp.AppendLine(f.scratch[:0], resp.ErrorReply, text)
-			f.finish(t, f.scratch)
+		if req := s.requests[a.ID]; req != nil {
+			s.finish(req, s.failureReply(a.TimedOut))
 		}
 	case forwarder.SetTimer:
-		f.wake = a.At
+		s.forwarderTimer = a.At
 	case forwarder.PollDiscovery:
-		f.ask()
-	}
-}
-
-// busyAnswer is a refusal with the time to come back, in whole milliseconds.
-func (f *Server) busyAnswer(after time.Duration) []byte {
-	b := append(f.scratch[:0], "-BUSY "...)
-	b = strconv.AppendInt(b, int64((after+time.Millisecond-1)/time.Millisecond), 10)
-	f.scratch = append(b, '\r', '\n')
-	return f.scratch
-}
-
-// forget ends a request here.
-func (f *Server) forget(t *task) {
-	delete(f.tasks, t.id)
-	delete(f.ids, string(t.cmd.ID))
-	f.held -= len(t.buf)
-}
-
-// finish gives a request its final answer.
-func (f *Server) finish(t *task, reply []byte) {
-	f.forget(t)
-	t.cl.answered(t.entry, reply)
-}
-
-// ---- Time.
-
-// sweepEvery is how often connections are looked at.
-const sweepEvery = 20 * time.Millisecond
-
-// nextAlarm is by the loop's clock.
-func (f *Server) nextAlarm() (time.Duration, bool) {
-	at := min(f.wake, f.sweepAt)
-	if len(f.dials) > 0 {
-		at = min(at, f.dials[0].due)
-	}
-	return max(at-f.epoch, 0), true
-}
-
-func (f *Server) ring(time.Duration) {
-	now := f.now()
-	for len(f.dials) > 0 && (f.dials[0].due <= now || f.dials[0].opened || f.nodes[f.dials[0].id] != f.dials[0]) {
-		k := f.dials[0]
-		f.dials[0] = nil
-		f.dials = f.dials[1:]
-		if f.nodes[k.id] == k && !k.opened {
-			delete(f.nodes, k.id)
-			k.c.Close()
-			f.tell(forwarder.DialCompleted{Conn: k.id})
-		}
-	}
-	if now >= f.wake {
-		f.wake = math.MaxInt64
-		f.tell(forwarder.TimerFired{})
-	}
-	if now >= f.sweepAt {
-		f.sweepAt = now + sweepEvery
-		f.sweep(now)
-	}
-}
-
-// ---- Discovery.
-
-type watch struct {
-	cancel context.CancelFunc
-	told   bool
-}
-
-// Bounds of a watch. A change counts as told 6 s after discovery had it and could be reached, and 6 s
-// after a watch fell silent that would have told it. Discovery answers within 2 s or not at all, and
-// an empty line is due every 2 s; the dispatcher pauses for 0.75 s at most before the first call after a watch
-// that had told something, and for 3 s at most before any.
-const (
-	discoveryAnswer  = 2500 * time.Millisecond
-	discoverySilence = 2700 * time.Millisecond
-)
-
-// ask opens a watch, where there is none.
-func (f *Server) ask() {
-	if f.watch != nil || f.stopping {
-		return
-	}
-	ctx, cancel := context.WithCancel(context.Background())
-	w := &watch{cancel: cancel}
-	f.watch = w
-	discovery.Watch(ctx, f.discovery.String(), f.version, discovery.Options{Names: f.cfg.names(), ResponseTimeout: discoveryAnswer, SilenceTimeout: discoverySilence},
-		func(d endpoints.Document) { f.loop.Post(func() { f.listed(w, d) }) },
-		func(err error) { f.loop.Post(func() { f.watchEnded(w, err) }) })
-}
-
-// listed takes a document. One of an older version than what is known tells of the past,
-// unless it is the whole list at an address that has told nothing before.
-func (f *Server) listed(w *watch, d endpoints.Document) {
-	if w != f.watch && w != f.old {
-		return
-	}
-	first := !w.told
-	w.told = true
-	if w == f.watch && f.old != nil {
-		f.old.cancel()
-		f.old = nil
-	}
-	if d.Version < f.version && !(first && d.Snapshot) {
-		f.log.Info("discovery told of the past", zap.Int64("version", d.Version), zap.Int64("known", f.version))
-		return
-	}
-	f.version = d.Version
-	kind := dispatch.Delta
-	if d.Snapshot {
-		kind = dispatch.Snapshot
-	}
-	f.tell(forwarder.EndpointUpdate{Kind: kind, Nodes: d.Nodes})
-}
-
-func (f *Server) watchEnded(w *watch, err error) {
-	w.cancel()
-	switch w {
-	case f.old:
-		f.old = nil
-	case f.watch:
-		f.watch = nil
-		f.log.Info("watch of discovery ended", zap.Error(err))
-		f.tell(forwarder.EndpointUpdate{Kind: dispatch.PollFailed})
+		s.openWatch()
 	}
 }
 
-// Reload takes over what a new configuration may change while it runs: where discovery is. The
-// watch there is opened while the old one still stands.
-func (f *Server) Reload(cfg Config) {
-	f.loop.Post(func() {
-		if cfg.Discovery == f.discovery || f.stopping {
-			return
-		}
-		f.log.Info("discovery has moved", zap.Stringer("to", cfg.Discovery))
-		f.discovery = cfg.Discovery
-		if f.watch != nil { // of two that stand, the one that has told something goes on
-			if f.old == nil || f.watch.told {
-				f.old, f.watch = f.watch, f.old
-			}
-			if f.watch != nil {
-				f.watch.cancel()
-				f.watch = nil
-			}
-		}
-		f.ask()
-	})
-}
-
-// ---- The end.
-
-// Times of a planned end. The platform kills a dispatcher no sooner than the longest deadline,
-// counted as killCap where it is longer, and killAfter more after it told it to end; what it finds
-// unanswered then is lost, but for what was there in the first goOn or so.
-const (
-	goOn      = 500 * time.Millisecond // clients still come for up to 0.4 s
-	killCap   = 3 * time.Second
-	killAfter = 700 * time.Millisecond
-	answerBy  = 200 * time.Millisecond // before that, all that is open is answered
-	endBy     = 50 * time.Millisecond  // before that, it ends in any case
-)
-
-// Stop lets a dispatcher end: it goes on serving while clients still come, then begins nothing
-// more, answers what it has taken, closes each connection after its last answer, and ends.
-func (f *Server) Stop() {
-	f.loop.Post(func() {
-		if !f.stopping {
-			f.stopping, f.stopAt = true, f.now()
-		}
-	})
-}
-
-// killAt is when the platform may kill a dispatcher that was told to end.
-func (f *Server) killAt() time.Duration {
-	longest := time.Duration(0)
-	for _, c := range f.cfg.Settings.Choice.Classes {
-		longest = max(longest, c.Deadline)
+// nextTimer returns the next time at which onTimer is to be called, by the event loop's clock.
+func (s *Server) nextTimer() (time.Duration, bool) {
+	at := min(s.forwarderTimer, s.nextSweep)
+	if len(s.dials) > 0 {
+		at = min(at, s.dials[0].dialDeadline)
 	}
-	return f.stopAt + min(longest, killCap) + killAfter
+	return max(at-s.epoch, 0), true
 }
 
-// ends goes on with a planned end.
-func (f *Server) ends(now time.Duration) {
-	if now < f.stopAt+goOn || f.over {
-		return
-	}
-	if f.closedAt == 0 {
-		f.closedAt = now
-		f.loop.StopListening()
+// onTimer is called by the event loop at the time that nextTimer returned, or later.
+func (s *Server) onTimer(time.Duration) {
+	now := s.now()
+	s.expireDials(now)
+	if now >= s.forwarderTimer {
+		s.forwarderTimer = noTimer
+		s.handle(forwarder.TimerFired{})
 	}
-	if now < f.closedAt+sweepEvery {
-		return // what was accepted at the last moment is read first
-	}
-	killAt := f.killAt()
-	late := now > killAt-answerBy
-	if late {
-		f.abandonAll()
-	}
-	for _, cl := range slices.Clone(f.clients) {
-		// What was read of a client that reads slowly is taken before.
-		if !cl.final && (late || !cl.c.Paused()) {
-			cl.finish()
-		}
-	}
-	if len(f.clients) == 0 || now > killAt-endBy {
-		f.over = true
-		f.log.Info("ended", zap.Int("open", len(f.tasks)), zap.Int("connections", len(f.clients)))
-		go f.loop.Stop()
+	if now >= s.nextSweep {
+		s.nextSweep = now + sweepInterval
+		s.sweep(now)
 	}
 }
 
-// abandonAll answers all that is still open shortly before the end.
-func (f *Server) abandonAll() {
-	for _, cl := range slices.Clone(f.clients) {
-		for _, e := range slices.Clone(cl.queue) {
-			if t := e.task; t != nil && !e.done {
-				f.finish(t, resp.AppendLine(nil, resp.ErrorReply, "ERR failed: the dispatcher ends"))
-				f.tell(forwarder.AbortRequest{ID: t.id})
-			}
-		}
+// sweep closes the client connections whose time is over and advances a graceful shutdown.
+func (s *Server) sweep(now time.Duration) {
+	s.sweepClients(now)
+	if s.shuttingDown {
+		s.advanceShutdown(now)
 	}
 }
-
-// Addr is where a dispatcher listens.
-func (f *Server) Addr() string { return f.cfg.Listen.String() }
