--- a/cmd/chalkstand/standins.go
+++ b/cmd/chalkstand/standins.go
@@ -5,6 +5,7 @@
 	"chalkstand/fake/respnode"
 	"encoding/json"
 	"fmt"
+	"io"
 	"os"
 	"os/signal"
 	"syscall"
@@ -13,62 +14,100 @@
 	"github.com/spf13/cobra"
 )
 
-// standinSettings are made-up settings of the platform for a try by hand.
+// standinSettings are settings of the platform for a try by hand, a format of the number of shards.
 const standinSettings = `{"me":0,"peers_total":1,"discovery":"on_request","areas":["a"],"kinds":["m"],"round_ms":1,
-"limits":{"cancel":true,"conn_idle_ms":15000,"connect_timeout_ms":250,"max_retry_after_ms":2000,"try_limit":3,"max_open":1000},
+"limits":{"cancel":true,"conn_idle_ms":15000,"connect_timeout_ms":250,"max_retry_after_ms":2000,
+"try_limit":3,"max_open":1000},
 "classes":[{"name":"read","credit":3,"slo_ms":300,"deadline_ms":1500,"effect":"idempotent","group":"all"},
 {"name":"write","credit":2,"slo_ms":500,"deadline_ms":4000,"effect":"deduplicated","group":"cell","window_ms":4000}],
 "policies":[{"name":"gold","base_rate":100,"guaranteed":100,"weight":1,"value_factor":1}],
 "family_info":{"largest":8,"usual_units":2,"slots_total":%d,"class_writes":[false,true]}}`
 
+// Bounds of the number of storage nodes.
+const (
+	minStandinNodes = 1
+	maxStandinNodes = 64
+)
+
+// standins are the options of chalkstand standins.
+type standins struct {
+	nodes       int
+	configFile  string // to be written
+	listen      string // address of the dispatcher
+	serviceTime time.Duration
+}
+
+// standinsCommand returns the command that runs fake storage nodes and a fake discovery.
 func standinsCommand() *cobra.Command {
-	var nodes int
-	var file, listen string
-	var work time.Duration
+	var s standins
 	c := &cobra.Command{
-		Use: "standins", Short: "Run stand-in storage nodes and discovery for chalkstand run", Args: cobra.NoArgs,
+		Use:   "standins",
+		Short: "Run stand-in storage nodes and discovery for chalkstand run",
+		Args:  cobra.NoArgs,
 		Long: `Run stand-ins for the platform's storage nodes, which speak RESP2, and for its discovery, on
 loopback, until SIGTERM or SIGINT, and write a configuration with which chalkstand run reaches them.`,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			if nodes < 1 || nodes > 64 {
-				return fmt.Errorf("standins: --nodes: expected 1 to 64, got %d", nodes)
-			}
-			disc, err := fakediscovery.Start()
-			if err != nil {
-				return err
-			}
-			defer disc.Stop()
-			var entries []fakediscovery.Endpoint
-			for i := range nodes {
-				n, err := respnode.StartNode()
-				if err != nil {
-					return err
-				}
-				defer n.Stop()
-				n.SetDefault(respnode.Behavior{Delay: work})
-				entries = append(entries, fakediscovery.Endpoint{ID: fmt.Sprintf("s%d", i), Addr: n.Addr(), State: "Ready", Cell: i})
-			}
-			text, err := json.Marshal(map[string]any{
-				"name": "n1", "listen": listen, "discovery": disc.Addr(), "seed": "1",
-				"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 512},
-				"known":  json.RawMessage(fakediscovery.Document(1, true, entries...)), "settings": json.RawMessage(fmt.Sprintf(standinSettings, nodes)),
-			})
-			if err != nil {
-				return err
-			}
-			if err := os.WriteFile(file, text, 0o644); err != nil {
-				return fmt.Errorf("standins: %w", err)
-			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%d nodes, discovery at %s; now: chalkstand run --config %s\n", nodes, disc.Addr(), file)
-			stop := make(chan os.Signal, 1)
-			signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
-			<-stop
-			return nil
-		},
+		RunE: func(cmd *cobra.Command, _ []string) error { return s.run(cmd.OutOrStdout()) },
 	}
-	c.Flags().IntVar(&nodes, "nodes", 4, "storage nodes, each with a shard of its own")
-	c.Flags().StringVar(&file, "config", "relay.json", "configuration to write")
-	c.Flags().StringVar(&listen, "listen", "127.0.0.1:6379", "where the dispatcher is to listen")
-	c.Flags().DurationVar(&work, "work", 5*time.Millisecond, "of a node for one request")
+	c.Flags().IntVar(&s.nodes, "nodes", 4, "storage nodes, each with a shard of its own")
+	c.Flags().StringVar(&s.configFile, "config", "relay.json", "configuration to write")
+	c.Flags().StringVar(&s.listen, "listen", "127.0.0.1:6379", "where the dispatcher is to listen")
+	c.Flags().DurationVar(&s.serviceTime, "work", 5*time.Millisecond, "of a node for one request")
 	return c
 }
+
+// run runs the fakes until SIGTERM or SIGINT.
+func (s *standins) run(out io.Writer) error {
+	if s.nodes < minStandinNodes || s.nodes > maxStandinNodes {
+		return fmt.Errorf("standins: --nodes: expected %d to %d, got %d", minStandinNodes, maxStandinNodes, s.nodes)
+	}
+	discovery, err := fakediscovery.Start()
+	if err != nil {
+		return err
+	}
+	defer discovery.Stop()
+	var endpoints []fakediscovery.Endpoint
+	for i := range s.nodes {
+		node, err := respnode.Start()
+		if err != nil {
+			return err
+		}
+		defer node.Stop()
+		node.SetDefault(respnode.Behavior{Delay: s.serviceTime})
+		endpoints = append(endpoints, fakediscovery.Endpoint{
+			ID:    fmt.Sprintf("s%d", i),
+			Addr:  node.Addr(),
+			State: "Ready",
+			Cell:  i,
+		})
+	}
+	if err := s.writeConfig(discovery.Addr(), endpoints); err != nil {
+		return err
+	}
+	// A failed write is ignored: the fakes run all the same.
+	_, _ = fmt.Fprintf(out, "%d nodes, discovery at %s; now: chalkstand run --config %s\n",
+		s.nodes, discovery.Addr(), s.configFile)
+	stop := make(chan os.Signal, 1)
+	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
+	<-stop
+	return nil
+}
+
+// writeConfig writes the configuration of a dispatcher in front of the fakes.
+func (s *standins) writeConfig(discovery string, endpoints []fakediscovery.Endpoint) error {
+	text, err := json.Marshal(map[string]any{
+		"name":      "n1",
+		"listen":    s.listen,
+		"discovery": discovery,
+		"seed":      "1",
+		"limits":    map[string]any{"cores": 1, "memory_mb": 64, "sockets": 512},
+		"known":     json.RawMessage(fakediscovery.Document(1, true, endpoints...)),
+		"settings":  json.RawMessage(fmt.Sprintf(standinSettings, s.nodes)),
+	})
+	if err != nil {
+		return err
+	}
+	if err := os.WriteFile(s.configFile, text, 0o644); err != nil {
+		return fmt.Errorf("standins: %w", err)
+	}
+	return nil
+}
--- a/fake/discovery/discovery.go
+++ b/fake/discovery/discovery.go
@@ -1,122 +1,151 @@
-// Package discovery is a fake of the discovery service, for tests and for chalkstand
-// standins: each watch receives what the test gives it to send.
+// Package discovery is a fake of the platform's discovery service, for tests and for chalkstand
+// standins: each watch receives the lines that the test sends.
 package discovery
 
 import (
+	"context"
 	"fmt"
 	"net"
 	"net/http"
+	"slices"
 	"strings"
 	"sync"
 )
 
-// Endpoint is a node as discovery tells it.
+// maxBufferedLines is how many lines a watch may lag behind before Send blocks.
+const maxBufferedLines = 64
+
+// Endpoint is a node's entry in an endpoint list.
 type Endpoint struct {
-	ID, Addr, State string
-	Cell            int
-	StartedMS       int64
+	ID        string
+	Addr      string
+	State     string // Ready, Terminating or Gone
+	Cell      int    // its shard
+	StartedMS int64  // Unix time in milliseconds
 }
 
 func (e Endpoint) json() string {
-	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"a","kind":"m","cell":%d,"state":%q,"weight":1.0,"started_ms":%d}`, e.ID, e.Addr, e.Cell, e.State, e.StartedMS)
+	return fmt.Sprintf(
+		`{"id":%q,"addr":%q,"zone":"a","kind":"m","cell":%d,"state":%q,"weight":1.0,"started_ms":%d}`,
+		e.ID, e.Addr, e.Cell, e.State, e.StartedMS)
 }
 
-// Document is a document of discovery.
-func Document(version int, full bool, entries ...Endpoint) string {
-	var s []string
-	for _, e := range entries {
-		s = append(s, e.json())
+// Document returns an endpoint list in the service's form, without a line end. full tells a snapshot
+// from the changes since an earlier version.
+func Document(version int, full bool, endpoints ...Endpoint) string {
+	servers := make([]string, 0, len(endpoints))
+	for _, endpoint := range endpoints {
+		servers = append(servers, endpoint.json())
 	}
-	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, full, strings.Join(s, ","))
+	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, full, strings.Join(servers, ","))
 }
 
-// Server is a stand-in for discovery. Each watch is told what it is given to say.
+// Server is a running fake of the discovery service.
 type Server struct {
-	srv   *http.Server
-	ln    net.Listener
-	mu    sync.Mutex
-	since []string
-	lines []chan string
-	fail  int // calls that are answered 503
+	http   *http.Server
+	ln     net.Listener
+	served chan struct{} // closed once the listener is no longer served
+
+	mu           sync.Mutex
+	calls        []string      // the since parameter of each call
+	watches      []chan string // lines to send
+	failingCalls int           // so many calls are still to fail
 }
 
-// Start starts discovery on a free port.
+// Start starts a server on a free port of the loopback address.
 func Start() (*Server, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	var config net.ListenConfig
+	ln, err := config.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d := &Server{ln: ln}
-	d.srv = &http.Server{Handler: d}
-	go d.srv.Serve(ln)
-	return d, nil
+	s := &Server{ln: ln, served: make(chan struct{})}
+	s.http = &http.Server{Handler: s}
+	go func() {
+		defer close(s.served)
+		_ = s.http.Serve(ln) // it returns an error in any case: the server was closed
+	}()
+	return s, nil
 }
 
-// Addr is where it listens.
-func (d *Server) Addr() string { return d.ln.Addr().String() }
+// Addr returns the address on which the server listens.
+func (s *Server) Addr() string { return s.ln.Addr().String() }
 
-// Stop ends it with its watches.
-func (d *Server) Stop() { d.srv.Close() }
+// Stop stops the server and closes its watches.
+func (s *Server) Stop() {
+	_ = s.http.Close() // it only fails where the listener is closed already
+	<-s.served
+}
 
-// FailCalls has so many calls answered 503.
-func (d *Server) FailCalls(calls int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.fail = calls
+// FailCalls makes the next calls fail with 503.
+func (s *Server) FailCalls(calls int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.failingCalls = calls
 }
 
-// Calls are the versions from which watches were asked for, in order.
-func (d *Server) Calls() []string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return append([]string(nil), d.since...)
+// Calls returns, for each call in order, the version from which a watch was asked for; it is empty
+// where none was given.
+func (s *Server) Calls() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Clone(s.calls)
 }
 
-// Send writes a line to all watches; none are told how many there are.
-func (d *Server) Send(line string) int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, c := range d.lines {
-		c <- line
+// Send sends a line on all watches that were opened and returns their number.
+func (s *Server) Send(line string) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, lines := range s.watches {
+		lines <- line
 	}
-	return len(d.lines)
+	return len(s.watches)
 }
 
-// EndWatches ends all watches.
-func (d *Server) EndWatches() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, c := range d.lines {
-		close(c)
+// CloseWatches closes all watches.
+func (s *Server) CloseWatches() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, lines := range s.watches {
+		close(lines)
 	}
-	d.lines = nil
+	s.watches = nil
 }
 
-// ServeHTTP answers a watch.
-func (d *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	d.mu.Lock()
-	d.since = append(d.since, r.FormValue("since"))
-	if d.fail > 0 {
-		d.fail--
-		d.mu.Unlock()
+// ServeHTTP serves a watch.
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	lines, ok := s.openWatch(r.FormValue("since"))
+	if !ok {
 		http.Error(w, "later", http.StatusServiceUnavailable)
 		return
 	}
-	lines := make(chan string, 64)
-	d.lines = append(d.lines, lines)
-	d.mu.Unlock()
+	response := http.NewResponseController(w)
 	w.WriteHeader(http.StatusOK)
-	w.(http.Flusher).Flush()
-	for {
+	for err := response.Flush(); err == nil; err = response.Flush() {
 		select {
-		case line, ok := <-lines:
-			if !ok {
+		case line, open := <-lines:
+			if !open {
+				return
+			}
+			if _, err := fmt.Fprintf(w, "%s\n", line); err != nil {
 				return
 			}
-			fmt.Fprintf(w, "%s\n", line)
-			w.(http.Flusher).Flush()
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
+
+// openWatch records a call and opens its watch. It reports false for a call that is to fail.
+func (s *Server) openWatch(since string) (lines chan string, ok bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.calls = append(s.calls, since)
+	if s.failingCalls > 0 {
+		s.failingCalls--
+		return nil, false
+	}
+	lines = make(chan string, maxBufferedLines)
+	s.watches = append(s.watches, lines)
+	return lines, true
+}
--- a/fake/respnode/node.go
+++ b/fake/respnode/node.go
@@ -1,254 +1,246 @@
-// Package respnode is a fake storage node that speaks RESP2 on loopback. It logs what crosses
-// its sockets and fails as it is told.
+// Package respnode is a fake storage node that speaks RESP2 on loopback. It records the commands that
+// it receives and replies with scripted faults.
 package respnode
 
 import (
 	"bufio"
-	"bytes"
-	"errors"
+	"context"
 	"fmt"
 	"io"
 	"net"
-	"strconv"
+	"slices"
+	"strings"
 	"sync"
 	"time"
 )
 
-// Behavior is how a node takes one request.
+// Behavior says how a node handles a command. The zero value replies with the command's value, a usage
+// and a load report.
 type Behavior struct {
-	Delay   time.Duration // before the answer
-	Reply   string        // in the place of the answer, as it is; "%v" is the value
-	Trailer string        // sent right behind the answer
-	Hang    bool          // no answer
-	Close   bool          // the connection ends instead of an answer, or after Say
-	Reset   bool          // it ends by a reset then
+	Delay   time.Duration // before the reply
+	Reply   string        // raw bytes in place of the usual reply; "%v" stands for the value as a bulk string
+	Trailer string        // raw bytes behind the reply
+	Hang    bool          // no reply; the connection stays open
+	Close   bool          // the connection is closed after Reply, or at once where Reply is empty
+	Reset   bool          // a close resets the connection
 }
 
-// LoggedCommand is a command that came whole.
-type LoggedCommand struct {
-	At    time.Time
-	Words []string
-	Conn  int
-}
-
-// Node is a stand-in storage node.
+// Node is a running fake storage node.
 type Node struct {
-	ln     net.Listener
-	mu     sync.Mutex
-	orders []Behavior // for the next requests, one each
-	usual  Behavior
-	seen   []LoggedCommand
-	conns  map[net.Conn]bool
-	opened int
-	wake   chan struct{}
-}
-
-// StartNode starts a node on a free port.
-func StartNode() (*Node, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	ln       net.Listener
+	received chan struct{} // has an entry after a command was recorded
+	stopping chan struct{} // closed by Stop
+	running  sync.WaitGroup
+
+	mu              sync.Mutex
+	next            []Behavior // of the next commands, one each
+	defaultBehavior Behavior
+	commands        [][]string
+	conns           map[net.Conn]bool
+	connsOpened     int
+	stopped         bool
+}
+
+// Start starts a node on a free port of the loopback address.
+func Start() (*Node, error) {
+	var config net.ListenConfig
+	ln, err := config.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{ln: ln, conns: map[net.Conn]bool{}, wake: make(chan struct{}, 1)}
-	go n.accept()
+	n := &Node{
+		ln:       ln,
+		received: make(chan struct{}, 1),
+		stopping: make(chan struct{}),
+		conns:    map[net.Conn]bool{},
+	}
+	n.running.Go(n.accept)
 	return n, nil
 }
 
-// Addr is where it listens.
+// Stop closes the listener, resets all connections and waits for the node's goroutines. It is to be
+// called once.
+func (n *Node) Stop() {
+	close(n.stopping)
+	_ = n.ln.Close() // it only fails where it is closed already
+	n.resetConns()
+	n.running.Wait()
+}
+
+// resetConns resets all connections and those that are accepted from here on.
+func (n *Node) resetConns() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.stopped = true
+	for conn := range n.conns {
+		reset(conn)
+	}
+}
+
+// reset closes a connection so that its peer gets a reset. Errors are ignored: the peer may have
+// closed it.
+func reset(conn net.Conn) {
+	_ = conn.(*net.TCPConn).SetLinger(0)
+	_ = conn.Close()
+}
+
+// Addr returns the address on which the node listens.
 func (n *Node) Addr() string { return n.ln.Addr().String() }
 
-// Next has the next requests taken as told, one each.
-func (n *Node) Next(o ...Behavior) {
+// SetNext sets how the next commands are handled, one each, behind those that were set before.
+func (n *Node) SetNext(behaviors ...Behavior) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.next = append(n.next, behaviors...)
+}
+
+// SetDefault sets how commands are handled that SetNext says nothing of.
+func (n *Node) SetDefault(behavior Behavior) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.orders = append(n.orders, o...)
+	n.defaultBehavior = behavior
 }
 
-// SetDefault has all requests without an order of their own taken as told.
-func (n *Node) SetDefault(o Behavior) {
+// Commands returns the arguments of each command that was received whole, in order.
+func (n *Node) Commands() [][]string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.usual = o
+	return slices.Clone(n.commands)
 }
 
-// Log returns the log, and how many connections were opened.
-func (n *Node) Log() ([]LoggedCommand, int) {
+// ClearCommands forgets the commands that were received.
+func (n *Node) ClearCommands() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return append([]LoggedCommand(nil), n.seen...), n.opened
+	n.commands = nil
 }
 
-// ClearLog empties the log.
-func (n *Node) ClearLog() {
+// ConnsOpened returns the number of connections that were accepted.
+func (n *Node) ConnsOpened() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.seen = nil
+	return n.connsOpened
 }
 
-// Await waits until so many commands have come.
-func (n *Node) Await(count int, timeout time.Duration) error {
-	end := time.After(timeout)
+// AwaitCommands waits until that many commands were received.
+func (n *Node) AwaitCommands(count int, timeout time.Duration) error {
+	expired := time.After(timeout)
 	for {
-		if s, _ := n.Log(); len(s) >= count {
+		if len(n.Commands()) >= count {
 			return nil
 		}
 		select {
-		case <-n.wake:
-		case <-end:
-			return fmt.Errorf("%d commands did not come within %v", count, timeout)
+		case <-n.received:
+		case <-expired:
+			return fmt.Errorf("%d commands were not received within %v", count, timeout)
 		}
 	}
 }
 
-// WriteAll writes text on all open connections, whatever was asked there.
+// WriteAll writes raw bytes on all open connections. Errors are ignored: a peer may have closed one.
 func (n *Node) WriteAll(text string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for c := range n.conns {
-		c.Write([]byte(text))
-	}
-}
-
-// Stop ends the node and resets its connections.
-func (n *Node) Stop() {
-	n.ln.Close()
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for c := range n.conns {
-		c.(*net.TCPConn).SetLinger(0)
-		c.Close()
+	for conn := range n.conns {
+		_, _ = conn.Write([]byte(text))
 	}
 }
 
+// accept serves connections until the listener is closed.
 func (n *Node) accept() {
 	for {
-		c, err := n.ln.Accept()
+		conn, err := n.ln.Accept()
 		if err != nil {
 			return
 		}
-		n.mu.Lock()
-		n.opened++
-		n.conns[c] = true
-		id := n.opened
-		n.mu.Unlock()
-		go n.serve(c, id)
+		if !n.addConn(conn) {
+			reset(conn)
+			return
+		}
+		n.running.Go(func() { n.serve(conn) })
 	}
 }
 
-func (n *Node) serve(c net.Conn, id int) {
-	defer func() {
-		c.Close()
-		n.mu.Lock()
-		delete(n.conns, c)
-		n.mu.Unlock()
-	}()
-	in := bufio.NewReader(c)
+// addConn registers a connection and reports whether the node is still running.
+func (n *Node) addConn(conn net.Conn) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.connsOpened++
+	n.conns[conn] = true
+	return !n.stopped
+}
+
+func (n *Node) removeConn(conn net.Conn) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	delete(n.conns, conn)
+}
+
+// serve handles the commands of a connection in order.
+func (n *Node) serve(conn net.Conn) {
+	defer n.removeConn(conn)
+	defer func() { _ = conn.Close() }() // Stop may have closed it
+	in := bufio.NewReader(conn)
 	for {
-		words, err := ReadCommand(in)
+		args, err := readCommand(in)
 		if err != nil {
 			return
 		}
-		n.mu.Lock()
-		n.seen = append(n.seen, LoggedCommand{At: time.Now(), Words: words, Conn: id})
-		o := n.usual
-		if len(n.orders) > 0 {
-			o, n.orders = n.orders[0], n.orders[1:]
-		}
-		n.mu.Unlock()
-		select {
-		case n.wake <- struct{}{}:
-		default:
-		}
-		if !n.answer(c, words, o) {
+		if !n.handle(conn, args, n.record(args)) {
 			return
 		}
 	}
 }
 
-// answer tells whether the connection goes on.
-func (n *Node) answer(c net.Conn, words []string, o Behavior) bool {
-	time.Sleep(o.Delay)
-	if o.Hang {
-		io.Copy(io.Discard, c)
-		return false
-	}
-	if o.Reset {
-		c.(*net.TCPConn).SetLinger(0)
-	}
-	if o.Reply == "" && o.Close {
-		return false
-	}
-	text := fmt.Sprintf("*3\r\n%s$14\r\nused=37,cost=4\r\n$18\r\ninflight=7,queue=2\r\n", Bulk(Value(words)))
-	if o.Reply != "" {
-		text = string(bytes.ReplaceAll([]byte(o.Reply), []byte("%v"), []byte(Bulk(Value(words)))))
+// record records a command and returns how it is to be handled.
+func (n *Node) record(args []string) Behavior {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.commands = append(n.commands, args)
+	behavior := n.defaultBehavior
+	if len(n.next) > 0 {
+		behavior = n.next[0]
+		n.next = n.next[1:]
 	}
-	_, err := c.Write([]byte(text + o.Trailer))
-	return err == nil && !o.Close
-}
-
-// Value is what a node answers to a command: no other command's value is the same.
-func Value(words []string) string {
-	if len(words) < 3 {
-		return ""
+	select {
+	case n.received <- struct{}{}:
+	default:
 	}
-	return "value of " + words[1] + " for " + words[2]
+	return behavior
 }
 
-// Bulk is a bulk string.
-func Bulk(s string) string { return "$" + strconv.Itoa(len(s)) + "\r\n" + s + "\r\n" }
-
-// Command is a command's bytes.
-func Command(words ...string) string {
-	s := "*" + strconv.Itoa(len(words)) + "\r\n"
-	for _, w := range words {
-		s += Bulk(w)
+// handle replies to a command and reports whether the connection stays open.
+func (n *Node) handle(conn net.Conn, args []string, behavior Behavior) bool {
+	if behavior.Delay > 0 {
+		select {
+		case <-time.After(behavior.Delay):
+		case <-n.stopping:
+			return false
+		}
 	}
-	return s
-}
-
-// ReadCommand reads an array of bulk strings.
-func ReadCommand(in *bufio.Reader) ([]string, error) {
-	count, err := readCount(in, '*')
-	if err != nil || count < 1 || count > 64 {
-		return nil, errors.Join(err, errors.New("no command"))
+	if behavior.Hang {
+		_, _ = io.Copy(io.Discard, conn) // until the connection ends, however it does
+		return false
 	}
-	words := make([]string, count)
-	for i := range words {
-		size, err := readCount(in, '$')
-		if err != nil || size < 0 || size > 1<<20 {
-			return nil, errors.Join(err, errors.New("no bulk string"))
-		}
-		b := make([]byte, size+2)
-		if _, err := io.ReadFull(in, b); err != nil {
-			return nil, err
-		}
-		words[i] = string(b[:size])
+	if behavior.Reset {
+		_ = conn.(*net.TCPConn).SetLinger(0) // it fails where the peer has closed the connection
 	}
-	return words, nil
-}
-
-func readCount(in *bufio.Reader, mark byte) (int, error) {
-	line, err := in.ReadString('\n')
-	if err != nil {
-		return 0, err
+	if behavior.Reply == "" && behavior.Close {
+		return false
 	}
-	if len(line) < 4 || line[0] != mark {
-		return 0, fmt.Errorf("expected %c, got %q", mark, line)
+	value := Bulk(Value(args))
+	reply := "*3\r\n" + value + Bulk("used=37,cost=4") + Bulk("inflight=7,queue=2")
+	if behavior.Reply != "" {
+		reply = strings.ReplaceAll(behavior.Reply, "%v", value)
 	}
-	return strconv.Atoi(line[1 : len(line)-2])
+	_, err := conn.Write([]byte(reply + behavior.Trailer))
+	return err == nil && !behavior.Close
 }
 
-// ReadReply reads an answer: a line, or a bulk string with its size's mark.
-func ReadReply(in *bufio.Reader) (string, error) {
-	line, err := in.ReadString('\n')
-	if err != nil || line[0] != '$' {
-		return line, err
-	}
-	size, err := strconv.Atoi(line[1 : len(line)-2])
-	if err != nil || size < 0 {
-		return line, err
+// Value returns the value with which a node replies to a command. It differs for each piece and id.
+func Value(args []string) string {
+	if len(args) < 3 {
+		return ""
 	}
-	b := make([]byte, size+2)
-	_, err = io.ReadFull(in, b)
-	return "$" + string(b[:size]), err
+	return "value of " + args[1] + " for " + args[2]
 }
--- a/respserver/clients_test.go
+++ b/respserver/clients_test.go
@@ -98,7 +98,7 @@
 	closeOrFail(t, c)
 	f.waitOnLoop(func() bool { return f.server.ClientCount() == 0 })
 	f.expectNothingRetained()
-	if commands, _ := f.node.Log(); len(commands) > 1 {
+	if commands := f.node.Commands(); len(commands) > 1 {
 		t.Errorf("commands at the node: %v, want the first at most", commands)
 	}
 }
--- a/respserver/fixture_test.go
+++ b/respserver/fixture_test.go
@@ -67,7 +67,7 @@
 
 func startNode(t *testing.T) *respnode.Node {
 	t.Helper()
-	node, err := respnode.StartNode()
+	node, err := respnode.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,7 +139,7 @@
 // waitForCommands waits until the node has received that many commands.
 func (f *fixture) waitForCommands(count int) {
 	f.t.Helper()
-	if err := f.node.Await(count, testTimeout); err != nil {
+	if err := f.node.AwaitCommands(count, testTimeout); err != nil {
 		f.t.Fatal(err)
 	}
 }
@@ -167,7 +167,7 @@
 // expectCommands checks how many commands the node has received.
 func (f *fixture) expectCommands(want int) {
 	f.t.Helper()
-	if commands, _ := f.node.Log(); len(commands) != want {
+	if commands := f.node.Commands(); len(commands) != want {
 		f.t.Errorf("%d commands at the node, want %d: %v", len(commands), want, commands)
 	}
 }
--- a/respserver/nodes_test.go
+++ b/respserver/nodes_test.go
@@ -22,12 +22,12 @@
 			f := startFixture(t, 256)
 			c := f.client()
 			for i := range 20 {
-				f.node.Next(respnode.Behavior{Trailer: trailer})
+				f.node.SetNext(respnode.Behavior{Trailer: trailer})
 				id := strconv.Itoa(i)
 				c.send(getCommand(id))
 				c.expectReply(replyTo(id))
 			}
-			if _, opened := f.node.Log(); opened != 20 {
+			if opened := f.node.ConnsOpened(); opened != 20 {
 				t.Errorf("%d connections for 20 replies with a trailer", opened)
 			}
 		})
@@ -40,10 +40,10 @@
 	t.Helper()
 	f := startFixture(t, 256)
 	c := f.client()
-	f.node.Next(outcome)
+	f.node.SetNext(outcome)
 	c.send(getCommand("1"))
 	c.expectReply(replyTo("1"))
-	f.node.Next(outcome)
+	f.node.SetNext(outcome)
 	c.send(putCommand("2", "body"))
 	c.expectReply("-ERR")
 	f.expectCommands(3)
@@ -81,7 +81,7 @@
 func TestCloseAfterNodeReply(t *testing.T) {
 	f := startFixture(t, 256)
 	c := f.client()
-	f.node.Next(respnode.Behavior{Reply: "*3\r\n%v$-1\r\n$-1\r\n", Close: true})
+	f.node.SetNext(respnode.Behavior{Reply: "*3\r\n%v$-1\r\n$-1\r\n", Close: true})
 	c.send(putCommand("1", "body"))
 	c.expectReply(replyTo("1"))
 }
@@ -95,7 +95,7 @@
 		"*3\r\n%v$9\r\nused=many\r\n$2\r\n==\r\n",
 		"*3\r\n%v$20\r\nused=NaN,cost=-1e99,\r\n$14\r\ninflight=seven\r\n",
 	} {
-		f.node.Next(respnode.Behavior{Reply: reply})
+		f.node.SetNext(respnode.Behavior{Reply: reply})
 		id := strconv.Itoa(i)
 		c.send(getCommand(id))
 		c.expectReply(replyTo(id))
@@ -106,16 +106,16 @@
 func TestRetries(t *testing.T) {
 	f := startFixture(t, 256)
 	c := f.client()
-	f.node.Next(respnode.Behavior{Reply: "-BUSY\r\n"})
+	f.node.SetNext(respnode.Behavior{Reply: "-BUSY\r\n"})
 	c.send(putCommand("1", "x"))
 	c.expectReply("$")
-	f.node.Next(respnode.Behavior{Close: true})
+	f.node.SetNext(respnode.Behavior{Close: true})
 	c.send(getCommand("2"))
 	c.expectReply("$")
-	f.node.Next(respnode.Behavior{Reply: "-ERR failed used=3 inflight=1,queue=0\r\n"})
+	f.node.SetNext(respnode.Behavior{Reply: "-ERR failed used=3 inflight=1,queue=0\r\n"})
 	c.send(putCommand("3", "x"))
 	c.expectReply("-ERR failed")
-	f.node.Next(respnode.Behavior{Close: true})
+	f.node.SetNext(respnode.Behavior{Close: true})
 	c.send(putCommand("4", "x"))
 	c.expectReply("-ERR failed")
 	f.expectCommands(6)
--- a/respserver/requests_test.go
+++ b/respserver/requests_test.go
@@ -25,11 +25,11 @@
 	c.expectReply(replyTo("1"))
 	c.send(putCommand("2", strings.Repeat("b", 64<<10)))
 	c.expectReply(replyTo("2"))
-	commands, _ := f.node.Log()
+	commands := f.node.Commands()
 	if len(commands) != 2 {
 		t.Fatalf("%d commands at the node, want 2", len(commands))
 	}
-	get, put := commands[0].Words, commands[1].Words
+	get, put := commands[0], commands[1]
 	if put[0] != "OBJ.PUT" || len(put[4]) != 64<<10 {
 		t.Errorf("at the node: %q with %d bytes", put[0], len(put[4]))
 	}
@@ -47,7 +47,7 @@
 func TestPipelinedRepliesInOrder(t *testing.T) {
 	f := startFixture(t, 256)
 	c := f.client()
-	f.node.Next(respnode.Behavior{Hang: true}, respnode.Behavior{})
+	f.node.SetNext(respnode.Behavior{Hang: true}, respnode.Behavior{})
 	// A request that is not idempotent: a read would be retried once the next has overtaken it.
 	c.send(respnode.Command("OBJ.PUT", pieceID, "slow", fieldList("c", "c=write", "d", "d=400"), "body"))
 	f.waitForCommands(1)
@@ -160,10 +160,10 @@
 	f.server.AdvanceClock(time.Second) // volumes are forgotten after half a minute
 }
 
-// heapBytes returns the size of the live heap without the node's log.
+// heapBytes returns the size of the live heap without the commands that the node records.
 func (f *fixture) heapBytes() float64 {
 	var stats runtime.MemStats
-	f.node.ClearLog()
+	f.node.ClearCommands()
 	runtime.GC()
 	runtime.GC()
 	runtime.ReadMemStats(&stats)
--- a/respserver/shutdown_test.go
+++ b/respserver/shutdown_test.go
@@ -65,7 +65,7 @@
 		}
 	}
 	f.waitForStop()
-	if commands, _ := f.node.Log(); len(commands) >= sent {
+	if commands := f.node.Commands(); len(commands) >= sent {
 		t.Errorf("%d commands at the node of %d that were sent: what crossed the close was started",
 			len(commands), sent)
 	}
@@ -151,7 +151,7 @@
 	f := startFixture(t, 256)
 	f.sendUpdate(f.discovery, "")
 	f.server.Shutdown()
-	f.discovery.EndWatches()
+	f.discovery.CloseWatches()
 	f.waitOnLoop(func() bool { return !f.server.WatchOpen() })
 	f.server.AdvanceClock(time.Second) // the dispatcher polls again
 	f.waitForStop()
--- a/respserver/watch_test.go
+++ b/respserver/watch_test.go
@@ -20,14 +20,14 @@
 // expectRequestsReach sends requests until one has reached a node. Some may fail meanwhile.
 func (f *fixture) expectRequestsReach(node *respnode.Node) {
 	f.t.Helper()
-	before, _ := node.Log()
+	before := len(node.Commands())
 	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		c := f.client()
 		c.send(getCommand(f.nextID()))
 		if _, err := respnode.ReadReply(c.in); err != nil {
 			f.t.Fatal(err)
 		}
-		if after, _ := node.Log(); len(after) > len(before) {
+		if len(node.Commands()) > before {
 			return
 		}
 		if time.Now().After(end) {
@@ -114,7 +114,7 @@
 	f.server.Reload(f.movedTo(moved.Addr()))
 	f.sendUpdate(moved, fakediscovery.Document(43, true, readyEndpoint("s1", f.node)))
 	f.waitOnLoop(func() bool { return f.server.EndpointVersion() == 43 })
-	f.discovery.EndWatches()
+	f.discovery.CloseWatches()
 	c := f.client()
 	c.send(getCommand("1"))
 	c.expectReply(replyTo("1"))
