--- a/internal/objectcommand/command.go
+++ b/internal/objectcommand/command.go
@@ -53,12 +53,12 @@
 		Plans:       map[string]int{},
 		ClassWrites: settings.ClassWrites,
 		Shards:      settings.Shards,
-		MaxUnits:    settings.Choice.MaxUnits,
+		MaxUnits:    settings.Dispatch.MaxUnits,
 	}
-	for i, class := range settings.Choice.Classes {
+	for i, class := range settings.Dispatch.Classes {
 		s.Classes[class.Name] = i
 	}
-	for i, plan := range settings.Choice.Plans {
+	for i, plan := range settings.Dispatch.Plans {
 		s.Plans[plan.Name] = i
 	}
 	return s
--- a/internal/objectcommand/fields.go
+++ b/internal/objectcommand/fields.go
@@ -96,7 +96,7 @@
 }
 
 func parseTimeout(name, value string, request *dispatch.Request) error {
-	milliseconds, ok := simwire.Finite(value)
+	milliseconds, ok := simwire.ParseFinite(value)
 	if !ok || milliseconds <= 0 || milliseconds > float64(maxTimeout/time.Millisecond) {
 		return fieldError(name, "milliseconds above 0, an hour at most", value)
 	}
@@ -105,7 +105,7 @@
 }
 
 func (s *Schema) parseUnits(name, value string, request *dispatch.Request) error {
-	units, ok := simwire.Finite(value)
+	units, ok := simwire.ParseFinite(value)
 	if !ok || units <= 0 || s.MaxUnits > 0 && units > s.MaxUnits {
 		return fieldError(name, fmt.Sprintf("above 0, %g at most", s.MaxUnits), value)
 	}
--- a/internal/objectcommand/reply.go
+++ b/internal/objectcommand/reply.go
@@ -28,7 +28,7 @@
 		}
 		info.Result = dispatch.OK
 		parseUsage(&info, string(reply.Items[1].Text))
-		info.LoadReport = simwire.Report(string(reply.Items[2].Text), "=")
+		info.LoadReport = simwire.ParseLoadReport(string(reply.Items[2].Text), "=")
 		return reply.Items[0].Text, info, true
 	}
 	return nil, info, false
@@ -47,7 +47,7 @@
 		case strings.Contains(part, "used="), strings.Contains(part, "cost="):
 			parseUsage(&info, part)
 		case strings.Contains(part, "="):
-			info.LoadReport = simwire.Report(part, "=")
+			info.LoadReport = simwire.ParseLoadReport(part, "=")
 		}
 	}
 	return info
@@ -58,7 +58,7 @@
 func parseUsage(info *forwarder.ResponseInfo, list string) {
 	for pair := range strings.SplitSeq(list, ",") {
 		name, text, _ := strings.Cut(pair, "=")
-		value, ok := simwire.Finite(text)
+		value, ok := simwire.ParseFinite(text)
 		if !ok || value < 0 || value > maxUsage {
 			continue
 		}
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -83,7 +83,7 @@
 	if f.err != nil || s == absent {
 		return 0
 	}
-	x, ok := Finite(s)
+	x, ok := ParseFinite(s)
 	if !ok {
 		f.fail(name, "a number", s)
 	}
@@ -128,7 +128,7 @@
 	if s == absent || f.err != nil {
 		return nil
 	}
-	report := Report(s, ":")
+	report := ParseLoadReport(s, ":")
 	if report == nil {
 		f.fail("report", "name:number pairs", s)
 	}
@@ -145,9 +145,9 @@
 	"fail_rate": "eps",
 }
 
-// Report parses a load report: names and numbers with a separator between them, set apart by
+// ParseLoadReport parses a load report: names and numbers with a separator between them, set apart by
 // commas. It returns nil where it can't be parsed.
-func Report(s, separator string) dispatch.LoadReport {
+func ParseLoadReport(s, separator string) dispatch.LoadReport {
 	report := dispatch.LoadReport{}
 	for pair := range strings.SplitSeq(s, ",") {
 		name, value, ok := strings.Cut(pair, separator)
--- a/internal/simwire/json.go
+++ b/internal/simwire/json.go
@@ -13,20 +13,20 @@
 // Settings holds what the platform gives a dispatcher at its start: the settings of the
 // decisions and of the server around them.
 type Settings struct {
-	Choice      dispatch.Config
+	Dispatch      dispatch.Config
 	ClassWrites []bool // by class; nil: unknown
 	Shards      int
 	Zones       []string
-	Kinds       []string      // hardware kinds of nodes
-	ConnIdle    time.Duration // nodes close a connection that is idle for so long; 0: unknown
-	Connect     time.Duration // timeout of opening a connection; 0: unknown
-	MaxOpen     int           // requests open at once; 0: unknown
+	NodeKinds       []string      // hardware kinds of nodes
+	NodeIdleTimeout    time.Duration // nodes close a connection that is idle for so long; 0: unknown
+	DialTimeout     time.Duration // timeout of opening a connection; 0: unknown
+	MaxOpenRequests     int           // requests open at once; 0: unknown
 }
 
-// Nested reads the settings as a JSON object: the simulator's names and units, with objects and
+// ParseSettings reads the settings as a JSON object: the simulator's names and units, with objects and
 // lists in place of paths. Unknown names are ignored. The error is a *SettingError where a value
 // can't be used.
-func Nested(text []byte) (Settings, error) {
+func ParseSettings(text []byte) (Settings, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
 	var object map[string]any
@@ -40,13 +40,13 @@
 		return Settings{}, err
 	}
 	s := Settings{
-		Choice:   cfg,
+		Dispatch:   cfg,
 		Shards:   r.integer("family_info.slots_total"),
-		ConnIdle: r.duration("limits.conn_idle_ms"),
-		Connect:  r.duration("limits.connect_timeout_ms"),
-		MaxOpen:  r.integer("limits.max_open"),
+		NodeIdleTimeout: r.duration("limits.conn_idle_ms"),
+		DialTimeout:  r.duration("limits.connect_timeout_ms"),
+		MaxOpenRequests:  r.integer("limits.max_open"),
 		Zones:    r.list("areas"),
-		Kinds:    r.list("kinds"),
+		NodeKinds:    r.list("kinds"),
 	}
 	if writes := r.list("family_info.class_writes"); len(writes) == len(cfg.Classes) {
 		for _, w := range writes {
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -140,15 +140,15 @@
 	if !ok || s == absent || s == "" {
 		return 0
 	}
-	x, ok := Finite(s)
+	x, ok := ParseFinite(s)
 	if !ok {
 		r.fail(key, "a number")
 	}
 	return x
 }
 
-// Finite parses a number and reports whether it is one, neither infinite nor NaN.
-func Finite(s string) (float64, bool) {
+// ParseFinite parses a number and reports whether it is one, neither infinite nor NaN.
+func ParseFinite(s string) (float64, bool) {
 	x, err := strconv.ParseFloat(s, 64)
 	return x, err == nil && !math.IsNaN(x) && !math.IsInf(x, 0)
 }
--- a/respserver/clients.go
+++ b/respserver/clients.go
@@ -223,7 +223,7 @@
 	}
 	size := len(command.Piece) + len(command.ID) + len(command.Fields) + len(command.Body)
 	if len(cl.pipeline) >= maxPipelined || s.retainedBytes+size > s.maxRetainedBytes {
-		cl.reply(s.busyReply(s.cfg.Settings.Choice.MaxRetryAfter))
+		cl.reply(s.busyReply(s.cfg.Settings.Dispatch.MaxRetryAfter))
 		return
 	}
 	req := s.addRequest(cl, command, size)
--- a/respserver/config.go
+++ b/respserver/config.go
@@ -141,7 +141,7 @@
 	if len(file.Settings) == 0 {
 		return cfg, &ConfigError{Field: "settings", Err: errMissing}
 	}
-	if cfg.Settings, err = simwire.Nested(file.Settings); err != nil {
+	if cfg.Settings, err = simwire.ParseSettings(file.Settings); err != nil {
 		return cfg, &ConfigError{Field: "settings", Err: err}
 	}
 	if err := cfg.parseKnown(file.Known); err != nil {
@@ -199,7 +199,7 @@
 
 // endpointNames returns the names of zones and kinds that endpoint lists refer to.
 func (c *Config) endpointNames() endpoints.Names {
-	return endpoints.Names{Zones: c.Settings.Zones, Kinds: c.Settings.Kinds}
+	return endpoints.Names{Zones: c.Settings.Zones, Kinds: c.Settings.NodeKinds}
 }
 
 // Values of settings that are absent.
@@ -238,7 +238,7 @@
 // maxRequests is the bound on open requests.
 func (c *Config) maxRequests() int {
 	byMemory := int(c.MemoryMB * requestsPerMB)
-	if configured := c.Settings.MaxOpen; configured > 0 {
+	if configured := c.Settings.MaxOpenRequests; configured > 0 {
 		return min(byMemory, configured)
 	}
 	return byMemory
@@ -253,16 +253,16 @@
 
 // forwarderConfig returns the configuration of the forwarder.
 func (c *Config) forwarderConfig() forwarder.Config {
-	connIdle := c.Settings.ConnIdle
+	connIdle := c.Settings.NodeIdleTimeout
 	if connIdle <= 0 {
 		connIdle = defaultConnIdle
 	}
-	dialTimeout := c.Settings.Connect
+	dialTimeout := c.Settings.DialTimeout
 	if dialTimeout <= 0 {
 		dialTimeout = defaultDialTimeout
 	}
 	return forwarder.Config{
-		Dispatch:        c.Settings.Choice,
+		Dispatch:        c.Settings.Dispatch,
 		Seed:            c.Seed,
 		MaxConnsPerNode: max(c.maxNodeConns()/2, 1),
 		MaxConns:        c.maxNodeConns(),
--- a/respserver/shutdown.go
+++ b/respserver/shutdown.go
@@ -36,7 +36,7 @@
 // shutting down.
 func (s *Server) forcedTermination() time.Duration {
 	longest := time.Duration(0)
-	for _, class := range s.cfg.Settings.Choice.Classes {
+	for _, class := range s.cfg.Settings.Dispatch.Classes {
 		longest = max(longest, class.Deadline)
 	}
 	return s.shutdownStarted + min(longest, maxTerminationDelay) + terminationMargin
