--- a/internal/http1/chunked.go
+++ b/internal/http1/chunked.go
@@ -2,13 +2,14 @@
 
 import "bytes"
 
-// Bounds of the chunked coding, beyond which a sender means no good.
+// Bounds of the chunked coding.
 const (
-	maxChunkLine = 1 << 10  // size and extensions of one chunk, bytes
-	maxTrailer   = 16 << 10 // all trailer lines, bytes
+	maxChunkLine  = 1 << 10  // size and extension of one chunk, bytes
+	maxTrailer    = 16 << 10 // all trailer lines, bytes
+	maxSizeDigits = 15       // hexadecimal, so that a size fits an int64
 )
 
-// Step is what Chunked.Next found.
+// Step is what Chunked.Next has decoded.
 type Step int
 
 // The steps of a chunked body, in the order in which they come.
@@ -17,119 +18,150 @@
 	ChunkStart             // a chunk begins: Size and Ext are set
 	Data                   // bytes of the body
 	ChunkEnd               // the chunk is whole
-	Trailer                // a trailer line
+	Trailer                // a trailer line: Line is set
 	Done                   // the body is whole
 )
 
 // Chunked decodes the chunked transfer coding, and the aws-chunked coding, which
-// has the same form: there the extension carries a signature. Its zero value
-// stands before the first chunk.
+// has the same form: there the extension carries a signature. The zero value is ready for the
+// start of a body.
 type Chunked struct {
-	Size int64  // of the present chunk
+	Size int64  // of the present chunk, in bytes
 	Ext  []byte // its extension, without the first semicolon; valid until the next call
 	Line Header // of a Trailer step; valid until the next call
 
-	left     int64
-	state    chunkState
-	trailers int
+	remaining    int64 // of the present chunk, in bytes
+	state        chunkState
+	trailerBytes int
 }
 
+// chunkState is what Chunked expects next.
 type chunkState uint8
 
 const (
-	inSize chunkState = iota
-	inData
-	inEnd
+	atChunkSize chunkState = iota
+	inChunkData
+	atChunkEnd
 	inTrailer
-	ended
+	bodyEnded
 )
 
 // Next decodes one step from the start of b. It returns the bytes of a Data step
 // and how much of b was used.
 func (c *Chunked) Next(b []byte) (s Step, data []byte, used int, err *Error) {
 	switch c.state {
-	case inSize:
-		line, n, err := chunkLine(b, maxChunkLine)
-		if n == 0 || err != nil {
-			return More, nil, 0, err
-		}
-		if err := c.size(line); err != nil {
-			return More, nil, 0, err
-		}
-		c.left = c.Size
-		if c.state = inData; c.Size == 0 {
-			c.state = inTrailer
-		}
-		return ChunkStart, nil, n, nil
-	case inData:
-		if len(b) == 0 {
-			return More, nil, 0, nil
-		}
-		n := int(min(int64(len(b)), c.left))
-		if c.left -= int64(n); c.left == 0 {
-			c.state = inEnd
-		}
-		return Data, b[:n], n, nil
-	case inEnd:
-		switch {
-		case len(b) > 0 && b[0] != '\r' || len(b) > 1 && b[1] != '\n':
-			return More, nil, 0, bad("a chunk is longer than it says")
-		case len(b) < 2:
-			return More, nil, 0, nil
-		}
-		c.state = inSize
-		return ChunkEnd, nil, 2, nil
+	case atChunkSize:
+		s, used, err = c.readSize(b)
+		return s, nil, used, err
+	case inChunkData:
+		return c.readData(b)
+	case atChunkEnd:
+		s, used, err = c.readEnd(b)
+		return s, nil, used, err
 	case inTrailer:
-		line, n, err := chunkLine(b, maxTrailer-c.trailers)
-		if n == 0 || err != nil {
-			return More, nil, 0, err
-		}
-		if len(line) == 0 {
-			c.state = ended
-			return Done, nil, n, nil
-		}
-		c.trailers += n
-		c.Line, err = headerLine(line)
-		return Trailer, nil, n, err
+		s, used, err = c.readTrailer(b)
+		return s, nil, used, err
 	}
 	return Done, nil, 0, nil
 }
 
-func chunkLine(b []byte, most int) ([]byte, int, *Error) {
+// readSize reads the line with which a chunk begins.
+func (c *Chunked) readSize(b []byte) (Step, int, *Error) {
+	line, n, err := cutChunkLine(b, maxChunkLine)
+	if n == 0 || err != nil {
+		return More, 0, err
+	}
+	if err := c.parseSize(line); err != nil {
+		return More, 0, err
+	}
+	c.remaining = c.Size
+	c.state = inChunkData
+	if c.Size == 0 { // the last chunk
+		c.state = inTrailer
+	}
+	return ChunkStart, n, nil
+}
+
+// readData returns what is there of a chunk's data.
+func (c *Chunked) readData(b []byte) (Step, []byte, int, *Error) {
+	if len(b) == 0 {
+		return More, nil, 0, nil
+	}
+	n := int(min(int64(len(b)), c.remaining))
+	c.remaining -= int64(n)
+	if c.remaining == 0 {
+		c.state = atChunkEnd
+	}
+	return Data, b[:n], n, nil
+}
+
+// readEnd reads the CRLF after a chunk's data.
+func (c *Chunked) readEnd(b []byte) (Step, int, *Error) {
+	switch {
+	case len(b) > 0 && b[0] != '\r' || len(b) > 1 && b[1] != '\n':
+		return More, 0, badRequest("a chunk is longer than it says")
+	case len(b) < len(crlf):
+		return More, 0, nil
+	}
+	c.state = atChunkSize
+	return ChunkEnd, len(crlf), nil
+}
+
+// readTrailer reads a trailer line or the empty line that ends the body.
+func (c *Chunked) readTrailer(b []byte) (Step, int, *Error) {
+	line, n, err := cutChunkLine(b, maxTrailer-c.trailerBytes)
+	if n == 0 || err != nil {
+		return More, 0, err
+	}
+	if len(line) == 0 {
+		c.state = bodyEnded
+		return Done, n, nil
+	}
+	c.trailerBytes += n
+	c.Line, err = parseHeaderLine(line)
+	return Trailer, n, err
+}
+
+// cutChunkLine returns a line of up to limit bytes, without its CRLF, and its length with it; 0
+// means that more input is needed.
+func cutChunkLine(b []byte, limit int) (line []byte, n int, err *Error) {
 	i := bytes.IndexByte(b, '\n')
 	switch {
-	case i < 0 && len(b) > most || i > most:
-		return nil, 0, bad("a line of the chunked body is too long")
+	case i < 0 && len(b) > limit || i > limit:
+		return nil, 0, badRequest("a line of the chunked body is too long")
 	case i < 0:
 		return nil, 0, nil
 	case i == 0 || b[i-1] != '\r' || bytes.IndexByte(b[:i-1], '\r') >= 0:
-		return nil, 0, bad("a line of the chunked body ends in a bare CR or LF")
+		return nil, 0, badRequest("a line of the chunked body ends in a bare CR or LF")
 	}
 	return b[:i-1], i + 1, nil
 }
 
-func (c *Chunked) size(line []byte) *Error {
-	hex, ext, _ := bytes.Cut(line, []byte(";"))
-	if len(hex) == 0 || len(hex) > 15 {
-		return bad("a chunk's size is not a hexadecimal number")
+// parseSize parses a chunk's size and extension.
+func (c *Chunked) parseSize(line []byte) *Error {
+	digits, ext, _ := bytes.Cut(line, []byte(";"))
+	if len(digits) == 0 || len(digits) > maxSizeDigits {
+		return badRequest("a chunk's size is not a hexadecimal number")
 	}
-	c.Size, c.Ext = 0, ext
-	for _, d := range hex {
-		v := hexValue(d)
+	c.Size = 0
+	c.Ext = ext
+	for _, digit := range digits {
+		v := hexValue(digit)
 		if v < 0 {
-			return bad("a chunk's size is not a hexadecimal number")
+			return badRequest("a chunk's size is not a hexadecimal number")
 		}
 		c.Size = c.Size<<4 | int64(v)
 	}
 	return nil
 }
 
-func hexValue(d byte) int {
+// hexValue returns the value of a hexadecimal digit, or -1.
+func hexValue(digit byte) int {
 	switch {
-	case '0' <= d && d <= '9':
-		return int(d - '0')
-	case 'a' <= lower(d) && lower(d) <= 'f':
-		return int(lower(d)-'a') + 10
+	case '0' <= digit && digit <= '9':
+		return int(digit - '0')
+	case 'a' <= lower(digit) && lower(digit) <= 'f':
+		return int(lower(digit)-'a') + 10
 	}
 	return -1
 }
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -11,8 +11,8 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendHeader appends one header line. CR, LF and NUL in the value, which must
-// not reach the wire, become blanks.
+// AppendHeader appends one header line. CR, LF and NUL in the value, which would change the
+// message's meaning, become spaces.
 func AppendHeader[T ~string | ~[]byte](b []byte, name string, value T) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
@@ -48,7 +48,7 @@
 // LastChunk ends a chunked body without trailers.
 const LastChunk = "0\r\n\r\n"
 
-// Reason returns the reason phrase of a status code that the gateway sends.
+// Reason returns the reason phrase of a status code that the gateway sends; "Status" for others.
 func Reason(status int) string {
 	if r, ok := reasons[status]; ok {
 		return r
@@ -56,12 +56,34 @@
 	return "Status"
 }
 
+// reasons are the reason phrases by status code.
 var reasons = map[int]string{
-	100: "Continue", 200: "OK", 201: "Created", 204: "No Content", 206: "Partial Content", 207: "Multi-Status",
-	301: "Moved Permanently", 304: "Not Modified", 307: "Temporary Redirect", 400: "Bad Request",
-	403: "Forbidden", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict",
-	411: "Length Required", 412: "Precondition Failed", 413: "Content Too Large", 414: "URI Too Long",
-	416: "Range Not Satisfiable", 417: "Expectation Failed", 431: "Request Header Fields Too Large",
-	500: "Internal Server Error", 501: "Not Implemented", 502: "Bad Gateway", 503: "Service Unavailable",
-	504: "Gateway Timeout", 505: "HTTP Version Not Supported",
+	100: "Continue",
+	200: "OK",
+	201: "Created",
+	204: "No Content",
+	206: "Partial Content",
+	207: "Multi-Status",
+	301: "Moved Permanently",
+	304: "Not Modified",
+	307: "Temporary Redirect",
+	400: "Bad Request",
+	403: "Forbidden",
+	404: "Not Found",
+	405: "Method Not Allowed",
+	408: "Request Timeout",
+	409: "Conflict",
+	411: "Length Required",
+	412: "Precondition Failed",
+	413: "Content Too Large",
+	414: "URI Too Long",
+	416: "Range Not Satisfiable",
+	417: "Expectation Failed",
+	431: "Request Header Fields Too Large",
+	500: "Internal Server Error",
+	501: "Not Implemented",
+	502: "Bad Gateway",
+	503: "Service Unavailable",
+	504: "Gateway Timeout",
+	505: "HTTP Version Not Supported",
 }
