--- a/cmd/chalkstand/explore.go
+++ b/cmd/chalkstand/explore.go
@@ -4,6 +4,7 @@
 	"chalkstand/internal/modelcheck"
 	"chalkstand/lab/mutation"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -65,7 +66,7 @@
 					if err := modelcheck.GoTest(out, s, r.Path, r.Violation); err != nil {
 						return err
 					}
-					return fmt.Errorf("%s: %w", n, r.Violation)
+					return fmt.Errorf("%s: %v", n, r.Violation)
 				}
 			}
 			return nil
@@ -98,7 +99,7 @@
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
 			if b != nil {
-				return b
+				return errors.New(b.String())
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), "every rule is kept")
 			return nil
@@ -119,7 +120,7 @@
 				moves += len(path)
 				if b != nil {
 					modelcheck.Explain(s, path, func(f string, a ...any) { fmt.Fprintf(out, "  "+f+"\n", a...) })
-					return fmt.Errorf("seed %d, after %d moves: %w", seed+uint64(i), len(path), b)
+					return fmt.Errorf("seed %d, after %d moves: %v", seed+uint64(i), len(path), b)
 				}
 			}
 			fmt.Fprintf(out, "%d walks, %d moves, %d nodes, %d requests: every rule is kept\n", walks, moves, nodes, requests)
--- a/internal/modelcheck/coverage.go
+++ b/internal/modelcheck/coverage.go
@@ -10,18 +10,18 @@
 	"sync"
 )
 
-// Coverage counts which transitions of requests in the forwarder were taken: the kind
-// of event, the stage before and the stage after.
+// Coverage counts the transitions of requests between the forwarder's stages. It is safe for
+// concurrent use by walks and searches; its other methods are not.
 type Coverage struct {
 	mu    sync.Mutex
 	taken map[Transition]int64
 }
 
-// Transition is one way of a request from stage to stage.
+// Transition is a change of a request's stage, or an event that left the stage as it was.
 type Transition struct {
-	Event      string
-	From, To   string
-	OtherEvent bool // the event was of another request
+	Event      string // its type in package forwarder
+	From, To   string // stages; noStage for a request that the forwarder does not have
+	OtherEvent bool   // the event was that of another request
 }
 
 func (t Transition) String() string {
@@ -32,136 +32,168 @@
 	return s
 }
 
-// stageNames are those of the forwarder's stages, in their order.
+// stageNames are the names of the forwarder's stages, by their values.
 var stageNames = []string{"waiting", "dialing", "inFlight", "streaming", "detached", "done"}
 
-const none = "-"
+const noStage = "-"
 
-// stages reads where the forwarder has each request, by reflection: what decides has
-// no need to tell.
-func stages(x *forwarder.Forwarder) map[dispatch.RequestID]string {
-	out := map[dispatch.RequestID]string{}
-	calls := reflect.ValueOf(x).Elem().FieldByName("requests")
-	for it := calls.MapRange(); it.Next(); {
-		out[dispatch.RequestID(it.Key().Uint())] = stageNames[it.Value().Elem().FieldByName("stage").Int()]
+// eventStages are the events with the stages at which they can find their request.
+var eventStages = []struct {
+	event  string
+	stages []string
+}{
+	{"StartRequest", []string{noStage}},
+	{"ClientCanceled", []string{"waiting", "dialing", "inFlight", "streaming", "detached", noStage}},
+	{"DialCompleted", []string{"dialing", noStage}},
+	{"ResponseHeaders", []string{"inFlight", "detached", noStage}},
+	{"ResponseCompleted", []string{"inFlight", "streaming", "detached", noStage}},
+	{"ConnectionLost", []string{"dialing", "inFlight", "streaming", "detached", noStage}},
+	{"BodyStreaming", []string{"inFlight", "detached"}},
+	{"BodySent", []string{"inFlight", "detached"}},
+	{"TimerFired", []string{"waiting", "dialing", "inFlight", "streaming", "detached"}},
+	{"EndpointUpdate", []string{"waiting", "dialing", "inFlight", "streaming", "detached"}},
+}
+
+// EventStages returns each event with each stage at which it can find its request.
+func EventStages() []string {
+	var pairs []string
+	for _, e := range eventStages {
+		for _, stage := range e.stages {
+			pairs = append(pairs, e.event+" "+stage)
+		}
 	}
-	return out
+	return pairs
 }
 
-type observed struct {
-	event string
-	of    dispatch.RequestID
-	from  map[dispatch.RequestID]string
+// NewCoverage returns an empty Coverage.
+func NewCoverage() *Coverage { return &Coverage{taken: map[Transition]int64{}} }
+
+// Add adds the counts of another.
+func (c *Coverage) Add(o *Coverage) {
+	for t, n := range o.taken {
+		c.taken[t] += n
+	}
 }
 
-func (c *Coverage) before(w *World, ev forwarder.Event) *observed {
-	if c == nil {
-		return nil
+// Transitions returns the transitions that were taken, in order, and their counts.
+func (c *Coverage) Transitions() ([]Transition, map[Transition]int64) {
+	var transitions []Transition
+	for t := range c.taken {
+		transitions = append(transitions, t)
 	}
-	o := &observed{event: strings.TrimPrefix(fmt.Sprintf("%T", ev), "forwarder."), from: stages(w.fwd)}
-	onConn := func(id forwarder.ConnID) {
-		conns := reflect.ValueOf(w.fwd).Elem().FieldByName("conns")
-		if k := conns.MapIndex(reflect.ValueOf(id)); k.IsValid() {
-			if call := k.Elem().FieldByName("request"); !call.IsNil() {
-				o.of = dispatch.RequestID(call.Elem().FieldByName("req").FieldByName("ID").Uint())
-			}
+	slices.SortFunc(transitions, func(a, b Transition) int { return strings.Compare(a.String(), b.String()) })
+	return transitions, c.taken
+}
+
+// Missing returns the entries of EventStages that were never met.
+func (c *Coverage) Missing() []string {
+	met := map[string]bool{}
+	for t := range c.taken {
+		if !t.OtherEvent {
+			met[t.Event+" "+t.From] = true
 		}
 	}
-	switch e := ev.(type) {
-	case forwarder.StartRequest:
-		o.of = e.Request.ID
-	case forwarder.ClientCanceled:
-		o.of = e.ID
-	case forwarder.BodyStreaming:
-		o.of = e.ID
-	case forwarder.BodySent:
-		o.of = e.ID
-	case forwarder.DialCompleted:
-		onConn(e.Conn)
-	case forwarder.ResponseHeaders:
-		onConn(e.Conn)
-	case forwarder.ResponseCompleted:
-		onConn(e.Conn)
-	case forwarder.ConnectionLost:
-		onConn(e.Conn)
+	return slices.DeleteFunc(EventStages(), func(pair string) bool { return met[pair] })
+}
+
+// observation is an event with the stages of all requests before it.
+type observation struct {
+	event   string
+	request dispatch.RequestID // of the event; 0 where it is of none
+	from    map[dispatch.RequestID]string
+}
+
+// before observes an event that is about to be handled; it returns nil on a nil Coverage.
+func (c *Coverage) before(w *World, ev forwarder.Event) *observation {
+	if c == nil {
+		return nil
+	}
+	return &observation{
+		event:   strings.TrimPrefix(fmt.Sprintf("%T", ev), "forwarder."),
+		request: eventRequest(w.fwd, ev),
+		from:    stages(w.fwd),
 	}
-	return o
 }
 
-func (c *Coverage) after(w *World, o *observed) {
+// after counts the transitions of an observed event, once it was handled.
+func (c *Coverage) after(w *World, o *observation) {
 	if o == nil {
 		return
 	}
-	now := stages(w.fwd)
-	ids := map[dispatch.RequestID]bool{}
-	for id := range now {
-		ids[id] = true
+	to := stages(w.fwd)
+	requests := map[dispatch.RequestID]bool{}
+	for id := range to {
+		requests[id] = true
 	}
 	for id := range o.from {
-		ids[id] = true
+		requests[id] = true
 	}
-	ids[o.of] = ids[o.of] || o.of != 0
+	requests[o.request] = requests[o.request] || o.request != 0
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for id := range ids {
-		from, to := o.from[id], now[id]
-		if from == "" {
-			from = none
-		}
-		if to == "" {
-			to = none
+	for id := range requests {
+		t := Transition{
+			Event:      o.event,
+			From:       stageOr(o.from[id]),
+			To:         stageOr(to[id]),
+			OtherEvent: id != o.request && o.request != 0,
 		}
-		if own := id == o.of || o.of == 0; own || from != to {
-			c.taken[Transition{o.event, from, to, !own}]++
+		if !t.OtherEvent || t.From != t.To {
+			c.taken[t]++
 		}
 	}
 }
 
-// NewCoverage returns a count of nothing.
-func NewCoverage() *Coverage { return &Coverage{taken: map[Transition]int64{}} }
-
-// Add adds another's counts.
-func (c *Coverage) Add(o *Coverage) {
-	for t, n := range o.taken {
-		c.taken[t] += n
+func stageOr(stage string) string {
+	if stage == "" {
+		return noStage
 	}
+	return stage
 }
 
-// Transitions returns the transitions that were taken, in order, with their counts.
-func (c *Coverage) Transitions() ([]Transition, map[Transition]int64) {
-	var ts []Transition
-	for t := range c.taken {
-		ts = append(ts, t)
+// stages returns the stage of each of a forwarder's requests, by reflection.
+func stages(f *forwarder.Forwarder) map[dispatch.RequestID]string {
+	out := map[dispatch.RequestID]string{}
+	requests := reflect.ValueOf(f).Elem().FieldByName("requests")
+	for it := requests.MapRange(); it.Next(); {
+		out[dispatch.RequestID(it.Key().Uint())] = stageNames[it.Value().Elem().FieldByName("stage").Int()]
 	}
-	slices.SortFunc(ts, func(a, b Transition) int { return strings.Compare(a.String(), b.String()) })
-	return ts, c.taken
+	return out
 }
 
-// Missing returns the pairs of event and stage that no request met: each kind of event
-// at each stage that it could find its request at.
-func (c *Coverage) Missing() []string {
-	met := map[string]bool{}
-	for t := range c.taken {
-		if !t.OtherEvent {
-			met[t.Event+" "+t.From] = true
-		}
-	}
-	var out []string
-	for _, p := range EventStages() {
-		if !met[p] {
-			out = append(out, p)
-		}
+// eventRequest returns the request that an event is of; 0 where it is of none.
+func eventRequest(f *forwarder.Forwarder, ev forwarder.Event) dispatch.RequestID {
+	switch e := ev.(type) {
+	case forwarder.StartRequest:
+		return e.Request.ID
+	case forwarder.ClientCanceled:
+		return e.ID
+	case forwarder.BodyStreaming:
+		return e.ID
+	case forwarder.BodySent:
+		return e.ID
+	case forwarder.DialCompleted:
+		return connRequest(f, e.Conn)
+	case forwarder.ResponseHeaders:
+		return connRequest(f, e.Conn)
+	case forwarder.ResponseCompleted:
+		return connRequest(f, e.Conn)
+	case forwarder.ConnectionLost:
+		return connRequest(f, e.Conn)
 	}
-	return out
+	return 0
 }
 
-// EventStages are all pairs of an event and a stage at which it can find its request.
-func EventStages() []string {
-	return []string{
-		"StartRequest -", "ClientCanceled waiting", "ClientCanceled dialing", "ClientCanceled inFlight", "ClientCanceled streaming", "ClientCanceled detached", "ClientCanceled -",
-		"DialCompleted dialing", "DialCompleted -", "ResponseHeaders inFlight", "ResponseHeaders detached", "ResponseHeaders -", "ResponseCompleted inFlight", "ResponseCompleted streaming", "ResponseCompleted detached", "ResponseCompleted -",
-		"ConnectionLost dialing", "ConnectionLost inFlight", "ConnectionLost streaming", "ConnectionLost detached", "ConnectionLost -", "BodyStreaming inFlight", "BodyStreaming detached", "BodySent inFlight", "BodySent detached",
-		"TimerFired waiting", "TimerFired dialing", "TimerFired inFlight", "TimerFired streaming", "TimerFired detached",
-		"EndpointUpdate waiting", "EndpointUpdate dialing", "EndpointUpdate inFlight", "EndpointUpdate streaming", "EndpointUpdate detached",
+// connRequest returns the request of one of a forwarder's connections, by reflection; 0
+// where there is none.
+func connRequest(f *forwarder.Forwarder, id forwarder.ConnID) dispatch.RequestID {
+	c := reflect.ValueOf(f).Elem().FieldByName("conns").MapIndex(reflect.ValueOf(id))
+	if !c.IsValid() {
+		return 0
+	}
+	r := c.Elem().FieldByName("request")
+	if r.IsNil() {
+		return 0
 	}
+	return dispatch.RequestID(r.Elem().FieldByName("req").FieldByName("ID").Uint())
 }
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -12,69 +12,42 @@
 
 // Options bound a search.
 type Options struct {
-	Workers   int  // 0: all cores
-	MaxStates int  // at most; 0: no bound
-	Reduce    bool // leave out orders that commute
-	Exact     bool // tell states apart by every digit of what was learned
+	Workers   int  // 0: one for each core
+	MaxStates int  // after which the search ends; 0: no bound
+	Reduce    bool // leave out orders of moves that commute
+	Exact     bool // distinguish states by every digit of learned values
 	Coverage  bool // count the transitions taken
-	Progress  func(depth, states int)
+	// Progress is called after each depth; nil: not at all.
+	Progress func(depth, states int)
 }
 
-// Result is what a search found.
+// Result is the result of a search.
 type Result struct {
 	Scenario  string
 	States    int
-	Moves     int64 // taken, with those that led to known states
-	Depth     int   // the longest way to a new state
-	EndStates int   // states in which nothing more can happen
+	Moves     int64 // taken, including those that led to known states
+	Depth     int   // of the deepest state, in moves
+	EndStates int   // states without a further move
 	Complete  bool  // every state was visited
 	Violation *Violation
-	Path      []Move // the shortest way to it
-	Coverage  *Coverage
+	Path      []Move    // a shortest path to the violation
+	Coverage  *Coverage // nil where it was not asked for
 }
 
-// searchNode is a state by the move that first led to it.
-type searchNode struct {
-	parent *searchNode
-	move   Move
-}
-
-func (s *searchNode) path() []Move {
-	var ms []Move
-	for ; s != nil && s.parent != nil; s = s.parent {
-		ms = append(ms, s.move)
-	}
-	slices.Reverse(ms)
-	return ms
-}
-
-// stateSet is the set of known states, in parts that workers share.
-type stateSet struct {
-	parts [64]struct {
-		mu sync.Mutex
-		m  map[Fingerprint]struct{}
-	}
-	n atomic.Int64
-}
-
-func (v *stateSet) add(p Fingerprint) bool {
-	s := &v.parts[p[0]%64]
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.m == nil {
-		s.m = map[Fingerprint]struct{}{}
-	}
-	if _, ok := s.m[p]; ok {
-		return false
+// String returns the result in one line.
+func (r Result) String() string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "%-8s %9d states, %10d moves, depth %3d, %6d ends", r.Scenario, r.States, r.Moves, r.Depth, r.EndStates)
+	if r.Violation != nil {
+		fmt.Fprintf(&b, ": VIOLATION after %d moves: %v", len(r.Path), r.Violation)
+	} else if !r.Complete {
+		b.WriteString(": not complete")
 	}
-	s.m[p] = struct{}{}
-	v.n.Add(1)
-	return true
+	return b.String()
 }
 
-// Search visits every state of a scenario once, breadth first, so that the first
-// breach found has a shortest way to it. The result does not depend on the number
-// of workers, but for which of the shortest ways is told.
+// Search visits every state of a scenario once, breadth first, so that a shortest path leads
+// to the first violation. The result does not depend on the number of workers.
 func Search(ctx context.Context, s Scenario, o Options) Result {
 	if o.Workers <= 0 {
 		o.Workers = runtime.GOMAXPROCS(0)
@@ -83,117 +56,166 @@
 	if o.Coverage {
 		e.result.Coverage = NewCoverage()
 	}
-	root := newWorld(&s)
-	e.known.add(newFingerprinter(o.Exact).fingerprint(root))
-	front := []*searchNode{{}}
-	for len(front) > 0 && e.result.Violation == nil {
-		if ctx.Err() != nil || o.MaxStates > 0 && int(e.known.n.Load()) >= o.MaxStates {
+	e.known.add(newFingerprinter(o.Exact).fingerprint(newWorld(&s)))
+	frontier := []*searchNode{{}}
+	for len(frontier) > 0 && e.result.Violation == nil {
+		if ctx.Err() != nil || o.MaxStates > 0 && e.known.len() >= o.MaxStates {
 			e.result.Complete = false
 			break
 		}
-		front = e.level(ctx, front)
-		if len(front) > 0 {
+		frontier = e.expandAll(ctx, frontier)
+		if len(frontier) > 0 {
 			e.result.Depth++
 		}
 		if o.Progress != nil {
-			o.Progress(e.result.Depth, int(e.known.n.Load()))
+			o.Progress(e.result.Depth, e.known.len())
 		}
 	}
 	if e.result.Violation != nil || ctx.Err() != nil {
 		e.result.Complete = false
 	}
-	e.result.States = int(e.known.n.Load())
+	e.result.States = e.known.len()
 	return e.result
 }
 
+// searchNode is a state, as the move that first led to it. The root has no parent.
+type searchNode struct {
+	parent *searchNode
+	move   Move
+}
+
+// path returns the moves from the root to a node.
+func (n *searchNode) path() []Move {
+	var path []Move
+	for ; n != nil && n.parent != nil; n = n.parent {
+		path = append(path, n.move)
+	}
+	slices.Reverse(path)
+	return path
+}
+
+// stateShards is the number of parts of a stateSet, each with its own lock.
+const stateShards = 64
+
+// stateSet is a set of states that workers share.
+type stateSet struct {
+	shards [stateShards]struct {
+		mu     sync.Mutex
+		states map[Fingerprint]struct{}
+	}
+	size atomic.Int64
+}
+
+func (s *stateSet) len() int { return int(s.size.Load()) }
+
+// add adds a state. It returns false where the set had it.
+func (s *stateSet) add(state Fingerprint) bool {
+	shard := &s.shards[state[0]%stateShards]
+	shard.mu.Lock()
+	defer shard.mu.Unlock()
+	if shard.states == nil {
+		shard.states = map[Fingerprint]struct{}{}
+	}
+	if _, known := shard.states[state]; known {
+		return false
+	}
+	shard.states[state] = struct{}{}
+	s.size.Add(1)
+	return true
+}
+
+// searcher is a search in progress.
 type searcher struct {
 	scenario *Scenario
 	options  Options
 	known    stateSet
-	mu       sync.Mutex
-	result   Result
+
+	mu     sync.Mutex
+	result Result // guarded by mu while workers run
 }
 
-// level takes every move from each state of one depth and returns the new states.
-func (e *searcher) level(ctx context.Context, front []*searchNode) []*searchNode {
+// batchSize is the number of states that a worker takes at a time.
+const batchSize = 16
+
+// expandAll takes every move from each state of one depth and returns the new states.
+func (e *searcher) expandAll(ctx context.Context, frontier []*searchNode) []*searchNode {
 	next := make([][]*searchNode, e.options.Workers)
-	var at atomic.Int64
+	var taken atomic.Int64
 	var wg sync.WaitGroup
-	const chunk = 16
 	for i := range e.options.Workers {
 		wg.Go(func() {
 			w := &worker{searcher: e, fingerprinter: newFingerprinter(e.options.Exact)}
 			if e.options.Coverage {
 				w.coverage = NewCoverage()
 			}
-			for {
-				n := int(at.Add(chunk)) - chunk
-				if n >= len(front) || ctx.Err() != nil {
-					break
+			defer w.merge()
+			for ctx.Err() == nil {
+				start := int(taken.Add(batchSize)) - batchSize
+				if start >= len(frontier) {
+					return
 				}
-				for _, s := range front[n:min(n+chunk, len(front))] {
-					next[i] = w.expand(s, next[i])
+				for _, n := range frontier[start:min(start+batchSize, len(frontier))] {
+					next[i] = w.expand(n, next[i])
 				}
 			}
-			w.merge()
 		})
 	}
 	wg.Wait()
 	return slices.Concat(next...)
 }
 
+// worker expands states for a searcher. Its counts are its own until merge.
 type worker struct {
 	*searcher
 	fingerprinter *fingerprinter
 	coverage      *Coverage
 	moves         int64
-	ends          int
+	endStates     int
 }
 
 func (w *worker) merge() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.result.Moves += w.moves
-	w.result.EndStates += w.ends
+	w.result.EndStates += w.endStates
 	if w.coverage != nil {
 		w.result.Coverage.Add(w.coverage)
 	}
 }
 
-// expand takes every move from a state. The state is made again for each, by its
-// way: what is checked is the code itself, which has no copy of its state to give.
-func (w *worker) expand(s *searchNode, next []*searchNode) []*searchNode {
-	path := s.path()
+// expand takes every move from a state and returns next with the new states. The state is
+// rebuilt from its path for each move, as the code that is checked has no copy of its state.
+func (w *worker) expand(n *searchNode, next []*searchNode) []*searchNode {
+	path := n.path()
 	world := w.rebuild(path)
-	ms := world.enabledMoves(w.options.Reduce)
-	if len(ms) == 0 {
-		w.ends++
-	}
-	if len(ms) == 0 {
+	moves := world.enabledMoves(w.options.Reduce)
+	if len(moves) == 0 {
+		w.endStates++
 		world.checkEnd()
-		if b := world.checker.violation; b != nil {
-			w.noteViolation(b, path)
-			return next
+		if v := world.checker.violation; v != nil {
+			w.noteViolation(v, path)
 		}
+		return next
 	}
-	for i, m := range ms {
+	for i, m := range moves {
 		if i > 0 {
 			world = w.rebuild(path)
 		}
 		world.coverage = w.coverage
 		world.apply(m)
 		w.moves++
-		if b := world.checker.violation; b != nil {
-			w.noteViolation(b, append(slices.Clone(path), m))
+		if v := world.checker.violation; v != nil {
+			w.noteViolation(v, append(slices.Clone(path), m))
 			return next
 		}
 		if w.known.add(w.fingerprinter.fingerprint(world)) {
-			next = append(next, &searchNode{s, m})
+			next = append(next, &searchNode{parent: n, move: m})
 		}
 	}
 	return next
 }
 
+// rebuild returns the world at the end of a path.
 func (w *worker) rebuild(path []Move) *World {
 	world := newWorld(w.scenario)
 	for _, m := range path {
@@ -202,12 +224,13 @@
 	return world
 }
 
-// noteViolation notes a breach; of several of one depth, the one whose way comes first.
-func (w *worker) noteViolation(b *Violation, path []Move) {
+// noteViolation notes a violation; of several at one depth, that of the least path.
+func (w *worker) noteViolation(v *Violation, path []Move) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.result.Violation == nil || slices.CompareFunc(path, w.result.Path, compareMoves) < 0 {
-		w.result.Violation, w.result.Path = b, path
+		w.result.Violation = v
+		w.result.Path = path
 	}
 }
 
@@ -218,22 +241,11 @@
 	return int(a.Target) - int(b.Target)
 }
 
-// String tells of a result in a line.
-func (r Result) String() string {
-	var b strings.Builder
-	fmt.Fprintf(&b, "%-8s %9d states, %10d moves, depth %3d, %6d ends", r.Scenario, r.States, r.Moves, r.Depth, r.EndStates)
-	if r.Violation != nil {
-		fmt.Fprintf(&b, ": BROKEN after %d moves: %v", len(r.Path), r.Violation)
-	} else if !r.Complete {
-		b.WriteString(": not whole")
-	}
-	return b.String()
-}
-
-// Explain plays a path and writes what happens.
-func Explain(s Scenario, path []Move, out func(format string, args ...any)) *Violation {
+// Explain plays a path and logs each move with the actions that follow. It returns the
+// violation at the end of the path, or nil.
+func Explain(s Scenario, path []Move, log func(format string, args ...any)) *Violation {
 	w := newWorld(&s)
-	w.log = out
+	w.log = log
 	for _, m := range path {
 		w.apply(m)
 		if w.checker.violation != nil {
--- a/internal/modelcheck/walk.go
+++ b/internal/modelcheck/walk.go
@@ -5,55 +5,79 @@
 	"chalkstand/forwarder"
 	"fmt"
 	"math/rand/v2"
+	"time"
 )
 
-// LargeScenario returns a world that is too large to be explored whole: so many nodes, two
-// in three listed from the start, and requests of all kinds. It is walked at random.
+// LargeScenario returns a scenario that is too large for a search: so many nodes, two in
+// three of them listed from the start, and requests of all kinds. It is for random walks.
 func LargeScenario(nodes, requests int) Scenario {
-	s := Scenario{Name: "large", Description: "many nodes and requests, at random"}
 	shards := max(1, nodes*2/3)
+	s := Scenario{
+		Name:        "large",
+		Description: "many nodes and requests, at random",
+		spread:      1 << 40, // requests may arrive at any time
+		limits: moveCounts{
+			drains:          shards / 2,
+			removes:         shards / 2,
+			adds:            nodes,
+			nodeRestarts:    shards / 2,
+			gatewayRestarts: 1,
+			cancels:         requests / 4,
+			failedDials:     requests / 6,
+			resets:          requests / 4,
+			closes:          requests / 6,
+			errors:          requests / 6,
+			rejects:         requests / 6,
+			invalids:        requests / 10,
+			streams:         requests / 4,
+			bodyStreams:     requests / 4,
+		},
+		configure: func(c *forwarder.Config) {
+			c.MaxConnsPerNode = 3
+			c.IdleTimeout = 60 * ms
+			c.Dispatch.RetryBudget = dispatch.RetryBudget{MinRetries: 2, Ratio: 0.3, Window: 5 * time.Second}
+		},
+	}
 	for i := range nodes {
-		s.nodes = append(s.nodes, nodeSpec{id: dispatch.NodeID(fmt.Sprint("n", i)), shard: dispatch.Shard(i % shards), initial: i < shards})
+		s.nodes = append(s.nodes, nodeSpec{
+			id:      dispatch.NodeID(fmt.Sprint("n", i)),
+			shard:   dispatch.Shard(i % shards),
+			initial: i < shards,
+		})
 	}
 	for i := range requests {
-		a := requestSpec{class: i % 4, shard: dispatch.Shard(i * 7 % shards), loop: forwarder.LoopID(i / 5 % loopCount)}
-		switch {
-		case a.class == orderedClass:
-			a.key = fmt.Sprint("k", i%3, "/", a.shard)
-		case i%8 == 0:
-			a.streamed = true
-		case i%8 == 1:
-			a.notReplayable = true
-		}
-		s.requests = append(s.requests, a)
-	}
-	n := requests
-	s.drains, s.removes, s.lists, s.leaves, s.crashes = shards/2, shards/2, nodes, n/4, 1
-	s.resets, s.garbage, s.fulls, s.errors, s.heads, s.dialFails, s.closes, s.flows, s.renews = n/4, n/10, n/6, n/6, n/4, n/6, n/6, n/4, shards/2
-	s.spread = 1 << 40
-	s.configure = func(c *forwarder.Config) {
-		c.MaxConnsPerNode = 3
-		c.IdleTimeout = 60 * ms
-		c.Dispatch.RetryBudget = dispatch.RetryBudget{MinRetries: 2, Ratio: 0.3, Window: 5000 * ms}
+		s.requests = append(s.requests, largeRequest(i, shards))
 	}
 	return s
 }
 
-// moveWeights says how likely the kinds of move are beside each other, so that a walk
-// gets somewhere: most of what happens is work.
-var moveWeights = [kindCount]int{
-	StartRequest: 6, RunLoop0: 12, RunLoop1: 12, FireTimer: 12, CompleteDial: 8, FailDial: 1, RespondOK: 6, RespondAndClose: 1, RespondError: 1, RespondReject: 1, RespondStart: 3, RespondRest: 4,
-	RespondInvalid: 1, RespondTwice: 1, ResetConn: 1, CancelRequest: 1, StreamBody: 3, FinishBody: 3, DrainNode: 1, RemoveNode: 1, AddNode: 1, RestartNode: 1, RestartGateway: 1, RefreshEndpoints: 2, AdvanceBefore: 3, AdvanceTo: 3,
+// largeRequest returns the request with an index: classes, shards, loops and kinds of body
+// take turns.
+func largeRequest(i, shards int) requestSpec {
+	r := requestSpec{
+		class: i % len(classNames),
+		shard: dispatch.Shard(i * 7 % shards),
+		loop:  forwarder.LoopID(i / 5 % loopCount),
+	}
+	switch {
+	case r.class == orderedClass:
+		r.key = fmt.Sprint("k", i%3, "/", r.shard)
+	case i%8 == 0:
+		r.streamed = true
+	case i%8 == 1:
+		r.notReplayable = true
+	}
+	return r
 }
 
-// Walk takes moves at random, up to a number, and returns its path and the breach
-// that it met. The same seed takes the same path.
-func Walk(s Scenario, seed uint64, most int, cover *Coverage) ([]Move, *Violation) {
+// Walk takes random moves, at most maxMoves, until no move is left or a rule is violated. It
+// returns the path and the violation, or nil. The same seed takes the same path.
+func Walk(s Scenario, seed uint64, maxMoves int, coverage *Coverage) ([]Move, *Violation) {
 	rng := rand.New(rand.NewPCG(seed, 23))
 	w := newWorld(&s)
-	w.coverage = cover
+	w.coverage = coverage
 	var path []Move
-	for range most {
+	for range maxMoves {
 		m, ok := w.pick(rng.IntN)
 		if !ok {
 			w.checkEnd()
@@ -68,19 +92,20 @@
 	return path, w.checker.violation
 }
 
-// pick chooses among what may happen, by weight.
-func (w *World) pick(draw func(int) int) (Move, bool) {
-	ms := w.enabledMoves(false)
-	sum := 0
-	for _, m := range ms {
-		sum += moveWeights[m.Kind]
+// pick draws one of the moves that can happen, by the weights of their kinds. It returns
+// false where there is none. intN returns a random number from 0 to below its argument.
+func (w *World) pick(intN func(int) int) (Move, bool) {
+	moves := w.enabledMoves(false)
+	total := 0
+	for _, m := range moves {
+		total += kinds[m.Kind].weight
 	}
-	if sum == 0 {
+	if total == 0 {
 		return Move{}, false
 	}
-	n := draw(sum)
-	for _, m := range ms {
-		if n -= moveWeights[m.Kind]; n < 0 {
+	n := intN(total)
+	for _, m := range moves {
+		if n -= kinds[m.Kind].weight; n < 0 {
 			return m, true
 		}
 	}
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -3,40 +3,59 @@
 import (
 	"chalkstand/dispatch"
 	"chalkstand/forwarder"
-	"chalkstand/internal/http1"
 	"chalkstand/internal/upstreamhttp"
-	"fmt"
 	"math"
-	"strings"
 	"time"
 )
 
-// World is a gateway's exchange with all around it: clients, one event loop with its
+// startTime is when a world starts. It is not 0, which stands for a time that is not set.
+const startTime = time.Second
+
+// loopCount is the number of the gateway's event loops. Most scenarios use the first alone.
+const loopCount = 2
+
+// World is a forwarder with everything around it: clients, event loops with their
 // connections, nodes, discovery and time.
 type World struct {
-	scenario      *Scenario
-	cfg           forwarder.Config
-	now           time.Duration
-	fwd           *forwarder.Forwarder
-	wakeAt        time.Duration                 // of the forwarder's timer
-	loopQueues    [loopCount][]forwarder.Action // what each event loop has yet to do
-	requests      []*request
-	conns         map[forwarder.ConnID]*conn
-	unusableSince map[dispatch.NodeID]time.Duration // nodes that the gateway was told not to use, since when
-	nodes         []node
+	scenario     *Scenario
+	cfg          forwarder.Config
+	now          time.Duration
+	fwd          *forwarder.Forwarder
+	wakeAt       time.Duration                 // of the forwarder's timer; math.MaxInt64: not set
+	loopQueues   [loopCount][]forwarder.Action // pending actions of each event loop
+	requests     []*request
+	firstArrival time.Duration // of a request; 0 before it
+	conns        map[forwarder.ConnID]*conn
+	nodes        []node
+	// unusableSince has the nodes that the gateway must not use, with the time since when.
+	unusableSince map[dispatch.NodeID]time.Duration
+	stale         bool // the gateway restarted with an old endpoint list
 	counts        moveCounts
 	checker       checker
-	stale         bool          // a gateway that began with an old list has not heard the true one yet
-	firstArrival  time.Duration // when the first request came
-	coverage      *Coverage
-	log           func(format string, args ...any)
-}
 
-// moveCounts counts what has happened of what may happen only so often.
-type moveCounts struct {
-	drains, removes, lists, leaves, crashes, resets, garbage, fulls, errors, heads, dialFails, closes, flows, renews int
+	coverage *Coverage // nil: not counted
+	log      func(format string, args ...any)
 }
 
+// moveCounts counts the moves whose number a scenario limits, or holds the limits.
+type moveCounts struct {
+	drains          int
+	removes         int
+	adds            int // of nodes
+	nodeRestarts    int
+	gatewayRestarts int
+	cancels         int
+	failedDials     int
+	resets          int // with a request at the node
+	closes          int // by the node, without a request at it
+	errors          int // responses with status 500
+	rejects         int // responses with status 503
+	invalids        int // responses
+	streams         int // of responses
+	bodyStreams     int // of requests
+}
+
+// node is a storage node.
 type node struct {
 	nodeSpec
 	state   dispatch.NodeState
@@ -44,48 +63,79 @@
 	started time.Duration
 }
 
+// endpoint returns a node's entry in the endpoint list.
+func (n *node) endpoint(s dispatch.NodeState) forwarder.Node {
+	return forwarder.Node{
+		Addr: string(n.id),
+		Node: dispatch.Node{ID: n.id, Shard: n.shard, State: s, Started: n.started},
+	}
+}
+
 // request is a client's request.
 type request struct {
 	requestSpec
 	id               dispatch.RequestID
 	started          bool
-	deadline         time.Duration // an answer must have been given
-	onLoop           bool          // the loop knows it
+	deadline         time.Duration // of its response
+	onLoop           bool          // the event loop serves it
 	canceled         bool
 	responses        int
-	outcome          string // how it ended, in a word
-	headersForwarded bool   // its answer has begun
+	outcome          string // one of the outcome constants; "" before the end
+	headersForwarded bool
 	bodyStreaming    bool
-	bodySent         bool // its body has gone out
-	sendingBody      bool // its body is being sent
-	attempts         int
-	conn             *conn // that carries its attempt
-	ambiguous        bool
+	bodySent         bool
+	sendingBody      bool
+	attempts         int   // sent
+	conn             *conn // of its attempt in flight
+	ambiguous        bool  // it may have been executed
 	ambiguousSince   time.Duration
-	quiescentAt      time.Duration // no later one of its key before
+	quiescentAt      time.Duration // no later request of its key may be sent before
 }
 
-// conn is a connection as the loop has it.
+// finished reports whether a request has its response, or needs none.
+func (r *request) finished() bool { return r.responses > 0 || r.canceled }
+
+// unfinished reports whether a request was started and is not finished.
+func (r *request) unfinished() bool { return r.started && !r.finished() }
+
+// responseDue reports whether a response must start by the deadline. That is not so once it
+// has started, and while a body streams, which may take any time.
+func (r *request) responseDue() bool {
+	return r.unfinished() && !r.headersForwarded && (!r.bodyStreaming || r.bodySent)
+}
+
+// conn is a connection to a node.
 type conn struct {
 	id       forwarder.ConnID
 	loop     forwarder.LoopID
 	node     dispatch.NodeID
 	open     bool
 	reader   upstreamhttp.Reader
-	request  *request // that it carries, until its answer is taken
-	atNode   bool     // a request is at the node, unanswered
-	partial  bool     // the head of its answer was sent
-	unusable bool     // doubt: it must carry nothing more
+	request  *request // that it carries, until its response is taken
+	atNode   bool     // the node has a request without a complete response
+	partial  bool     // the node has sent the start of its response
+	unusable bool     // it must carry no further request
 }
 
-// newWorld returns the world at its beginning.
+// sendingBody reports whether the connection is still sending its request's body.
+func (c *conn) sendingBody() bool {
+	return c.request != nil && c.request.sendingBody && !c.request.bodySent
+}
+
+// newWorld returns a world at its start.
 func newWorld(s *Scenario) *World {
-	w := &World{scenario: s, cfg: s.config(), conns: map[forwarder.ConnID]*conn{}, unusableSince: map[dispatch.NodeID]time.Duration{}, now: time.Second}
-	for i, a := range s.requests {
-		w.requests = append(w.requests, &request{requestSpec: a, id: dispatch.RequestID(i + 1)})
+	w := &World{
+		scenario:      s,
+		cfg:           s.config(),
+		now:           startTime,
+		conns:         map[forwarder.ConnID]*conn{},
+		unusableSince: map[dispatch.NodeID]time.Duration{},
 	}
-	for _, p := range s.nodes {
-		w.nodes = append(w.nodes, node{nodeSpec: p, listed: p.initial})
+	for i, spec := range s.requests {
+		w.requests = append(w.requests, &request{requestSpec: spec, id: dispatch.RequestID(i + 1)})
+	}
+	for _, spec := range s.nodes {
+		w.nodes = append(w.nodes, node{nodeSpec: spec, listed: spec.initial})
 	}
 	w.startGateway(dispatch.Snapshot)
 	if s.prepare != nil {
@@ -94,275 +144,65 @@
 	return w
 }
 
-// startGateway starts a gateway and tells it a list.
+// startGateway starts a gateway with an endpoint list of a kind.
 func (w *World) startGateway(kind dispatch.EndpointUpdateKind) {
-	x, err := forwarder.New(w.cfg)
+	f, err := forwarder.New(w.cfg)
 	if err != nil {
-		panic("modelcheck: " + err.Error()) // the scenarios' own settings
+		panic("modelcheck: invalid scenario: " + err.Error())
 	}
-	w.fwd, w.wakeAt = x, math.MaxInt64
+	w.fwd = f
+	w.wakeAt = math.MaxInt64
 	w.checker.reset()
 	w.handle(w.endpointList(kind), noLoop)
 	w.runLoops()
 }
 
-// endpointList is the node list of a kind: complete as it is, or as it was at the start.
+// endpointList returns the endpoint list: as it was at the start for the kind Cached, else
+// as it is now.
 func (w *World) endpointList(kind dispatch.EndpointUpdateKind) forwarder.EndpointUpdate {
-	e := forwarder.EndpointUpdate{Kind: kind}
-	for _, n := range w.nodes {
-		if kind == dispatch.Cached {
-			if n.initial {
-				e.Nodes = append(e.Nodes, endpoint(n, dispatch.Ready))
-			}
-		} else if n.listed && n.state != dispatch.Removed {
-			e.Nodes = append(e.Nodes, endpoint(n, n.state))
+	update := forwarder.EndpointUpdate{Kind: kind}
+	for i := range w.nodes {
+		n := &w.nodes[i]
+		switch {
+		case kind == dispatch.Cached && n.initial:
+			update.Nodes = append(update.Nodes, n.endpoint(dispatch.Ready))
+		case kind != dispatch.Cached && n.listed && n.state != dispatch.Removed:
+			update.Nodes = append(update.Nodes, n.endpoint(n.state))
 		}
 	}
-	w.noteEndpoints(e)
-	return e
+	w.noteEndpoints(update)
+	return update
 }
 
-// noteEndpoints notes what the gateway is told of nodes.
-func (w *World) noteEndpoints(e forwarder.EndpointUpdate) {
-	if e.Kind != dispatch.Delta {
-		for _, n := range w.nodes {
-			if _, ok := w.unusableSince[n.id]; !ok {
-				w.unusableSince[n.id] = w.now
-			}
+// noteEndpoints notes which nodes the gateway must not use from now on.
+func (w *World) noteEndpoints(update forwarder.EndpointUpdate) {
+	if update.Kind != dispatch.Delta {
+		for i := range w.nodes {
+			w.noteUnusable(w.nodes[i].id)
 		}
 	}
-	for _, n := range e.Nodes {
+	for _, n := range update.Nodes {
 		if n.State == dispatch.Ready {
 			delete(w.unusableSince, n.ID)
-		} else if _, ok := w.unusableSince[n.ID]; !ok {
-			w.unusableSince[n.ID] = w.now
-		}
-	}
-}
-
-func endpoint(n node, s dispatch.NodeState) forwarder.Node {
-	return forwarder.Node{Addr: string(n.id), Node: dispatch.Node{ID: n.id, Shard: n.shard, State: s, Started: n.started}}
-}
-
-// loopCount is how many event loops the gateway has. Requests of most worlds are on the
-// first alone.
-const loopCount = 2
-
-// noLoop is where the timer and the node list come from: no loop.
-const noLoop forwarder.LoopID = -1
-
-// handle hands the forwarder an event. From a loop, the actions for that loop are
-// followed before anything else happens there; all others wait until their loop
-// comes to them.
-func (w *World) handle(ev forwarder.Event, from forwarder.LoopID) {
-	before := w.coverage.before(w, ev)
-	for _, a := range w.fwd.Handle(w.now, ev) {
-		w.checkDecision(a)
-		if t, ok := a.(forwarder.SetTimer); ok {
-			w.wakeAt = t.At
-			continue
-		}
-		if lane, ok := a.OnLoop(); ok {
-			w.loopQueues[lane] = append(w.loopQueues[lane], a)
+		} else {
+			w.noteUnusable(n.ID)
 		}
 	}
-	w.coverage.after(w, before)
-	if from != noLoop {
-		w.runLoop(from)
-	}
-}
-
-// runLoop does what the forwarder decided for a loop, as the loop does.
-func (w *World) runLoop(lane forwarder.LoopID) {
-	for len(w.loopQueues[lane]) > 0 {
-		a := w.loopQueues[lane][0]
-		w.loopQueues[lane] = w.loopQueues[lane][1:]
-		w.perform(a)
-	}
-	w.loopQueues[lane] = nil
 }
 
-func (w *World) runLoops() {
-	for lane := range forwarder.LoopID(loopCount) {
-		w.runLoop(lane)
+func (w *World) noteUnusable(id dispatch.NodeID) {
+	if _, known := w.unusableSince[id]; !known {
+		w.unusableSince[id] = w.now
 	}
 }
 
-// loopsPending tells whether a loop has something to do.
-func (w *World) loopsPending() bool { return len(w.loopQueues[0])+len(w.loopQueues[1]) > 0 }
-
-// perform is the loop's part: the same as gateway/lane.go does with sockets.
-func (w *World) perform(a forwarder.Action) {
-	if w.log != nil {
-		w.log("    %s", strings.TrimPrefix(fmt.Sprintf("%T %+v", a, a), "forwarder."))
-	}
-	switch a := a.(type) {
-	case forwarder.Dial:
-		w.checkDial(a)
-		w.conns[a.Conn] = &conn{id: a.Conn, loop: a.Loop, node: a.Node, reader: upstreamhttp.Reader{Limits: http1.DefaultLimits}}
-	case forwarder.SendRequest:
-		if k, c := w.conns[a.Conn], w.requestByID(a.ID); k != nil && c != nil && c.onLoop {
-			w.send(k, c, a)
-		}
-	case forwarder.CloseConn:
-		if k := w.conns[a.Conn]; k != nil {
-			w.closeConn(k)
-		}
-	case forwarder.ForwardResponse:
-		c, k := w.requestByID(a.ID), w.conns[a.Conn]
-		w.checkForwarded(a, c, k)
-		if k != nil {
-			w.takeResponse(k)
-		}
-		w.finish(c, a)
-	case forwarder.DiscardResponse:
-		if k := w.conns[a.Conn]; k != nil {
-			w.takeResponse(k)
-		}
-	case forwarder.Reject:
-		w.finish(w.requestByID(a.ID), a)
-	case forwarder.Fail:
-		w.finish(w.requestByID(a.ID), a)
-	case forwarder.AbortResponse:
-		w.finish(w.requestByID(a.ID), a)
-	}
-}
+func (w *World) class(r *request) *dispatch.Class { return &w.cfg.Dispatch.Classes[r.class] }
 
 func (w *World) requestByID(id dispatch.RequestID) *request {
-	for _, c := range w.requests {
-		if c.id == id {
-			return c
+	for _, r := range w.requests {
+		if r.id == id {
+			return r
 		}
 	}
 	return nil
 }
-
-// send puts a request on a connection.
-func (w *World) send(k *conn, c *request, a forwarder.SendRequest) {
-	w.checkSend(k, c, a)
-	if !k.reader.RequestSent("GET", maxBuffered) {
-		w.violate("connection", "request %d is sent on connection %d, which is %v", c.id, k.id, k.reader.State())
-	}
-	k.request, k.atNode, k.partial = c, true, false
-	c.conn, c.sendingBody = k, c.notReplayable
-}
-
-// takeResponse takes an answer from its connection.
-func (w *World) takeResponse(k *conn) {
-	k.reader.ResponseTaken()
-	w.freeConn(k)
-}
-
-// freeConn ends what a connection carries.
-func (w *World) freeConn(k *conn) {
-	if c := k.request; c != nil {
-		c.sendingBody = false
-		if c.conn == k {
-			c.conn = nil
-		}
-	}
-	k.request = nil
-}
-
-// closeConn closes a connection from this side. What is at the node may run on.
-func (w *World) closeConn(k *conn) {
-	w.noteInterrupted(k)
-	k.reader.Break()
-	w.freeConn(k)
-	delete(w.conns, k.id)
-}
-
-// loseConn ends a connection from the other side, or for its bytes.
-func (w *World) loseConn(k *conn) {
-	w.noteInterrupted(k)
-	k.reader.Break()
-	w.freeConn(k)
-	delete(w.conns, k.id)
-	w.handle(forwarder.ConnectionLost{Conn: k.id}, k.loop)
-}
-
-// The bodies that nodes answer with: a small one is collected, a large one passed on.
-const (
-	maxBuffered = 8
-	largeBody   = 16
-)
-
-// bytes of answers, by the names that moves have.
-var responseText = map[Kind]string{
-	RespondOK:       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
-	RespondAndClose: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok",
-	RespondError:    "HTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\nno",
-	RespondReject:   "HTTP/1.1 503 Full\r\nContent-Length: 2\r\n\r\nno",
-	RespondStart:    "HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\nabcdefgh",
-	RespondRest:     "ijklmnop",
-	RespondInvalid:  "what?\r\n\r\n",
-	RespondTwice:    "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n\r\n",
-}
-
-// receive reads bytes that a node sent, as gateway/call.go does.
-func (w *World) receive(k *conn, b []byte) {
-	for {
-		s := k.reader.Next(b)
-		b = b[s.Used:]
-		switch s.Kind {
-		case upstreamhttp.NeedMore:
-			return
-		case upstreamhttp.ProtocolError:
-			k.unusable = true
-			if w.conns[k.id] == k {
-				w.loseConn(k)
-			}
-			return
-		case upstreamhttp.Headers:
-			if responseInfo(k).Result != dispatch.OK {
-				if k.reader.Buffer().Kind == upstreamhttp.ProtocolError {
-					w.loseConn(k)
-					return
-				}
-				continue
-			}
-			k.reader.Stream()
-			w.handle(forwarder.ResponseHeaders{Conn: k.id, Info: responseInfo(k)}, k.loop)
-			if k.request == nil {
-				return
-			}
-			w.noteHeaders(k)
-		case upstreamhttp.BodyData:
-			if k.request == nil {
-				return
-			}
-		case upstreamhttp.BufferedResponse, upstreamhttp.ResponseEnd:
-			w.handle(forwarder.ResponseCompleted{Conn: k.id, Info: responseInfo(k), Reuse: k.reader.Reusable() && !k.sendingBody()}, k.loop)
-			if w.conns[k.id] != k {
-				return
-			}
-			if k.request != nil && len(b) > 0 {
-				w.violate("connection", "bytes that came before request %d was sent are read as its answer", k.request.id)
-				return
-			}
-		}
-	}
-}
-
-// sendingBody tells whether a body is still going out.
-func (k *conn) sendingBody() bool {
-	return k.request != nil && k.request.sendingBody && !k.request.bodySent
-}
-
-func responseInfo(k *conn) forwarder.ResponseInfo {
-	switch s := k.reader.Response.Status; {
-	case s == 503:
-		return forwarder.ResponseInfo{Result: dispatch.Rejected}
-	case s >= 500:
-		return forwarder.ResponseInfo{Result: dispatch.ServerError}
-	}
-	return forwarder.ResponseInfo{Result: dispatch.OK}
-}
-
-// responseDue tells whether an answer is due by a time: none has begun, and no body flows, which
-// takes as long as it likes.
-func (c *request) responseDue() bool {
-	return c.started && !c.finished() && !c.headersForwarded && !(c.bodyStreaming && !c.bodySent)
-}
-
-func (c *request) finished() bool { return c.responses > 0 || c.canceled }
--- a/lab/mutation/mutation.go
+++ b/lab/mutation/mutation.go
@@ -89,7 +89,7 @@
 	return errors.Join(all...)
 }
 
-var breach = regexp.MustCompile(`(?m)^\s+modelcheck_test\.go:\d+: (.*(?:answer|attempts|drain|effects|order|budget|connection|bounds|stuck): .*)$`)
+var breach = regexp.MustCompile(`(?m)^\s+\w+_test\.go:\d+: (.*(?:answer|attempts|drain|effects|order|budget|connection|bounds|stuck): .*)$`)
 
 // Try puts one fault into the copy in dir, runs the explorer's tests, and takes it
 // out again.
