--- a/internal/modelcheck/fingerprint.go
+++ b/internal/modelcheck/fingerprint.go
@@ -3,40 +3,39 @@
 import (
 	"cmp"
 	"encoding/binary"
-	"fmt"
 	"math"
 	"reflect"
 	"slices"
-	"strings"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
 )
 
-// A fingerprint tells states apart by all that can influence the future. It is taken
-// by walking the real state, unexported fields included, so that a field which is
-// added is part of it without a word here. What must be said of a field stands in
-// the table: times are taken relative to now, numbers of connections and sequences
-// by their rank, and a few fields are left out, each for a reason.
-
-// Fingerprint is a fingerprint.
+// Fingerprint identifies a state. Two states have the same fingerprint if all that can
+// influence their future is the same, apart from hash collisions.
+//
+// It is taken by walking the real state by reflection, unexported fields included, so that
+// a new field is part of it without an entry here. The table fields has the exceptions:
+// times count relative to now, numbers of connections and sequences by their rank, and
+// fields without influence not at all.
 type Fingerprint [2]uint64
 
-// treat is how a field is taken.
+// treat is how a field counts in a fingerprint. The zero value is for a field that counts as
+// it is and is not a duration.
 type treat uint8
 
 const (
 	span   treat = iota + 1 // a length of time, as it is
-	moment                  // a moment: relative to now
-	due                     // a moment that matters only while it is ahead
-	rank                    // a number that matters only by its order among its like
-	mark                    // a moment of which only matters that there is one
-	near                    // a moment that matters only when it is not far ahead
-	skip                    // cannot influence the future
+	moment                  // a time, relative to now
+	due                     // a time, relative to now; 0 and the past count as the same
+	rank                    // a number, by its rank among those of its type
+	mark                    // a time, of which only counts that it is set
+	near                    // a time, relative to now; all beyond the horizon count as the same
+	skip                    // no influence on the future
 )
 
-// fields says how durations, and what else needs it, are taken. A duration that is
-// not here stops the walk with a panic: it has to be decided on.
+// fields has the fields that do not count as they are. Each duration needs an entry: a walk
+// that meets one without panics.
 var fields = map[string]treat{
 	"modelcheck.World.scenario":      skip,
 	"modelcheck.World.cfg":           skip,
@@ -63,7 +62,7 @@
 	"modelcheck.checker.retryTimes":   moment,
 
 	"upstreamhttp.Reader.Limits":   skip,
-	"upstreamhttp.Reader.Response": skip, // its parts that matter follow from state and scan
+	"upstreamhttp.Reader.Response": skip, // what matters of it follows from state and scan
 
 	"forwarder.Forwarder.cfg":         skip,
 	"forwarder.Forwarder.now":         skip,
@@ -173,48 +172,38 @@
 	"dispatch.flow.pos":       skip, // accounts, and a place in the heap that follows from its order
 }
 
-// sorted are the heaps: what they hold matters, in the order in which it comes out.
+// heaps are the types of heaps with the fields by which they are ordered. Their entries
+// count in this order, not in that of their slice.
 var heaps = map[string][]string{
 	"timerqueue.timerHeap": {"at", "seq"}, "dispatch.flowHeap": {"start"},
 }
 
-var durationType = reflect.TypeFor[time.Duration]()
-
-// fingerprinter walks a state.
+// fingerprinter takes fingerprints of the worlds of one scenario. It is not safe for
+// concurrent use.
 type fingerprinter struct {
-	now               time.Duration
-	exact             bool // else figures that were learned are taken to two digits
-	buf               []byte
-	pointers          map[uintptr]uint64
-	ranks             map[string][]rankAt // by group: values and where their ranks go
+	exact             bool            // else learned values count with two digits
+	inert             map[string]bool // fields without influence under the scenario's settings
+	tightestObjective time.Duration   // the lowest latency objective
 	types             map[reflect.Type]*typeInfo
-	inert             map[string]bool // fields without influence under the settings
-	tightestObjective time.Duration   // by whose multiples what was learned fades
-}
 
-type rankAt struct {
-	v  uint64
-	at int
+	// Of the current fingerprint.
+	now      time.Duration
+	buf      []byte
+	pointers map[uintptr]uint64 // by address: the order in which they were met
+	ranks    map[string][]rankedValue
 }
 
-// typeInfo is what is known of a struct type.
-type typeInfo struct {
-	name   string
-	fields []fieldInfo
+// rankedValue is a value that counts by its rank.
+type rankedValue struct {
+	value  uint64
+	offset int // of its rank in the buffer
 }
 
-type fieldInfo struct {
-	name  string
-	treat treat
-	heap  []string
-}
-
-// horizon is how far ahead a moment counts as far: no request of a world lives longer,
-// and time passes only while one is in hand.
+// horizon is how far ahead times are told apart. No request of a scenario lives longer, and
+// time passes only while there is one.
 const horizon = 1500 * ms
 
-// inertFields returns the fields that have no influence under a world's settings, each
-// with the setting that it needs.
+// inertFields returns the fields without influence under a world's settings.
 func inertFields(w *World) map[string]bool {
 	off := map[string]bool{}
 	skipAll := func(names ...string) {
@@ -252,172 +241,83 @@
 }
 
 func newFingerprinter(exact bool) *fingerprinter {
-	return &fingerprinter{exact: exact, pointers: map[uintptr]uint64{}, ranks: map[string][]rankAt{}, types: map[reflect.Type]*typeInfo{}}
+	return &fingerprinter{
+		exact:    exact,
+		types:    map[reflect.Type]*typeInfo{},
+		pointers: map[uintptr]uint64{},
+		ranks:    map[string][]rankedValue{},
+	}
 }
 
 // fingerprint returns the fingerprint of a world.
 func (p *fingerprinter) fingerprint(w *World) Fingerprint {
-	p.now, p.buf = w.now, p.buf[:0]
-	clear(p.pointers)
-	for k := range p.ranks {
-		p.ranks[k] = p.ranks[k][:0]
-	}
 	if p.inert == nil {
-		p.inert, p.tightestObjective = inertFields(w), w.cfg.Dispatch.Classes[0].LatencyObjective
-		for _, c := range w.cfg.Dispatch.Classes {
-			p.tightestObjective = min(p.tightestObjective, c.LatencyObjective)
-		}
-	}
-	p.walk(reflect.ValueOf(w).Elem(), 0)
-	if !slices.ContainsFunc(w.requests, func(c *request) bool { return !c.started }) || w.firstArrival == 0 {
-		p.u64(0)
-	} else {
-		p.u64(uint64(w.firstArrival + w.scenario.spread - w.now))
+		p.learnSettings(w)
 	}
-	for _, rs := range p.ranks { // each writes to its own places: the order is no matter
-		slices.SortStableFunc(rs, func(a, b rankAt) int { return cmp.Compare(a.v, b.v) })
-		n, last := uint64(0), uint64(math.MaxUint64)
-		for _, r := range rs {
-			if r.v != last {
-				n, last = n+1, r.v
-			}
-			binary.LittleEndian.PutUint64(p.buf[r.at:], n)
-		}
+	p.now = w.now
+	p.buf = p.buf[:0]
+	clear(p.pointers)
+	for group := range p.ranks {
+		p.ranks[group] = p.ranks[group][:0]
 	}
-	h := xxhash.NewWithSeed(0x9e3779b97f4a7c15)
-	h.Write(p.buf)
-	return Fingerprint{xxhash.Sum64(p.buf), h.Sum64()}
+	p.walk(reflect.ValueOf(w).Elem(), 0)
+	p.u64(arrivalsEnd(w))
+	p.writeRanks()
+	return p.sum()
 }
 
-func (p *fingerprinter) u64(v uint64) { p.buf = binary.LittleEndian.AppendUint64(p.buf, v) }
-
-func (p *fingerprinter) info(t reflect.Type) *typeInfo {
-	if i := p.types[t]; i != nil {
-		return i
+func (p *fingerprinter) learnSettings(w *World) {
+	p.inert = inertFields(w)
+	p.tightestObjective = w.cfg.Dispatch.Classes[0].LatencyObjective
+	for _, c := range w.cfg.Dispatch.Classes {
+		p.tightestObjective = min(p.tightestObjective, c.LatencyObjective)
 	}
-	i := &typeInfo{name: typeName(t)}
-	for k := range t.NumField() {
-		f := t.Field(k)
-		name := typeName(t) + "." + f.Name
-		how := fields[name]
-		if p.inert[name] {
-			how = skip
-		}
-		i.fields = append(i.fields, fieldInfo{name, how, heaps[typeName(f.Type)]})
-	}
-	p.types[t] = i
-	return i
 }
 
-// typeName is a type's name with its package's.
-func typeName(t reflect.Type) string {
-	path := t.PkgPath()
-	name, _, _ := strings.Cut(t.Name(), "[") // without type arguments
-	return path[strings.LastIndexByte(path, '/')+1:] + "." + name
+// arrivalsEnd returns for how long requests may still arrive; 0 where none has arrived or all
+// have.
+func arrivalsEnd(w *World) uint64 {
+	allStarted := !slices.ContainsFunc(w.requests, func(r *request) bool { return !r.started })
+	if allStarted || w.firstArrival == 0 {
+		return 0
+	}
+	return uint64(w.firstArrival + w.scenario.spread - w.now)
 }
 
-func (p *fingerprinter) walk(v reflect.Value, how treat) {
-	if v.Type() == durationType {
-		p.duration(time.Duration(v.Int()), how)
-		return
-	}
-	switch v.Kind() {
-	case reflect.Bool:
-		if v.Bool() {
-			p.buf = append(p.buf, 1)
-		} else {
-			p.buf = append(p.buf, 0)
-		}
-	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		p.u64(uint64(v.Int()))
-	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64, reflect.Uintptr:
-		if how == rank || v.Type().Name() == "ConnID" {
-			group := v.Type().Name()
-			p.ranks[group] = append(p.ranks[group], rankAt{v.Uint(), len(p.buf)})
-			p.u64(0)
-			return
-		}
-		p.u64(v.Uint())
-	case reflect.Float64, reflect.Float32:
-		p.float(v.Float())
-	case reflect.String:
-		p.u64(uint64(v.Len()))
-		p.buf = append(p.buf, v.String()...)
-	case reflect.Pointer:
-		p.pointer(v)
-	case reflect.Interface:
-		if v.IsNil() {
-			p.buf = append(p.buf, 0)
-			return
-		}
-		p.buf = append(p.buf, 1)
-		p.buf = append(p.buf, v.Elem().Type().String()...)
-		p.walk(v.Elem(), how)
-	case reflect.Slice, reflect.Array:
-		p.u64(uint64(v.Len()))
-		for i := range v.Len() {
-			p.walk(v.Index(i), how)
+// writeRanks writes the ranks of the values that count by them into their places.
+func (p *fingerprinter) writeRanks() {
+	for _, values := range p.ranks {
+		slices.SortStableFunc(values, func(a, b rankedValue) int { return cmp.Compare(a.value, b.value) })
+		rank, last := uint64(0), uint64(math.MaxUint64)
+		for _, v := range values {
+			if v.value != last {
+				rank++
+				last = v.value
+			}
+			binary.LittleEndian.PutUint64(p.buf[v.offset:], rank)
 		}
-	case reflect.Map:
-		p.mapEntries(v, how)
-	case reflect.Struct:
-		p.fields(v)
-	case reflect.Func:
-	default:
-		panic(fmt.Sprintf("modelcheck: a %v cannot be told apart", v.Type()))
 	}
 }
 
-func (p *fingerprinter) pointer(v reflect.Value) {
-	if v.IsNil() {
-		p.buf = append(p.buf, 0)
-		return
-	}
-	if n, ok := p.pointers[v.Pointer()]; ok {
-		p.buf = append(p.buf, 2)
-		p.u64(n)
-		return
-	}
-	p.pointers[v.Pointer()] = uint64(len(p.pointers))
-	p.buf = append(p.buf, 1)
-	p.walk(v.Elem(), 0)
-}
+// secondSeed is the seed of a fingerprint's second half.
+const secondSeed = 0x9e3779b97f4a7c15
 
-func (p *fingerprinter) fields(v reflect.Value) {
-	info := p.info(v.Type())
-	switch info.name {
-	case "modelcheck.request":
-		if p.finishedRequest(v) {
-			return
-		}
-	case "dispatch.node":
-		p.nodeLatency(v)
-	}
-	for i := range info.fields {
-		f := &info.fields[i]
-		fv := v.Field(i)
-		switch {
-		case f.treat == skip:
-		case f.heap != nil:
-			p.heap(fv, f.heap)
-		case fv.Type() == durationType && f.treat == 0:
-			panic("modelcheck: of the duration " + f.name + " it is not said whether it is a length, a moment, or without influence")
-		default:
-			p.walk(fv, f.treat)
-		}
-	}
+func (p *fingerprinter) sum() Fingerprint {
+	h := xxhash.NewWithSeed(secondSeed)
+	_, _ = h.Write(p.buf) // never fails
+	return Fingerprint{xxhash.Sum64(p.buf), h.Sum64()}
 }
 
-// doControl is the first of the dispatcher's kinds of task; a test holds it to that.
+// doControl is the value of the dispatcher's kind of task that runs its controller.
 const doControl = 0
 
-// heap takes what a heap holds, in order.
+// heap writes the entries of a heap in its order.
 func (p *fingerprinter) heap(v reflect.Value, by []string) {
 	idx := make([]int, v.Len())
 	for i := range idx {
 		idx[i] = i
 	}
-	// The controller acts on figures of use, and nodes here give none.
+	// The controller acts on the nodes' quota usage, which they do not report here.
 	idx = slices.DeleteFunc(idx, func(i int) bool {
 		e := v.Index(i).Elem()
 		timer := e.FieldByName("Value")
@@ -426,7 +326,7 @@
 	slices.SortFunc(idx, func(a, b int) int {
 		x, y := v.Index(a).Elem(), v.Index(b).Elem()
 		for _, f := range by {
-			if c := compare(x.FieldByName(f), y.FieldByName(f)); c != 0 {
+			if c := compareValues(x.FieldByName(f), y.FieldByName(f)); c != 0 {
 				return c
 			}
 		}
@@ -438,87 +338,9 @@
 	}
 }
 
-func compare(a, b reflect.Value) int {
-	switch a.Kind() {
-	case reflect.Float64:
-		return cmp.Compare(a.Float(), b.Float())
-	case reflect.Uint64:
-		return cmp.Compare(a.Uint(), b.Uint())
-	}
-	return cmp.Compare(a.Int(), b.Int())
-}
-
-func (p *fingerprinter) mapEntries(v reflect.Value, how treat) {
-	keys := v.MapKeys()
-	slices.SortFunc(keys, func(a, b reflect.Value) int {
-		if a.Kind() == reflect.String {
-			return strings.Compare(a.String(), b.String())
-		}
-		return compare(a, b)
-	})
-	p.u64(uint64(len(keys)))
-	for _, k := range keys {
-		p.walk(k, 0)
-		p.walk(v.MapIndex(k), how)
-	}
-}
-
-func (p *fingerprinter) duration(d time.Duration, how treat) {
-	switch {
-	case how == mark:
-	case how == span:
-		p.u64(uint64(d))
-	case how == rank:
-		panic("modelcheck: a duration by rank")
-	case d == 0: // never set
-		p.u64(1)
-	case d == math.MaxInt64: // not set
-		p.u64(2)
-	case how == due && d <= p.now:
-		p.u64(3)
-	case how == near && d-p.now > horizon:
-		p.u64(4)
-	default:
-		p.u64(uint64(d-p.now) ^ 1<<62)
-	}
-}
-
-// finishedRequest takes a call that has ended for what is left of it; it tells whether it has.
-func (p *fingerprinter) finishedRequest(v reflect.Value) bool {
-	ended := v.FieldByName("canceled").Bool() || v.FieldByName("responses").Int() > 0
-	if !ended {
-		return false
-	}
-	p.buf = append(p.buf, 7)
-	p.walk(v.FieldByName("id"), 0)
-	p.walk(v.FieldByName("conn"), 0)
-	p.duration(time.Duration(v.FieldByName("quiescentAt").Int()), due)
-	return true
-}
-
-// nodeLatency takes a node's delay as it has faded by now.
+// nodeLatency writes a node's latency estimate, decayed until now.
 func (p *fingerprinter) nodeLatency(v reflect.Value) {
 	lat, at := v.FieldByName("lat").Float(), time.Duration(v.FieldByName("latAt").Int())
 	p.seconds(lat * math.Exp2(-float64(p.now-at)/(3*float64(p.tightestObjective))))
 	p.seconds(v.FieldByName("base").Float())
 }
-
-// seconds takes a length of time that was learned, by milliseconds where that is
-// enough.
-func (p *fingerprinter) seconds(s float64) {
-	if !p.exact {
-		s = math.Round(s * 1e3)
-	}
-	p.u64(math.Float64bits(s))
-}
-
-// float takes a figure, to two digits where that is enough.
-func (p *fingerprinter) float(f float64) {
-	if p.exact || f == 0 || math.IsInf(f, 0) {
-		p.u64(math.Float64bits(f))
-		return
-	}
-	e := math.Floor(math.Log10(math.Abs(f)))
-	p.u64(uint64(int64(math.Round(f / math.Pow(10, e-1)))))
-	p.u64(uint64(int64(e)))
-}
