--- a/cmd/chalkstand/explore.go
+++ b/cmd/chalkstand/explore.go
@@ -171,16 +171,16 @@
 				if only != "" && !strings.Contains(m.Name, only) {
 					continue
 				}
-				f, err := mutation.Try(ctx, dir, m)
+				f, err := mutation.Test(ctx, dir, m)
 				switch {
 				case ctx.Err() != nil:
 					return ctx.Err()
 				case err != nil:
 					missed++
 					fmt.Fprintf(out, "ERROR   %v\n", err)
-				case f.Caught:
+				case f.Killed:
 					caught++
-					fmt.Fprintf(out, "found   %s: %s\n", m.Name, f.By)
+					fmt.Fprintf(out, "found   %s: %s\n", m.Name, f.Cause)
 				case m.Equal != "":
 					fmt.Fprintf(out, "equal   %s: %s\n", m.Name, m.Equal)
 				default:
--- a/lab/mutation/mutation.go
+++ b/lab/mutation/mutation.go
@@ -1,9 +1,10 @@
-// Package mutation puts one-line faults into the guards of the forwarder, the
-// connection reader and the dispatcher, one at a time in a copy of the sources, and
-// has the explorer's own tests find them.
+// Package mutation is mutation testing of the guards in the forwarder, the reader of node
+// responses and the dispatcher: it changes one guard at a time in a copy of the sources and
+// runs the model checker's tests on it, which must fail.
 package mutation
 
 import (
+	"bytes"
 	"context"
 	"errors"
 	"fmt"
@@ -15,30 +16,77 @@
 	"strings"
 )
 
-// Mutant is a fault: in a file, one text in the place of another that stands there
-// exactly once.
+// Mutant is a change of a source file: one text, which must occur exactly once, in place of
+// another.
 type Mutant struct {
 	Name     string
-	File     string
+	File     string // below the root of the sources
 	From, To string
-	// Equal says why the fault breaks no rule that can be seen here, and what finds it
-	// where it does elsewhere; "" where it must be found.
+	// Equal says why the change violates no rule that the model checker can see, and
+	// which test finds it where one does; "" where the model checker must find it.
 	Equal string
 }
 
-// Found is what became of one.
-type Found struct {
+// Result is the result of testing a mutant.
+type Result struct {
 	Mutant
-	Caught bool
-	By     string // the breach
+	Killed bool   // a test failed
+	Cause  string // the violation or panic that was found
 }
 
-// skipped are folders that a copy does not need.
-var skipped = map[string]bool{".git": true, "bin": true, "journal": true, "docs": true, "found": true}
+// PatternError reports a mutant whose From does not occur exactly once in its file.
+type PatternError struct {
+	Mutant Mutant
+	Count  int // of occurrences
+}
+
+func (e *PatternError) Error() string {
+	return fmt.Sprintf("%s: %q occurs %d times in %s, want once", e.Mutant.Name, e.Mutant.From, e.Count, e.Mutant.File)
+}
 
-// Copy copies the sources at root, Go files and what they need, into dir.
+// BuildError reports a mutant that does not compile.
+type BuildError struct {
+	Mutant Mutant
+	Output []byte // of the go command
+}
+
+func (e *BuildError) Error() string {
+	return fmt.Sprintf("%s does not build:\n%s", e.Mutant.Name, e.Output)
+}
+
+// Check checks that each mutant can be applied to the sources at root.
+func Check(root string) error {
+	var errs []error
+	for _, m := range All() {
+		source, err := os.ReadFile(filepath.Join(root, m.File))
+		if err == nil {
+			_, err = m.mutate(source)
+		}
+		errs = append(errs, err)
+	}
+	return errors.Join(errs...)
+}
+
+// mutate returns a source with the mutant's change.
+func (m Mutant) mutate(source []byte) ([]byte, error) {
+	if n := bytes.Count(source, []byte(m.From)); n != 1 {
+		return nil, &PatternError{Mutant: m, Count: n}
+	}
+	return bytes.Replace(source, []byte(m.From), []byte(m.To), 1), nil
+}
+
+// Permissions of the files and directories of a copy.
+const (
+	filePerm = 0o644
+	dirPerm  = 0o755
+)
+
+// skippedDirs are directories that a copy does not need.
+var skippedDirs = map[string]bool{".git": true, "bin": true, "journal": true, "docs": true, "found": true}
+
+// Copy copies the sources at root into dir.
 func Copy(root, dir string) error {
-	return filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
+	return filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
@@ -46,83 +94,77 @@
 		if err != nil {
 			return err
 		}
-		if d.IsDir() {
-			if skipped[rel] {
+		if entry.IsDir() {
+			if skippedDirs[rel] {
 				return filepath.SkipDir
 			}
-			return os.MkdirAll(filepath.Join(dir, rel), 0o755)
+			return os.MkdirAll(filepath.Join(dir, rel), dirPerm)
 		}
-		b, err := os.ReadFile(path)
+		content, err := os.ReadFile(path)
 		if err != nil {
 			return err
 		}
-		return os.WriteFile(filepath.Join(dir, rel), b, 0o644)
+		return os.WriteFile(filepath.Join(dir, rel), content, filePerm)
 	})
 }
 
-// apply puts the fault into a copy and returns how to take it out.
-func (m Mutant) apply(dir string) (undo func() error, err error) {
-	file := filepath.Join(dir, m.File)
-	b, err := os.ReadFile(file)
+// testPattern matches the model checker's tests that a mutant has to fail.
+const testPattern = "TestEveryOrdering|TestRandomWalks|TestStoredReplays$"
+
+// violation matches a line of test output with a violation of a rule.
+var violation = regexp.MustCompile(
+	`(?m)^\s+\w+_test\.go:\d+: (.*(?:answer|attempts|drain|effects|order|budget|connection|bounds|stuck): .*)$`)
+
+// Test applies a mutant to the copy in dir, runs the model checker's tests, and restores the
+// copy. Its error may be a *PatternError or a *BuildError.
+func Test(ctx context.Context, dir string, m Mutant) (Result, error) {
+	restore, err := m.apply(dir)
 	if err != nil {
-		return nil, err
+		return Result{}, err
 	}
-	if n := strings.Count(string(b), m.From); n != 1 {
-		return nil, fmt.Errorf("%s: %q stands %d times in %s, want once", m.Name, m.From, n, m.File)
+	cmd := exec.CommandContext(ctx, "go", "test", "-count=1", "-run", testPattern, "./internal/modelcheck")
+	cmd.Dir = dir
+	out, testErr := cmd.CombinedOutput()
+	if err := restore(); err != nil {
+		return Result{}, err
 	}
-	if err := os.WriteFile(file, []byte(strings.Replace(string(b), m.From, m.To, 1)), 0o644); err != nil {
-		return nil, err
+	if ctx.Err() != nil {
+		return Result{}, ctx.Err()
 	}
-	return func() error { return os.WriteFile(file, b, 0o644) }, nil
-}
-
-// Check tells whether each fault's text stands where it says.
-func Check(root string) error {
-	var all []error
-	for _, m := range All() {
-		b, err := os.ReadFile(filepath.Join(root, m.File))
-		if err == nil && strings.Count(string(b), m.From) != 1 {
-			err = fmt.Errorf("%s: %q stands %d times in %s, want once", m.Name, m.From, strings.Count(string(b), m.From), m.File)
-		}
-		all = append(all, err)
+	r := Result{Mutant: m, Killed: testErr != nil}
+	if bytes.Contains(out, []byte("[build failed]")) || bytes.Contains(out, []byte("[setup failed]")) {
+		return r, &BuildError{Mutant: m, Output: out}
+	}
+	if match := violation.FindSubmatch(out); match != nil {
+		r.Cause = string(match[1])
+	} else if r.Killed {
+		r.Cause = firstPanic(string(out))
 	}
-	return errors.Join(all...)
+	return r, nil
 }
 
-var breach = regexp.MustCompile(`(?m)^\s+\w+_test\.go:\d+: (.*(?:answer|attempts|drain|effects|order|budget|connection|bounds|stuck): .*)$`)
-
-// Try puts one fault into the copy in dir, runs the explorer's tests, and takes it
-// out again.
-func Try(ctx context.Context, dir string, m Mutant) (Found, error) {
-	undo, err := m.apply(dir)
+// apply applies a mutant to the copy in dir and returns how to restore the file.
+func (m Mutant) apply(dir string) (restore func() error, err error) {
+	file := filepath.Join(dir, m.File)
+	source, err := os.ReadFile(file)
 	if err != nil {
-		return Found{}, err
-	}
-	cmd := exec.CommandContext(ctx, "go", "test", "-count=1", "-run", "TestEveryOrdering|TestRandomWalks|TestReplays$", "./internal/modelcheck")
-	cmd.Dir = dir
-	out, rerr := cmd.CombinedOutput()
-	if err := undo(); err != nil {
-		return Found{}, err
-	}
-	if ctx.Err() != nil {
-		return Found{}, ctx.Err()
+		return nil, err
 	}
-	f := Found{Mutant: m, Caught: rerr != nil}
-	if strings.Contains(string(out), "[build failed]") || strings.Contains(string(out), "[setup failed]") {
-		return f, fmt.Errorf("%s does not build:\n%s", m.Name, out)
+	mutated, err := m.mutate(source)
+	if err != nil {
+		return nil, err
 	}
-	if x := breach.FindSubmatch(out); x != nil {
-		f.By = string(x[1])
-	} else if f.Caught {
-		f.By = firstPanic(string(out))
+	if err := os.WriteFile(file, mutated, filePerm); err != nil {
+		return nil, err
 	}
-	return f, nil
+	return func() error { return os.WriteFile(file, source, filePerm) }, nil
 }
 
+// firstPanic returns the first panic in the output of a failed test.
 func firstPanic(out string) string {
-	for l := range strings.Lines(out) {
-		if strings.HasPrefix(l, "panic:") {
-			return strings.TrimSpace(l)
+	for line := range strings.Lines(out) {
+		if strings.HasPrefix(line, "panic:") {
+			return strings.TrimSpace(line)
 		}
 	}
 	return "a test failed otherwise"
--- a/lab/mutation/mutation_test.go
+++ b/lab/mutation/mutation_test.go
@@ -2,8 +2,11 @@
 
 import "testing"
 
-// Each fault stands where the list says, once: a list that has gone stale is no test.
-func TestFaultsStandWhereTheyShould(t *testing.T) {
+// minMutants is the least number of mutants that the model checker has to find.
+const minMutants = 25
+
+// Every mutant can be applied to the sources as they are: a stale list tests nothing.
+func TestMutantsApply(t *testing.T) {
 	if err := Check("../.."); err != nil {
 		t.Fatal(err)
 	}
@@ -13,7 +16,7 @@
 			n++
 		}
 	}
-	if n < 25 {
-		t.Errorf("%d faults that must be found, want 25", n)
+	if n < minMutants {
+		t.Errorf("%d mutants that must be found, want %d", n, minMutants)
 	}
 }
