--- a/internal/modelcheck/fingerprint.go
+++ b/internal/modelcheck/fingerprint.go
@@ -27,7 +27,7 @@
 const (
 	span   treat = iota + 1 // a length of time, as it is
 	moment                  // a time, relative to now
-	due                     // a time, relative to now; 0 and the past count as the same
+	due                     // a time, relative to now; all in the past count as the same
 	rank                    // a number, by its rank among those of its type
 	mark                    // a time, of which only counts that it is set
 	near                    // a time, relative to now; all beyond the horizon count as the same
