--- a/cmd/chalkstand/explore.go
+++ b/cmd/chalkstand/explore.go
@@ -181,8 +181,8 @@
 				case f.Killed:
 					caught++
 					fmt.Fprintf(out, "found   %s: %s\n", m.Name, f.Cause)
-				case m.Equal != "":
-					fmt.Fprintf(out, "equal   %s: %s\n", m.Name, m.Equal)
+				case m.EquivalentBecause != "":
+					fmt.Fprintf(out, "equal   %s: %s\n", m.Name, m.EquivalentBecause)
 				default:
 					missed++
 					fmt.Fprintf(out, "MISSED  %s\n", m.Name)
--- a/internal/modelcheck/fingerprint.go
+++ b/internal/modelcheck/fingerprint.go
@@ -20,156 +20,156 @@
 // fields without influence not at all.
 type Fingerprint [2]uint64
 
-// treat is how a field counts in a fingerprint. The zero value is for a field that counts as
+// fieldUse is how a field counts in a fingerprint. The zero value is for a field that counts as
 // it is and is not a duration.
-type treat uint8
+type fieldUse uint8
 
 const (
-	span   treat = iota + 1 // a length of time, as it is
-	moment                  // a time, relative to now
-	due                     // a time, relative to now; all in the past count as the same
-	rank                    // a number, by its rank among those of its type
-	mark                    // a time, of which only counts that it is set
-	near                    // a time, relative to now; all beyond the horizon count as the same
-	skip                    // no influence on the future
+	asDuration       fieldUse = iota + 1 // a length of time, as it is
+	relative                             // a time, relative to now
+	relativeIfFuture                     // a time, relative to now; all in the past count as the same
+	byRank                               // a number, by its rank among those of its type
+	presence                             // a time, of which only counts that it is set
+	relativeIfNear                       // a time, relative to now; all beyond the horizon count as the same
+	ignored                              // no influence on the future
 )
 
 // fields has the fields that do not count as they are. Each duration needs an entry: a walk
 // that meets one without panics.
-var fields = map[string]treat{
-	"modelcheck.World.scenario":      skip,
-	"modelcheck.World.cfg":           skip,
-	"modelcheck.World.now":           skip,
-	"modelcheck.World.wakeAt":        near,
-	"modelcheck.World.coverage":      skip,
-	"modelcheck.World.firstArrival":  skip,
-	"modelcheck.World.log":           skip,
-	"modelcheck.World.unusableSince": mark,
+var fields = map[string]fieldUse{
+	"modelcheck.World.scenario":      ignored,
+	"modelcheck.World.cfg":           ignored,
+	"modelcheck.World.now":           ignored,
+	"modelcheck.World.wakeAt":        relativeIfNear,
+	"modelcheck.World.coverage":      ignored,
+	"modelcheck.World.firstArrival":  ignored,
+	"modelcheck.World.log":           ignored,
+	"modelcheck.World.unusableSince": presence,
 
-	"modelcheck.request.deadline":       due,
-	"modelcheck.request.ambiguousSince": moment,
-	"modelcheck.request.quiescentAt":    due,
+	"modelcheck.request.deadline":       relativeIfFuture,
+	"modelcheck.request.ambiguousSince": relative,
+	"modelcheck.request.quiescentAt":    relativeIfFuture,
 
-	"modelcheck.node.started":  moment,
-	"modelcheck.node.nodeSpec": skip,
+	"modelcheck.node.started":  relative,
+	"modelcheck.node.nodeSpec": ignored,
 
-	"modelcheck.request.requestSpec": skip,
-	"modelcheck.request.outcome":     skip,
+	"modelcheck.request.requestSpec": ignored,
+	"modelcheck.request.outcome":     ignored,
 
-	"modelcheck.conn.id": rank,
+	"modelcheck.conn.id": byRank,
 
-	"modelcheck.checker.requestTimes": moment,
-	"modelcheck.checker.retryTimes":   moment,
+	"modelcheck.checker.requestTimes": relative,
+	"modelcheck.checker.retryTimes":   relative,
 
-	"upstreamhttp.Reader.Limits":   skip,
-	"upstreamhttp.Reader.Response": skip, // what matters of it follows from state and scan
-
-	"forwarder.Forwarder.cfg":         skip,
-	"forwarder.Forwarder.now":         skip,
-	"forwarder.Forwarder.lastConnID":  skip,
-	"forwarder.Forwarder.actions":     skip,
-	"forwarder.Forwarder.wakeAt":      near,
-	"forwarder.Forwarder.sortedNodes": skip, // follows from nodes
-
-	"forwarder.dispatcherTimer.at": near,
-
-	"forwarder.request.class":            skip,
-	"forwarder.request.deadline":         due,
-	"forwarder.request.attemptStartedAt": moment,
-	"forwarder.request.headersAt":        moment,
-	"forwarder.request.ambiguousSince":   moment,
-	"forwarder.request.attribution":      skip, // no decision depends on it
-
-	"forwarder.node.occupancyHistory": skip,
-
-	"forwarder.ResponseInfo.HasTiming":   skip,
-	"forwarder.ResponseInfo.QueueTime":   skip,
-	"forwarder.ResponseInfo.ServiceTime": skip,
-
-	"forwarder.conn.id":        rank,
-	"forwarder.conn.createdAt": moment,
-	"forwarder.conn.idleSince": moment,
-
-	"timerqueue.Timer.at":    near,
-	"timerqueue.Timer.seq":   skip,
-	"timerqueue.Timer.index": skip,
-
-	"timerqueue.Queue.seq": skip,
-
-	"forwarder.RequestAttributed.Entry": skip,
-
-	"forwarder.Dial.Conn": rank,
-
-	"forwarder.SendRequest.Conn":     rank,
-	"forwarder.SendRequest.Deadline": due,
-
-	"forwarder.CloseConn.Conn": rank,
-
-	"forwarder.ForwardResponse.Conn": rank,
-
-	"forwarder.DiscardResponse.Conn": rank,
-
-	"forwarder.Dial.Timeout": span,
-
-	"forwarder.Reject.RetryAfter": span,
-
-	"forwarder.SetTimer.At": moment,
-
-	"dispatch.Node.Started": moment,
-
-	"dispatch.Request.Timeout": skip, // only on arrival
-
-	"dispatch.request.class":    skip,
-	"dispatch.request.seq":      rank,
-	"dispatch.request.sentAt":   moment,
-	"dispatch.request.deadline": due,
-	"dispatch.request.aimAt":    due,
-	"dispatch.request.doubtAt":  moment,
-	"dispatch.request.held":     skip,
-	"dispatch.request.queued":   skip, // accounts
-
-	"dispatch.volume.plan":      skip,
-	"dispatch.volume.tokensAt":  moment,
-	"dispatch.volume.reserveAt": moment,
-	"dispatch.volume.seen":      skip, // forgotten after 30 s
-
-	"dispatch.node.lat":        skip,
-	"dispatch.node.base":       skip, // taken as they have faded: learned
-	"dispatch.node.done":       skip, // it raises depth from 20 answers a second on
-	"dispatch.node.sentAt":     moment,
-	"dispatch.node.missedAt":   moment,
-	"dispatch.node.heardAt":    moment,
-	"dispatch.node.latAt":      skip,
-	"dispatch.node.until":      due,
-	"dispatch.node.wake":       due,
-	"dispatch.node.debtAt":     moment,
-	"dispatch.node.blocked":    skip,
-	"dispatch.node.blockedAt":  skip,
-	"dispatch.node.pausing":    skip,
-	"dispatch.node.coldSum":    skip,
-	"dispatch.node.suspectSum": skip, // accounts
+	"upstreamhttp.Reader.Limits":   ignored,
+	"upstreamhttp.Reader.Response": ignored, // what matters of it follows from state and scan
+
+	"forwarder.Forwarder.cfg":         ignored,
+	"forwarder.Forwarder.now":         ignored,
+	"forwarder.Forwarder.lastConnID":  ignored,
+	"forwarder.Forwarder.actions":     ignored,
+	"forwarder.Forwarder.wakeAt":      relativeIfNear,
+	"forwarder.Forwarder.sortedNodes": ignored, // follows from nodes
+
+	"forwarder.dispatcherTimer.at": relativeIfNear,
+
+	"forwarder.request.class":            ignored,
+	"forwarder.request.deadline":         relativeIfFuture,
+	"forwarder.request.attemptStartedAt": relative,
+	"forwarder.request.headersAt":        relative,
+	"forwarder.request.ambiguousSince":   relative,
+	"forwarder.request.attribution":      ignored, // no decision depends on it
+
+	"forwarder.node.occupancyHistory": ignored,
+
+	"forwarder.ResponseInfo.HasTiming":   ignored,
+	"forwarder.ResponseInfo.QueueTime":   ignored,
+	"forwarder.ResponseInfo.ServiceTime": ignored,
+
+	"forwarder.conn.id":        byRank,
+	"forwarder.conn.createdAt": relative,
+	"forwarder.conn.idleSince": relative,
+
+	"timerqueue.Timer.at":    relativeIfNear,
+	"timerqueue.Timer.seq":   ignored,
+	"timerqueue.Timer.index": ignored,
+
+	"timerqueue.Queue.seq": ignored,
+
+	"forwarder.RequestAttributed.Entry": ignored,
+
+	"forwarder.Dial.Conn": byRank,
+
+	"forwarder.SendRequest.Conn":     byRank,
+	"forwarder.SendRequest.Deadline": relativeIfFuture,
+
+	"forwarder.CloseConn.Conn": byRank,
+
+	"forwarder.ForwardResponse.Conn": byRank,
+
+	"forwarder.DiscardResponse.Conn": byRank,
+
+	"forwarder.Dial.Timeout": asDuration,
+
+	"forwarder.Reject.RetryAfter": asDuration,
+
+	"forwarder.SetTimer.At": relative,
+
+	"dispatch.Node.Started": relative,
+
+	"dispatch.Request.Timeout": ignored, // only on arrival
+
+	"dispatch.request.class":    ignored,
+	"dispatch.request.seq":      byRank,
+	"dispatch.request.sentAt":   relative,
+	"dispatch.request.deadline": relativeIfFuture,
+	"dispatch.request.aimAt":    relativeIfFuture,
+	"dispatch.request.doubtAt":  relative,
+	"dispatch.request.held":     ignored,
+	"dispatch.request.queued":   ignored, // accounts
+
+	"dispatch.volume.plan":      ignored,
+	"dispatch.volume.tokensAt":  relative,
+	"dispatch.volume.reserveAt": relative,
+	"dispatch.volume.seen":      ignored, // forgotten after 30 s
+
+	"dispatch.node.lat":        ignored,
+	"dispatch.node.base":       ignored, // taken as they have faded: learned
+	"dispatch.node.done":       ignored, // it raises depth from 20 answers a second on
+	"dispatch.node.sentAt":     relative,
+	"dispatch.node.missedAt":   relative,
+	"dispatch.node.heardAt":    relative,
+	"dispatch.node.latAt":      ignored,
+	"dispatch.node.until":      relativeIfFuture,
+	"dispatch.node.wake":       relativeIfFuture,
+	"dispatch.node.debtAt":     relative,
+	"dispatch.node.blocked":    ignored,
+	"dispatch.node.blockedAt":  ignored,
+	"dispatch.node.pausing":    ignored,
+	"dispatch.node.coldSum":    ignored,
+	"dispatch.node.suspectSum": ignored, // accounts
 
-	"dispatch.meter.at": moment,
+	"dispatch.meter.at": relative,
 
-	"dispatch.turn.rest": due,
+	"dispatch.turn.rest": relativeIfFuture,
 
-	"dispatch.Dispatcher.cfg":       skip,
-	"dispatch.Dispatcher.now":       skip,
-	"dispatch.Dispatcher.born":      moment,
-	"dispatch.Dispatcher.tightest":  skip,
-	"dispatch.Dispatcher.maxLeft":   span,
-	"dispatch.Dispatcher.wakeAt":    near,
-	"dispatch.Dispatcher.seq":       skip,
-	"dispatch.Dispatcher.taken":     moment,
-	"dispatch.Dispatcher.extra":     moment,
-	"dispatch.Dispatcher.acts":      skip,
-	"dispatch.Dispatcher.bestValue": skip,
-	"dispatch.Dispatcher.order":     skip,
-	"dispatch.Dispatcher.volOrder":  skip,
-
-	"dispatch.flow.parkedAt":  skip,
-	"dispatch.flow.parkedSum": skip,
-	"dispatch.flow.pos":       skip, // accounts, and a place in the heap that follows from its order
+	"dispatch.Dispatcher.cfg":       ignored,
+	"dispatch.Dispatcher.now":       ignored,
+	"dispatch.Dispatcher.born":      relative,
+	"dispatch.Dispatcher.tightest":  ignored,
+	"dispatch.Dispatcher.maxLeft":   asDuration,
+	"dispatch.Dispatcher.wakeAt":    relativeIfNear,
+	"dispatch.Dispatcher.seq":       ignored,
+	"dispatch.Dispatcher.taken":     relative,
+	"dispatch.Dispatcher.extra":     relative,
+	"dispatch.Dispatcher.acts":      ignored,
+	"dispatch.Dispatcher.bestValue": ignored,
+	"dispatch.Dispatcher.order":     ignored,
+	"dispatch.Dispatcher.volOrder":  ignored,
+
+	"dispatch.flow.parkedAt":  ignored,
+	"dispatch.flow.parkedSum": ignored,
+	"dispatch.flow.pos":       ignored, // accounts, and a place in the heap that follows from its order
 }
 
 // heaps are the types of heaps with the fields by which they are ordered. Their entries
@@ -205,39 +205,47 @@
 
 // inertFields returns the fields without influence under a world's settings.
 func inertFields(w *World) map[string]bool {
-	off := map[string]bool{}
-	skipAll := func(names ...string) {
+	inert := map[string]bool{}
+	ignore := func(names ...string) {
 		for _, n := range names {
-			off[n] = true
+			inert[n] = true
 		}
 	}
 	c := &w.cfg.Dispatch
-	cold, limits, reserve, volumes := c.SlowStart.InitialUnits > 0, false, false, 1
+	slowStart, limits, reserve := c.SlowStart.InitialUnits > 0, false, false
 	for _, p := range c.Plans {
-		limits, reserve = limits || p.RateLimit > 0, reserve || p.Reserve > 0
+		limits = limits || p.RateLimit > 0
+		reserve = reserve || p.Reserve > 0
 	}
-	if !cold {
-		skipAll("dispatch.node.debt", "dispatch.node.debtAt", "dispatch.node.use", "dispatch.Dispatcher.usages")
+	if !slowStart {
+		ignore("dispatch.node.debt", "dispatch.node.debtAt", "dispatch.node.use", "dispatch.Dispatcher.usages")
 	}
 	if !limits {
-		skipAll("dispatch.volume.tokens", "dispatch.volume.tokensAt")
+		ignore("dispatch.volume.tokens", "dispatch.volume.tokensAt")
 	}
-	if !cold && !limits {
-		skipAll("dispatch.Dispatcher.born")
+	if !slowStart && !limits {
+		ignore("dispatch.Dispatcher.born")
 	}
 	if !reserve {
-		skipAll("dispatch.volume.reserveAt")
-	}
-	if volumes == 1 { // one flow at each node: its tags order nothing
-		skipAll("dispatch.node.v", "dispatch.request.vArr", "dispatch.flow.lastS", "dispatch.flow.lastC", "dispatch.flow.lastF", "dispatch.flow.floor", "dispatch.flow.start")
+		ignore("dispatch.volume.reserveAt")
 	}
+	// There is one volume, so the tags at each node order nothing.
+	ignore(
+		"dispatch.node.v",
+		"dispatch.request.vArr",
+		"dispatch.flow.lastS",
+		"dispatch.flow.lastC",
+		"dispatch.flow.lastF",
+		"dispatch.flow.floor",
+		"dispatch.flow.start",
+	)
 	if c.RetryBudget.Ratio == 0 {
-		skipAll("dispatch.Dispatcher.taken", "modelcheck.checker.requestTimes")
+		ignore("dispatch.Dispatcher.taken", "modelcheck.checker.requestTimes")
 	}
 	if w.cfg.IdleTimeout > horizon && w.cfg.MaxConnAge > horizon {
-		skipAll("forwarder.conn.createdAt", "forwarder.conn.idleSince")
+		ignore("forwarder.conn.createdAt", "forwarder.conn.idleSince")
 	}
-	return off
+	return inert
 }
 
 func newFingerprinter(exact bool) *fingerprinter {
--- a/internal/modelcheck/statewalk.go
+++ b/internal/modelcheck/statewalk.go
@@ -43,7 +43,7 @@
 
 type fieldInfo struct {
 	name   string
-	treat  treat
+	use    fieldUse
 	heapBy []string // of a heap: the fields by which it is ordered
 }
 
@@ -54,11 +54,11 @@
 	info := &typeInfo{name: typeName(t)}
 	for field := range t.Fields() {
 		name := info.name + "." + field.Name
-		treat := fields[name]
+		use := fields[name]
 		if p.inert[name] {
-			treat = skip
+			use = ignored
 		}
-		info.fields = append(info.fields, fieldInfo{name: name, treat: treat, heapBy: heaps[typeName(field.Type)]})
+		info.fields = append(info.fields, fieldInfo{name: name, use: use, heapBy: heaps[typeName(field.Type)]})
 	}
 	p.types[t] = info
 	return info
@@ -72,33 +72,33 @@
 }
 
 // walk writes a value, and what it refers to.
-func (p *fingerprinter) walk(v reflect.Value, treat treat) {
+func (p *fingerprinter) walk(v reflect.Value, use fieldUse) {
 	if v.Type() == durationType {
-		p.duration(time.Duration(v.Int()), treat)
+		p.duration(time.Duration(v.Int()), use)
 		return
 	}
 	switch v.Kind() {
 	case reflect.Pointer:
 		p.pointer(v)
 	case reflect.Interface:
-		p.dynamicValue(v, treat)
+		p.dynamicValue(v, use)
 	case reflect.Slice, reflect.Array:
 		p.u64(uint64(v.Len()))
 		for i := range v.Len() {
-			p.walk(v.Index(i), treat)
+			p.walk(v.Index(i), use)
 		}
 	case reflect.Map:
-		p.mapEntries(v, treat)
+		p.mapEntries(v, use)
 	case reflect.Struct:
 		p.structFields(v)
 	case reflect.Func:
 	default:
-		p.basicValue(v, treat)
+		p.basicValue(v, use)
 	}
 }
 
 // basicValue writes a boolean, a number or a string.
-func (p *fingerprinter) basicValue(v reflect.Value, treat treat) {
+func (p *fingerprinter) basicValue(v reflect.Value, use fieldUse) {
 	switch {
 	case v.Kind() == reflect.Bool:
 		p.bool(v.Bool())
@@ -108,7 +108,7 @@
 	case v.CanInt():
 		p.u64(uint64(v.Int()))
 	case v.CanUint():
-		p.unsigned(v, treat)
+		p.unsigned(v, use)
 	case v.CanFloat():
 		p.float(v.Float())
 	default:
@@ -128,9 +128,9 @@
 
 // unsigned writes a number, or leaves a place for its rank. The numbers of connections count
 // by their rank wherever they are.
-func (p *fingerprinter) unsigned(v reflect.Value, treat treat) {
+func (p *fingerprinter) unsigned(v reflect.Value, use fieldUse) {
 	group := v.Type().Name()
-	if treat != rank && group != "ConnID" {
+	if use != byRank && group != "ConnID" {
 		p.u64(v.Uint())
 		return
 	}
@@ -155,14 +155,14 @@
 }
 
 // dynamicValue writes the value of an interface with its type.
-func (p *fingerprinter) dynamicValue(v reflect.Value, treat treat) {
+func (p *fingerprinter) dynamicValue(v reflect.Value, use fieldUse) {
 	if v.IsNil() {
 		p.buf = append(p.buf, markNil)
 		return
 	}
 	p.buf = append(p.buf, markValue)
 	p.buf = append(p.buf, v.Elem().Type().String()...)
-	p.walk(v.Elem(), treat)
+	p.walk(v.Elem(), use)
 }
 
 func (p *fingerprinter) structFields(v reflect.Value) {
@@ -179,13 +179,13 @@
 		f := &info.fields[i]
 		value := v.Field(i)
 		switch {
-		case f.treat == skip:
+		case f.use == ignored:
 		case f.heapBy != nil:
 			p.heap(value, f.heapBy)
-		case value.Type() == durationType && f.treat == 0:
+		case value.Type() == durationType && f.use == 0:
 			panic("modelcheck: the duration " + f.name + " has no entry in the table of fields")
 		default:
-			p.walk(value, f.treat)
+			p.walk(value, f.use)
 		}
 	}
 }
@@ -200,18 +200,18 @@
 	p.buf = append(p.buf, markFinished)
 	p.walk(v.FieldByName("id"), 0)
 	p.walk(v.FieldByName("conn"), 0)
-	p.duration(time.Duration(v.FieldByName("quiescentAt").Int()), due)
+	p.duration(time.Duration(v.FieldByName("quiescentAt").Int()), relativeIfFuture)
 	return true
 }
 
 // mapEntries writes the entries of a map by the order of their keys.
-func (p *fingerprinter) mapEntries(v reflect.Value, treat treat) {
+func (p *fingerprinter) mapEntries(v reflect.Value, use fieldUse) {
 	keys := v.MapKeys()
 	slices.SortFunc(keys, compareValues)
 	p.u64(uint64(len(keys)))
 	for _, k := range keys {
 		p.walk(k, 0)
-		p.walk(v.MapIndex(k), treat)
+		p.walk(v.MapIndex(k), use)
 	}
 }
 
@@ -229,20 +229,20 @@
 }
 
 // duration writes a length of time or a time.
-func (p *fingerprinter) duration(d time.Duration, treat treat) {
+func (p *fingerprinter) duration(d time.Duration, use fieldUse) {
 	switch {
-	case treat == mark:
-	case treat == span:
+	case use == presence:
+	case use == asDuration:
 		p.u64(uint64(d))
-	case treat == rank:
+	case use == byRank:
 		panic("modelcheck: a duration has no rank")
 	case d == 0:
 		p.u64(timeUnset)
 	case d == math.MaxInt64:
 		p.u64(timeNever)
-	case treat == due && d <= p.now:
+	case use == relativeIfFuture && d <= p.now:
 		p.u64(timePast)
-	case treat == near && d-p.now > horizon:
+	case use == relativeIfNear && d-p.now > horizon:
 		p.u64(timeBeyondHorizon)
 	default:
 		p.u64(uint64(d-p.now) ^ timeOffset)
--- a/lab/mutation/mutation.go
+++ b/lab/mutation/mutation.go
@@ -22,9 +22,9 @@
 	Name     string
 	File     string // below the root of the sources
 	From, To string
-	// Equal says why the change violates no rule that the model checker can see, and
+	// EquivalentBecause says why the change violates no rule that the model checker can see, and
 	// which test finds it where one does; "" where the model checker must find it.
-	Equal string
+	EquivalentBecause string
 }
 
 // Result is the result of testing a mutant.
--- a/lab/mutation/mutation_test.go
+++ b/lab/mutation/mutation_test.go
@@ -12,7 +12,7 @@
 	}
 	n := 0
 	for _, m := range All() {
-		if m.Equal == "" {
+		if m.EquivalentBecause == "" {
 			n++
 		}
 	}
