--- a/respserver/clients_test.go
+++ b/respserver/clients_test.go
@@ -4,7 +4,6 @@
 	"chalkstand/fake/respnode"
 	"errors"
 	"io"
-	"strings"
 	"testing"
 	"time"
 )
@@ -159,28 +158,6 @@
 	}
 }
 
-// largeValueReply is a node's reply with a value of 64 KiB, of which largeValue is a bulk string.
-var (
-	largeValue      = respnode.Bulk(strings.Repeat("v", 64<<10))
-	largeValueReply = "*3\r\n" + largeValue + "$-1\r\n$-1\r\n"
-)
-
-// slowReader returns a client that reads nothing, with more replies than the kernel takes.
-func (f *fixture) slowReader() *client {
-	f.t.Helper()
-	f.node.SetDefault(respnode.Behavior{Reply: largeValueReply})
-	c := f.client()
-	c.expectPong()
-	if err := f.server.ShrinkSendBuffers(); err != nil {
-		f.t.Fatal(err)
-	}
-	for range 60 {
-		c.send(getCommand(f.nextID()))
-	}
-	f.waitOnLoop(func() bool { return f.server.PendingReplies() == 0 && f.server.UnsentBytes() > 0 })
-	return c
-}
-
 // A client that does not read its replies is closed after a while.
 func TestUnreadReplyTimeout(t *testing.T) {
 	f := startFixture(t, 256)
--- a/respserver/fixture_test.go
+++ b/respserver/fixture_test.go
@@ -8,6 +8,7 @@
 	"fmt"
 	"io"
 	"net"
+	"net/netip"
 	"strings"
 	"testing"
 	"time"
@@ -182,6 +183,19 @@
 	})
 }
 
+// sendUpdate sends a line on the open watches of a discovery, once there is one.
+func (f *fixture) sendUpdate(discovery *fakediscovery.Server, line string) {
+	f.t.Helper()
+	f.waitFor(func() bool { return discovery.Send(line) > 0 })
+}
+
+// movedTo returns the configuration with discovery at another address.
+func (f *fixture) movedTo(addr string) respserver.Config {
+	cfg := f.cfg
+	cfg.Discovery = netip.MustParseAddrPort(addr)
+	return cfg
+}
+
 // client is a client's end of a connection.
 type client struct {
 	net.Conn
@@ -284,3 +298,25 @@
 func replyTo(id string) string {
 	return "$" + respnode.Value([]string{"OBJ.GET", pieceID, id})
 }
+
+// largeValueReply is a node's reply with a value of 64 KiB, of which largeValue is a bulk string.
+var (
+	largeValue      = respnode.Bulk(strings.Repeat("v", 64<<10))
+	largeValueReply = "*3\r\n" + largeValue + "$-1\r\n$-1\r\n"
+)
+
+// slowReader returns a client that reads nothing, with more replies than the kernel takes.
+func (f *fixture) slowReader() *client {
+	f.t.Helper()
+	f.node.SetDefault(respnode.Behavior{Reply: largeValueReply})
+	c := f.client()
+	c.expectPong()
+	if err := f.server.ShrinkSendBuffers(); err != nil {
+		f.t.Fatal(err)
+	}
+	for range 60 {
+		c.send(getCommand(f.nextID()))
+	}
+	f.waitOnLoop(func() bool { return f.server.PendingReplies() == 0 && f.server.UnsentBytes() > 0 })
+	return c
+}
--- a/respserver/watch_test.go
+++ b/respserver/watch_test.go
@@ -4,19 +4,12 @@
 	fakediscovery "chalkstand/fake/discovery"
 	"chalkstand/fake/respnode"
 	"chalkstand/respserver"
-	"net/netip"
 	"os"
 	"path/filepath"
 	"testing"
 	"time"
 )
 
-// sendUpdate sends a line on the open watches of a discovery, once there is one.
-func (f *fixture) sendUpdate(discovery *fakediscovery.Server, line string) {
-	f.t.Helper()
-	f.waitFor(func() bool { return discovery.Send(line) > 0 })
-}
-
 // expectRequestsReach sends requests until one has reached a node. Some may fail meanwhile.
 func (f *fixture) expectRequestsReach(node *respnode.Node) {
 	f.t.Helper()
@@ -36,13 +29,6 @@
 	}
 }
 
-// movedTo returns the configuration with discovery at another address.
-func (f *fixture) movedTo(addr string) respserver.Config {
-	cfg := f.cfg
-	cfg.Discovery = netip.MustParseAddrPort(addr)
-	return cfg
-}
-
 // Updates are applied, failures of discovery survived, and after a change of its address discovery is
 // polled there from the known version on.
 func TestDiscovery(t *testing.T) {
