--- a/internal/eventloop/history_test.go
+++ b/internal/eventloop/history_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// WaitedBehind tells by flow who used the loop during a wait, also where the wait began within
+// WaitedBehind reports the flows that used the loop during a wait, also where the wait began within
 // a run of time slices, and reports no more than was waited.
 func TestWaitedBehind(t *testing.T) {
 	l := newLoop(t)
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -78,7 +78,7 @@
 // NewLoop opens a loop with the default options; Run runs it.
 func NewLoop(index int) (*Loop, error) { return NewLoopWith(index, DefaultOptions) }
 
-// NewLoopWith opens a loop. index tells it from other loops with which it shares flows' usage.
+// NewLoopWith opens a loop. index is its number among the loops that share flows' usage, from 0.
 func NewLoopWith(index int, o Options) (*Loop, error) {
 	scheduler, err := fairshare.New[*Conn](o.FairShare, index)
 	if err != nil {
