--- a/gateway/accounting.go
+++ b/gateway/accounting.go
@@ -19,39 +19,39 @@
 // batchEntries is how many entries go over together. Fewer do after a sweep.
 const batchEntries = 128
 
-// bookkeeper owns the books of a gateway.
-type bookkeeper struct {
-	keeper *attribution.Collector
-	now    func() time.Duration
-	in     chan attribution.Batch // bounded: what does not fit is counted as lost
-	ask    chan func(time.Duration, *attribution.Collector)
-	each   func(attribution.Entry)
-	save   func(attribution.Action)
-	lost   atomic.Int64
-	ended  chan struct{}
+// attributionWorker owns the books of a gateway.
+type attributionWorker struct {
+	collector *attribution.Collector
+	now       func() time.Duration
+	batches   chan attribution.Batch // bounded: what does not fit is counted as lost
+	queries   chan func(time.Duration, *attribution.Collector)
+	onEntry   func(attribution.Entry)
+	onAction  func(attribution.Action)
+	lost      atomic.Int64
+	done      chan struct{}
 }
 
-func newBookkeeper(s settings.Accounts, now func() time.Duration, each func(attribution.Entry), save func(attribution.Action)) (*bookkeeper, error) {
+func newAttributionWorker(s settings.Accounts, now func() time.Duration, each func(attribution.Entry), save func(attribution.Action)) (*attributionWorker, error) {
 	cfg := attribution.DefaultCollectorConfig()
 	cfg.Volumes, cfg.Pairs, cfg.Distributions, cfg.Late = s.Volumes, s.Pairs, s.Distributions, s.Late
 	k, err := attribution.NewCollector(cfg)
 	if err != nil {
 		return nil, err
 	}
-	return &bookkeeper{
-		keeper: k, now: now, in: make(chan attribution.Batch, s.Batches), each: each, save: save,
-		ask: make(chan func(time.Duration, *attribution.Collector)), ended: make(chan struct{}),
+	return &attributionWorker{
+		collector: k, now: now, batches: make(chan attribution.Batch, s.Batches), onEntry: each, onAction: save,
+		queries: make(chan func(time.Duration, *attribution.Collector)), done: make(chan struct{}),
 	}, nil
 }
 
 // run keeps the books until in is closed.
-func (b *bookkeeper) run() {
-	defer close(b.ended)
+func (b *attributionWorker) run() {
+	defer close(b.done)
 	t := time.NewTicker(attribution.DefaultConfig().Settle)
 	defer t.Stop()
 	for {
 		select {
-		case batch, ok := <-b.in:
+		case batch, ok := <-b.batches:
 			if !ok {
 				b.handle(attribution.Flush{})
 				return
@@ -60,29 +60,29 @@
 			b.handle(batch)
 		case <-t.C:
 			b.handle(attribution.Tick{})
-		case f := <-b.ask:
+		case f := <-b.queries:
 			b.handle(attribution.Tick{})
-			f(b.now(), b.keeper)
+			f(b.now(), b.collector)
 		}
 	}
 }
 
-func (b *bookkeeper) handle(ev attribution.Event) {
-	if batch, ok := ev.(attribution.Batch); ok && b.each != nil {
+func (b *attributionWorker) handle(ev attribution.Event) {
+	if batch, ok := ev.(attribution.Batch); ok && b.onEntry != nil {
 		for _, e := range batch.Entries {
-			b.each(e)
+			b.onEntry(e)
 		}
 	}
-	acts := b.keeper.Handle(b.now(), ev)
-	if b.save != nil {
+	acts := b.collector.Handle(b.now(), ev)
+	if b.onAction != nil {
 		for _, a := range acts {
-			b.save(a)
+			b.onAction(a)
 		}
 	}
 }
 
-// enter puts an entry on its way to the books.
-func (l *lane) enter(e attribution.Entry) {
+// addEntry puts an entry on its way to the books.
+func (l *loopWorker) addEntry(e attribution.Entry) {
 	if l.batch.Entries == nil {
 		l.batch.Entries = make([]attribution.Entry, 0, batchEntries)
 	}
@@ -92,8 +92,8 @@
 	}
 }
 
-// late puts a report on its way to the books.
-func (l *lane) late(t attribution.NodeReport) {
+// addNodeReport puts a report on its way to the books.
+func (l *loopWorker) addNodeReport(t attribution.NodeReport) {
 	if l.batch.Reports = append(l.batch.Reports, t); len(l.batch.Reports) >= batchEntries {
 		l.flushBatch()
 	}
@@ -101,13 +101,13 @@
 
 // flushBatch hands over what has come together. It never waits: accounts must not
 // hold up requests.
-func (l *lane) flushBatch() {
-	b := l.g.books
+func (l *loopWorker) flushBatch() {
+	b := l.gateway.attribution
 	if b == nil || len(l.batch.Entries)+len(l.batch.Reports) == 0 {
 		return
 	}
 	select {
-	case b.in <- l.batch:
+	case b.batches <- l.batch:
 	default:
 		b.lost.Add(int64(len(l.batch.Entries)))
 	}
@@ -116,172 +116,172 @@
 
 // ---- The journey of a client's request.
 
-// at is the present on the gateway's own scale of time.
-func (t *transaction) at() time.Duration { return t.conn.lane.g.core.now() }
+// now is the present on the gateway's own scale of time.
+func (t *transaction) now() time.Duration { return t.conn.worker.gateway.core.now() }
 
-// setOut begins the journey: when the head of the request began to wait for its turn.
-func (t *transaction) setOut() {
+// startSpan begins the journey: when the head of the request began to wait for its turn.
+func (t *transaction) startSpan() {
 	c := t.conn
-	now := t.started.Sub(c.lane.g.core.start)
-	waited := c.c.SliceWait()
-	t.journey = attribution.StartClientSpan(now-waited, attribution.RateLimited)
-	waited -= c.c.RateLimitWait()
-	t.journey.Enter(now-waited, attribution.EventLoop)
-	t.journey.Enter(now, attribution.Gateway)
-	l := c.lane
-	if l.g.books == nil || waited < blamed {
+	now := t.started.Sub(c.worker.gateway.core.start)
+	waited := c.conn.SliceWait()
+	t.span = attribution.StartClientSpan(now-waited, attribution.RateLimited)
+	waited -= c.conn.RateLimitWait()
+	t.span.Enter(now-waited, attribution.EventLoop)
+	t.span.Enter(now, attribution.Gateway)
+	l := c.worker
+	if l.gateway.attribution == nil || waited < minContendedWait {
 		return
 	}
-	l.behind = c.c.WaitedBehind(l.behind[:0])
-	blames, rest := make([]attribution.Contribution, 0, len(l.behind)+1), waited
-	for _, x := range l.behind {
+	l.contenders = c.conn.WaitedBehind(l.contenders[:0])
+	blames, rest := make([]attribution.Contribution, 0, len(l.contenders)+1), waited
+	for _, x := range l.contenders {
 		d := min(x.Time, rest)
 		rest -= d
-		if x.Flow != c.vol.flow { // behind others only, as at nodes
+		if x.Flow != c.volume.flow { // behind others only, as at nodes
 			blames = append(blames, attribution.Contribution{Volume: x.Flow.Name(), Time: d})
 		}
 	}
 	if rest > 0 { // looking for events, and what is not remembered
 		blames = append(blames, attribution.Contribution{Time: rest})
 	}
-	t.journey.WaitedBehind(blames)
+	t.span.WaitedBehind(blames)
 }
 
-// blamed is how long a head must wait for whom it waited behind to be told: who they were costs
+// minContendedWait is how long a head must wait for whom it waited behind to be told: who they were costs
 // more than the rest of the account.
-const blamed = time.Millisecond
+const minContendedWait = time.Millisecond
 
-// turn goes on with another cause.
-func (t *transaction) turn(c attribution.Component) {
-	if t.conn.lane.g.books != nil {
-		t.journey.Enter(t.at(), c)
+// enterComponent goes on with another cause.
+func (t *transaction) enterComponent(c attribution.Component) {
+	if t.conn.worker.gateway.attribution != nil {
+		t.span.Enter(t.now(), c)
 	}
 }
 
-// accounted takes the account of a request to a node that has ended.
-func (l *lane) accounted(a forwarder.RequestAttributed) {
-	c := l.calls[a.ID]
+// requestAttributed takes the account of a request to a node that has ended.
+func (l *loopWorker) requestAttributed(a forwarder.RequestAttributed) {
+	c := l.requests[a.ID]
 	if c == nil {
-		c = l.leaving[a.ID]
-		delete(l.leaving, a.ID)
+		c = l.unattributed[a.ID]
+		delete(l.unattributed, a.ID)
 	}
-	if c == nil || c.t == nil {
+	if c == nil || c.transaction == nil {
 		return // cannot happen: each call is known until it is accounted for
 	}
-	t, e := c.t, a.Entry
-	if t.booked {
+	t, e := c.transaction, a.Entry
+	if t.attributed {
 		return
 	}
-	if t.up != nil && t.up.call == c {
-		e.Move(attribution.NodeUnknown, attribution.RequestBody, t.up.fromClient(t.at()))
+	if t.upload != nil && t.upload.request == c {
+		e.Move(attribution.NodeUnknown, attribution.RequestBody, t.upload.clientTime(t.now()))
 	}
-	if s := t.stall.take(t.at()); s > 0 {
+	if s := t.clientStall.take(t.now()); s > 0 {
 		e.Move(attribution.ResponseBody, attribution.SlowClient, s)
 	}
-	t.journey.Include(e)
-	if t.open--; t.parting && t.open <= 0 {
-		t.book()
+	t.span.Include(e)
+	if t.openRequests--; t.clientGone && t.openRequests <= 0 {
+		t.endSpan()
 	}
 }
 
-// book closes the account of a transaction that needed nodes.
-func (t *transaction) book() {
-	l := t.conn.lane
-	if l.g.books == nil || t.booked || !t.asked {
+// endSpan closes the account of a transaction that needed nodes.
+func (t *transaction) endSpan() {
+	l := t.conn.worker
+	if l.gateway.attribution == nil || t.attributed || !t.usedNodes {
 		return
 	}
-	t.booked = true
+	t.attributed = true
 	name := "/"
-	if t.vol != nil {
-		name = t.vol.name
+	if t.volume != nil {
+		name = t.volume.name
 	}
-	l.enter(t.journey.End(t.at(), name, t.outcome))
+	l.addEntry(t.span.End(t.now(), name, t.outcome))
 }
 
-// answered closes the account of a transaction whose answer is written, once the
+// endSpanWhenDelivered closes the account of a transaction whose answer is written, once the
 // client has taken what still waits for it here. Of an answer that the client held
 // up before, what waits in the kernel counts too: it may be megabytes. What lies in
 // the client's own buffers is not seen.
-func (t *transaction) answered() {
+func (t *transaction) endSpanWhenDelivered() {
 	c := t.conn
-	if c.lane.g.books == nil || !t.asked {
+	if c.worker.gateway.attribution == nil || !t.usedNodes {
 		return
 	}
-	if c.c.Pending() == 0 && (!t.heldUp || c.c.Unacknowledged() == 0) {
-		t.book()
+	if c.conn.Pending() == 0 && (!t.wasStalled || c.conn.Unacknowledged() == 0) {
+		t.endSpan()
 		return
 	}
-	t.turn(attribution.SlowClient)
-	c.tail = t
-	if t.heldUp {
-		c.watchTail(t, t.at())
+	t.enterComponent(attribution.SlowClient)
+	c.previous = t
+	if t.wasStalled {
+		c.watchDelivery(t, t.now())
 	}
 }
 
-// watchTail looks again and again whether the client has taken the last answer, at
+// watchDelivery looks again and again whether the client has taken the last answer, at
 // intervals that grow with the time that it takes, so that the end is found within
 // a sixteenth of it.
-func (c *clientConn) watchTail(t *transaction, since time.Duration) {
-	wait := max((t.at()-since)/16, time.Millisecond)
-	l := c.lane
+func (c *clientConn) watchDelivery(t *transaction, since time.Duration) {
+	wait := max((t.now()-since)/16, time.Millisecond)
+	l := c.worker
 	time.AfterFunc(wait, func() {
 		l.loop.Post(func() {
 			switch {
-			case c.tail != t:
-			case c.c.Open() && c.c.Pending()+c.c.Unacknowledged() > 0:
-				c.watchTail(t, since)
+			case c.previous != t:
+			case c.conn.Open() && c.conn.Pending()+c.conn.Unacknowledged() > 0:
+				c.watchDelivery(t, since)
 			default:
-				c.tailGone()
+				c.finishPrevious()
 			}
 		})
 	})
 }
 
-// tailTaken is told when all bytes have left for the kernel.
-func (c *clientConn) tailTaken() {
-	if c.tail != nil && !c.tail.heldUp {
-		c.tailGone()
+// previousWritten is told when all bytes have left for the kernel.
+func (c *clientConn) previousWritten() {
+	if c.previous != nil && !c.previous.wasStalled {
+		c.finishPrevious()
 	}
 }
 
-// tailGone closes the account that waited for the client to take the last answer.
-func (c *clientConn) tailGone() {
-	if t := c.tail; t != nil {
-		c.tail = nil
-		t.book()
+// finishPrevious closes the account that waited for the client to take the last answer.
+func (c *clientConn) finishPrevious() {
+	if t := c.previous; t != nil {
+		c.previous = nil
+		t.endSpan()
 	}
 }
 
-// part closes the account of a transaction whose client has left, once all that it
+// endSpanWhenAttributed closes the account of a transaction whose client has left, once all that it
 // began is accounted for.
-func (t *transaction) part() {
-	if t.parting = true; t.open <= 0 {
-		t.book()
+func (t *transaction) endSpanWhenAttributed() {
+	if t.clientGone = true; t.openRequests <= 0 {
+		t.endSpan()
 	}
 }
 
-// stall adds up how long something was held back. The zero value was never.
-type stall struct {
-	since time.Duration
-	on    bool
-	sum   time.Duration
+// stopwatch adds up how long something was held back. The zero value was never.
+type stopwatch struct {
+	since   time.Duration
+	running bool
+	sum     time.Duration
 }
 
-func (s *stall) begin(now time.Duration) {
-	if !s.on {
-		s.on, s.since = true, now
+func (s *stopwatch) start(now time.Duration) {
+	if !s.running {
+		s.running, s.since = true, now
 	}
 }
 
-func (s *stall) end(now time.Duration) {
-	if s.on {
-		s.on, s.sum = false, s.sum+now-s.since
+func (s *stopwatch) stop(now time.Duration) {
+	if s.running {
+		s.running, s.sum = false, s.sum+now-s.since
 	}
 }
 
 // take returns the sum so far and begins again.
-func (s *stall) take(now time.Duration) time.Duration {
-	s.end(now)
+func (s *stopwatch) take(now time.Duration) time.Duration {
+	s.stop(now)
 	d := s.sum
 	s.sum = 0
 	return d
@@ -293,22 +293,22 @@
 // read until it returns. It returns an error when accounts are not kept or the
 // gateway is closed. f must be quick: reports wait meanwhile.
 func (g *Gateway) Attribution(f func(now time.Duration, k *attribution.Collector)) error {
-	if g.books == nil {
+	if g.attribution == nil {
 		return fmt.Errorf("gateway: no accounts are kept: accounts.on is false in the settings")
 	}
 	done := make(chan struct{})
 	select {
-	case g.books.ask <- func(now time.Duration, k *attribution.Collector) { f(now, k); close(done) }:
+	case g.attribution.queries <- func(now time.Duration, k *attribution.Collector) { f(now, k); close(done) }:
 		<-done
 		return nil
-	case <-g.books.ended:
+	case <-g.attribution.done:
 		return fmt.Errorf("gateway: closed")
 	}
 }
 
 // FlushAttribution hands all accounts that are complete over to the books.
 func (g *Gateway) FlushAttribution() {
-	for _, l := range g.lanes {
+	for _, l := range g.workers {
 		done := make(chan struct{})
 		l.loop.Post(func() { l.flushBatch(); close(done) })
 		select {
@@ -321,14 +321,14 @@
 
 // Run tells which life of a gateway accounts are of.
 func (g *Gateway) Run() attribution.Run {
-	return attribution.Run{ID: g.core.nonce, Gateway: g.cfg.Name, Started: g.born}
+	return attribution.Run{ID: g.core.nonce, Gateway: g.cfg.Name, Started: g.started}
 }
 
 // AttributionHandler serves the accounts as JSON: GET with since (such as 5m, the
 // default) and slots=1 for each slot apart instead of their sum.
 func (g *Gateway) AttributionHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		since, slots, err := accountsQuery(r)
+		since, slots, err := parseAttributionQuery(r)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
@@ -358,7 +358,7 @@
 	})
 }
 
-func accountsQuery(r *http.Request) (since time.Duration, slots bool, err error) {
+func parseAttributionQuery(r *http.Request) (since time.Duration, slots bool, err error) {
 	if r.Method != http.MethodGet {
 		return 0, false, fmt.Errorf("want GET")
 	}
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -11,275 +11,275 @@
 	"time"
 )
 
-// call is one request to a node, from the forwarder's Begin to its final answer.
-type call struct {
-	t       *transaction // that needs it
-	id      dispatch.RequestID
-	lane    *lane
-	over    bool
-	method  string
-	head    []byte  // request line and headers, without the line that names the attempt
-	body    []byte  // held whole, for a further attempt
-	source  source  // of a body that streams through instead
-	collect int     // an answer's body up to this is held whole
-	sink    sink    // takes a larger one; nil: it counts as broken
-	rate    float64 // of its volume's plan, units a second
-	reads   bool    // an object, whose size makes its price
-	guess   bool    // its size was not known when it was priced
-	passed  int64   // bytes of its answer that its sink has taken
-	done    func(result)
+// nodeRequest is one request to a node, from the forwarder's Begin to its final answer.
+type nodeRequest struct {
+	transaction   *transaction // that needs it
+	id            dispatch.RequestID
+	worker        *loopWorker
+	completed     bool
+	method        string
+	head          []byte       // request line and headers, without the line that names the attempt
+	body          []byte       // held whole, for a further attempt
+	source        bodySource   // of a body that streams through instead
+	maxBuffered   int          // an answer's body up to this is held whole
+	sink          responseSink // takes a larger one; nil: it counts as broken
+	volumeRate    float64      // of its volume's plan, units a second
+	readsObject   bool         // an object, whose size makes its price
+	sizeUnknown   bool         // its size was not known when it was priced
+	streamedBytes int64        // bytes of its answer that its sink has taken
+	onResult      func(nodeResult)
 }
 
-// source is where a streamed request body comes from.
-type source interface {
-	// start begins to send on k, whose head is written.
-	start(k *nodeConn)
-	// drained tells that all that was sent has left.
-	drained()
+// bodySource is where a streamed request body comes from.
+type bodySource interface {
+	// startBody begins to send on k, whose head is written.
+	startBody(k *nodeConn)
+	// bodyDrained tells that all that was sent has left.
+	bodyDrained()
 }
 
-// sink is where a streamed answer goes.
-type sink interface {
-	// begin takes the head; from here the answer cannot be another.
-	begin(k *nodeConn, r *http1.Response)
-	// data takes bytes of the body and tells whether more may come at once. If not,
+// responseSink is where a streamed answer goes.
+type responseSink interface {
+	// responseHeaders takes the head; from here the answer cannot be another.
+	responseHeaders(k *nodeConn, r *http1.Response)
+	// responseData takes bytes of the body and tells whether more may come at once. If not,
 	// the sink calls k.resume later.
-	data(b []byte) bool
+	responseData(b []byte) bool
 }
 
 type resultKind int
 
 const (
-	answered resultKind = iota // the node's whole answer, held
-	streamed                   // the whole answer has gone to the sink
-	refused
-	failed
-	cut // the answer that went to the sink ended early
+	resultBuffered resultKind = iota // the node's whole answer, held
+	resultStreamed                   // the whole answer has gone to the sink
+	resultRejected
+	resultFailed
+	resultAborted // the answer that went to the sink ended early
 )
 
-// result is the final answer of a call. resp and body are valid only during the
+// nodeResult is the final answer of a call. resp and body are valid only during the
 // call of done.
-type result struct {
-	kind  resultKind
-	resp  *http1.Response
-	body  []byte
-	after time.Duration
-	late  bool
+type nodeResult struct {
+	kind       resultKind
+	resp       *http1.Response
+	body       []byte
+	retryAfter time.Duration
+	timedOut   bool
 }
 
 // nodeConn is a connection to a node, and the reader of its answers.
 type nodeConn struct {
-	id    forwarder.ConnID
-	lane  *lane
-	c     *eventloop.Conn
-	call  *call
-	r     upstreamhttp.Reader
-	res   result
-	src   source    // still sending
-	moved time.Time // when bytes of a streamed answer last came
+	id       forwarder.ConnID
+	worker   *loopWorker
+	conn     *eventloop.Conn
+	request  *nodeRequest
+	reader   upstreamhttp.Reader
+	result   nodeResult
+	source   bodySource // still sending
+	lastData time.Time  // when bytes of a streamed answer last came
 
-	gate   *gate                       // of its node
-	lease  *fairshare.Grant[*nodeConn] // to draw on it
-	drawn  int                         // bytes, under the lease
-	asking bool                        // for one
+	gate           *nodeGate                   // of its node
+	grant          *fairshare.Grant[*nodeConn] // to draw on it
+	grantUsed      int                         // bytes, under the lease
+	grantRequested bool                        // for one
 }
 
 // send writes a request. The call's source, if any, goes on from here.
-func (k *nodeConn) send(c *call, a forwarder.SendRequest) {
-	k.call, k.res = c, result{}
-	k.c.AssignFlow(k.lane.payer(c.t).flow)
-	if !k.r.RequestSent(c.method, c.collect) { // cannot happen: it carries nothing else
-		k.lose()
+func (k *nodeConn) send(c *nodeRequest, a forwarder.SendRequest) {
+	k.request, k.result = c, nodeResult{}
+	k.conn.AssignFlow(k.worker.chargedVolume(c.transaction).flow)
+	if !k.reader.RequestSent(c.method, c.maxBuffered) { // cannot happen: it carries nothing else
+		k.abort()
 		return
 	}
-	b := append(k.lane.scratch[:0], c.head...)
+	b := append(k.worker.scratch[:0], c.head...)
 	b = append(b, "x-chalkstand-request: "...)
-	b = append(b, k.lane.g.cfg.Name...)
+	b = append(b, k.worker.gateway.cfg.Name...)
 	b = append(b, '/')
 	b = strconv.AppendUint(b, uint64(a.ID), 10)
 	b = append(b, '/')
 	b = strconv.AppendInt(b, int64(a.Attempt), 10)
 	b = append(b, "\r\n\r\n"...)
 	b = append(b, c.body...)
-	k.lane.scratch = b[:0]
-	k.lane.g.metrics.attempts.Inc()
-	k.c.Write(b)
+	k.worker.scratch = b[:0]
+	k.worker.gateway.metrics.attempts.Inc()
+	k.conn.Write(b)
 	if c.source != nil {
-		k.src = c.source
-		c.source.start(k)
+		k.source = c.source
+		c.source.startBody(k)
 	}
 }
 
-// handOver gives the answer held here to its call's owner and clears the way for
+// takeResult gives the answer held here to its call's owner and clears the way for
 // the next request.
-func (k *nodeConn) handOver() result {
-	k.giveBack()
-	r := k.res
-	k.call, k.src, k.res = nil, nil, result{}
-	k.r.ResponseTaken()
+func (k *nodeConn) takeResult() nodeResult {
+	k.releaseGrant()
+	r := k.result
+	k.request, k.source, k.result = nil, nil, nodeResult{}
+	k.reader.ResponseTaken()
 	return r
 }
 
-// shut closes the connection. Its source, if it still sends, is left without a
+// close closes the connection. Its source, if it still sends, is left without a
 // place to send to, and hears nothing more.
-func (k *nodeConn) shut() {
-	k.giveBack()
-	k.call, k.src = nil, nil
-	k.r.Break()
-	if k.c != nil {
-		k.c.Close()
+func (k *nodeConn) close() {
+	k.releaseGrant()
+	k.request, k.source = nil, nil
+	k.reader.Break()
+	if k.conn != nil {
+		k.conn.Close()
 	}
 }
 
-// resume goes on reading an answer that its sink had stopped.
-func (k *nodeConn) resume() {
+// resumeReading goes on reading an answer that its sink had stopped.
+func (k *nodeConn) resumeReading() {
 	switch {
-	case k.c == nil:
-	case k.r.State() == upstreamhttp.Streaming:
-		k.draw()
+	case k.conn == nil:
+	case k.reader.State() == upstreamhttp.Streaming:
+		k.acquireGrant()
 	default:
-		k.c.Resume()
+		k.conn.Resume()
 	}
 }
 
 // OnDrained lets the source of a body go on.
 func (k *nodeConn) OnDrained(*eventloop.Conn) {
-	if k.src != nil {
-		k.src.drained()
+	if k.source != nil {
+		k.source.bodyDrained()
 	}
 }
 
 // OnClose tells the forwarder, unless it asked for it.
 func (k *nodeConn) OnClose(_ *eventloop.Conn, err error) {
-	if k.lane.conns[k.id] != k {
+	if k.worker.conns[k.id] != k {
 		return
 	}
-	if err == eventloop.ErrPeerClosed && k.r.PeerClosed().Kind == upstreamhttp.ResponseEnd {
-		k.complete(result{kind: streamed, resp: &k.r.Response}) // a body that ends with its connection
-		if k.lane.conns[k.id] != k {
+	if err == eventloop.ErrPeerClosed && k.reader.PeerClosed().Kind == upstreamhttp.ResponseEnd {
+		k.completeResponse(nodeResult{kind: resultStreamed, resp: &k.reader.Response}) // a body that ends with its connection
+		if k.worker.conns[k.id] != k {
 			return
 		}
 	}
-	k.giveBack()
-	delete(k.lane.conns, k.id)
-	k.lane.tell(forwarder.ConnectionLost{Conn: k.id})
+	k.releaseGrant()
+	delete(k.worker.conns, k.id)
+	k.worker.handle(forwarder.ConnectionLost{Conn: k.id})
 }
 
-// lose gives up a connection whose bytes are no answer.
-func (k *nodeConn) lose() {
-	delete(k.lane.conns, k.id)
-	c := k.c
-	k.giveBack()
-	k.call, k.src = nil, nil
-	k.r.Break()
+// abort gives up a connection whose bytes are no answer.
+func (k *nodeConn) abort() {
+	delete(k.worker.conns, k.id)
+	c := k.conn
+	k.releaseGrant()
+	k.request, k.source = nil, nil
+	k.reader.Break()
 	if c != nil {
 		c.Close()
 	}
-	k.lane.tell(forwarder.ConnectionLost{Conn: k.id})
+	k.worker.handle(forwarder.ConnectionLost{Conn: k.id})
 }
 
 // OnData reads an answer.
 func (k *nodeConn) OnData(_ *eventloop.Conn, b []byte) int {
 	used := 0
 	for {
-		s := k.r.Next(b[used:])
+		s := k.reader.Next(b[used:])
 		used += s.Used
 		switch s.Kind {
 		case upstreamhttp.NeedMore:
 			return used
 		case upstreamhttp.ProtocolError:
-			k.lose()
+			k.abort()
 			return 0
 		case upstreamhttp.Headers:
-			if !k.head() {
+			if !k.handleHeaders() {
 				return used
 			}
 		case upstreamhttp.BodyData:
-			k.moved = k.lane.now()
-			more := k.call.sink.data(s.Body)
-			if k.call == nil { // the sink's client has left
+			k.lastData = k.worker.now()
+			more := k.request.sink.responseData(s.Body)
+			if k.request == nil { // the sink's client has left
 				return used
 			}
-			k.call.passed += int64(len(s.Body))
-			if k.drawn += len(s.Body); s.Last {
+			k.request.streamedBytes += int64(len(s.Body))
+			if k.grantUsed += len(s.Body); s.Last {
 				continue
 			}
 			if !more {
-				k.c.Pause()
-				k.giveBack()
+				k.conn.Pause()
+				k.releaseGrant()
 				return used
 			}
-			if k.drawn >= k.lane.g.cfg.Share.Draw && !k.giveWay() {
+			if k.grantUsed >= k.worker.gateway.cfg.Share.Draw && !k.renewGrant() {
 				return used
 			}
 		case upstreamhttp.BufferedResponse:
-			k.complete(result{kind: answered, resp: &k.r.Response, body: s.Body})
+			k.completeResponse(nodeResult{kind: resultBuffered, resp: &k.reader.Response, body: s.Body})
 			return used
 		case upstreamhttp.ResponseEnd:
-			k.complete(result{kind: streamed, resp: &k.r.Response})
+			k.completeResponse(nodeResult{kind: resultStreamed, resp: &k.reader.Response})
 			return used
 		}
 	}
 }
 
-// head decides on an answer that is not collected at once: its body is passed on
+// handleHeaders decides on an answer that is not collected at once: its body is passed on
 // where there is a sink for it and it is the answer, else collected. It tells
 // whether reading goes on.
-func (k *nodeConn) head() bool {
-	word := k.word()
-	if k.call.sink == nil || word.Result != dispatch.OK {
-		if k.r.Buffer().Kind == upstreamhttp.ProtocolError {
-			k.lose()
+func (k *nodeConn) handleHeaders() bool {
+	word := k.responseInfo()
+	if k.request.sink == nil || word.Result != dispatch.OK {
+		if k.reader.Buffer().Kind == upstreamhttp.ProtocolError {
+			k.abort()
 			return false
 		}
 		return true
 	}
-	k.r.Stream()
-	k.moved = k.lane.now()
-	sink := k.call.sink
-	k.lane.tell(forwarder.ResponseHeaders{Conn: k.id, Info: word})
-	if k.call == nil {
+	k.reader.Stream()
+	k.lastData = k.worker.now()
+	sink := k.request.sink
+	k.worker.handle(forwarder.ResponseHeaders{Conn: k.id, Info: word})
+	if k.request == nil {
 		return false
 	}
-	sink.begin(k, &k.r.Response)
-	if k.call == nil || k.c == nil {
+	sink.responseHeaders(k, &k.reader.Response)
+	if k.request == nil || k.conn == nil {
 		return false
 	}
-	k.c.Pause()
-	k.draw()
-	return k.lease != nil
+	k.conn.Pause()
+	k.acquireGrant()
+	return k.grant != nil
 }
 
-// check breaks off an answer that has stopped coming. Its client has its head, so
+// checkTimeout breaks off an answer that has stopped coming. Its client has its head, so
 // no other attempt can take its place; it must see that the answer is cut. It does
 // harm to a node that pauses for longer than the limit.
-func (k *nodeConn) check(now time.Time) {
-	if k.c != nil && k.c.AwaitsSlice() {
-		k.moved = now // it is this gateway that makes it wait
+func (k *nodeConn) checkTimeout(now time.Time) {
+	if k.conn != nil && k.conn.AwaitsSlice() {
+		k.lastData = now // it is this gateway that makes it wait
 	}
-	if k.r.State() == upstreamhttp.Streaming && (!k.c.Paused() || k.c.WantsRead()) && now.Sub(k.moved) > k.lane.g.cfg.Limits.ClientBody.D() {
-		k.lose()
+	if k.reader.State() == upstreamhttp.Streaming && (!k.conn.Paused() || k.conn.WantsRead()) && now.Sub(k.lastData) > k.worker.gateway.cfg.Limits.ClientBody.D() {
+		k.abort()
 	}
 }
 
-// complete tells the forwarder that the whole answer is there. Its word, which may
+// completeResponse tells the forwarder that the whole answer is there. Its word, which may
 // come at once, hands the result over or throws it away.
-func (k *nodeConn) complete(r result) {
-	k.res = r
-	reuse := k.r.Reusable() && k.src == nil && k.c.Pending() == 0
-	k.lane.lateTimings(k.r.Response.Headers)
-	k.lane.tell(forwarder.ResponseCompleted{Conn: k.id, Info: k.word(), Reuse: reuse})
+func (k *nodeConn) completeResponse(r nodeResult) {
+	k.result = r
+	reuse := k.reader.Reusable() && k.source == nil && k.conn.Pending() == 0
+	k.worker.readLateTimings(k.reader.Response.Headers)
+	k.worker.handle(forwarder.ResponseCompleted{Conn: k.id, Info: k.responseInfo(), Reuse: reuse})
 }
 
-// sent tells that the source has sent all.
-func (k *nodeConn) sent() {
-	k.src = nil
-	if k.call != nil {
-		k.lane.tell(forwarder.BodySent{ID: k.call.id})
+// bodySent tells that the source has sent all.
+func (k *nodeConn) bodySent() {
+	k.source = nil
+	if k.request != nil {
+		k.worker.handle(forwarder.BodySent{ID: k.request.id})
 	}
 }
 
-func (l *lane) nodeLimits() http1.Limits {
-	m := l.g.cfg.Limits
+func (l *loopWorker) httpLimits() http1.Limits {
+	m := l.gateway.cfg.Limits
 	return http1.Limits{Line: m.Line, Headers: m.Headers, Head: m.Head}
 }
--- a/gateway/copy.go
+++ b/gateway/copy.go
@@ -7,40 +7,40 @@
 	"time"
 )
 
-// copying moves an object from one shard to another: a read whose answer's body is
+// objectCopy moves an object from one shard to another: a read whose answer's body is
 // the body of a write. Each is a request of its own.
-type copying struct {
-	t      *transaction
-	req    *http1.Request
-	get    *call
-	put    *call
-	from   *nodeConn // the read's, while it streams
-	to     *nodeConn // the write's, once it was sent
-	length int64
-	passed int64
-	last   []byte
-	given  bool // the write has its answer
+type objectCopy struct {
+	transaction *transaction
+	request     *http1.Request
+	read        *nodeRequest
+	write       *nodeRequest
+	source      *nodeConn // the read's, while it streams
+	target      *nodeConn // the write's, once it was sent
+	length      int64
+	received    int64
+	pending     []byte
+	writeDone   bool // the write has its answer
 }
 
 // copyObject copies within a shard by the node itself, between shards through here.
 func (t *transaction) copyObject(r *http1.Request) {
-	l := t.conn.lane
+	l := t.conn.worker
 	src := l.volumeOf(t.op.FromBucket)
 	if src == nil {
-		t.deny(objectapi.Errorf("NoSuchBucket", "No rule of this gateway's settings fits the source's bucket."))
+		t.respondErrorCode(objectapi.Errorf("NoSuchBucket", "No rule of this gateway's settings fits the source's bucket."))
 		return
 	}
-	from, to := src.place.Shard(t.op.FromKey), t.shard()
+	from, to := src.placement.Shard(t.op.FromKey), t.shard()
 	if from == to {
-		req := t.price(t.op.Kind, t.vol, to, t.op.Key, -1)
+		req := t.price(t.op.Kind, t.volume, to, t.op.Key, -1)
 		b := t.nodeHead(make([]byte, 0, 768), "PUT", t.op.Bucket, t.op.Key, t.op.Query, req, true, "")
-		b = appendPassed(b, r.Headers)
+		b = appendForwardedHeaders(b, r.Headers)
 		b = http1.AppendHeader(b, "x-amz-copy-source", objectapi.EncodeName(t.op.FromBucket+"/"+t.op.FromKey))
 		b = http1.AppendLength(b, 0)
-		t.call(&call{method: "PUT", head: b, collect: l.g.cfg.Limits.Replay, done: t.serve}, req)
+		t.startNodeRequest(&nodeRequest{method: "PUT", head: b, maxBuffered: l.gateway.cfg.Limits.Replay, onResult: t.respondResult}, req)
 		return
 	}
-	c := &copying{t: t, req: &http1.Request{Headers: r.Headers.Clone()}}
+	c := &objectCopy{transaction: t, request: &http1.Request{Headers: r.Headers.Clone()}}
 	req := t.price(objectapi.GetObject, src, from, t.op.FromKey, rangeSize(r.Headers.Get("x-amz-copy-source-range")))
 	b := t.nodeHead(make([]byte, 0, 512), "GET", t.op.FromBucket, t.op.FromKey, nil, req, false, "")
 	for _, n := range [...]string{"if-match", "if-none-match", "if-modified-since", "if-unmodified-since"} {
@@ -51,73 +51,73 @@
 	if v := r.Headers.Get("x-amz-copy-source-range"); v != nil && t.op.Kind == objectapi.UploadPartCopy {
 		b = http1.AppendHeader(b, "range", v)
 	}
-	c.get = &call{method: "GET", head: b, collect: l.g.cfg.Limits.Replay, sink: c, done: c.read}
-	t.call(c.get, req)
+	c.read = &nodeRequest{method: "GET", head: b, maxBuffered: l.gateway.cfg.Limits.Replay, sink: c, onResult: c.onReadResult}
+	t.startNodeRequest(c.read, req)
 }
 
-// read goes on when the source's answer is there.
-func (c *copying) read(r result) {
-	t := c.t
-	t.forgetCall(c.get)
+// onReadResult goes on when the source's answer is there.
+func (c *objectCopy) onReadResult(r nodeResult) {
+	t := c.transaction
+	t.removeNodeRequest(c.read)
 	switch {
-	case t.ended:
-	case r.kind == answered && (r.resp.Status == 200 || r.resp.Status == 206):
-		c.write(r.resp, append([]byte(nil), r.body...), int64(len(r.body)), false)
-	case r.kind == answered && (r.resp.Status == 304 || r.resp.Status == 412):
-		t.deny(objectapi.Errorf("PreconditionFailed", "At least one of the pre-conditions you specified did not hold"))
-	case r.kind == streamed:
-		c.from = nil
-		c.flush()
-	case r.kind == cut: // the write must not become whole
-		c.from = nil
-		if !c.given {
-			t.conn.lane.drop(c.put)
-			t.giveUp(false)
+	case t.responded:
+	case r.kind == resultBuffered && (r.resp.Status == 200 || r.resp.Status == 206):
+		c.startWrite(r.resp, append([]byte(nil), r.body...), int64(len(r.body)), false)
+	case r.kind == resultBuffered && (r.resp.Status == 304 || r.resp.Status == 412):
+		t.respondErrorCode(objectapi.Errorf("PreconditionFailed", "At least one of the pre-conditions you specified did not hold"))
+	case r.kind == resultStreamed:
+		c.source = nil
+		c.endBody()
+	case r.kind == resultAborted: // the write must not become whole
+		c.source = nil
+		if !c.writeDone {
+			t.conn.worker.cancelRequest(c.write)
+			t.respondFailure(false)
 		}
 	default:
-		t.serve(r)
+		t.respondResult(r)
 	}
 }
 
-// begin takes the head of a source that streams.
-func (c *copying) begin(k *nodeConn, r *http1.Response) {
-	c.from, c.length = k, r.Length
+// responseHeaders takes the head of a source that streams.
+func (c *objectCopy) responseHeaders(k *nodeConn, r *http1.Response) {
+	c.source, c.length = k, r.Length
 	if r.Chunked || r.UntilClose {
 		c.length = -1
 	}
-	c.write(r, nil, c.length, true)
+	c.startWrite(r, nil, c.length, true)
 }
 
-// write begins the request that stores the copy.
-func (c *copying) write(r *http1.Response, body []byte, size int64, stream bool) {
-	t := c.t
+// startWrite begins the request that stores the copy.
+func (c *objectCopy) startWrite(r *http1.Response, body []byte, size int64, stream bool) {
+	t := c.transaction
 	kind := objectapi.PutObject
 	if t.op.Kind == objectapi.UploadPartCopy {
 		kind = objectapi.UploadPart
 	}
-	req := t.price(kind, t.vol, t.shard(), t.op.Key, size)
+	req := t.price(kind, t.volume, t.shard(), t.op.Key, size)
 	b := t.nodeHead(make([]byte, 0, 768), "PUT", t.op.Bucket, t.op.Key, t.op.Query, req, true, "")
-	if strings.EqualFold(string(c.req.Headers.Get("x-amz-metadata-directive")), "REPLACE") {
-		b = appendPassed(b, c.req.Headers)
+	if strings.EqualFold(string(c.request.Headers.Get("x-amz-metadata-directive")), "REPLACE") {
+		b = appendForwardedHeaders(b, c.request.Headers)
 	} else if kind == objectapi.PutObject {
 		b = appendMetadata(b, r.Headers)
 		for _, n := range [...]string{"if-match", "if-none-match"} {
-			if v := c.req.Headers.Get(n); v != nil {
+			if v := c.request.Headers.Get(n); v != nil {
 				b = http1.AppendHeader(b, n, v)
 			}
 		}
 	}
-	c.put = &call{method: "PUT", body: body, collect: t.conn.lane.g.cfg.Limits.Replay, done: c.written}
+	c.write = &nodeRequest{method: "PUT", body: body, maxBuffered: t.conn.worker.gateway.cfg.Limits.Replay, onResult: c.onWriteResult}
 	if stream {
-		c.put.source = c
+		c.write.source = c
 	}
 	if size < 0 {
 		b = append(b, "Transfer-Encoding: chunked\r\n"...)
 	} else {
 		b = http1.AppendLength(b, size)
 	}
-	c.put.head = b
-	t.call(c.put, req)
+	c.write.head = b
+	t.startNodeRequest(c.write, req)
 }
 
 // appendMetadata passes on what a source's answer says of the object itself.
@@ -136,90 +136,90 @@
 	return b
 }
 
-// start lets the source flow to the node that stores the copy.
-func (c *copying) start(k *nodeConn) {
-	c.to = k
-	c.flushHeld()
-	if c.from != nil {
-		c.from.resume()
+// startBody lets the source flow to the node that stores the copy.
+func (c *objectCopy) startBody(k *nodeConn) {
+	c.target = k
+	c.sendPending()
+	if c.source != nil {
+		c.source.resumeReading()
 	} else {
-		c.flush()
+		c.endBody()
 	}
 }
 
-func (c *copying) drained() {
-	if c.from != nil {
-		c.from.resume()
+func (c *objectCopy) bodyDrained() {
+	if c.source != nil {
+		c.source.resumeReading()
 	}
 }
 
-// data takes a piece of the source. Before the write was sent it holds the first
+// responseData takes a piece of the source. Before the write was sent it holds the first
 // piece and stops the source; at most two reads are held so.
-func (c *copying) data(p []byte) bool {
-	c.passed += int64(len(p))
-	if c.length >= 0 && c.passed == c.length { // the end waits for the source's own
+func (c *objectCopy) responseData(p []byte) bool {
+	c.received += int64(len(p))
+	if c.length >= 0 && c.received == c.length { // the end waits for the source's own
 		n := len(p) - 1
 		c.send(p[:n])
-		c.last = append(c.last, p[n])
+		c.pending = append(c.pending, p[n])
 		return true
 	}
 	c.send(p)
-	return c.to != nil && c.to.call == c.put && c.to.c.Pending() == 0
+	return c.target != nil && c.target.request == c.write && c.target.conn.Pending() == 0
 }
 
-func (c *copying) send(p []byte) {
+func (c *objectCopy) send(p []byte) {
 	switch {
-	case c.to == nil:
-		c.last = append(c.last, p...)
-	case c.to.call != c.put: // it has its answer
+	case c.target == nil:
+		c.pending = append(c.pending, p...)
+	case c.target.request != c.write: // it has its answer
 	case c.length < 0:
-		c.to.c.Write(http1.AppendChunk(nil, p))
+		c.target.conn.Write(http1.AppendChunk(nil, p))
 	case len(p) > 0:
-		c.to.c.Write(p)
+		c.target.conn.Write(p)
 	}
 }
 
-func (c *copying) flushHeld() {
-	p := c.last
-	c.last = nil
-	if c.length >= 0 && c.passed == c.length && len(p) > 0 {
-		c.last = append(c.last, p[len(p)-1])
+func (c *objectCopy) sendPending() {
+	p := c.pending
+	c.pending = nil
+	if c.length >= 0 && c.received == c.length && len(p) > 0 {
+		c.pending = append(c.pending, p[len(p)-1])
 		p = p[:len(p)-1]
 	}
 	c.send(p)
 }
 
-// flush ends the write's body once the source has ended whole.
-func (c *copying) flush() {
-	if c.to == nil || c.to.call != c.put {
+// endBody ends the write's body once the source has ended whole.
+func (c *objectCopy) endBody() {
+	if c.target == nil || c.target.request != c.write {
 		return
 	}
 	if c.length < 0 {
-		c.to.c.Write([]byte(http1.LastChunk))
+		c.target.conn.Write([]byte(http1.LastChunk))
 	} else {
-		c.to.c.Write(c.last)
+		c.target.conn.Write(c.pending)
 	}
-	c.last = nil
-	c.to.sent()
+	c.pending = nil
+	c.target.bodySent()
 }
 
-// written answers for the copy.
-func (c *copying) written(r result) {
-	t := c.t
-	c.given = true
-	t.conn.lane.drop(c.get)
-	if t.ended {
+// onWriteResult answers for the copy.
+func (c *objectCopy) onWriteResult(r nodeResult) {
+	t := c.transaction
+	c.writeDone = true
+	t.conn.worker.cancelRequest(c.read)
+	if t.responded {
 		return
 	}
-	if r.kind != answered || r.resp.Status != 200 {
-		t.serve(r)
+	if r.kind != resultBuffered || r.resp.Status != 200 {
+		t.respondResult(r)
 		return
 	}
 	etag := string(r.resp.Headers.Get("etag"))
-	when := objectapi.FormatTime(t.conn.lane.g.wall().Truncate(time.Second))
+	when := objectapi.FormatTime(t.conn.worker.gateway.wall().Truncate(time.Second))
 	if t.op.Kind == objectapi.UploadPartCopy {
-		t.document(200, objectapi.CopyPartResult{LastModified: when, ETag: etag})
+		t.respondXML(200, objectapi.CopyPartResult{LastModified: when, ETag: etag})
 		return
 	}
-	t.document(200, objectapi.CopyObjectResult{LastModified: when, ETag: etag})
+	t.respondXML(200, objectapi.CopyObjectResult{LastModified: when, ETag: etag})
 }
--- a/gateway/core.go
+++ b/gateway/core.go
@@ -12,19 +12,19 @@
 // measurement beside a goroutine of its own); actions go to the loop that owns the
 // connection, in the order in which they were decided.
 type core struct {
-	mu    sync.Mutex
-	x     *forwarder.Forwarder
-	start time.Time
-	lanes []*lane
-	timer *time.Timer
-	done  chan struct{}
-	once  sync.Once
-	nonce string // begins the keys of writes: no other process's are the same
+	mu        sync.Mutex
+	forwarder *forwarder.Forwarder
+	start     time.Time
+	workers   []*loopWorker
+	timer     *time.Timer
+	done      chan struct{}
+	stopOnce  sync.Once
+	nonce     string // begins the keys of writes: no other process's are the same
 }
 
 func newCore(x *forwarder.Forwarder) *core {
 	c := &core{
-		x: x, start: time.Now(), timer: time.NewTimer(time.Hour), done: make(chan struct{}),
+		forwarder: x, start: time.Now(), timer: time.NewTimer(time.Hour), done: make(chan struct{}),
 		nonce: requestID(rand.Uint64()),
 	}
 	c.timer.Stop()
@@ -40,35 +40,35 @@
 		case <-c.done:
 			return
 		case <-c.timer.C:
-			c.tell(nil, forwarder.TimerFired{})
+			c.handle(nil, forwarder.TimerFired{})
 		}
 	}
 }
 
-func (c *core) stop() { c.once.Do(func() { close(c.done) }) }
+func (c *core) stop() { c.stopOnce.Do(func() { close(c.done) }) }
 
-// tell hands an event over and has the actions followed: those of the lane on
+// handle hands an event over and has the actions followed: those of the lane on
 // which the caller runs before it returns, those of others soon. from is nil off
 // the loops.
-func (c *core) tell(from *lane, ev forwarder.Event) {
+func (c *core) handle(from *loopWorker, ev forwarder.Event) {
 	c.mu.Lock()
-	for _, a := range c.x.Handle(c.now(), ev) {
-		c.route(a)
+	for _, a := range c.forwarder.Handle(c.now(), ev) {
+		c.queueAction(a)
 	}
-	for _, l := range c.lanes {
-		if l != from && len(l.acts) > 0 && !l.woken {
-			l.woken = true
-			l.loop.Post(l.follow)
+	for _, l := range c.workers {
+		if l != from && len(l.actions) > 0 && !l.wakePosted {
+			l.wakePosted = true
+			l.loop.Post(l.applyActions)
 		}
 	}
 	c.mu.Unlock()
 	if from != nil {
-		from.follow()
+		from.applyActions()
 	}
 }
 
-// route puts an action into its lane's queue.
-func (c *core) route(a forwarder.Action) {
+// queueAction puts an action into its lane's queue.
+func (c *core) queueAction(a forwarder.Action) {
 	lane, ok := a.OnLoop()
 	if !ok {
 		if t, timer := a.(forwarder.SetTimer); timer {
@@ -76,6 +76,6 @@
 		}
 		return // lists are told here, not asked for
 	}
-	l := c.lanes[lane]
-	l.acts = append(l.acts, a)
+	l := c.workers[lane]
+	l.actions = append(l.actions, a)
 }
--- a/gateway/core_test.go
+++ b/gateway/core_test.go
@@ -23,7 +23,7 @@
 		b.ReportAllocs()
 		b.RunParallel(func(pb *testing.PB) {
 			for pb.Next() {
-				c.tell(nil, forwarder.ClientCanceled{ID: 1})
+				c.handle(nil, forwarder.ClientCanceled{ID: 1})
 			}
 		})
 	})
--- a/gateway/draw.go
+++ b/gateway/draw.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// gate is the way to one node for the answers that stream on a lane.
-type gate struct {
+// nodeGate is the way to one node for the answers that stream on a lane.
+type nodeGate struct {
 	*fairshare.Gate[*nodeConn]
-	used    time.Time
-	crowded bool // in the lane's list
+	lastUsed  time.Time
+	contended bool // in the lane's list
 }
 
-// gateOf finds or makes a node's gate. Those of nodes that are gone are forgotten when
+// gate finds or makes a node's gate. Those of nodes that are gone are forgotten when
 // there are many.
-func (l *lane) gateOf(id dispatch.NodeID) *gate {
+func (l *loopWorker) gate(id dispatch.NodeID) *nodeGate {
 	if g := l.gates[id]; g != nil {
-		g.used = l.now()
+		g.lastUsed = l.now()
 		return g
 	}
-	x := l.g.cfg.Share
+	x := l.gateway.cfg.Share
 	s, err := fairshare.NewGate[*nodeConn](fairshare.GateConfig{
 		Depth:           x.Depth,
 		WaitersPerGrant: x.Crowd,
@@ -36,16 +36,16 @@
 		panic("gateway: " + err.Error()) // cannot happen: the settings were checked, and loops have the same
 	}
 	if l.gates == nil {
-		l.gates = map[dispatch.NodeID]*gate{}
+		l.gates = map[dispatch.NodeID]*nodeGate{}
 	}
 	if len(l.gates) >= maxGates {
 		for id, g := range l.gates {
-			if g.Idle() && l.now().Sub(g.used) > l.g.cfg.Limits.NodeAge.D() {
+			if g.Idle() && l.now().Sub(g.lastUsed) > l.gateway.cfg.Limits.NodeAge.D() {
 				delete(l.gates, id)
 			}
 		}
 	}
-	g := &gate{Gate: s, used: l.now()}
+	g := &nodeGate{Gate: s, lastUsed: l.now()}
 	l.gates[id] = g
 	return g
 }
@@ -54,102 +54,102 @@
 // connection holds its gate whatever becomes of it here.
 const maxGates = 1024
 
-// draw asks for leave to go on with an answer that streams.
-func (k *nodeConn) draw() {
-	if k.lease != nil {
-		k.c.Resume()
+// acquireGrant asks for leave to go on with an answer that streams.
+func (k *nodeConn) acquireGrant() {
+	if k.grant != nil {
+		k.conn.Resume()
 		return
 	}
-	k.ask()
-	k.lane.grant(k.gate)
+	k.requestGrant()
+	k.worker.grant(k.gate)
 }
 
-func (k *nodeConn) ask() {
-	if k.asking || !k.c.Readable() {
+func (k *nodeConn) requestGrant() {
+	if k.grantRequested || !k.conn.Readable() {
 		return // one that has nothing to move takes no place
 	}
-	k.asking = true
-	v := k.lane.payer(k.call.t)
-	k.gate.Request(k.lane.g.core.now(), v.name, v.terms, k)
-	if !k.gate.crowded {
-		k.gate.crowded = true
-		k.lane.crowded = append(k.lane.crowded, k.gate)
+	k.grantRequested = true
+	v := k.worker.chargedVolume(k.request.transaction)
+	k.gate.Request(k.worker.gateway.core.now(), v.name, v.flowConfig, k)
+	if !k.gate.contended {
+		k.gate.contended = true
+		k.worker.contended = append(k.worker.contended, k.gate)
 	}
 }
 
 // OnReadable lets a stream ask whose next bytes are there.
 func (k *nodeConn) OnReadable(*eventloop.Conn) {
-	if k.call != nil && k.r.State() == upstreamhttp.Streaming && k.lease == nil {
-		k.draw()
+	if k.request != nil && k.reader.State() == upstreamhttp.Streaming && k.grant == nil {
+		k.acquireGrant()
 	}
 }
 
-// giveWay gives a lease that is used up back and asks for another; it tells whether
+// renewGrant gives a lease that is used up back and asks for another; it tells whether
 // there is one at once.
-func (k *nodeConn) giveWay() bool {
-	k.c.Pause()
-	k.ask() // first, so that its own turn is among those that are chosen from
-	k.giveBack()
-	return k.lease != nil
+func (k *nodeConn) renewGrant() bool {
+	k.conn.Pause()
+	k.requestGrant() // first, so that its own turn is among those that are chosen from
+	k.releaseGrant()
+	return k.grant != nil
 }
 
-// giveBack ends a lease, and lets another stream draw.
-func (k *nodeConn) giveBack() {
-	if k.lease == nil {
+// releaseGrant ends a lease, and lets another stream draw.
+func (k *nodeConn) releaseGrant() {
+	if k.grant == nil {
 		return
 	}
-	k.gate.Done(k.lane.g.core.now(), k.lease, k.drawn)
-	k.lease, k.drawn = nil, 0
-	k.lane.grant(k.gate)
+	k.gate.Done(k.worker.gateway.core.now(), k.grant, k.grantUsed)
+	k.grant, k.grantUsed = nil, 0
+	k.worker.grant(k.gate)
 }
 
 // grant lets those draw whose turn it is.
-func (l *lane) grant(g *gate) {
-	now := l.g.core.now()
+func (l *loopWorker) grant(g *nodeGate) {
+	now := l.gateway.core.now()
 	for {
 		lease, ok := g.NextGrant(now)
 		if !ok {
 			return
 		}
 		k := lease.Item
-		k.asking = false
-		if k.lease != nil || k.call == nil || k.c == nil || k.r.State() != upstreamhttp.Streaming { // it has ended meanwhile
+		k.grantRequested = false
+		if k.grant != nil || k.request == nil || k.conn == nil || k.reader.State() != upstreamhttp.Streaming { // it has ended meanwhile
 			g.Done(now, lease, 0)
 			continue
 		}
-		k.lease, k.drawn, k.moved = lease, 0, l.now()
-		k.c.Resume()
+		k.grant, k.grantUsed, k.lastData = lease, 0, l.now()
+		k.conn.Resume()
 	}
 }
 
-// nextLease returns when the next place at a gate becomes free by time.
-func (l *lane) nextLease() (time.Duration, bool) {
+// nextGrantExpiry returns when the next place at a gate becomes free by time.
+func (l *loopWorker) nextGrantExpiry() (time.Duration, bool) {
 	var first time.Duration
 	any, n := false, 0
-	for _, g := range l.crowded {
+	for _, g := range l.contended {
 		at, ok := g.NextWake()
-		if g.crowded = ok; !ok {
+		if g.contended = ok; !ok {
 			continue
 		}
 		if !any || at < first {
 			first, any = at, true
 		}
-		l.crowded[n] = g
+		l.contended[n] = g
 		n++
 	}
-	clear(l.crowded[n:])
-	l.crowded = l.crowded[:n]
+	clear(l.contended[n:])
+	l.contended = l.contended[:n]
 	return first, any
 }
 
-// leases ends those that have had their time, and gives leave to those who wait.
-func (l *lane) leases(now time.Duration) {
-	for _, g := range l.crowded {
+// expireGrants ends those that have had their time, and gives leave to those who wait.
+func (l *loopWorker) expireGrants(now time.Duration) {
+	for _, g := range l.contended {
 		for lease, ok := g.Expired(now); ok; lease, ok = g.Expired(now) {
-			if k := lease.Item; k.lease == lease {
-				k.lease, k.drawn = nil, 0
-				k.c.Pause()
-				k.ask()
+			if k := lease.Item; k.grant == lease {
+				k.grant, k.grantUsed = nil, 0
+				k.conn.Pause()
+				k.requestGrant()
 			}
 		}
 		l.grant(g)
--- a/gateway/export_test.go
+++ b/gateway/export_test.go
@@ -6,10 +6,10 @@
 // is called.
 func (g *Gateway) Overload(volume string) (release func()) {
 	held, free := make(chan struct{}), make(chan struct{})
-	l := g.lanes[0]
+	l := g.workers[0]
 	l.loop.Post(func() {
 		interval := g.cfg.Share.Overload.Interval.D()
-		o := l.volumeOf(volume).over
+		o := l.volumeOf(volume).overload
 		o.ShouldReject(0, time.Minute)
 		o.ShouldReject(interval, time.Minute)
 		close(held)
--- a/gateway/fanout.go
+++ b/gateway/fanout.go
@@ -15,18 +15,18 @@
 // Operations that touch several shards: each shard's part is a request of its own,
 // with its own answer; the client's answer says the whole.
 
-// part is what one shard answered.
-type part struct {
+// shardResponse is what one shard answered.
+type shardResponse struct {
 	shard dispatch.Shard
-	result
-	status int
-	doc    []byte
+	nodeResult
+	status   int
+	document []byte
 }
 
-// fan sends one request for each shard, a few at a time, and goes on when all have
+// scatter sends one request for each shard, a few at a time, and goes on when all have
 // their answers.
-func (t *transaction) fan(shards []dispatch.Shard, ask func(i int, s dispatch.Shard) (*call, dispatch.Request), done func([]part)) {
-	parts := make([]part, len(shards))
+func (t *transaction) scatter(shards []dispatch.Shard, ask func(i int, s dispatch.Shard) (*nodeRequest, dispatch.Request), done func([]shardResponse)) {
+	parts := make([]shardResponse, len(shards))
 	next, open, inside := 0, 0, false
 	var more func()
 	more = func() {
@@ -34,25 +34,25 @@
 			return
 		}
 		inside = true
-		for next < len(shards) && open < t.conn.lane.g.cfg.Limits.FanOut && !t.ended {
+		for next < len(shards) && open < t.conn.worker.gateway.cfg.Limits.FanOut && !t.responded {
 			i := next
 			next, open = next+1, open+1
 			k, r := ask(i, shards[i])
-			k.done = func(res result) {
+			k.onResult = func(res nodeResult) {
 				open--
 				p := &parts[i]
-				p.shard, p.result = shards[i], res
-				if res.kind == answered {
-					p.status, p.doc = res.resp.Status, append([]byte(nil), res.body...)
+				p.shard, p.nodeResult = shards[i], res
+				if res.kind == resultBuffered {
+					p.status, p.document = res.resp.Status, append([]byte(nil), res.body...)
 				}
 				p.resp, p.body = nil, nil
-				t.forgetCall(k)
+				t.removeNodeRequest(k)
 				more()
 			}
-			t.call(k, r)
+			t.startNodeRequest(k, r)
 		}
 		inside = false
-		if open == 0 && next == len(shards) && !t.ended {
+		if open == 0 && next == len(shards) && !t.responded {
 			next++ // once
 			done(parts)
 		}
@@ -60,77 +60,77 @@
 	more()
 }
 
-func (t *transaction) forgetCall(k *call) {
-	t.calls = slices.DeleteFunc(t.calls, func(x *call) bool { return x == k })
+func (t *transaction) removeNodeRequest(k *nodeRequest) {
+	t.nodeRequests = slices.DeleteFunc(t.nodeRequests, func(x *nodeRequest) bool { return x == k })
 }
 
-// wholeParts answers for parts that are not all answered with one of the statuses, and
+// requireAll answers for parts that are not all answered with one of the statuses, and
 // tells whether they are: part of an answer must not pass for the whole.
-func (t *transaction) wholeParts(parts []part, want ...int) bool {
+func (t *transaction) requireAll(parts []shardResponse, want ...int) bool {
 	var after time.Duration
-	worst := answered
+	worst := resultBuffered
 	late := false
 	for _, p := range parts {
 		switch p.kind {
-		case refused:
-			after = max(after, p.after)
-			if worst == answered {
-				worst = refused
+		case resultRejected:
+			after = max(after, p.retryAfter)
+			if worst == resultBuffered {
+				worst = resultRejected
 			}
-		case failed:
-			worst, late = failed, late || p.late
+		case resultFailed:
+			worst, late = resultFailed, late || p.timedOut
 		}
 	}
 	switch worst {
-	case refused:
-		t.slowDown(after)
+	case resultRejected:
+		t.respondSlowDown(after)
 		return false
-	case failed:
-		t.giveUp(late)
+	case resultFailed:
+		t.respondFailure(late)
 		return false
 	}
 	for _, p := range parts {
 		if slices.Contains(want, p.status) {
 			continue
 		}
-		if e, ok := objectapi.ParseError(p.doc); ok {
-			t.fail(e, p.status)
+		if e, ok := objectapi.ParseError(p.document); ok {
+			t.respondError(e, p.status)
 		} else {
-			t.giveUp(false)
+			t.respondFailure(false)
 		}
 		return false
 	}
 	return true
 }
 
-// shardCall makes a call without a body to one shard.
-func (t *transaction) shardCall(kind objectapi.Kind, method, bucket string, q objectapi.Query, s dispatch.Shard, body []byte) (*call, dispatch.Request) {
-	r := t.price(kind, t.vol, s, "", int64(len(body)))
+// newShardRequest makes a call without a body to one shard.
+func (t *transaction) newShardRequest(kind objectapi.Kind, method, bucket string, q objectapi.Query, s dispatch.Shard, body []byte) (*nodeRequest, dispatch.Request) {
+	r := t.price(kind, t.volume, s, "", int64(len(body)))
 	b := t.nodeHead(make([]byte, 0, 512), method, bucket, "", q, r, kind.Writes(), "-"+strconv.Itoa(int(s)))
 	if method == "PUT" || method == "POST" {
 		b = http1.AppendLength(b, int64(len(body)))
 	}
-	return &call{method: method, head: b, body: body, collect: t.conn.lane.g.cfg.Limits.Document}, r
+	return &nodeRequest{method: method, head: b, body: body, maxBuffered: t.conn.worker.gateway.cfg.Limits.Document}, r
 }
 
 func (t *transaction) listBuckets() {
-	l := t.conn.lane
-	all := l.g.shards.Volume("", 0).Shards()
-	t.fan(all, func(_ int, s dispatch.Shard) (*call, dispatch.Request) {
-		return t.shardCall(objectapi.ListBuckets, "GET", "", nil, s, nil)
-	}, func(parts []part) {
-		if !t.wholeParts(parts, 200) {
+	l := t.conn.worker
+	all := l.gateway.shards.Volume("", 0).Shards()
+	t.scatter(all, func(_ int, s dispatch.Shard) (*nodeRequest, dispatch.Request) {
+		return t.newShardRequest(objectapi.ListBuckets, "GET", "", nil, s, nil)
+	}, func(parts []shardResponse) {
+		if !t.requireAll(parts, 200) {
 			return
 		}
 		seen := map[string]string{}
 		for _, p := range parts {
 			var r objectapi.ListAllMyBucketsResult
-			if xml.Unmarshal(p.doc, &r) != nil {
-				t.giveUp(false)
+			if xml.Unmarshal(p.document, &r) != nil {
+				t.respondFailure(false)
 				return
 			}
 			for _, b := range r.Buckets {
-				if when, ok := seen[b.Name]; t.key.may(b.Name) && (!ok || b.CreationDate < when) {
+				if when, ok := seen[b.Name]; t.key.mayAccess(b.Name) && (!ok || b.CreationDate < when) {
 					seen[b.Name] = b.CreationDate
 				}
 			}
@@ -140,67 +140,67 @@
 			res.Buckets = append(res.Buckets, objectapi.Bucket{Name: name, CreationDate: when})
 		}
 		slices.SortFunc(res.Buckets, func(a, b objectapi.Bucket) int { return strings.Compare(a.Name, b.Name) })
-		t.document(200, res)
+		t.respondXML(200, res)
 	})
 }
 
 func (t *transaction) createBucket() {
-	t.fan(t.vol.place.Shards(), func(_ int, s dispatch.Shard) (*call, dispatch.Request) {
-		return t.shardCall(objectapi.CreateBucket, "PUT", t.op.Bucket, nil, s, nil)
-	}, func(parts []part) {
-		if !t.wholeParts(parts, 200, 409) {
+	t.scatter(t.volume.placement.Shards(), func(_ int, s dispatch.Shard) (*nodeRequest, dispatch.Request) {
+		return t.newShardRequest(objectapi.CreateBucket, "PUT", t.op.Bucket, nil, s, nil)
+	}, func(parts []shardResponse) {
+		if !t.requireAll(parts, 200, 409) {
 			return
 		}
-		if !slices.ContainsFunc(parts, func(p part) bool { return p.status == 200 }) {
-			t.deny(objectapi.Errorf("BucketAlreadyOwnedByYou", "Your previous request to create the named bucket succeeded and you already own it."))
+		if !slices.ContainsFunc(parts, func(p shardResponse) bool { return p.status == 200 }) {
+			t.respondErrorCode(objectapi.Errorf("BucketAlreadyOwnedByYou", "Your previous request to create the named bucket succeeded and you already own it."))
 			return
 		}
-		t.reply(200, http1.AppendHeader([]byte(nil), "Location", "/"+t.op.Bucket), nil)
+		t.respond(200, http1.AppendHeader([]byte(nil), "Location", "/"+t.op.Bucket), nil)
 	})
 }
 
 // deleteBucket looks at all shards before it touches one. An object that is
 // written meanwhile keeps its shard's part; the others are made again then.
 func (t *transaction) deleteBucket() {
-	shards := t.vol.place.Shards()
+	shards := t.volume.placement.Shards()
 	look := objectapi.Query{{Name: "list-type", Value: "2"}, {Name: "max-keys", Value: "1"}}
 	notEmpty := objectapi.Errorf("BucketNotEmpty", "The bucket you tried to delete is not empty.")
 	remake := func(gone []dispatch.Shard) {
-		t.fan(gone, func(_ int, s dispatch.Shard) (*call, dispatch.Request) {
-			return t.shardCall(objectapi.CreateBucket, "PUT", t.op.Bucket, nil, s, nil)
-		}, func([]part) { t.deny(notEmpty) })
+		t.scatter(gone, func(_ int, s dispatch.Shard) (*nodeRequest, dispatch.Request) {
+			return t.newShardRequest(objectapi.CreateBucket, "PUT", t.op.Bucket, nil, s, nil)
+		}, func([]shardResponse) { t.respondErrorCode(notEmpty) })
 	}
 	remove := func() {
-		t.fan(shards, func(_ int, s dispatch.Shard) (*call, dispatch.Request) {
-			return t.shardCall(objectapi.DeleteBucket, "DELETE", t.op.Bucket, nil, s, nil)
-		}, func(parts []part) {
+		t.scatter(shards, func(_ int, s dispatch.Shard) (*nodeRequest, dispatch.Request) {
+			return t.newShardRequest(objectapi.DeleteBucket, "DELETE", t.op.Bucket, nil, s, nil)
+		}, func(parts []shardResponse) {
 			var gone []dispatch.Shard
 			for _, p := range parts {
 				if p.status == 204 {
 					gone = append(gone, p.shard)
 				}
 			}
-			if len(gone) < len(parts) && slices.ContainsFunc(parts, func(p part) bool { return p.status == 409 }) {
+			if len(gone) < len(parts) && slices.ContainsFunc(parts, func(p shardResponse) bool { return p.status == 409 }) {
 				remake(gone)
 				return
 			}
-			if t.wholeParts(parts, 204, 404) {
-				t.reply(204, nil, nil)
+			if t.requireAll(parts, 204, 404) {
+				t.respond(204, nil, nil)
 			}
 		})
 	}
-	t.fan(shards, func(_ int, s dispatch.Shard) (*call, dispatch.Request) {
-		return t.shardCall(objectapi.ListObjectsV2, "GET", t.op.Bucket, look, s, nil)
-	}, func(parts []part) {
-		if !slices.ContainsFunc(parts, func(p part) bool { return p.status == 200 }) && !t.wholeParts(parts, 200) {
+	t.scatter(shards, func(_ int, s dispatch.Shard) (*nodeRequest, dispatch.Request) {
+		return t.newShardRequest(objectapi.ListObjectsV2, "GET", t.op.Bucket, look, s, nil)
+	}, func(parts []shardResponse) {
+		if !slices.ContainsFunc(parts, func(p shardResponse) bool { return p.status == 200 }) && !t.requireAll(parts, 200) {
 			return
 		}
-		if !t.wholeParts(parts, 200, 404) {
+		if !t.requireAll(parts, 200, 404) {
 			return
 		}
 		for _, p := range parts {
-			if page, err := objectapi.ParseList(p.doc, nil); p.status == 200 && (err != nil || len(page.Contents) > 0) {
-				t.deny(notEmpty)
+			if page, err := objectapi.ParseList(p.document, nil); p.status == 200 && (err != nil || len(page.Contents) > 0) {
+				t.respondErrorCode(notEmpty)
 				return
 			}
 		}
@@ -208,19 +208,19 @@
 	})
 }
 
-func (t *transaction) location() {
-	first := t.vol.place.Shards()[:1]
-	t.fan(first, func(_ int, s dispatch.Shard) (*call, dispatch.Request) {
-		return t.shardCall(objectapi.GetBucketLocation, "GET", t.op.Bucket, objectapi.Query{{Name: "location"}}, s, nil)
-	}, func(parts []part) {
-		if !t.wholeParts(parts, 200) {
+func (t *transaction) getBucketLocation() {
+	first := t.volume.placement.Shards()[:1]
+	t.scatter(first, func(_ int, s dispatch.Shard) (*nodeRequest, dispatch.Request) {
+		return t.newShardRequest(objectapi.GetBucketLocation, "GET", t.op.Bucket, objectapi.Query{{Name: "location"}}, s, nil)
+	}, func(parts []shardResponse) {
+		if !t.requireAll(parts, 200) {
 			return
 		}
 		var doc objectapi.LocationConstraint
-		if r := t.conn.lane.g.cfg.Region; r != "us-east-1" { // the specification has that one empty
+		if r := t.conn.worker.gateway.cfg.Region; r != "us-east-1" { // the specification has that one empty
 			doc.Location = r
 		}
-		t.document(200, doc)
+		t.respondXML(200, doc)
 	})
 }
 
@@ -235,7 +235,7 @@
 		if tok := in.Get("continuation-token"); tok != "" {
 			b, err := base64.URLEncoding.DecodeString(tok)
 			if err != nil {
-				t.deny(objectapi.Errorf("InvalidArgument", "The continuation token provided is incorrect"))
+				t.respondErrorCode(objectapi.Errorf("InvalidArgument", "The continuation token provided is incorrect"))
 				return
 			}
 			after = string(b)
@@ -253,14 +253,14 @@
 	if name := map[bool]string{false: "marker", true: "start-after"}[v2]; after != "" {
 		q = append(q, objectapi.Param{Name: name, Value: after})
 	}
-	t.fan(t.vol.place.Shards(), func(_ int, s dispatch.Shard) (*call, dispatch.Request) {
-		return t.shardCall(t.op.Kind, "GET", t.op.Bucket, q, s, nil)
-	}, func(parts []part) {
-		if !t.wholeParts(parts, 200) {
+	t.scatter(t.volume.placement.Shards(), func(_ int, s dispatch.Shard) (*nodeRequest, dispatch.Request) {
+		return t.newShardRequest(t.op.Kind, "GET", t.op.Bucket, q, s, nil)
+	}, func(parts []shardResponse) {
+		if !t.requireAll(parts, 200) {
 			return
 		}
-		t.atLength(func(pause objectapi.Pause) any {
-			pages, err := parsed(parts, objectapi.ParseList, pause)
+		t.respondInSlices(func(pause objectapi.Pause) any {
+			pages, err := parseShards(parts, objectapi.ParseList, pause)
 			if err != nil {
 				return nil
 			}
@@ -314,7 +314,7 @@
 	return res
 }
 
-func (t *transaction) listUploads() {
+func (t *transaction) listMultipartUploads() {
 	in := t.op.Query
 	most := maxKeys(in.Get("max-uploads"))
 	q := objectapi.Query{{Name: "uploads"}, {Name: "encoding-type", Value: "url"}, {Name: "max-uploads", Value: strconv.Itoa(most)}}
@@ -323,14 +323,14 @@
 			q = append(q, objectapi.Param{Name: n, Value: v})
 		}
 	}
-	t.fan(t.vol.place.Shards(), func(_ int, s dispatch.Shard) (*call, dispatch.Request) {
-		return t.shardCall(objectapi.ListMultipartUploads, "GET", t.op.Bucket, q, s, nil)
-	}, func(parts []part) {
-		if !t.wholeParts(parts, 200) {
+	t.scatter(t.volume.placement.Shards(), func(_ int, s dispatch.Shard) (*nodeRequest, dispatch.Request) {
+		return t.newShardRequest(objectapi.ListMultipartUploads, "GET", t.op.Bucket, q, s, nil)
+	}, func(parts []shardResponse) {
+		if !t.requireAll(parts, 200) {
 			return
 		}
-		t.atLength(func(pause objectapi.Pause) any {
-			lists, err := parsed(parts, objectapi.ParseUploads, pause)
+		t.respondInSlices(func(pause objectapi.Pause) any {
+			lists, err := parseShards(parts, objectapi.ParseUploads, pause)
 			if err != nil {
 				return nil
 			}
@@ -364,35 +364,35 @@
 	return res
 }
 
-// parsed reads the document of each part, with pauses.
-func parsed[T any](parts []part, parse func([]byte, objectapi.Pause) (T, error), pause objectapi.Pause) ([]T, error) {
+// parseShards reads the document of each part, with pauses.
+func parseShards[T any](parts []shardResponse, parse func([]byte, objectapi.Pause) (T, error), pause objectapi.Pause) ([]T, error) {
 	all := make([]T, len(parts))
 	for i, p := range parts {
 		var err error
-		if all[i], err = parse(p.doc, pause); err != nil {
+		if all[i], err = parse(p.document, pause); err != nil {
 			return nil, err
 		}
 	}
 	return all, nil
 }
 
-// atLength makes a document out of work that may be long, and gives it as the answer: in slices that
+// respondInSlices makes a document out of work that may be long, and gives it as the answer: in slices that
 // count for the transaction's volume, so that nobody waits for more than one of them. work
 // returns nil where a node's part is no answer.
-func (t *transaction) atLength(work func(objectapi.Pause) any) {
-	l := t.conn.lane
-	l.loop.RunInSlices(l.payer(t).flow, func(pause func() bool) {
-		alive := func() bool { return !t.ended && pause() && !t.ended }
+func (t *transaction) respondInSlices(work func(objectapi.Pause) any) {
+	l := t.conn.worker
+	l.loop.RunInSlices(l.chargedVolume(t).flow, func(pause func() bool) {
+		alive := func() bool { return !t.responded && pause() && !t.responded }
 		v := work(alive)
-		if t.ended {
+		if t.responded {
 			return
 		}
 		if v == nil {
-			t.giveUp(false)
+			t.respondFailure(false)
 			return
 		}
 		if doc, ok := objectapi.MarshalAtLength(v, alive); ok {
-			t.reply(200, []byte("Content-Type: application/xml\r\n"), doc)
+			t.respond(200, []byte("Content-Type: application/xml\r\n"), doc)
 		}
 	})
 }
@@ -400,43 +400,43 @@
 // deleteObjects sends each shard its keys. A shard that cannot be had makes errors
 // of its keys, not of the whole.
 func (t *transaction) deleteObjects() {
-	req, err := objectapi.ParseDelete(t.held)
+	req, err := objectapi.ParseDelete(t.buffered)
 	if err != nil {
-		t.deny(err)
+		t.respondErrorCode(err)
 		return
 	}
 	byShard := map[dispatch.Shard][]objectapi.ObjectIdentifier{}
 	var shards []dispatch.Shard
 	for _, o := range req.Objects {
-		s := t.vol.place.Shard(o.Key)
+		s := t.volume.placement.Shard(o.Key)
 		if byShard[s] == nil {
 			shards = append(shards, s)
 		}
 		byShard[s] = append(byShard[s], o)
 	}
-	t.fan(shards, func(_ int, s dispatch.Shard) (*call, dispatch.Request) {
+	t.scatter(shards, func(_ int, s dispatch.Shard) (*nodeRequest, dispatch.Request) {
 		doc := objectapi.Marshal(objectapi.DeleteRequest{Objects: byShard[s]})
-		return t.shardCall(objectapi.DeleteObjects, "POST", t.op.Bucket, objectapi.Query{{Name: "delete"}}, s, doc)
-	}, func(parts []part) {
+		return t.newShardRequest(objectapi.DeleteObjects, "POST", t.op.Bucket, objectapi.Query{{Name: "delete"}}, s, doc)
+	}, func(parts []shardResponse) {
 		var res objectapi.DeleteResult
 		for _, p := range parts {
 			e := objectapi.Errorf("InternalError", "We encountered an internal error; whether the object was deleted is not known.")
 			switch {
-			case p.kind == refused:
+			case p.kind == resultRejected:
 				e = objectapi.Errorf("SlowDown", "Please reduce your request rate.")
-			case p.kind == answered && p.status == 200:
+			case p.kind == resultBuffered && p.status == 200:
 				var r objectapi.DeleteResult
-				if xml.Unmarshal(p.doc, &r) == nil {
+				if xml.Unmarshal(p.document, &r) == nil {
 					res.Deleted, res.Error = append(res.Deleted, r.Deleted...), append(res.Error, r.Error...)
 					continue
 				}
-			case p.kind == answered:
-				if pe, ok := objectapi.ParseError(p.doc); ok {
+			case p.kind == resultBuffered:
+				if pe, ok := objectapi.ParseError(p.document); ok {
 					e = pe
 				}
 			}
 			if e.Code == "NoSuchBucket" {
-				t.deny(e)
+				t.respondErrorCode(e)
 				return
 			}
 			for _, o := range byShard[p.shard] {
@@ -446,6 +446,6 @@
 		if req.Quiet {
 			res.Deleted = nil
 		}
-		t.document(200, res)
+		t.respondXML(200, res)
 	})
 }
--- a/gateway/front.go
+++ b/gateway/front.go
@@ -23,25 +23,25 @@
 
 // volume is a bucket as the settings see it.
 type volume struct {
-	name  string
-	plan  int
-	rate  float64
-	hosts int
-	place *placement.Volume
-	flow  *eventloop.Flow // its share of the lane's loop
-	terms fairshare.FlowConfig
-	over  *overload.Controller // of the lane's loop, by what it has to do for this volume
+	name        string
+	plan        int
+	rate        float64
+	dispatchers int
+	placement   *placement.Volume
+	flow        *eventloop.Flow // its share of the lane's loop
+	flowConfig  fairshare.FlowConfig
+	overload    *overload.Controller // of the lane's loop, by what it has to do for this volume
 }
 
 // maxVolumes bounds a lane's memory of volumes; it is made anew when it is full.
 const maxVolumes = 4096
 
 // volumeOf finds a bucket's volume; nil when no rule of the settings fits it.
-func (l *lane) volumeOf(bucket string) *volume {
+func (l *loopWorker) volumeOf(bucket string) *volume {
 	if v := l.volumes[bucket]; v != nil {
 		return v
 	}
-	s := l.g.cfg
+	s := l.gateway.cfg
 	i := s.BucketRule(bucket)
 	if i < 0 {
 		return nil
@@ -49,11 +49,11 @@
 	if len(l.volumes) >= maxVolumes {
 		clear(l.volumes)
 	}
-	v := &volume{name: strings.Clone(bucket), plan: s.Plan(i), hosts: s.Hosts(i), place: l.g.shards.Volume(bucket, s.Buckets[i].Spread)}
+	v := &volume{name: strings.Clone(bucket), plan: s.Plan(i), dispatchers: s.Hosts(i), placement: l.gateway.shards.Volume(bucket, s.Buckets[i].Spread)}
 	v.rate = s.Plans[v.plan].Rate
-	v.terms = s.Terms(i)
-	v.flow = l.loop.Flow(v.name, v.terms, l.g.shares.account(v.name, s))
-	v.over = l.newOverload()
+	v.flowConfig = s.Terms(i)
+	v.flow = l.loop.Flow(v.name, v.flowConfig, l.gateway.usage.shared(v.name, s))
+	v.overload = l.newOverloadController()
 	l.volumes[v.name] = v
 	return v
 }
@@ -64,8 +64,8 @@
 // handle takes a request whose head was read. Nothing reaches a node from one that
 // is not understood, not signed, or not allowed.
 func (t *transaction) handle(r *http1.Request) {
-	l := t.conn.lane
-	g := l.g
+	l := t.conn.worker
+	g := l.gateway
 	rawPath, _, _ := strings.Cut(string(r.Target), "?")
 	t.resource = rawPath
 	if !r.None() { // until it has come in
@@ -73,61 +73,61 @@
 	}
 	op, err := objectapi.Parse(r, g.cfg.Domains)
 	if err != nil {
-		t.deny(err)
+		t.respondErrorCode(err)
 		return
 	}
 	t.op = op
-	auth, aerr := g.verify.Verify(g.wall(), r)
+	auth, aerr := g.verifier.Verify(g.wall(), r)
 	if aerr != nil {
-		t.fail(objectapi.Errorf(aerr.Code, aerr.Message), aerr.Status)
+		t.respondError(objectapi.Errorf(aerr.Code, aerr.Message), aerr.Status)
 		return
 	}
 	t.key = (*g.keys.Load())[auth.KeyID]
-	if err := t.allowed(); err != nil {
-		t.deny(err)
+	if err := t.authorize(); err != nil {
+		t.respondErrorCode(err)
 		return
 	}
-	if err := unsupported(r.Headers); err != nil {
-		t.deny(err)
+	if err := checkUnsupportedHeaders(r.Headers); err != nil {
+		t.respondErrorCode(err)
 		return
 	}
 	if op.Bucket != "" {
-		if t.vol = l.volumeOf(op.Bucket); t.vol == nil {
-			t.deny(objectapi.Errorf("NoSuchBucket", "No rule of this gateway's settings fits the bucket."))
+		if t.volume = l.volumeOf(op.Bucket); t.volume == nil {
+			t.respondErrorCode(objectapi.Errorf("NoSuchBucket", "No rule of this gateway's settings fits the bucket."))
 			return
 		}
-		t.conn.speaksFor(t.vol)
-		if wait := l.paceOf(t.vol); wait > 0 {
-			t.close = t.close || t.body != nil // it is not waited for
-			t.slowDown(wait)
+		t.conn.assignVolume(t.volume)
+		if wait := l.rateLimitDelay(t.volume); wait > 0 {
+			t.closeConn = t.closeConn || t.body != nil // it is not waited for
+			t.respondSlowDown(wait)
 			return
 		}
 	}
 	if !op.Kind.HasBody() {
-		t.dispatch(r)
+		t.execute(r)
 		return
 	}
-	t.takeBody(r, auth)
+	t.receiveBody(r, auth)
 }
 
-// allowed checks the rights of the key.
-func (t *transaction) allowed() *objectapi.Error {
+// authorize checks the rights of the key.
+func (t *transaction) authorize() *objectapi.Error {
 	denied := objectapi.Errorf("AccessDenied", "Access Denied")
 	if t.key == nil || t.op.Kind.Writes() && !t.key.Write {
 		return denied
 	}
-	if t.op.Bucket != "" && !t.key.may(t.op.Bucket) || t.op.FromBucket != "" && !t.key.may(t.op.FromBucket) {
+	if t.op.Bucket != "" && !t.key.mayAccess(t.op.Bucket) || t.op.FromBucket != "" && !t.key.mayAccess(t.op.FromBucket) {
 		return denied
 	}
 	return nil
 }
 
-func (k *accessKey) may(bucket string) bool {
+func (k *accessKey) mayAccess(bucket string) bool {
 	return slices.ContainsFunc(k.Buckets, func(p string) bool { ok, _ := path.Match(p, bucket); return ok })
 }
 
-// unsupported refuses what would change an object's meaning if it were ignored.
-func unsupported(hs http1.Headers) *objectapi.Error {
+// checkUnsupportedHeaders refuses what would change an object's meaning if it were ignored.
+func checkUnsupportedHeaders(hs http1.Headers) *objectapi.Error {
 	for _, h := range hs {
 		if len(h.Name) < 9 || !http1.EqualFold(h.Name[:6], "x-amz-") {
 			continue
@@ -146,17 +146,17 @@
 	return nil
 }
 
-// takeBody gets the request's body in, or lets it stream through.
-func (t *transaction) takeBody(r *http1.Request, auth *sigv4.Auth) {
-	c, lim := t.conn, t.conn.lane.g.cfg.Limits
+// receiveBody gets the request's body in, or lets it stream through.
+func (t *transaction) receiveBody(r *http1.Request, auth *sigv4.Auth) {
+	c, lim := t.conn, t.conn.worker.gateway.cfg.Limits
 	if !r.HasLength && !r.Chunked && t.op.Kind != objectapi.CreateBucket {
-		t.deny(objectapi.Errorf("MissingContentLength", "You must provide the Content-Length HTTP header."))
+		t.respondErrorCode(objectapi.Errorf("MissingContentLength", "You must provide the Content-Length HTTP header."))
 		return
 	}
 	body, err := payload.New(r, auth)
 	if err != nil {
-		t.close = t.close || !r.None()
-		t.deny(err)
+		t.closeConn = t.closeConn || !r.None()
+		t.respondErrorCode(err)
 		return
 	}
 	t.body = body
@@ -165,29 +165,29 @@
 		most = maxObject
 	}
 	if body.Length > most {
-		t.deny(objectapi.Errorf("EntityTooLarge", "Your proposed upload exceeds the maximum allowed size."))
+		t.respondErrorCode(objectapi.Errorf("EntityTooLarge", "Your proposed upload exceeds the maximum allowed size."))
 		return
 	}
 	if t.op.Kind.Streams() && (body.Length < 0 || body.Length > int64(lim.Replay)) {
-		t.dispatch(r)
+		t.execute(r)
 		return
 	}
 	// What the request's head says must outlast the buffer that it was read from.
 	req := &http1.Request{Method: []byte(t.method), Target: []byte(string(r.Target)), Headers: r.Headers.Clone()}
-	t.then = func(t *transaction) { t.dispatch(req) }
+	t.onBody = func(t *transaction) { t.execute(req) }
 	if body.Length > 0 {
-		t.held = make([]byte, 0, body.Length)
+		t.buffered = make([]byte, 0, body.Length)
 	}
-	t.continueBody()
-	c.set(gathering)
-	t.turn(attribution.RequestBody)
+	t.sendContinue()
+	c.setState(stateBufferingBody)
+	t.enterComponent(attribution.RequestBody)
 	if r.None() {
-		c.gather(nil)
+		c.bufferBody(nil)
 	}
 }
 
-// dispatch starts what an operation needs of nodes.
-func (t *transaction) dispatch(r *http1.Request) {
+// execute starts what an operation needs of nodes.
+func (t *transaction) execute(r *http1.Request) {
 	switch t.op.Kind {
 	case objectapi.ListBuckets:
 		t.listBuckets()
@@ -196,19 +196,19 @@
 	case objectapi.DeleteBucket:
 		t.deleteBucket()
 	case objectapi.GetBucketLocation:
-		t.location()
+		t.getBucketLocation()
 	case objectapi.HeadBucket, objectapi.GetBucketVersioning:
-		t.forward(r, t.vol.place.Shards()[0], 0)
+		t.forward(r, t.volume.placement.Shards()[0], 0)
 	case objectapi.ListObjectsV1, objectapi.ListObjectsV2:
 		t.listObjects()
 	case objectapi.ListMultipartUploads:
-		t.listUploads()
+		t.listMultipartUploads()
 	case objectapi.DeleteObjects:
 		t.deleteObjects()
 	case objectapi.CopyObject, objectapi.UploadPartCopy:
 		t.copyObject(r)
 	case objectapi.PutObject, objectapi.UploadPart:
-		t.put(r)
+		t.putObject(r)
 	case objectapi.GetObject:
 		t.forward(r, t.shard(), rangeSize(r.Headers.Get("range")))
 	default:
@@ -217,7 +217,7 @@
 }
 
 // shard is that of the operation's object.
-func (t *transaction) shard() dispatch.Shard { return t.vol.place.Shard(t.op.Key) }
+func (t *transaction) shard() dispatch.Shard { return t.volume.placement.Shard(t.op.Key) }
 
 // rangeSize returns how many bytes a range asks for, -1 where its head does not say.
 func rangeSize(v []byte) int64 {
@@ -242,12 +242,12 @@
 
 // price makes the request that the dispatcher is asked about.
 func (t *transaction) price(kind objectapi.Kind, v *volume, shard dispatch.Shard, key string, size int64) dispatch.Request {
-	s := t.conn.lane.g
-	p := s.tariff.Of(kind, size)
+	s := t.conn.worker.gateway
+	p := s.costs.Of(kind, size)
 	class := &s.cfg.Classes[p.Class]
 	r := dispatch.Request{Class: p.Class, Shard: shard, Units: p.Units, Timeout: class.Deadline.D()}
 	if v != nil {
-		r.Plan, r.Volume, r.Dispatchers = v.plan, dispatch.VolumeID(v.name), v.hosts
+		r.Plan, r.Volume, r.Dispatchers = v.plan, dispatch.VolumeID(v.name), v.dispatchers
 	} else {
 		r.Volume, r.Dispatchers = "/", s.cfg.Peers // what belongs to no bucket
 	}
@@ -281,30 +281,30 @@
 	b = append(b, "\r\n"...)
 	if writes {
 		b = append(b, "x-chalkstand-key: "...)
-		b = append(b, t.conn.lane.g.core.nonce...)
+		b = append(b, t.conn.worker.gateway.core.nonce...)
 		b = append(append(b, t.id...), part...)
 		b = append(b, "\r\n"...)
 	}
 	return b
 }
 
-// passed are the request headers that go on to a node, beside those of x-amz-.
-var passed = []string{
+// forwardedHeaders are the request headers that go on to a node, beside those of x-amz-.
+var forwardedHeaders = []string{
 	"content-type", "content-encoding", "content-disposition", "content-language", "cache-control", "expires",
 	"range", "if-match", "if-none-match", "if-modified-since", "if-unmodified-since", "if-range", "content-md5",
 }
 
-// notPassed are headers of x-amz- that speak to the gateway.
-var notPassed = []string{
+// gatewayHeaders are headers of x-amz- that speak to the gateway.
+var gatewayHeaders = []string{
 	"x-amz-date", "x-amz-content-sha256", "x-amz-security-token", "x-amz-decoded-content-length", "x-amz-trailer",
 	"x-amz-copy-source", "x-amz-acl",
 }
 
-func appendPassed(b []byte, hs http1.Headers) []byte {
+func appendForwardedHeaders(b []byte, hs http1.Headers) []byte {
 	for _, h := range hs {
 		is := func(n string) bool { return http1.EqualFold(h.Name, n) }
 		amz := len(h.Name) > 6 && http1.EqualFold(h.Name[:6], "x-amz-")
-		if amz && slices.ContainsFunc(notPassed, is) || !amz && !slices.ContainsFunc(passed, is) {
+		if amz && slices.ContainsFunc(gatewayHeaders, is) || !amz && !slices.ContainsFunc(forwardedHeaders, is) {
 			continue
 		}
 		v := h.Value
@@ -332,37 +332,37 @@
 // forward sends an operation to the node of one shard and serves its answer.
 func (t *transaction) forward(r *http1.Request, shard dispatch.Shard, size int64) {
 	kind := t.op.Kind
-	req := t.price(kind, t.vol, shard, t.op.Key, size)
-	b := make([]byte, 0, 512+len(t.held)/64)
+	req := t.price(kind, t.volume, shard, t.op.Key, size)
+	b := make([]byte, 0, 512+len(t.buffered)/64)
 	b = t.nodeHead(b, t.method, t.op.Bucket, t.op.Key, t.op.Query, req, kind.Writes(), "")
-	b = appendPassed(b, r.Headers)
+	b = appendForwardedHeaders(b, r.Headers)
 	if kind.HasBody() || t.method == "POST" {
-		b = http1.AppendLength(b, int64(len(t.held)))
+		b = http1.AppendLength(b, int64(len(t.buffered)))
 	}
-	k := &call{method: t.method, head: b, body: t.held, collect: t.conn.lane.g.cfg.Limits.Replay, sink: t, done: t.serve}
-	k.reads = kind == objectapi.GetObject
-	k.guess = k.reads && size < 0
-	t.call(k, req)
+	k := &nodeRequest{method: t.method, head: b, body: t.buffered, maxBuffered: t.conn.worker.gateway.cfg.Limits.Replay, sink: t, onResult: t.respondResult}
+	k.readsObject = kind == objectapi.GetObject
+	k.sizeUnknown = k.readsObject && size < 0
+	t.startNodeRequest(k, req)
 }
 
-// put stores an object or a part.
-func (t *transaction) put(r *http1.Request) {
+// putObject stores an object or a part.
+func (t *transaction) putObject(r *http1.Request) {
 	kind := t.op.Kind
 	size := t.body.Length
-	req := t.price(kind, t.vol, t.shard(), t.op.Key, size)
+	req := t.price(kind, t.volume, t.shard(), t.op.Key, size)
 	b := t.nodeHead(make([]byte, 0, 768), "PUT", t.op.Bucket, t.op.Key, t.op.Query, req, true, "")
-	b = appendPassed(b, r.Headers)
-	k := &call{method: "PUT", collect: t.conn.lane.g.cfg.Limits.Replay, done: t.serve}
+	b = appendForwardedHeaders(b, r.Headers)
+	k := &nodeRequest{method: "PUT", maxBuffered: t.conn.worker.gateway.cfg.Limits.Replay, onResult: t.respondResult}
 	trailer, trailing := t.body.Trailing()
-	if t.whole {
+	if t.bodyComplete {
 		if trailing {
 			b = http1.AppendHeader(b, trailer, t.body.Checksum.Value)
 		}
-		k.body = t.held
-		b = http1.AppendLength(b, int64(len(t.held)))
+		k.body = t.buffered
+		b = http1.AppendLength(b, int64(len(t.buffered)))
 	} else {
-		u := &upload{t: t, call: k, trailer: trailer, chunked: trailing || size < 0}
-		if t.up = u; u.chunked {
+		u := &upload{transaction: t, request: k, trailer: trailer, chunked: trailing || size < 0}
+		if t.upload = u; u.chunked {
 			b = append(b, "Transfer-Encoding: chunked\r\n"...)
 			if trailing {
 				b = http1.AppendHeader(b, "Trailer", trailer)
@@ -373,51 +373,51 @@
 		k.source = u
 	}
 	k.head = b
-	t.call(k, req)
+	t.startNodeRequest(k, req)
 }
 
-// call begins a request of this transaction to a node.
-func (t *transaction) call(k *call, r dispatch.Request) {
-	if t.vol != nil {
-		k.rate = t.vol.rate
-	}
-	t.calls = append(t.calls, k)
-	k.t, t.asked = t, true
-	t.open++
-	if t.conn.state == reading || t.conn.state == gathering {
-		t.conn.set(asking)
-	}
-	t.conn.lane.begin(k, r)
+// startNodeRequest begins a request of this transaction to a node.
+func (t *transaction) startNodeRequest(k *nodeRequest, r dispatch.Request) {
+	if t.volume != nil {
+		k.volumeRate = t.volume.rate
+	}
+	t.nodeRequests = append(t.nodeRequests, k)
+	k.transaction, t.usedNodes = t, true
+	t.openRequests++
+	if t.conn.state == stateReading || t.conn.state == stateBufferingBody {
+		t.conn.setState(stateWaiting)
+	}
+	t.conn.worker.startRequest(k, r)
 }
 
-// serve gives a call's result as the transaction's answer.
-func (t *transaction) serve(r result) {
-	if t.ended {
+// respondResult gives a call's result as the transaction's answer.
+func (t *transaction) respondResult(r nodeResult) {
+	if t.responded {
 		return
 	}
 	switch r.kind {
-	case answered:
-		t.relay(r)
-	case streamed:
+	case resultBuffered:
+		t.proxyResponse(r)
+	case resultStreamed:
 		t.streamEnded(false)
-	case cut:
+	case resultAborted:
 		t.streamEnded(true)
-	case refused:
-		t.slowDown(r.after)
-	case failed:
-		t.giveUp(r.late)
+	case resultRejected:
+		t.respondSlowDown(r.retryAfter)
+	case resultFailed:
+		t.respondFailure(r.timedOut)
 	}
 }
 
-// relay passes on a node's whole answer.
-func (t *transaction) relay(r result) {
-	if t.ended || t.begun {
+// proxyResponse passes on a node's whole answer.
+func (t *transaction) proxyResponse(r nodeResult) {
+	if t.responded || t.headersSent {
 		return
 	}
 	b := t.appendHead(r.resp.Status)
 	b = appendNodeHeaders(b, r.resp.Headers)
 	switch {
-	case t.head: // the length of what a GET would bring
+	case t.headOnly: // the length of what a GET would bring
 		if v := r.resp.Headers.Get("content-length"); v != nil {
 			b = http1.AppendHeader(b, "Content-Length", v)
 		}
@@ -425,12 +425,12 @@
 		b = http1.AppendLength(b, int64(len(r.body)))
 	}
 	b = append(b, "\r\n"...)
-	if !t.head {
+	if !t.headOnly {
 		b = append(b, r.body...)
 	}
-	t.conn.lane.scratch = b[:0]
-	t.begun = true
-	t.conn.c.Write(b)
+	t.conn.worker.scratch = b[:0]
+	t.headersSent = true
+	t.conn.conn.Write(b)
 	t.finish()
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -53,13 +53,13 @@
 // one at a time, soon after its end; accounts are kept whatever the settings say.
 // f must not block.
 func WithAttribution(f func(attribution.Entry)) Option {
-	return func(g *Gateway) { g.eachAccount, g.cfg.Accounts.On = f, true }
+	return func(g *Gateway) { g.onEntry, g.cfg.Accounts.On = f, true }
 }
 
 // WithAttributionLog has f given the slots of the accounts as they close (Closed) and
 // later corrections of these (Fixed), in order, one at a time.
 func WithAttributionLog(f func(attribution.Action)) Option {
-	return func(g *Gateway) { g.saveAccount = f }
+	return func(g *Gateway) { g.onLogAction = f }
 }
 
 // Gateway is one running gateway.
@@ -70,28 +70,28 @@
 	wall     func() time.Time
 	seed     uint64
 	trace    func(time.Duration, dispatch.Event, []dispatch.Action)
-	born     time.Time // by the wall clock
-
-	eachAccount func(attribution.Entry)
-	saveAccount func(attribution.Action)
-	books       *bookkeeper // nil: no accounts are kept
-
-	tariff   *costmodel.Tariff
-	shards   *placement.Map
-	verify   *sigv4.Verifier
-	keys     atomic.Pointer[map[string]*accessKey]
-	core     *core
-	lanes    []*lane
-	metrics  *metrics
-	nextID   atomic.Uint64
-	shares   shares
-	turn     int // of the lane that takes the next connection; lane 0 only
-	serving  sync.WaitGroup
-	draining atomic.Bool
-	open     atomic.Int64 // client connections
-	busy     atomic.Int64 // client requests in hand
-	closed   sync.Once
-	shut     sync.Once // of the books
+	started  time.Time // by the wall clock
+
+	onEntry     func(attribution.Entry)
+	onLogAction func(attribution.Action)
+	attribution *attributionWorker // nil: no accounts are kept
+
+	costs       *costmodel.Tariff
+	shards      *placement.Map
+	verifier    *sigv4.Verifier
+	keys        atomic.Pointer[map[string]*accessKey]
+	core        *core
+	workers     []*loopWorker
+	metrics     *metrics
+	nextID      atomic.Uint64
+	usage       usageRegistry
+	nextWorker  int // of the lane that takes the next connection; lane 0 only
+	goroutines  sync.WaitGroup
+	draining    atomic.Bool
+	clientConns atomic.Int64 // client connections
+	inFlight    atomic.Int64 // client requests in hand
+	closeOnce   sync.Once
+	flushOnce   sync.Once // of the books
 }
 
 type accessKey struct {
@@ -105,12 +105,12 @@
 		o(g)
 	}
 	var err error
-	if g.tariff, err = cfg.Tariff(); err != nil {
+	if g.costs, err = cfg.Tariff(); err != nil {
 		return nil, fmt.Errorf("gateway: operations: %w", err)
 	}
 	g.shards = placement.New(cfg.Shards)
 	g.SetKeys(cfg.Keys)
-	g.verify = &sigv4.Verifier{Region: cfg.Region, Skew: cfg.Limits.Skew.D(), Secret: g.secret}
+	g.verifier = &sigv4.Verifier{Region: cfg.Region, Skew: cfg.Limits.Skew.D(), Secret: g.secret}
 	l := cfg.Limits
 	x, err := forwarder.New(forwarder.Config{
 		Dispatch: cfg.Choice(), Seed: g.seed, MaxConnsPerNode: l.ConnsPerNode, MaxStreamsPerNode: l.Streams, IdleTimeout: l.NodeIdle.D(),
@@ -121,10 +121,10 @@
 	}
 	x.Trace = g.trace
 	g.core = newCore(x)
-	g.born = g.wall()
+	g.started = g.wall()
 	g.nextID.Store(rand.Uint64() >> 24 << 20) // a late report must not meet a request of another life
 	if cfg.Accounts.On {
-		if g.books, err = newBookkeeper(cfg.Accounts, g.core.now, g.eachAccount, g.saveAccount); err != nil {
+		if g.attribution, err = newAttributionWorker(cfg.Accounts, g.core.now, g.onEntry, g.onLogAction); err != nil {
 			return nil, fmt.Errorf("gateway: %w", err)
 		}
 	}
@@ -139,20 +139,20 @@
 		if err != nil {
 			return nil, fmt.Errorf("gateway: %w", err)
 		}
-		g.lanes = append(g.lanes, newLane(g, loop))
+		g.workers = append(g.workers, newLoopWorker(g, loop))
 	}
-	g.core.lanes = g.lanes
-	for _, l := range g.lanes {
-		g.serving.Go(func() {
+	g.core.workers = g.workers
+	for _, l := range g.workers {
+		g.goroutines.Go(func() {
 			if err := l.loop.Run(); err != nil {
 				g.log.Error("event loop ended", zap.Error(err))
 			}
 		})
 	}
-	g.serving.Go(g.core.run)
-	g.serving.Go(g.tick)
-	if g.books != nil {
-		go g.books.run()
+	g.goroutines.Go(g.core.run)
+	g.goroutines.Go(g.sweepPeriodically)
+	if g.attribution != nil {
+		go g.attribution.run()
 	}
 	if len(cfg.Nodes) > 0 {
 		g.UpdateEndpoints(dispatch.Snapshot, EndpointsOf(cfg.Nodes))
@@ -178,7 +178,7 @@
 
 // UpdateEndpoints tells the gateway of its storage nodes. Times in it are on Now's scale.
 func (g *Gateway) UpdateEndpoints(kind dispatch.EndpointUpdateKind, nodes []forwarder.Node) {
-	g.core.tell(nil, forwarder.EndpointUpdate{Kind: kind, Nodes: nodes})
+	g.core.handle(nil, forwarder.EndpointUpdate{Kind: kind, Nodes: nodes})
 }
 
 // SetKeys replaces the access keys. Requests already taken keep theirs.
@@ -206,9 +206,9 @@
 			return fmt.Errorf("gateway: listener %v: %w", ln.Addr(), err)
 		}
 		ln.Close()
-		first := g.lanes[0]
+		first := g.workers[0]
 		failed := make(chan error, 1)
-		first.loop.Post(func() { failed <- first.loop.Listen(fd, first.strange.flow, g.accept) })
+		first.loop.Post(func() { failed <- first.loop.Listen(fd, first.newcomers.flow, g.accept) })
 		if err := <-failed; err != nil {
 			return fmt.Errorf("gateway: listener: %w", err)
 		}
@@ -222,29 +222,29 @@
 
 // accept runs on the first loop and spreads connections over all.
 func (g *Gateway) accept(fd int, sa unix.Sockaddr) {
-	if int(g.open.Load()) >= g.cfg.Limits.Conns || g.draining.Load() {
-		g.metrics.turnedAway.Inc()
-		unix.Write(fd, tooMany)
+	if int(g.clientConns.Load()) >= g.cfg.Limits.Conns || g.draining.Load() {
+		g.metrics.connsRejected.Inc()
+		unix.Write(fd, tooManyConns)
 		unix.Close(fd)
 		return
 	}
-	g.open.Add(1)
-	l := g.lanes[g.turn%len(g.lanes)]
-	g.turn++
-	if l == g.lanes[0] {
+	g.clientConns.Add(1)
+	l := g.workers[g.nextWorker%len(g.workers)]
+	g.nextWorker++
+	if l == g.workers[0] {
 		l.addClient(fd)
 	} else {
 		l.loop.Post(func() { l.addClient(fd) })
 	}
 }
 
-var tooMany = []byte("HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
+var tooManyConns = []byte("HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 
 // Drain stops accepting and waits until every request taken has its answer, or
 // ctx ends.
 func (g *Gateway) Drain(ctx context.Context) error {
 	g.draining.Store(true)
-	for _, l := range g.lanes {
+	for _, l := range g.workers {
 		l.loop.Post(func() {
 			l.loop.StopListening()
 			l.closeIdle()
@@ -252,11 +252,11 @@
 	}
 	t := time.NewTicker(5 * time.Millisecond)
 	defer t.Stop()
-	for g.busy.Load() > 0 {
+	for g.inFlight.Load() > 0 {
 		select {
 		case <-t.C:
 		case <-ctx.Done():
-			return fmt.Errorf("gateway: %d requests still in hand: %w", g.busy.Load(), ctx.Err())
+			return fmt.Errorf("gateway: %d requests still in hand: %w", g.inFlight.Load(), ctx.Err())
 		}
 	}
 	return nil
@@ -264,24 +264,24 @@
 
 // Close ends the gateway at once. What it held is the clients' to retry.
 func (g *Gateway) Close() error {
-	g.closed.Do(func() {
+	g.closeOnce.Do(func() {
 		g.core.stop()
-		for _, l := range g.lanes {
+		for _, l := range g.workers {
 			l.loop.Stop()
 		}
 		if g.registry != nil {
 			g.registry.Unregister(g.metrics)
 		}
 	})
-	g.serving.Wait()
-	if g.books != nil {
-		g.shut.Do(func() {
-			for _, l := range g.lanes { // their loops have ended
+	g.goroutines.Wait()
+	if g.attribution != nil {
+		g.flushOnce.Do(func() {
+			for _, l := range g.workers { // their loops have ended
 				l.flushBatch()
 			}
-			close(g.books.in)
+			close(g.attribution.batches)
 		})
-		<-g.books.ended
+		<-g.attribution.done
 	}
 	return nil
 }
@@ -290,7 +290,7 @@
 // or slow. Their limits are much longer.
 const sweepEvery = 100 * time.Millisecond
 
-func (g *Gateway) tick() {
+func (g *Gateway) sweepPeriodically() {
 	t := time.NewTicker(sweepEvery)
 	defer t.Stop()
 	for {
@@ -298,7 +298,7 @@
 		case <-g.core.done:
 			return
 		case <-t.C:
-			for _, l := range g.lanes {
+			for _, l := range g.workers {
 				l.loop.Post(l.sweep)
 			}
 		}
@@ -315,13 +315,13 @@
 }
 
 // InFlight returns how many client requests are taken and not yet answered.
-func (g *Gateway) InFlight() int { return int(g.busy.Load()) }
+func (g *Gateway) InFlight() int { return int(g.inFlight.Load()) }
 
 // BufferedBytes returns how many bytes wait in the gateway's own buffers, of all
 // connections.
 func (g *Gateway) BufferedBytes() int {
-	n := make(chan int, len(g.lanes))
-	for _, l := range g.lanes {
+	n := make(chan int, len(g.workers))
+	for _, l := range g.workers {
 		l.loop.Post(func() {
 			sum := 0
 			l.loop.EachConn(func(c *eventloop.Conn) { sum += c.Pending() + c.Buffered() })
@@ -329,7 +329,7 @@
 		})
 	}
 	sum := 0
-	for range g.lanes {
+	for range g.workers {
 		select {
 		case x := <-n:
 			sum += x
--- a/gateway/lane.go
+++ b/gateway/lane.go
@@ -13,163 +13,163 @@
 	"golang.org/x/sys/unix"
 )
 
-// lane is one event loop with all that runs on it: clients, their requests, and
+// loopWorker is one event loop with all that runs on it: clients, their requests, and
 // connections to nodes. Everything but acts and woken is touched on the loop only.
-type lane struct {
-	g     *Gateway
-	index forwarder.LoopID
-	loop  *eventloop.Loop
-
-	calls   map[dispatch.RequestID]*call
-	conns   map[forwarder.ConnID]*nodeConn
-	clients map[*clientConn]struct{}
-	volumes map[string]*volume
-	gates   map[dispatch.NodeID]*gate
-	crowded []*gate // where somebody waits, or did a moment ago
-	strange *volume // stands for that of connections that have not spoken for one yet
-	house   *volume // stands for what belongs to none
-	resting restingClients
-	leaving map[dispatch.RequestID]*call // dropped here, not yet accounted for
-	batch   attribution.Batch            // on its way to the books
-	behind  []eventloop.SliceUsage       // scratch
-	scratch []byte
-	swept   time.Time // of the last sweep: the coarse clock of connections
-	date    string    // for answers
-	dateAt  int64
-
-	acts      []forwarder.Action // under core.mu
-	woken     bool               // under core.mu
-	spare     []forwarder.Action
-	following bool
+type loopWorker struct {
+	gateway *Gateway
+	index   forwarder.LoopID
+	loop    *eventloop.Loop
+
+	requests     map[dispatch.RequestID]*nodeRequest
+	conns        map[forwarder.ConnID]*nodeConn
+	clients      map[*clientConn]struct{}
+	volumes      map[string]*volume
+	gates        map[dispatch.NodeID]*nodeGate
+	contended    []*nodeGate // where somebody waits, or did a moment ago
+	newcomers    *volume     // stands for that of connections that have not spoken for one yet
+	ownVolume    *volume     // stands for what belongs to none
+	backoff      backoffQueue
+	unattributed map[dispatch.RequestID]*nodeRequest // dropped here, not yet accounted for
+	batch        attribution.Batch                   // on its way to the books
+	contenders   []eventloop.SliceUsage              // scratch
+	scratch      []byte
+	coarseNow    time.Time // of the last sweep: the coarse clock of connections
+	date         string    // for answers
+	dateSecond   int64
+
+	actions      []forwarder.Action // under core.mu
+	wakePosted   bool               // under core.mu
+	spareActions []forwarder.Action
+	applying     bool
 }
 
-func newLane(g *Gateway, loop *eventloop.Loop) *lane {
-	l := &lane{
-		g: g, index: forwarder.LoopID(loop.Index), loop: loop, calls: map[dispatch.RequestID]*call{},
-		conns: map[forwarder.ConnID]*nodeConn{}, clients: map[*clientConn]struct{}{}, volumes: map[string]*volume{}, leaving: map[dispatch.RequestID]*call{}, swept: time.Now(),
+func newLoopWorker(g *Gateway, loop *eventloop.Loop) *loopWorker {
+	l := &loopWorker{
+		gateway: g, index: forwarder.LoopID(loop.Index), loop: loop, requests: map[dispatch.RequestID]*nodeRequest{},
+		conns: map[forwarder.ConnID]*nodeConn{}, clients: map[*clientConn]struct{}{}, volumes: map[string]*volume{}, unattributed: map[dispatch.RequestID]*nodeRequest{}, coarseNow: time.Now(),
 	}
-	l.strange = &volume{name: "(newcomers)", terms: fairshare.FlowConfig{Weight: g.cfg.Share.Newcomers}, over: l.newOverload()}
-	l.strange.flow = loop.Flow(l.strange.name, l.strange.terms, g.shares.account(l.strange.name, g.cfg))
-	loop.SetTimer(l.nextAlarm, l.ring)
-	l.house = &volume{name: "(gateway)", terms: fairshare.FlowConfig{Weight: 1}}
-	l.house.flow = loop.Flow(l.house.name, l.house.terms, nil)
+	l.newcomers = &volume{name: "(newcomers)", flowConfig: fairshare.FlowConfig{Weight: g.cfg.Share.Newcomers}, overload: l.newOverloadController()}
+	l.newcomers.flow = loop.Flow(l.newcomers.name, l.newcomers.flowConfig, g.usage.shared(l.newcomers.name, g.cfg))
+	loop.SetTimer(l.nextTimer, l.onTimer)
+	l.ownVolume = &volume{name: "(gateway)", flowConfig: fairshare.FlowConfig{Weight: 1}}
+	l.ownVolume.flow = loop.Flow(l.ownVolume.name, l.ownVolume.flowConfig, nil)
 	return l
 }
 
-func (l *lane) tell(ev forwarder.Event) { l.g.core.tell(l, ev) }
+func (l *loopWorker) handle(ev forwarder.Event) { l.gateway.core.handle(l, ev) }
 
-// follow does what the forwarder decided for this lane, in order. Called again from
+// applyActions does what the forwarder decided for this lane, in order. Called again from
 // within, it leaves the rest to the first.
-func (l *lane) follow() {
-	if l.following {
+func (l *loopWorker) applyActions() {
+	if l.applying {
 		return
 	}
-	l.following = true
+	l.applying = true
 	for {
-		l.g.core.mu.Lock()
-		l.woken = false
-		acts := l.acts
-		l.acts = l.spare[:0]
-		l.g.core.mu.Unlock()
-		l.spare = acts
+		l.gateway.core.mu.Lock()
+		l.wakePosted = false
+		acts := l.actions
+		l.actions = l.spareActions[:0]
+		l.gateway.core.mu.Unlock()
+		l.spareActions = acts
 		if len(acts) == 0 {
 			break
 		}
 		for i, a := range acts {
 			acts[i] = nil
-			l.do(a)
+			l.apply(a)
 		}
 	}
-	l.following = false
+	l.applying = false
 }
 
-func (l *lane) do(a forwarder.Action) {
+func (l *loopWorker) apply(a forwarder.Action) {
 	switch a := a.(type) {
 	case forwarder.Dial:
 		l.dial(a)
 	case forwarder.SendRequest:
-		if k, c := l.conns[a.Conn], l.calls[a.ID]; k != nil && c != nil {
+		if k, c := l.conns[a.Conn], l.requests[a.ID]; k != nil && c != nil {
 			k.send(c, a)
 		}
 	case forwarder.CloseConn:
 		if k := l.conns[a.Conn]; k != nil {
 			delete(l.conns, a.Conn)
-			k.shut()
+			k.close()
 		}
 	case forwarder.ForwardResponse:
-		if c := l.take(a.ID); c != nil {
-			r := result{kind: failed}
+		if c := l.complete(a.ID); c != nil {
+			r := nodeResult{kind: resultFailed}
 			if k := l.conns[a.Conn]; k != nil {
-				r = k.handOver()
+				r = k.takeResult()
 			}
-			c.done(r)
+			c.onResult(r)
 		}
 	case forwarder.RequestAttributed:
-		l.accounted(a)
+		l.requestAttributed(a)
 	case forwarder.DiscardResponse:
 		if k := l.conns[a.Conn]; k != nil {
-			k.handOver()
+			k.takeResult()
 		}
 	case forwarder.Reject:
-		l.g.metrics.refused.Inc()
-		if c := l.take(a.ID); c != nil {
-			c.done(result{kind: refused, after: a.RetryAfter})
+		l.gateway.metrics.rejected.Inc()
+		if c := l.complete(a.ID); c != nil {
+			c.onResult(nodeResult{kind: resultRejected, retryAfter: a.RetryAfter})
 		}
 	case forwarder.Fail:
-		l.g.metrics.failed.Inc()
-		if c := l.take(a.ID); c != nil {
-			c.done(result{kind: failed, late: a.TimedOut})
+		l.gateway.metrics.failed.Inc()
+		if c := l.complete(a.ID); c != nil {
+			c.onResult(nodeResult{kind: resultFailed, timedOut: a.TimedOut})
 		}
 	case forwarder.AbortResponse:
-		l.g.metrics.cut.Inc()
-		if c := l.take(a.ID); c != nil {
-			c.done(result{kind: cut})
+		l.gateway.metrics.aborted.Inc()
+		if c := l.complete(a.ID); c != nil {
+			c.onResult(nodeResult{kind: resultAborted})
 		}
 	}
 }
 
-// take removes a call that has its end.
-func (l *lane) take(id dispatch.RequestID) *call {
-	c := l.calls[id]
+// complete removes a call that has its end.
+func (l *loopWorker) complete(id dispatch.RequestID) *nodeRequest {
+	c := l.requests[id]
 	if c != nil {
-		delete(l.calls, id)
-		c.over = true
+		delete(l.requests, id)
+		c.completed = true
 	}
 	return c
 }
 
-// begin hands a call to the forwarder. Its answer may come before begin returns.
-func (l *lane) begin(c *call, r dispatch.Request) {
-	c.id = dispatch.RequestID(l.g.nextID.Add(1))
+// startRequest hands a call to the forwarder. Its answer may come before begin returns.
+func (l *loopWorker) startRequest(c *nodeRequest, r dispatch.Request) {
+	c.id = dispatch.RequestID(l.gateway.nextID.Add(1))
 	r.ID = c.id
-	c.lane = l
-	l.calls[c.id] = c
-	l.tell(forwarder.StartRequest{Request: r, Loop: l.index, NotReplayable: c.source != nil})
+	c.worker = l
+	l.requests[c.id] = c
+	l.handle(forwarder.StartRequest{Request: r, Loop: l.index, NotReplayable: c.source != nil})
 }
 
-// drop ends a call that nobody waits for.
-func (l *lane) drop(c *call) {
-	if c == nil || c.over || c.lane == nil {
+// cancelRequest ends a call that nobody waits for.
+func (l *loopWorker) cancelRequest(c *nodeRequest) {
+	if c == nil || c.completed || c.worker == nil {
 		return
 	}
-	l.leave(c)
+	l.forget(c)
 	e := forwarder.ClientCanceled{ID: c.id}
-	if c.reads { // it pays for what it used
-		e.Units = l.g.tariff.Of(objectapi.GetObject, c.passed).Units
+	if c.readsObject { // it pays for what it used
+		e.Units = l.gateway.costs.Of(objectapi.GetObject, c.streamedBytes).Units
 	}
-	l.tell(e)
+	l.handle(e)
 }
 
-// leave removes a call whose answer nobody waits for. The forwarder has yet to hear
+// forget removes a call whose answer nobody waits for. The forwarder has yet to hear
 // of it, and to account for it.
-func (l *lane) leave(c *call) {
-	if l.take(c.id) != nil && l.g.books != nil {
-		l.leaving[c.id] = c
+func (l *loopWorker) forget(c *nodeRequest) {
+	if l.complete(c.id) != nil && l.gateway.attribution != nil {
+		l.unattributed[c.id] = c
 	}
 }
 
-func (l *lane) dial(a forwarder.Dial) {
-	k := &nodeConn{id: a.Conn, lane: l, gate: l.gateOf(a.Node), r: upstreamhttp.Reader{Limits: l.nodeLimits()}}
+func (l *loopWorker) dial(a forwarder.Dial) {
+	k := &nodeConn{id: a.Conn, worker: l, gate: l.gate(a.Node), reader: upstreamhttp.Reader{Limits: l.httpLimits()}}
 	l.conns[a.Conn] = k
 	l.loop.Dial(a.Addr, a.Timeout, func(fd int, err error) {
 		if l.conns[a.Conn] != k { // given up meanwhile
@@ -179,59 +179,59 @@
 			return
 		}
 		if err == nil {
-			if k.c, err = l.loop.Add(fd, k); err == nil {
-				k.c.AssignFlow(l.house.flow)
-				k.c.SetReceiveBuffer(l.g.cfg.Share.Receive)
+			if k.conn, err = l.loop.Add(fd, k); err == nil {
+				k.conn.AssignFlow(l.ownVolume.flow)
+				k.conn.SetReceiveBuffer(l.gateway.cfg.Share.Receive)
 			}
 		}
 		if err != nil {
 			delete(l.conns, a.Conn)
 		}
-		l.tell(forwarder.DialCompleted{Conn: a.Conn, OK: err == nil})
+		l.handle(forwarder.DialCompleted{Conn: a.Conn, OK: err == nil})
 	})
 }
 
-func (l *lane) addClient(fd int) {
-	c := &clientConn{lane: l, since: time.Now()}
+func (l *loopWorker) addClient(fd int) {
+	c := &clientConn{worker: l, lastProgress: time.Now()}
 	k, err := l.loop.Add(fd, c)
 	if err != nil {
-		l.g.open.Add(-1)
+		l.gateway.clientConns.Add(-1)
 		return
 	}
-	c.c = k
+	c.conn = k
 	k.SetStarting(true)
-	c.speaksFor(l.strange)
+	c.assignVolume(l.newcomers)
 	l.clients[c] = struct{}{}
 }
 
 // sweep looks for clients that are idle or slow.
-func (l *lane) sweep() {
+func (l *loopWorker) sweep() {
 	now := time.Now()
-	l.swept = now
+	l.coarseNow = now
 	for c := range l.clients {
-		c.check(now)
+		c.checkTimeout(now)
 	}
 	for _, k := range l.conns {
-		k.check(now)
+		k.checkTimeout(now)
 	}
 	l.flushBatch()
 	l.loop.RetryAccept()
 }
 
 // closeIdle closes the connections of clients that have nothing in hand.
-func (l *lane) closeIdle() {
+func (l *loopWorker) closeIdle() {
 	for c := range l.clients {
-		if c.state == reading && c.c.Pending() == 0 && c.c.Buffered() == 0 {
-			c.c.Close()
+		if c.state == stateReading && c.conn.Pending() == 0 && c.conn.Buffered() == 0 {
+			c.conn.Close()
 		}
 	}
 }
 
 // httpDate returns the present time as the Date header has it.
-func (l *lane) httpDate() string {
-	now := l.g.wall()
-	if s := now.Unix(); s != l.dateAt {
-		l.dateAt, l.date = s, now.UTC().Format("Mon, 02 Jan 2006 15:04:05 GMT")
+func (l *loopWorker) httpDate() string {
+	now := l.gateway.wall()
+	if s := now.Unix(); s != l.dateSecond {
+		l.dateSecond, l.date = s, now.UTC().Format("Mon, 02 Jan 2006 15:04:05 GMT")
 	}
 	return l.date
 }
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -9,19 +9,19 @@
 
 // metrics are what a gateway counts. It registers as one collector.
 type metrics struct {
-	g          *Gateway
-	requests   *prometheus.CounterVec
-	latency    prometheus.Histogram
-	attempts   prometheus.Counter
-	refused    prometheus.Counter
-	overloaded prometheus.Counter
-	failed     prometheus.Counter
-	cut        prometheus.Counter
-	gone       prometheus.Counter
-	turnedAway prometheus.Counter
-	conns      prometheus.GaugeFunc
-	inHand     prometheus.GaugeFunc
-	byOp       [][6]prometheus.Counter // by operation and first digit of the status
+	g             *Gateway
+	requests      *prometheus.CounterVec
+	latency       prometheus.Histogram
+	attempts      prometheus.Counter
+	rejected      prometheus.Counter
+	overloaded    prometheus.Counter
+	failed        prometheus.Counter
+	aborted       prometheus.Counter
+	canceled      prometheus.Counter
+	connsRejected prometheus.Counter
+	conns         prometheus.GaugeFunc
+	inFlight      prometheus.GaugeFunc
+	byOp          [][6]prometheus.Counter // by operation and first digit of the status
 }
 
 func newMetrics(g *Gateway) *metrics {
@@ -41,15 +41,15 @@
 			Namespace: "chalkstand", Name: "request_seconds",
 			Help: "Time from a request's head to its answer's end.", Buckets: prometheus.ExponentialBuckets(0.0005, 2, 18),
 		}),
-		attempts:   counter("attempts_total", "Requests sent to nodes, further attempts included."),
-		refused:    counter("refused_total", "Requests to nodes that the dispatcher refused."),
-		overloaded: counter("overloaded_total", "Requests refused unread because their volume had more waiting for the loop than its share can do."),
-		failed:     counter("failed_total", "Requests to nodes that ended without a node's answer."),
-		cut:        counter("cut_total", "Answers broken off after their head."),
-		gone:       counter("gone_total", "Clients that left before their answer."),
-		turnedAway: counter("connections_refused_total", "Connections closed at once for lack of room."),
-		conns:      gauge("connections", "Open client connections.", func() float64 { return float64(g.open.Load()) }),
-		inHand:     gauge("requests_in_hand", "Client requests taken and not yet answered.", func() float64 { return float64(g.busy.Load()) }),
+		attempts:      counter("attempts_total", "Requests sent to nodes, further attempts included."),
+		rejected:      counter("refused_total", "Requests to nodes that the dispatcher refused."),
+		overloaded:    counter("overloaded_total", "Requests refused unread because their volume had more waiting for the loop than its share can do."),
+		failed:        counter("failed_total", "Requests to nodes that ended without a node's answer."),
+		aborted:       counter("cut_total", "Answers broken off after their head."),
+		canceled:      counter("gone_total", "Clients that left before their answer."),
+		connsRejected: counter("connections_refused_total", "Connections closed at once for lack of room."),
+		conns:         gauge("connections", "Open client connections.", func() float64 { return float64(g.clientConns.Load()) }),
+		inFlight:      gauge("requests_in_hand", "Client requests taken and not yet answered.", func() float64 { return float64(g.inFlight.Load()) }),
 	}
 	m.byOp = make([][6]prometheus.Counter, objectapi.Kinds())
 	for k := range m.byOp {
@@ -61,7 +61,7 @@
 }
 
 func (m *metrics) all() []prometheus.Collector {
-	return []prometheus.Collector{m.requests, m.latency, m.attempts, m.refused, m.overloaded, m.failed, m.cut, m.gone, m.turnedAway, m.conns, m.inHand}
+	return []prometheus.Collector{m.requests, m.latency, m.attempts, m.rejected, m.overloaded, m.failed, m.aborted, m.canceled, m.connsRejected, m.conns, m.inFlight}
 }
 
 // Describe implements prometheus.Collector.
@@ -78,8 +78,8 @@
 	}
 }
 
-// done counts a request that has its answer.
-func (m *metrics) done(t *transaction) {
+// requestCompleted counts a request that has its answer.
+func (m *metrics) requestCompleted(t *transaction) {
 	m.byOp[t.op.Kind][min(max(t.status/100, 0), 5)].Inc()
 	m.latency.Observe(time.Since(t.started).Seconds())
 }
--- a/gateway/overload.go
+++ b/gateway/overload.go
@@ -8,98 +8,102 @@
 	"time"
 )
 
-// overloaded refuses a request before anything is done for it: its head has been read, and
+// rejectOverload refuses a request before anything is done for it: its head has been read, and
 // nothing else. The connection is left alone until the time that its client was told: who
 // comes back earlier than that was told once, and costs nothing more.
-func (t *transaction) overloaded(r *http1.Request, after time.Duration) {
+func (t *transaction) rejectOverload(r *http1.Request, after time.Duration) {
 	c := t.conn
-	c.lane.g.metrics.overloaded.Inc()
+	c.worker.gateway.metrics.overloaded.Inc()
 	t.resource, _, _ = strings.Cut(string(r.Target), "?")
 	if !r.None() { // it is not waited for
 		t.body = &payload.Body{}
 	}
-	t.slowDown(after)
-	if c.state == reading && c.c.Open() {
-		c.c.Pause()
-		c.lane.resting.add(c, c.lane.g.core.now()+after)
+	t.respondSlowDown(after)
+	if c.state == stateReading && c.conn.Open() {
+		c.conn.Pause()
+		c.worker.backoff.add(c, c.worker.gateway.core.now()+after)
 	}
 }
 
-// rest is a client's place among those that are left alone for a while.
-type rest struct {
-	until time.Duration
-	place int // 1 and more; 0: it does not rest
+// backoffEntry is a client's place among those that are left alone for a while.
+type backoffEntry struct {
+	until    time.Duration
+	position int // 1 and more; 0: it does not rest
 }
 
-func (c *clientConn) rests() bool { return c.rest.place > 0 }
+func (c *clientConn) inBackoff() bool { return c.backoff.position > 0 }
 
-// restingClients are a lane's clients that are left alone, the first to end in front. There
+// backoffQueue are a lane's clients that are left alone, the first to end in front. There
 // are as many as there are clients at most.
-type restingClients struct{ a []*clientConn }
+type backoffQueue struct{ clients []*clientConn }
 
-func (r *restingClients) add(c *clientConn, until time.Duration) {
-	if c.rests() {
+func (r *backoffQueue) add(c *clientConn, until time.Duration) {
+	if c.inBackoff() {
 		return
 	}
-	c.rest.until = until
+	c.backoff.until = until
 	heap.Push(r, c)
 }
 
-func (r *restingClients) remove(c *clientConn) {
-	if c.rests() {
-		heap.Remove(r, c.rest.place-1)
+func (r *backoffQueue) remove(c *clientConn) {
+	if c.inBackoff() {
+		heap.Remove(r, c.backoff.position-1)
 	}
 }
 
-// due takes one whose rest has ended; nil when there is none.
-func (r *restingClients) due(now time.Duration) *clientConn {
-	if len(r.a) == 0 || r.a[0].rest.until > now {
+// popDue takes one whose rest has ended; nil when there is none.
+func (r *backoffQueue) popDue(now time.Duration) *clientConn {
+	if len(r.clients) == 0 || r.clients[0].backoff.until > now {
 		return nil
 	}
 	return heap.Pop(r).(*clientConn)
 }
 
 // Len is part of heap.Interface, as those that follow.
-func (r *restingClients) Len() int           { return len(r.a) }
-func (r *restingClients) Less(i, j int) bool { return r.a[i].rest.until < r.a[j].rest.until }
-func (r *restingClients) Swap(i, j int) {
-	r.a[i], r.a[j] = r.a[j], r.a[i]
-	r.a[i].rest.place, r.a[j].rest.place = i+1, j+1
+func (r *backoffQueue) Len() int { return len(r.clients) }
+
+func (r *backoffQueue) Less(i, j int) bool {
+	return r.clients[i].backoff.until < r.clients[j].backoff.until
+}
+
+func (r *backoffQueue) Swap(i, j int) {
+	r.clients[i], r.clients[j] = r.clients[j], r.clients[i]
+	r.clients[i].backoff.position, r.clients[j].backoff.position = i+1, j+1
 }
 
 // Push adds a client at the end.
-func (r *restingClients) Push(x any) {
+func (r *backoffQueue) Push(x any) {
 	c := x.(*clientConn)
-	c.rest.place = len(r.a) + 1
-	r.a = append(r.a, c)
+	c.backoff.position = len(r.clients) + 1
+	r.clients = append(r.clients, c)
 }
 
 // Pop takes the client at the end.
-func (r *restingClients) Pop() any {
-	last := len(r.a) - 1
-	c := r.a[last]
-	r.a[last] = nil
-	r.a = r.a[:last]
-	c.rest.place = 0
+func (r *backoffQueue) Pop() any {
+	last := len(r.clients) - 1
+	c := r.clients[last]
+	r.clients[last] = nil
+	r.clients = r.clients[:last]
+	c.backoff.position = 0
 	return c
 }
 
-// nextAlarm returns when something on the lane is due by time.
-func (l *lane) nextAlarm() (time.Duration, bool) {
-	at, ok := l.nextLease()
-	if len(l.resting.a) > 0 {
-		if then := l.resting.a[0].rest.until; !ok || then < at {
+// nextTimer returns when something on the lane is due by time.
+func (l *loopWorker) nextTimer() (time.Duration, bool) {
+	at, ok := l.nextGrantExpiry()
+	if len(l.backoff.clients) > 0 {
+		if then := l.backoff.clients[0].backoff.until; !ok || then < at {
 			at, ok = then, true
 		}
 	}
 	return at, ok
 }
 
-// ring does what is due by time.
-func (l *lane) ring(now time.Duration) {
-	l.leases(now)
-	for c := l.resting.due(now); c != nil; c = l.resting.due(now) {
-		c.c.Resume()
-		c.c.Redeliver()
+// onTimer does what is due by time.
+func (l *loopWorker) onTimer(now time.Duration) {
+	l.expireGrants(now)
+	for c := l.backoff.popDue(now); c != nil; c = l.backoff.popDue(now) {
+		c.conn.Resume()
+		c.conn.Redeliver()
 	}
 }
--- a/gateway/report.go
+++ b/gateway/report.go
@@ -12,28 +12,28 @@
 // Cost Aggregation format.
 const loadHeader = "endpoint-load-metrics"
 
-// word turns a node's answer into what the forwarder hears of it.
-func (k *nodeConn) word() forwarder.ResponseInfo {
+// responseInfo turns a node's answer into what the forwarder hears of it.
+func (k *nodeConn) responseInfo() forwarder.ResponseInfo {
 	w := forwarder.ResponseInfo{Result: dispatch.OK}
-	switch s := k.r.Response.Status; {
+	switch s := k.reader.Response.Status; {
 	case s == 503 || s == 429:
 		w.Result = dispatch.Rejected
 	case s >= 500 && s != 501:
 		w.Result = dispatch.ServerError
 	}
-	if r := &k.r.Response; w.Result == dispatch.OK && k.call != nil && k.call.guess && !r.Chunked && !r.UntilClose {
-		w.Units = k.lane.g.tariff.Of(objectapi.GetObject, r.Length).Units
+	if r := &k.reader.Response; w.Result == dispatch.OK && k.request != nil && k.request.sizeUnknown && !r.Chunked && !r.UntilClose {
+		w.Units = k.worker.gateway.costs.Of(objectapi.GetObject, r.Length).Units
 	}
-	if v := k.r.Response.Headers.Get(loadHeader); v != nil {
-		k.lane.readReport(v, k.call, &w)
+	if v := k.reader.Response.Headers.Get(loadHeader); v != nil {
+		k.worker.readLoadReport(v, k.request, &w)
 	}
-	w.QueueTime, w.ServiceTime, w.HasTiming = ownTiming(k.r.Response.Headers)
+	w.QueueTime, w.ServiceTime, w.HasTiming = readTiming(k.reader.Response.Headers)
 	return w
 }
 
-// readReport reads "TEXT name=value, …". Names that are not known are left out;
+// readLoadReport reads "TEXT name=value, …". Names that are not known are left out;
 // a value that is no number is as good as absent.
-func (l *lane) readReport(v []byte, c *call, w *forwarder.ResponseInfo) {
+func (l *loopWorker) readLoadReport(v []byte, c *nodeRequest, w *forwarder.ResponseInfo) {
 	rest, ok := bytes.CutPrefix(v, []byte("TEXT "))
 	if !ok {
 		return
@@ -50,8 +50,8 @@
 		case "named_metrics.inflight":
 			w.LoadReport = dispatch.LoadReport{"inflight": x}
 		case "named_metrics.volume_rate":
-			if c != nil && c.rate > 0 {
-				w.QuotaUsage = 1 + 100*x/c.rate
+			if c != nil && c.volumeRate > 0 {
+				w.QuotaUsage = 1 + 100*x/c.volumeRate
 			}
 		case "named_metrics.volume_elsewhere":
 			w.PeerUnits = x
--- a/gateway/resting_test.go
+++ b/gateway/resting_test.go
@@ -8,7 +8,7 @@
 // Clients that rest come back in the order of their times; who is taken out does not, and one
 // that rests already keeps its time.
 func TestRestingClients(t *testing.T) {
-	var r restingClients
+	var r backoffQueue
 	all := make([]*clientConn, 50)
 	for i := range all {
 		all[i] = &clientConn{}
@@ -20,11 +20,11 @@
 		r.remove(all[i])
 	}
 	last, n := time.Duration(-1), 0
-	for c := r.due(49); c != nil; c = r.due(49) {
-		if c.rest.until < last || c.rests() {
-			t.Fatalf("%v after %v", c.rest.until, last)
+	for c := r.popDue(49); c != nil; c = r.popDue(49) {
+		if c.backoff.until < last || c.inBackoff() {
+			t.Fatalf("%v after %v", c.backoff.until, last)
 		}
-		last = c.rest.until
+		last = c.backoff.until
 		n++
 	}
 	if n != 33 || r.Len() != 0 {
--- a/gateway/shares.go
+++ b/gateway/shares.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// newOverload returns the state of one flow's refusals.
-func (l *lane) newOverload() *overload.Controller {
-	x := l.g.cfg.Share.Overload
+// newOverloadController returns the state of one flow's refusals.
+func (l *loopWorker) newOverloadController() *overload.Controller {
+	x := l.gateway.cfg.Share.Overload
 	o, err := overload.New(overload.Config{
 		Target:        x.Target.D(),
 		Interval:      x.Interval.D(),
@@ -45,45 +45,45 @@
 	return o
 }
 
-// shares joins the flows of a volume on all loops. It is asked once for each volume
+// usageRegistry joins the flows of a volume on all loops. It is asked once for each volume
 // and loop; turns do not come here.
-type shares struct {
-	mu  sync.Mutex
-	all map[string]*fairshare.SharedUsage
+type usageRegistry struct {
+	mu       sync.Mutex
+	byVolume map[string]*fairshare.SharedUsage
 }
 
-// account finds or makes the account of a volume. Beyond the bound there is none: such
+// shared finds or makes the account of a volume. Beyond the bound there is none: such
 // a volume has its share of each loop by itself.
-func (s *shares) account(name string, cfg *settings.Settings) *fairshare.SharedUsage {
+func (s *usageRegistry) shared(name string, cfg *settings.Settings) *fairshare.SharedUsage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if a := s.all[name]; a != nil {
+	if a := s.byVolume[name]; a != nil {
 		return a
 	}
-	if len(s.all) >= cfg.Share.Flows {
+	if len(s.byVolume) >= cfg.Share.Flows {
 		return nil
 	}
-	if s.all == nil {
-		s.all = map[string]*fairshare.SharedUsage{}
+	if s.byVolume == nil {
+		s.byVolume = map[string]*fairshare.SharedUsage{}
 	}
 	a := fairshare.NewSharedUsage(cfg.LoopCount())
-	s.all[name] = a
+	s.byVolume[name] = a
 	return a
 }
 
-// payer is the volume that a transaction's work counts for.
-func (l *lane) payer(t *transaction) *volume {
-	if t.vol == nil {
-		return l.house
+// chargedVolume is the volume that a transaction's work counts for.
+func (l *loopWorker) chargedVolume(t *transaction) *volume {
+	if t.volume == nil {
+		return l.ownVolume
 	}
-	return t.vol
+	return t.volume
 }
 
-// paceOf tells after which time a request that comes now is better asked again: where
+// rateLimitDelay tells after which time a request that comes now is better asked again: where
 // the limit in bytes lets each body of its volume move so seldom that their clients
 // would take them for dead. 0: it is taken, and paced.
-func (l *lane) paceOf(v *volume) time.Duration {
-	if wait := l.loop.Delay(v.flow, l.g.cfg.Share.Quantum); wait > l.g.cfg.Share.MaxWait.D() {
+func (l *loopWorker) rateLimitDelay(v *volume) time.Duration {
+	if wait := l.loop.Delay(v.flow, l.gateway.cfg.Share.Quantum); wait > l.gateway.cfg.Share.MaxWait.D() {
 		return wait
 	}
 	return 0
@@ -103,12 +103,12 @@
 
 // VolumeUsage tells what the volumes had, in the order of their names.
 func (g *Gateway) VolumeUsage() []VolumeUsage {
-	parts := make(chan map[string]VolumeUsage, len(g.lanes))
-	for _, l := range g.lanes {
-		l.loop.Post(func() { parts <- l.shares() })
+	parts := make(chan map[string]VolumeUsage, len(g.workers))
+	for _, l := range g.workers {
+		l.loop.Post(func() { parts <- l.volumeUsage() })
 	}
 	all := map[string]VolumeUsage{}
-	for range g.lanes {
+	for range g.workers {
 		select {
 		case p := <-parts:
 			for name, x := range p {
@@ -128,7 +128,7 @@
 	return out
 }
 
-func (l *lane) shares() map[string]VolumeUsage {
+func (l *loopWorker) volumeUsage() map[string]VolumeUsage {
 	out := map[string]VolumeUsage{}
 	l.loop.Flows(func(f *eventloop.Flow) {
 		had := f.Usage()
@@ -153,6 +153,6 @@
 		json.NewEncoder(w).Encode(struct {
 			Loops  int           `json:"loops"`
 			Shares []VolumeUsage `json:"shares"`
-		}{len(g.lanes), g.VolumeUsage()})
+		}{len(g.workers), g.VolumeUsage()})
 	})
 }
--- a/gateway/timing.go
+++ b/gateway/timing.go
@@ -14,22 +14,22 @@
 // ended before. Durations are milliseconds.
 const timingHeader = "server-timing"
 
-// timing is one metric of the header.
-type timing struct {
-	work bool // else in the queue
-	dur  time.Duration
-	desc []byte // empty: of the request that is answered
+// timingMetric is one metric of the header.
+type timingMetric struct {
+	work     bool // else in the queue
+	duration time.Duration
+	desc     []byte // empty: of the request that is answered
 }
 
 // maxTimings bounds the metrics that are read from one answer.
 const maxTimings = 64
 
-// longestTiming bounds what a metric may tell.
-const longestTiming = 24 * time.Hour
+// maxTiming bounds what a metric may tell.
+const maxTiming = 24 * time.Hour
 
 // eachTiming calls f with the metrics that are known here. What is malformed, or
 // has another name, is left out.
-func eachTiming(hs http1.Headers, f func(timing)) {
+func eachTiming(hs http1.Headers, f func(timingMetric)) {
 	v := hs.Get(timingHeader)
 	for n := 0; len(v) > 0 && n < maxTimings; n++ {
 		var item []byte
@@ -40,7 +40,7 @@
 	}
 }
 
-func parseTiming(item []byte) (m timing, ok bool) {
+func parseTiming(item []byte) (m timingMetric, ok bool) {
 	name, rest, _ := bytes.Cut(item, []byte(";"))
 	switch string(bytes.TrimSpace(name)) {
 	case "queue":
@@ -57,10 +57,10 @@
 		switch string(key) {
 		case "dur":
 			ms, err := strconv.ParseFloat(string(val), 64)
-			if err != nil || !(ms >= 0) || ms > float64(longestTiming/time.Millisecond) {
+			if err != nil || !(ms >= 0) || ms > float64(maxTiming/time.Millisecond) {
 				return m, false
 			}
-			m.dur, told = time.Duration(ms*float64(time.Millisecond)), true
+			m.duration, told = time.Duration(ms*float64(time.Millisecond)), true
 		case "desc":
 			m.desc = bytes.Trim(val, `"`)
 		}
@@ -68,57 +68,57 @@
 	return m, told
 }
 
-// ownTiming reads what a node tells of the request that it answers.
-func ownTiming(hs http1.Headers) (queue, work time.Duration, told bool) {
-	eachTiming(hs, func(m timing) {
+// readTiming reads what a node tells of the request that it answers.
+func readTiming(hs http1.Headers) (queue, work time.Duration, told bool) {
+	eachTiming(hs, func(m timingMetric) {
 		switch {
 		case len(m.desc) > 0:
 		case m.work:
-			work, told = m.dur, true
+			work, told = m.duration, true
 		default:
-			queue, told = m.dur, true
+			queue, told = m.duration, true
 		}
 	})
 	return queue, work, told
 }
 
-// lateTimings reads what a node tells of requests that ended before, of this
+// readLateTimings reads what a node tells of requests that ended before, of this
 // gateway only.
-func (l *lane) lateTimings(hs http1.Headers) {
-	if l.g.books == nil {
+func (l *loopWorker) readLateTimings(hs http1.Headers) {
+	if l.gateway.attribution == nil {
 		return
 	}
 	var last []byte
 	var t attribution.NodeReport
 	flush := func() {
 		if last != nil {
-			l.late(t)
+			l.addNodeReport(t)
 			last = nil
 		}
 	}
-	eachTiming(hs, func(m timing) {
+	eachTiming(hs, func(m timingMetric) {
 		if len(m.desc) == 0 {
 			return
 		}
 		if !bytes.Equal(m.desc, last) {
 			flush()
-			gw, call, attempt, ok := parseName(m.desc)
-			if !ok || gw != l.g.cfg.Name {
+			gw, call, attempt, ok := parseAttemptID(m.desc)
+			if !ok || gw != l.gateway.cfg.Name {
 				return
 			}
 			last, t = m.desc, attribution.NodeReport{Call: call, Attempt: attempt}
 		}
 		if m.work {
-			t.Work = m.dur
+			t.Work = m.duration
 		} else {
-			t.Queue = m.dur
+			t.Queue = m.duration
 		}
 	})
 	flush()
 }
 
-// parseName reads GATEWAY/REQUEST/ATTEMPT.
-func parseName(b []byte) (gw string, call uint64, attempt int, ok bool) {
+// parseAttemptID reads GATEWAY/REQUEST/ATTEMPT.
+func parseAttemptID(b []byte) (gw string, call uint64, attempt int, ok bool) {
 	name, rest, _ := bytes.Cut(b, []byte("/"))
 	id, att, _ := bytes.Cut(rest, []byte("/"))
 	call, err := strconv.ParseUint(string(id), 10, 64)
--- a/gateway/timing_test.go
+++ b/gateway/timing_test.go
@@ -22,7 +22,7 @@
 		";;;,,,=,queue;dur":                             {},
 		"db;dur=4, total;dur=5, queue;foo=1;dur=7;x=\"": {7 * time.Millisecond, 0},
 	} {
-		q, w, told := ownTiming(timingHeaders(v))
+		q, w, told := readTiming(timingHeaders(v))
 		if q != want[0] || w != want[1] || told != (q+w > 0) {
 			t.Errorf("%q: %v %v %v", v, q, w, told)
 		}
@@ -35,7 +35,7 @@
 		long += "queue;dur=1,"
 	}
 	n := 0
-	eachTiming(timingHeaders(long), func(timing) { n++ })
+	eachTiming(timingHeaders(long), func(timingMetric) { n++ })
 	if n != maxTimings {
 		t.Errorf("%d metrics were read", n)
 	}
@@ -43,7 +43,7 @@
 
 func TestParseName(t *testing.T) {
 	for s, want := range map[string]bool{"gw/7/0": true, "gw/7": false, "gw/x/0": false, "gw/7/-1": false, "": false, "gw/7/0/1": false, "gw/18446744073709551615/3": true} {
-		if _, _, _, ok := parseName([]byte(s)); ok != want {
+		if _, _, _, ok := parseAttemptID([]byte(s)); ok != want {
 			t.Errorf("%q: %v", s, ok)
 		}
 	}
