--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -13,169 +13,239 @@
 	kit "chalkstand/internal/testkit"
 )
 
-// client is a connection that asks for the same object again and again.
-type client struct {
+// clientTimeout bounds the wait for a response.
+const clientTimeout = 20 * time.Second
+
+// testClient is a connection that requests the same object again and again.
+type testClient struct {
 	net.Conn
-	r    *bufio.Reader
-	path string
+	reader *bufio.Reader
+	addr   string
+	path   string
+}
+
+// testResponse is a response whose body has been read.
+type testResponse struct {
+	code   int
+	status string
+	header http.Header
 }
 
-func (c client) ask(t *testing.T, addr, secret string) {
+func dialTestClient(t *testing.T, addr, path string) testClient {
 	t.Helper()
-	r, _ := http.NewRequest("GET", "http://"+addr+c.path, nil)
+	var d net.Dialer
+	conn, err := d.DialContext(t.Context(), "tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		_ = conn.Close() // may be closed by the test, too
+	})
+	return testClient{Conn: conn, reader: bufio.NewReader(conn), addr: addr, path: path}
+}
+
+func (c testClient) sendRequest(t *testing.T, secret string) {
+	t.Helper()
+	r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+c.addr+c.path, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
 	kit.SignRequest(r, kit.KeyID, secret, time.Now())
 	if err := r.Write(c); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (c client) answer(t *testing.T) *http.Response {
+func (c testClient) readResponse(t *testing.T) testResponse {
 	t.Helper()
-	c.SetReadDeadline(time.Now().Add(20 * time.Second))
-	resp := kit.Must(http.ReadResponse(c.r, nil))(t)
+	if err := c.SetReadDeadline(time.Now().Add(clientTimeout)); err != nil {
+		t.Fatal(err)
+	}
+	resp := kit.Must(http.ReadResponse(c.reader, nil))(t)
 	kit.ReadAll(t, resp.Body)
-	return resp
+	if err := resp.Body.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return testResponse{code: resp.StatusCode, status: resp.Status, header: resp.Header}
 }
 
-// overloaded is a site whose volume photos has more to do than its share, with so many clients
-// whose requests all wait when it goes on.
-func overloaded(t *testing.T, clients int, back time.Duration, secret string, opts ...gateway.Option) (*kit.Site, []client) {
+// overloadSettings returns settings of one loop with overload control; retryAfter 0 turns it off.
+// Under them no other component rejects requests within clientTimeout, however busy the machine is.
+func overloadSettings(retryAfter time.Duration) settings.Settings {
 	s := kit.Settings(1)
 	s.Loops = 1
-	s.Share.Overload = settings.Overload{Target: 1, Interval: settings.Duration(time.Minute), Back: settings.Duration(back), MaxBack: settings.Duration(2 * back)}
-	if back == 0 {
-		s.Share.Overload = settings.Overload{}
+	s.Share.Overload = settings.Overload{}
+	if retryAfter > 0 {
+		s.Share.Overload = settings.Overload{
+			Target:   1,
+			Interval: settings.Duration(time.Minute),
+			Back:     settings.Duration(retryAfter),
+			MaxBack:  settings.Duration(2 * retryAfter),
+		}
 	}
-	e := kit.Start(t, s, nil, opts...)
+	// With one attempt per request the dispatcher does not cancel attempts that it presumes lost because
+	// the node was slow, and so does not reject requests when the retry budget is spent. Latency
+	// objectives beyond clientTimeout keep it from shedding load.
+	s.Rules.MaxAttempts = 1
+	s.Limits.Connect = settings.Duration(3 * clientTimeout)
+	for i := range s.Classes {
+		s.Classes[i].Aim = settings.Duration(3 * clientTimeout)
+		s.Classes[i].Deadline = settings.Duration(6 * clientTimeout)
+	}
+	return s
+}
+
+// startOverloaded starts a site whose volume photos is overloaded, with so many clients whose requests
+// are all waiting when its loop goes on.
+func startOverloaded(t *testing.T, s settings.Settings, clients int, secret string, opts ...gateway.Option) (*kit.Site, []testClient) {
+	t.Helper()
+	site := kit.Start(t, s, nil, opts...)
 	for _, b := range []string{"photos", "loans"} {
-		e.Data[0].AddBucket(b, time.Now())
-		e.Data[0].Store(b, "small", []byte("a photo"))
+		site.Data[0].AddBucket(b, time.Now())
+		site.Data[0].Store(b, "small", []byte("a photo"))
 	}
-	var all []client
+	var all []testClient
 	for i := range clients {
 		path := "/photos/small"
-		if back == 0 && i%2 == 1 {
+		if s.Share.Overload.Target == 0 && i%2 == 1 {
 			path = "/loans/small"
 		}
-		c := kit.Must(net.Dial("tcp", e.Addr))(t)
-		t.Cleanup(func() { c.Close() })
-		all = append(all, client{c, bufio.NewReader(c), path})
-	}
-	for _, c := range all { // each speaks for the volume from here on
-		c.ask(t, e.Addr, kit.Secret)
-		if resp := c.answer(t); resp.StatusCode != 200 {
-			t.Fatal(resp.Status)
+		all = append(all, dialTestClient(t, site.Addr, path))
+	}
+	for _, c := range all { // assigns the connection to its volume
+		c.sendRequest(t, kit.Secret)
+		if resp := c.readResponse(t); resp.code != http.StatusOK {
+			t.Fatal(resp.status)
 		}
 	}
-	release := e.G.Overload("photos")
+	release := site.G.Overload("photos")
 	for _, c := range all {
-		c.ask(t, e.Addr, secret)
+		c.sendRequest(t, secret)
 	}
 	release()
-	return e, all
+	return site, all
 }
 
-// Of two requests that come together the one that had to wait is refused, before its
-// signature is looked at, with a time to come back; the one that did not wait is looked at.
-func TestOverloadIsRefusedBeforeTheSignature(t *testing.T) {
-	_, all := overloaded(t, 2, time.Second, "a wrong secret")
-	by := map[int]http.Header{}
+// Of two requests that arrive together the one that had to wait is rejected before its signature is
+// checked, with a retry time; the one that did not wait is checked.
+func TestOverloadIsRejectedBeforeTheSignature(t *testing.T) {
+	_, all := startOverloaded(t, overloadSettings(time.Second), 2, "a wrong secret")
+	headers := map[int]http.Header{}
 	for _, c := range all {
-		resp := c.answer(t)
-		by[resp.StatusCode] = resp.Header
+		resp := c.readResponse(t)
+		headers[resp.code] = resp.header
 	}
-	if by[403] == nil || by[503].Get("Retry-After") == "" {
-		t.Errorf("%v", by)
+	if headers[http.StatusForbidden] == nil || headers[http.StatusServiceUnavailable].Get("Retry-After") == "" {
+		t.Errorf("%v", headers)
 	}
 }
 
-// Who was refused and asks again before the time that he was told is not answered before
-// it, and is served then. One that leaves meanwhile is forgotten.
-func TestRefusedClientIsLeftAloneUntilItsTime(t *testing.T) {
-	const back = 200 * time.Millisecond
-	e, all := overloaded(t, 8, back, kit.Secret)
-	var refused []client
+// A rejected client that retries before its retry time gets no response until then, and is served
+// afterwards. One that leaves meanwhile is forgotten.
+func TestRejectedClientWaitsForItsRetryTime(t *testing.T) {
+	const retryAfter = 200 * time.Millisecond
+	_, all := startOverloaded(t, overloadSettings(retryAfter), 8, kit.Secret)
+	var rejected []testClient
 	for _, c := range all {
-		if c.answer(t).StatusCode == 503 {
-			refused = append(refused, c)
+		if c.readResponse(t).code == http.StatusServiceUnavailable {
+			rejected = append(rejected, c)
 		}
 	}
-	told := time.Now()
-	if len(refused) < 2 {
-		t.Fatalf("%d refused", len(refused))
+	rejectedAt := time.Now()
+	if len(rejected) < 2 {
+		t.Fatalf("%d rejected", len(rejected))
+	}
+	if err := rejected[0].Close(); err != nil {
+		t.Fatal(err)
 	}
-	refused[0].Close()
-	for _, c := range refused[1:] {
-		c.ask(t, e.Addr, kit.Secret)
+	for _, c := range rejected[1:] {
+		c.sendRequest(t, kit.Secret)
 	}
-	for i, c := range refused[1:] {
-		resp := c.answer(t)
-		if i == 0 && time.Since(told) < back/2-20*time.Millisecond {
-			t.Errorf("answered after %v", time.Since(told))
+	for i, c := range rejected[1:] {
+		resp := c.readResponse(t)
+		if i == 0 && time.Since(rejectedAt) < retryAfter/2-20*time.Millisecond {
+			t.Errorf("response after %v", time.Since(rejectedAt))
 		}
-		for resp.StatusCode == 503 { // it waited behind another whose rest had ended
-			c.ask(t, e.Addr, kit.Secret)
-			resp = c.answer(t)
+		for resp.code == http.StatusServiceUnavailable { // it waited behind another that retried
+			c.sendRequest(t, kit.Secret)
+			resp = c.readResponse(t)
 		}
 	}
 }
 
-// Of a hundred requests that come together the last wait for the loop behind the first:
-// their accounts say so, name the other volume, and sum to what they took.
-func TestWaitForTheLoopIsAccountedFor(t *testing.T) {
+// Of a hundred requests that arrive together the last wait for the loop behind the first: their
+// attribution says so, names the other volume, and sums to their latency.
+func TestEventLoopWaitIsAttributed(t *testing.T) {
 	const clients = 100
-	entries := make(chan attribution.Entry, 4*clients)
-	e, all := overloaded(t, clients, 0, kit.Secret, gateway.WithAttribution(func(e attribution.Entry) { entries <- e }))
+	received := make(chan attribution.Entry, 4*clients)
+	onEntry := gateway.WithAttribution(func(e attribution.Entry) { received <- e })
+	site, all := startOverloaded(t, overloadSettings(0), clients, kit.Secret, onEntry)
 	for _, c := range all {
-		if resp := c.answer(t); resp.StatusCode != 200 {
-			t.Error(resp.Status)
+		if resp := c.readResponse(t); resp.code != http.StatusOK {
+			t.Error(resp.status)
 		}
 	}
-	e.G.Close() // hands over what is left
-	close(entries)
-	waited, behind, n := time.Duration(0), time.Duration(0), 0
-	for x := range entries {
-		n++
-		if x.Parts.Total() != x.Ended-x.Started {
-			t.Errorf("%v of %v", x.Parts.Total(), x.Ended-x.Started)
-		}
-		sum := time.Duration(0)
-		for _, b := range x.Behind {
-			if b.Volume == x.Volume {
-				t.Errorf("%s waited behind itself", x.Volume)
-			}
-			if sum += b.Time; b.Volume == "photos" {
-				behind += b.Time
-			}
+	if err := site.G.Close(); err != nil { // flushes the entries
+		t.Error(err)
+	}
+	close(received)
+	var entries int
+	var waited, behindPhotos time.Duration
+	for e := range received {
+		entries++
+		waited += e.Parts[attribution.EventLoop]
+		behindPhotos += checkEntry(t, e)
+	}
+	if entries != 2*clients || waited == 0 || behindPhotos == 0 {
+		t.Errorf("%d entries, waited %v, %v of it behind photos by loans", entries, waited, behindPhotos)
+	}
+}
+
+// checkEntry checks the sums of an entry, and returns how long it waited behind the volume photos.
+func checkEntry(t *testing.T, e attribution.Entry) time.Duration {
+	t.Helper()
+	if e.Parts.Total() != e.Ended-e.Started {
+		t.Errorf("%v of %v", e.Parts.Total(), e.Ended-e.Started)
+	}
+	var sum, behindPhotos time.Duration
+	for _, b := range e.Behind {
+		if b.Volume == e.Volume {
+			t.Errorf("%s waited behind itself", e.Volume)
 		}
-		if d := x.Parts[attribution.EventLoop]; d > 0 {
-			waited += d
-			if line := d + x.Parts[attribution.QueuedBehindOthers] + x.Parts[attribution.NodeQueue]; sum > line {
-				t.Errorf("waited %v behind others, of %v in line", sum, line)
-			}
+		sum += b.Time
+		if b.Volume == "photos" {
+			behindPhotos += b.Time
 		}
 	}
-	if n != 2*clients || waited == 0 || behind == 0 {
-		t.Errorf("%d entries, waited %v, %v of it behind photos by loans", n, waited, behind)
+	if loopWait := e.Parts[attribution.EventLoop]; loopWait > 0 {
+		queued := loopWait + e.Parts[attribution.QueuedBehindOthers] + e.Parts[attribution.NodeQueue]
+		if sum > queued {
+			t.Errorf("waited %v behind others, of %v in queues", sum, queued)
+		}
 	}
+	return behindPhotos
 }
 
-// A request whose client had already left when its turn came is not begun, nor is its body
-// taken for another.
-func TestRequestOfOneWhoLeftIsNotBegun(t *testing.T) {
-	e, all := overloaded(t, 1, 0, kit.Secret)
+// A request whose client has left when it is its turn is not started, nor is its body taken for
+// another request.
+func TestRequestOfClosedClientIsNotStarted(t *testing.T) {
+	site, all := startOverloaded(t, overloadSettings(0), 1, kit.Secret)
 	c := all[0]
-	c.answer(t)
-	before := len(e.Log())
-	release := e.G.Overload("photos")
-	c.ask(t, e.Addr, kit.Secret)
-	c.Conn.(*net.TCPConn).CloseWrite()
+	c.readResponse(t)
+	before := len(site.Log())
+	release := site.G.Overload("photos")
+	c.sendRequest(t, kit.Secret)
+	if err := c.Conn.(*net.TCPConn).CloseWrite(); err != nil {
+		t.Error(err)
+	}
 	release()
-	c.SetReadDeadline(time.Now().Add(20 * time.Second))
-	if b, err := c.r.Peek(1); err == nil {
-		t.Errorf("answered: %q", b)
+	if err := c.SetReadDeadline(time.Now().Add(clientTimeout)); err != nil {
+		t.Fatal(err)
+	}
+	if b, err := c.reader.Peek(1); err == nil {
+		t.Errorf("response: %q", b)
 	}
-	if n := len(e.Log()) - before; n != 0 {
+	if n := len(site.Log()) - before; n != 0 {
 		t.Errorf("%d requests at the node", n)
 	}
 }
