--- a/fairshare/scheduler_test.go
+++ b/fairshare/scheduler_test.go
@@ -169,7 +169,7 @@
 		services++
 	}
 	if services < 9 || services > 12 {
-		t.Errorf("100 ms at a tenth of the new weight: %d ms of the other flow before its next service, want 10", services)
+		t.Errorf("%d ms of the other flow before the next service, want 10: 100 ms at a tenth of the weight", services)
 	}
 }
 
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// Clients that rest come back in the order of their times; who is taken out does not, and one
-// that rests already keeps its time.
-func TestRestingClients(t *testing.T) {
-	var r backoffQueue
+// Clients leave backoff in the order of their times; a removed one does not, and one that is in
+// backoff already keeps its time.
+func TestBackoffQueue(t *testing.T) {
+	var q backoffQueue
 	all := make([]*clientConn, 50)
 	for i := range all {
 		all[i] = &clientConn{}
-		r.add(all[i], time.Duration(i*37%50))
-		r.add(all[i], 0)
+		q.add(all[i], time.Duration(i*37%50))
+		q.add(all[i], 0)
 	}
 	for i := 0; i < 50; i += 3 {
-		r.remove(all[i])
-		r.remove(all[i])
+		q.remove(all[i])
+		q.remove(all[i])
 	}
-	last, n := time.Duration(-1), 0
-	for c := r.popDue(49); c != nil; c = r.popDue(49) {
+	last := time.Duration(-1)
+	n := 0
+	for c := q.popDue(49); c != nil; c = q.popDue(49) {
 		if c.backoff.until < last || c.inBackoff() {
 			t.Fatalf("%v after %v", c.backoff.until, last)
 		}
 		last = c.backoff.until
 		n++
 	}
-	if n != 33 || r.Len() != 0 {
-		t.Errorf("%d came back, %d are left", n, r.Len())
+	if n != 33 || q.Len() != 0 {
+		t.Errorf("%d left backoff, %d are in it", n, q.Len())
 	}
 }
--- a/gateway/copy.go
+++ b/gateway/copy.go
@@ -1,74 +1,101 @@
 package gateway
 
 import (
+	"chalkstand/dispatch"
 	"chalkstand/internal/http1"
 	"chalkstand/internal/objectapi"
+	"net/http"
 	"strings"
 	"time"
 )
 
-// objectCopy moves an object from one shard to another: a read whose answer's body is
-// the body of a write. Each is a request of its own.
+// objectCopy copies an object from one shard to another: the response of a read is the body of a write.
+// Each is a node request of its own.
 type objectCopy struct {
 	transaction *transaction
 	request     *http1.Request
 	read        *nodeRequest
 	write       *nodeRequest
-	source      *nodeConn // the read's, while it streams
-	target      *nodeConn // the write's, once it was sent
-	length      int64
-	received    int64
-	pending     []byte
-	writeDone   bool // the write has its answer
+	source      *nodeConn // of the read, while it streams
+	target      *nodeConn // of the write, once it has been sent
+	length      int64     // of a streamed body, or unknownSize
+	received    int64     // bytes of it
+	pending     []byte    // received and not sent; the last byte until the source is complete
+	writeDone   bool
 }
 
-// copyObject copies within a shard by the node itself, between shards through here.
+// copyObject copies an object. Within a shard the node does it.
 func (t *transaction) copyObject(r *http1.Request) {
-	l := t.conn.worker
-	src := l.volumeOf(t.op.FromBucket)
-	if src == nil {
-		t.respondErrorCode(objectapi.Errorf("NoSuchBucket", "No rule of this gateway's settings fits the source's bucket."))
+	source := t.conn.worker.volumeOf(t.op.FromBucket)
+	if source == nil {
+		t.respondErrorCode(objectapi.Errorf("NoSuchBucket",
+			"No rule of this gateway's settings fits the source's bucket."))
 		return
 	}
-	from, to := src.placement.Shard(t.op.FromKey), t.shard()
+	from, to := source.placement.Shard(t.op.FromKey), t.shard()
 	if from == to {
-		req := t.price(t.op.Kind, t.volume, to, t.op.Key, -1)
-		b := t.nodeHead(make([]byte, 0, 768), "PUT", t.op.Bucket, t.op.Key, t.op.Query, req, true, "")
-		b = appendForwardedHeaders(b, r.Headers)
-		b = http1.AppendHeader(b, "x-amz-copy-source", objectapi.EncodeName(t.op.FromBucket+"/"+t.op.FromKey))
-		b = http1.AppendLength(b, 0)
-		t.startNodeRequest(&nodeRequest{method: "PUT", head: b, maxBuffered: l.gateway.cfg.Limits.Replay, onResult: t.respondResult}, req)
+		t.copyWithinShard(r, to)
 		return
 	}
 	c := &objectCopy{transaction: t, request: &http1.Request{Headers: r.Headers.Clone()}}
-	req := t.price(objectapi.GetObject, src, from, t.op.FromKey, rangeSize(r.Headers.Get("x-amz-copy-source-range")))
-	b := t.nodeHead(make([]byte, 0, 512), "GET", t.op.FromBucket, t.op.FromKey, nil, req, false, "")
+	c.startRead(source, from)
+}
+
+func (t *transaction) copyWithinShard(r *http1.Request, shard dispatch.Shard) {
+	d := t.newDispatchRequest(t.op.Kind, t.volume, shard, t.op.Key, unknownSize)
+	b := make([]byte, 0, putHeadCapacity)
+	b = t.appendNodeHead(b, http.MethodPut, t.op.Bucket, t.op.Key, t.op.Query, d, true, "")
+	b = appendForwardedHeaders(b, r.Headers)
+	b = http1.AppendHeader(b, "x-amz-copy-source", objectapi.EncodeName(t.op.FromBucket+"/"+t.op.FromKey))
+	b = http1.AppendLength(b, 0)
+	t.startNodeRequest(&nodeRequest{
+		method:      http.MethodPut,
+		head:        b,
+		maxBuffered: t.conn.worker.gateway.cfg.Limits.Replay,
+		onResult:    t.respondResult,
+	}, d)
+}
+
+// startRead starts the request that reads the source.
+func (c *objectCopy) startRead(source *volume, shard dispatch.Shard) {
+	t := c.transaction
+	headers := c.request.Headers
+	byteRange := headers.Get("x-amz-copy-source-range")
+	d := t.newDispatchRequest(objectapi.GetObject, source, shard, t.op.FromKey, rangeSize(byteRange))
+	b := make([]byte, 0, headCapacity)
+	b = t.appendNodeHead(b, http.MethodGet, t.op.FromBucket, t.op.FromKey, nil, d, false, "")
 	for _, n := range [...]string{"if-match", "if-none-match", "if-modified-since", "if-unmodified-since"} {
-		if v := r.Headers.Get("x-amz-copy-source-" + n); v != nil {
+		if v := headers.Get("x-amz-copy-source-" + n); v != nil {
 			b = http1.AppendHeader(b, n, v)
 		}
 	}
-	if v := r.Headers.Get("x-amz-copy-source-range"); v != nil && t.op.Kind == objectapi.UploadPartCopy {
-		b = http1.AppendHeader(b, "range", v)
+	if byteRange != nil && t.op.Kind == objectapi.UploadPartCopy {
+		b = http1.AppendHeader(b, "range", byteRange)
+	}
+	c.read = &nodeRequest{
+		method:      http.MethodGet,
+		head:        b,
+		maxBuffered: t.conn.worker.gateway.cfg.Limits.Replay,
+		sink:        c,
+		onResult:    c.onReadResult,
 	}
-	c.read = &nodeRequest{method: "GET", head: b, maxBuffered: l.gateway.cfg.Limits.Replay, sink: c, onResult: c.onReadResult}
-	t.startNodeRequest(c.read, req)
+	t.startNodeRequest(c.read, d)
 }
 
-// onReadResult goes on when the source's answer is there.
+// onReadResult starts the write of a buffered source, or ends that of a streamed one.
 func (c *objectCopy) onReadResult(r nodeResult) {
 	t := c.transaction
 	t.removeNodeRequest(c.read)
-	switch {
-	case t.responded:
-	case r.kind == resultBuffered && (r.resp.Status == 200 || r.resp.Status == 206):
-		c.startWrite(r.resp, append([]byte(nil), r.body...), int64(len(r.body)), false)
-	case r.kind == resultBuffered && (r.resp.Status == 304 || r.resp.Status == 412):
-		t.respondErrorCode(objectapi.Errorf("PreconditionFailed", "At least one of the pre-conditions you specified did not hold"))
-	case r.kind == resultStreamed:
+	if t.responded {
+		return
+	}
+	switch r.kind {
+	case resultBuffered:
+		c.onBufferedRead(r)
+	case resultStreamed:
 		c.source = nil
 		c.endBody()
-	case r.kind == resultAborted: // the write must not become whole
+	case resultAborted: // the write must not complete
 		c.source = nil
 		if !c.writeDone {
 			t.conn.worker.cancelRequest(c.write)
@@ -79,48 +106,68 @@
 	}
 }
 
-// responseHeaders takes the head of a source that streams.
-func (c *objectCopy) responseHeaders(k *nodeConn, r *http1.Response) {
-	c.source, c.length = k, r.Length
+func (c *objectCopy) onBufferedRead(r nodeResult) {
+	t := c.transaction
+	switch r.resp.Status {
+	case http.StatusOK, http.StatusPartialContent:
+		c.startWrite(r.resp, append([]byte(nil), r.body...), int64(len(r.body)), false)
+	case http.StatusNotModified, http.StatusPreconditionFailed:
+		t.respondErrorCode(objectapi.Errorf("PreconditionFailed",
+			"At least one of the pre-conditions you specified did not hold"))
+	default:
+		t.respondResult(r)
+	}
+}
+
+// responseHeaders starts the write of a streamed source. It implements responseSink.
+func (c *objectCopy) responseHeaders(n *nodeConn, r *http1.Response) {
+	c.source = n
+	c.length = r.Length
 	if r.Chunked || r.UntilClose {
-		c.length = -1
+		c.length = unknownSize
 	}
 	c.startWrite(r, nil, c.length, true)
 }
 
-// startWrite begins the request that stores the copy.
-func (c *objectCopy) startWrite(r *http1.Response, body []byte, size int64, stream bool) {
+// startWrite starts the request that stores the copy. resp is the read's response.
+func (c *objectCopy) startWrite(resp *http1.Response, body []byte, size int64, stream bool) {
 	t := c.transaction
 	kind := objectapi.PutObject
 	if t.op.Kind == objectapi.UploadPartCopy {
 		kind = objectapi.UploadPart
 	}
-	req := t.price(kind, t.volume, t.shard(), t.op.Key, size)
-	b := t.nodeHead(make([]byte, 0, 768), "PUT", t.op.Bucket, t.op.Key, t.op.Query, req, true, "")
+	d := t.newDispatchRequest(kind, t.volume, t.shard(), t.op.Key, size)
+	b := make([]byte, 0, putHeadCapacity)
+	b = t.appendNodeHead(b, http.MethodPut, t.op.Bucket, t.op.Key, t.op.Query, d, true, "")
 	if strings.EqualFold(string(c.request.Headers.Get("x-amz-metadata-directive")), "REPLACE") {
 		b = appendForwardedHeaders(b, c.request.Headers)
 	} else if kind == objectapi.PutObject {
-		b = appendMetadata(b, r.Headers)
+		b = appendMetadata(b, resp.Headers)
 		for _, n := range [...]string{"if-match", "if-none-match"} {
 			if v := c.request.Headers.Get(n); v != nil {
 				b = http1.AppendHeader(b, n, v)
 			}
 		}
 	}
-	c.write = &nodeRequest{method: "PUT", body: body, maxBuffered: t.conn.worker.gateway.cfg.Limits.Replay, onResult: c.onWriteResult}
-	if stream {
-		c.write.source = c
-	}
 	if size < 0 {
 		b = append(b, "Transfer-Encoding: chunked\r\n"...)
 	} else {
 		b = http1.AppendLength(b, size)
 	}
-	c.write.head = b
-	t.startNodeRequest(c.write, req)
+	c.write = &nodeRequest{
+		method:      http.MethodPut,
+		head:        b,
+		body:        body,
+		maxBuffered: t.conn.worker.gateway.cfg.Limits.Replay,
+		onResult:    c.onWriteResult,
+	}
+	if stream {
+		c.write.source = c
+	}
+	t.startNodeRequest(c.write, d)
 }
 
-// appendMetadata passes on what a source's answer says of the object itself.
+// appendMetadata appends the headers of a response that describe the object itself.
 func appendMetadata(b []byte, hs http1.Headers) []byte {
 	for _, h := range hs {
 		name := strings.ToLower(string(h.Name))
@@ -136,9 +183,9 @@
 	return b
 }
 
-// startBody lets the source flow to the node that stores the copy.
-func (c *objectCopy) startBody(k *nodeConn) {
-	c.target = k
+// startBody starts to stream to the node that stores the copy. It implements bodySource.
+func (c *objectCopy) startBody(n *nodeConn) {
+	c.target = n
 	c.sendPending()
 	if c.source != nil {
 		c.source.resumeReading()
@@ -147,31 +194,40 @@
 	}
 }
 
+// bodyDrained continues after the target has read what was sent. It implements bodySource.
 func (c *objectCopy) bodyDrained() {
 	if c.source != nil {
 		c.source.resumeReading()
 	}
 }
 
-// responseData takes a piece of the source. Before the write was sent it holds the first
-// piece and stops the source; at most two reads are held so.
+// responseData sends a part of the source to the target. Before the write has been sent it keeps the
+// part and stops the source. It implements responseSink.
 func (c *objectCopy) responseData(p []byte) bool {
 	c.received += int64(len(p))
-	if c.length >= 0 && c.received == c.length { // the end waits for the source's own
+	if c.complete() { // the last byte is sent once the source is complete
 		n := len(p) - 1
 		c.send(p[:n])
 		c.pending = append(c.pending, p[n])
 		return true
 	}
 	c.send(p)
-	return c.target != nil && c.target.request == c.write && c.target.conn.Pending() == 0
+	return c.attached() && c.target.conn.Pending() == 0
 }
 
+// complete reports whether all bytes of a source of known length have been received.
+func (c *objectCopy) complete() bool { return c.length >= 0 && c.received == c.length }
+
+// attached reports whether the target still carries the write.
+func (c *objectCopy) attached() bool { return c.target != nil && c.target.request == c.write }
+
+// send sends a part of the body; it keeps the part if the write has not been sent, and drops it if the
+// write has its result.
 func (c *objectCopy) send(p []byte) {
 	switch {
 	case c.target == nil:
 		c.pending = append(c.pending, p...)
-	case c.target.request != c.write: // it has its answer
+	case !c.attached():
 	case c.length < 0:
 		c.target.conn.Write(http1.AppendChunk(nil, p))
 	case len(p) > 0:
@@ -179,19 +235,20 @@
 	}
 }
 
+// sendPending sends what was kept, without the last byte of the source.
 func (c *objectCopy) sendPending() {
 	p := c.pending
 	c.pending = nil
-	if c.length >= 0 && c.received == c.length && len(p) > 0 {
+	if c.complete() && len(p) > 0 {
 		c.pending = append(c.pending, p[len(p)-1])
 		p = p[:len(p)-1]
 	}
 	c.send(p)
 }
 
-// endBody ends the write's body once the source has ended whole.
+// endBody ends the write's body after the source has ended complete.
 func (c *objectCopy) endBody() {
-	if c.target == nil || c.target.request != c.write {
+	if !c.attached() {
 		return
 	}
 	if c.length < 0 {
@@ -203,7 +260,7 @@
 	c.target.bodySent()
 }
 
-// onWriteResult answers for the copy.
+// onWriteResult responds to the client.
 func (c *objectCopy) onWriteResult(r nodeResult) {
 	t := c.transaction
 	c.writeDone = true
@@ -211,15 +268,15 @@
 	if t.responded {
 		return
 	}
-	if r.kind != resultBuffered || r.resp.Status != 200 {
+	if r.kind != resultBuffered || r.resp.Status != http.StatusOK {
 		t.respondResult(r)
 		return
 	}
 	etag := string(r.resp.Headers.Get("etag"))
-	when := objectapi.FormatTime(t.conn.worker.gateway.wall().Truncate(time.Second))
+	modified := objectapi.FormatTime(t.conn.worker.gateway.wall().Truncate(time.Second))
 	if t.op.Kind == objectapi.UploadPartCopy {
-		t.respondXML(200, objectapi.CopyPartResult{LastModified: when, ETag: etag})
+		t.respondXML(objectapi.CopyPartResult{LastModified: modified, ETag: etag})
 		return
 	}
-	t.respondXML(200, objectapi.CopyObjectResult{LastModified: when, ETag: etag})
+	t.respondXML(objectapi.CopyObjectResult{LastModified: modified, ETag: etag})
 }
--- a/gateway/core.go
+++ b/gateway/core.go
@@ -7,33 +7,36 @@
 	"time"
 )
 
-// core owns the forwarder, and through it the dispatcher. Loops hand events to it
-// under a lock, which is held for a few microseconds (docs/design/running-gateway.md has the
-// measurement beside a goroutine of its own); actions go to the loop that owns the
-// connection, in the order in which they were decided.
+// core owns the forwarder, and through it the dispatcher. Workers pass events to it under a lock,
+// which is held for a few microseconds (docs/design/running-gateway.md compares it with a goroutine);
+// actions go to the worker that owns the connection, in the order in which they were decided.
 type core struct {
-	mu        sync.Mutex
+	mu        sync.Mutex // guards forwarder, and actions and wakePosted of each worker
 	forwarder *forwarder.Forwarder
-	start     time.Time
 	workers   []*loopWorker
 	timer     *time.Timer
-	done      chan struct{}
+	start     time.Time
+	done      chan struct{} // closed by stop
 	stopOnce  sync.Once
-	nonce     string // begins the keys of writes: no other process's are the same
+	nonce     string // prefix of the idempotency keys, unique to this run
 }
 
-func newCore(x *forwarder.Forwarder) *core {
+func newCore(f *forwarder.Forwarder) *core {
 	c := &core{
-		forwarder: x, start: time.Now(), timer: time.NewTimer(time.Hour), done: make(chan struct{}),
-		nonce: requestID(rand.Uint64()),
+		forwarder: f,
+		start:     time.Now(),
+		timer:     time.NewTimer(time.Hour),
+		done:      make(chan struct{}),
+		nonce:     requestID(rand.Uint64()),
 	}
 	c.timer.Stop()
 	return c
 }
 
+// now returns the time since the core was built.
 func (c *core) now() time.Duration { return time.Since(c.start) }
 
-// run fires the forwarder's timer until stop.
+// run fires the forwarder's timer until stop is called.
 func (c *core) run() {
 	for {
 		select {
@@ -47,18 +50,17 @@
 
 func (c *core) stop() { c.stopOnce.Do(func() { close(c.done) }) }
 
-// handle hands an event over and has the actions followed: those of the lane on
-// which the caller runs before it returns, those of others soon. from is nil off
-// the loops.
+// handle passes an event to the forwarder. Actions of the worker from, on whose loop the caller runs, are
+// applied before it returns, and those of other workers soon after. from is nil off the loops.
 func (c *core) handle(from *loopWorker, ev forwarder.Event) {
 	c.mu.Lock()
 	for _, a := range c.forwarder.Handle(c.now(), ev) {
 		c.queueAction(a)
 	}
-	for _, l := range c.workers {
-		if l != from && len(l.actions) > 0 && !l.wakePosted {
-			l.wakePosted = true
-			l.loop.Post(l.applyActions)
+	for _, w := range c.workers {
+		if w != from && len(w.actions) > 0 && !w.wakePosted {
+			w.wakePosted = true
+			w.loop.Post(w.applyActions)
 		}
 	}
 	c.mu.Unlock()
@@ -67,15 +69,16 @@
 	}
 }
 
-// queueAction puts an action into its lane's queue.
+// queueAction appends an action to its worker's queue, or sets the timer. Requests for a discovery poll or
+// watch are dropped: here endpoint lists are pushed by UpdateEndpoints.
 func (c *core) queueAction(a forwarder.Action) {
-	lane, ok := a.OnLoop()
+	loop, ok := a.OnLoop()
 	if !ok {
 		if t, timer := a.(forwarder.SetTimer); timer {
 			c.timer.Reset(max(t.At-c.now(), 0))
 		}
-		return // lists are told here, not asked for
+		return
 	}
-	l := c.workers[lane]
-	l.actions = append(l.actions, a)
+	w := c.workers[loop]
+	w.actions = append(w.actions, a)
 }
--- a/gateway/core_test.go
+++ b/gateway/core_test.go
@@ -7,19 +7,12 @@
 	"time"
 )
 
-// BenchmarkHandOver compares the ways of handing an event to the one owner of the
-// decisions: the lock that is used, and a goroutine with a channel, its peer.
+// BenchmarkHandOver compares ways to pass an event to the owner of the decisions: the lock that is used,
+// and a goroutine with a channel.
 func BenchmarkHandOver(b *testing.B) {
-	cfg := dispatch.Config{DispatcherCount: 1, Classes: []dispatch.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second}}, Plans: []dispatch.Plan{{Weight: 1}}}
-	x, err := forwarder.New(forwarder.Config{
-		Dispatch: cfg, Seed: 1, MaxConnsPerNode: 8,
-		MaxStreamsPerNode: 4, IdleTimeout: time.Second, MaxConnAge: time.Minute, DialTimeout: time.Second, MaxRequests: 8,
-	})
-	if err != nil {
-		b.Fatal(err)
-	}
+	f := newTestForwarder(b)
 	b.Run("lock", func(b *testing.B) {
-		c := newCore(x)
+		c := newCore(f)
 		b.ReportAllocs()
 		b.RunParallel(func(pb *testing.PB) {
 			for pb.Next() {
@@ -27,26 +20,51 @@
 			}
 		})
 	})
-	b.Run("goroutine", func(b *testing.B) {
-		type ask struct {
-			ev   forwarder.Event
-			done chan struct{}
+	b.Run("goroutine", func(b *testing.B) { benchmarkGoroutine(b, f) })
+}
+
+func newTestForwarder(tb testing.TB) *forwarder.Forwarder {
+	tb.Helper()
+	f, err := forwarder.New(forwarder.Config{
+		Dispatch: dispatch.Config{
+			DispatcherCount: 1,
+			Classes:         []dispatch.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second}},
+			Plans:           []dispatch.Plan{{Weight: 1}},
+		},
+		Seed:              1,
+		MaxConnsPerNode:   8,
+		MaxStreamsPerNode: 4,
+		IdleTimeout:       time.Second,
+		MaxConnAge:        time.Minute,
+		DialTimeout:       time.Second,
+		MaxRequests:       8,
+	})
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return f
+}
+
+func benchmarkGoroutine(b *testing.B, f *forwarder.Forwarder) {
+	b.Helper()
+	type request struct {
+		ev   forwarder.Event
+		done chan struct{}
+	}
+	requests := make(chan request, 256)
+	go func() {
+		for r := range requests {
+			f.Handle(0, r.ev)
+			r.done <- struct{}{}
+		}
+	}()
+	b.ReportAllocs()
+	b.RunParallel(func(pb *testing.PB) {
+		done := make(chan struct{}, 1)
+		for pb.Next() {
+			requests <- request{ev: forwarder.ClientCanceled{ID: 1}, done: done}
+			<-done
 		}
-		in := make(chan ask, 256)
-		go func() {
-			for a := range in {
-				x.Handle(0, a.ev)
-				a.done <- struct{}{}
-			}
-		}()
-		b.ReportAllocs()
-		b.RunParallel(func(pb *testing.PB) {
-			done := make(chan struct{}, 1)
-			for pb.Next() {
-				in <- ask{forwarder.ClientCanceled{ID: 1}, done}
-				<-done
-			}
-		})
-		close(in)
 	})
+	close(requests)
 }
--- a/gateway/flowcontrol.go
+++ b/gateway/flowcontrol.go
@@ -8,150 +8,163 @@
 	"time"
 )
 
-// nodeGate is the way to one node for the answers that stream on a lane.
+// maxGates is from how many gates on a worker on those of unlisted nodes are looked for and dropped. A
+// connection keeps its gate even when it has been dropped here.
+const maxGates = 1024
+
+// nodeGate is the flow control of the responses that stream from one node to a worker: it grants a few
+// of them at a time a quantum, by the weights of their volumes.
 type nodeGate struct {
 	*fairshare.Gate[*nodeConn]
 	lastUsed  time.Time
-	contended bool // in the lane's list
+	contended bool // listed in the worker's contended
 }
 
-// gate finds or makes a node's gate. Those of nodes that are gone are forgotten when
-// there are many.
-func (l *loopWorker) gate(id dispatch.NodeID) *nodeGate {
-	if g := l.gates[id]; g != nil {
-		g.lastUsed = l.now()
+// gate returns a node's gate, and creates it if there is none.
+func (w *loopWorker) gate(id dispatch.NodeID) *nodeGate {
+	if g := w.gates[id]; g != nil {
+		g.lastUsed = w.now()
 		return g
 	}
-	x := l.gateway.cfg.Share
-	s, err := fairshare.NewGate[*nodeConn](fairshare.GateConfig{
-		Depth:           x.Depth,
-		WaitersPerGrant: x.Crowd,
-		Quantum:         x.Draw,
-		GrantTimeout:    x.Lease.D(),
-		Window:          x.Window.D(),
-		Flows:           x.Flows,
-		FIFO:            x.Order == "arrival",
+	share := w.gateway.cfg.Share
+	fair, err := fairshare.NewGate[*nodeConn](fairshare.GateConfig{
+		Depth:           share.Depth,
+		WaitersPerGrant: share.Crowd,
+		Quantum:         share.Draw,
+		GrantTimeout:    share.Lease.D(),
+		Window:          share.Window.D(),
+		Flows:           share.Flows,
+		FIFO:            share.Order == "arrival",
 	})
 	if err != nil {
-		panic("gateway: " + err.Error()) // cannot happen: the settings were checked, and loops have the same
+		panic("gateway: " + err.Error()) // cannot happen: the settings were checked
 	}
-	if l.gates == nil {
-		l.gates = map[dispatch.NodeID]*nodeGate{}
+	if w.gates == nil {
+		w.gates = map[dispatch.NodeID]*nodeGate{}
 	}
-	if len(l.gates) >= maxGates {
-		for id, g := range l.gates {
-			if g.Idle() && l.now().Sub(g.lastUsed) > l.gateway.cfg.Limits.NodeAge.D() {
-				delete(l.gates, id)
-			}
-		}
+	if len(w.gates) >= maxGates {
+		w.dropIdleGates()
 	}
-	g := &nodeGate{Gate: s, lastUsed: l.now()}
-	l.gates[id] = g
+	g := &nodeGate{Gate: fair, lastUsed: w.now()}
+	w.gates[id] = g
 	return g
 }
 
-// maxGates is how many gates a lane keeps without looking for old ones. An idle
-// connection holds its gate whatever becomes of it here.
-const maxGates = 1024
+func (w *loopWorker) dropIdleGates() {
+	for id, g := range w.gates {
+		if g.Idle() && w.now().Sub(g.lastUsed) > w.gateway.cfg.Limits.NodeAge.D() {
+			delete(w.gates, id)
+		}
+	}
+}
 
-// acquireGrant asks for leave to go on with an answer that streams.
-func (k *nodeConn) acquireGrant() {
-	if k.grant != nil {
-		k.conn.Resume()
+// acquireGrant continues to read a streamed response, once a grant permits it.
+func (n *nodeConn) acquireGrant() {
+	if n.grant != nil {
+		n.conn.Resume()
 		return
 	}
-	k.requestGrant()
-	k.worker.grant(k.gate)
+	n.requestGrant()
+	n.worker.issueGrants(n.gate)
 }
 
-func (k *nodeConn) requestGrant() {
-	if k.grantRequested || !k.conn.Readable() {
-		return // one that has nothing to move takes no place
+// requestGrant queues the connection for a grant, unless it has nothing to read.
+func (n *nodeConn) requestGrant() {
+	if n.grantRequested || !n.conn.Readable() {
+		return
 	}
-	k.grantRequested = true
-	v := k.worker.chargedVolume(k.request.transaction)
-	k.gate.Request(k.worker.gateway.core.now(), v.name, v.flowConfig, k)
-	if !k.gate.contended {
-		k.gate.contended = true
-		k.worker.contended = append(k.worker.contended, k.gate)
+	n.grantRequested = true
+	v := n.worker.chargedVolume(n.request.transaction)
+	n.gate.Request(n.worker.gateway.core.now(), v.name, v.flowConfig, n)
+	if !n.gate.contended {
+		n.gate.contended = true
+		n.worker.contended = append(n.worker.contended, n.gate)
 	}
 }
 
-// OnReadable lets a stream ask whose next bytes are there.
-func (k *nodeConn) OnReadable(*eventloop.Conn) {
-	if k.request != nil && k.reader.State() == upstreamhttp.Streaming && k.grant == nil {
-		k.acquireGrant()
+// OnReadable is called when a paused connection has something to read.
+func (n *nodeConn) OnReadable(*eventloop.Conn) {
+	if n.request != nil && n.reader.State() == upstreamhttp.Streaming && n.grant == nil {
+		n.acquireGrant()
 	}
 }
 
-// renewGrant gives a lease that is used up back and asks for another; it tells whether
-// there is one at once.
-func (k *nodeConn) renewGrant() bool {
-	k.conn.Pause()
-	k.requestGrant() // first, so that its own turn is among those that are chosen from
-	k.releaseGrant()
-	return k.grant != nil
+// renewGrant replaces a grant that is used up, and reports whether the next one was issued at once.
+func (n *nodeConn) renewGrant() bool {
+	n.conn.Pause()
+	n.requestGrant() // before the release, so that this stream competes for the slot
+	n.releaseGrant()
+	return n.grant != nil
 }
 
-// releaseGrant ends a lease, and lets another stream draw.
-func (k *nodeConn) releaseGrant() {
-	if k.grant == nil {
+// releaseGrant ends the connection's grant, if any, and issues the next.
+func (n *nodeConn) releaseGrant() {
+	if n.grant == nil {
 		return
 	}
-	k.gate.Done(k.worker.gateway.core.now(), k.grant, k.grantUsed)
-	k.grant, k.grantUsed = nil, 0
-	k.worker.grant(k.gate)
+	n.gate.Done(n.worker.gateway.core.now(), n.grant, n.grantUsed)
+	n.grant = nil
+	n.grantUsed = 0
+	n.worker.issueGrants(n.gate)
 }
 
-// grant lets those draw whose turn it is.
-func (l *loopWorker) grant(g *nodeGate) {
-	now := l.gateway.core.now()
+// issueGrants resumes the connections that are next at a gate, as far as it has slots.
+func (w *loopWorker) issueGrants(g *nodeGate) {
+	now := w.gateway.core.now()
 	for {
-		lease, ok := g.NextGrant(now)
+		grant, ok := g.NextGrant(now)
 		if !ok {
 			return
 		}
-		k := lease.Item
-		k.grantRequested = false
-		if k.grant != nil || k.request == nil || k.conn == nil || k.reader.State() != upstreamhttp.Streaming { // it has ended meanwhile
-			g.Done(now, lease, 0)
+		n := grant.Item
+		n.grantRequested = false
+		if !n.awaitsGrant() { // its response has ended meanwhile
+			g.Done(now, grant, 0)
 			continue
 		}
-		k.grant, k.grantUsed, k.lastData = lease, 0, l.now()
-		k.conn.Resume()
+		n.grant = grant
+		n.grantUsed = 0
+		n.lastData = w.now()
+		n.conn.Resume()
 	}
 }
 
-// nextGrantExpiry returns when the next place at a gate becomes free by time.
-func (l *loopWorker) nextGrantExpiry() (time.Duration, bool) {
+func (n *nodeConn) awaitsGrant() bool {
+	return n.grant == nil && n.request != nil && n.conn != nil && n.reader.State() == upstreamhttp.Streaming
+}
+
+// nextGrantExpiry returns when the next grant that others wait for expires; false if there is none.
+func (w *loopWorker) nextGrantExpiry() (time.Duration, bool) {
 	var first time.Duration
-	any, n := false, 0
-	for _, g := range l.contended {
+	found := false
+	kept := w.contended[:0]
+	for _, g := range w.contended {
 		at, ok := g.NextWake()
-		if g.contended = ok; !ok {
+		g.contended = ok
+		if !ok {
 			continue
 		}
-		if !any || at < first {
-			first, any = at, true
+		if !found || at < first {
+			first, found = at, true
 		}
-		l.contended[n] = g
-		n++
+		kept = append(kept, g)
 	}
-	clear(l.contended[n:])
-	l.contended = l.contended[:n]
-	return first, any
+	clear(w.contended[len(kept):])
+	w.contended = kept
+	return first, found
 }
 
-// expireGrants ends those that have had their time, and gives leave to those who wait.
-func (l *loopWorker) expireGrants(now time.Duration) {
-	for _, g := range l.contended {
-		for lease, ok := g.Expired(now); ok; lease, ok = g.Expired(now) {
-			if k := lease.Item; k.grant == lease {
-				k.grant, k.grantUsed = nil, 0
-				k.conn.Pause()
-				k.requestGrant()
+// expireGrants pauses the connections whose grants have expired, and issues the next grants.
+func (w *loopWorker) expireGrants(now time.Duration) {
+	for _, g := range w.contended {
+		for grant, ok := g.Expired(now); ok; grant, ok = g.Expired(now) {
+			if n := grant.Item; n.grant == grant {
+				n.grant = nil
+				n.grantUsed = 0
+				n.conn.Pause()
+				n.requestGrant()
 			}
 		}
-		l.grant(g)
+		w.issueGrants(g)
 	}
 }
--- a/gateway/loadreport.go
+++ b/gateway/loadreport.go
@@ -5,35 +5,43 @@
 	"chalkstand/dispatch"
 	"chalkstand/forwarder"
 	"chalkstand/internal/objectapi"
+	"net/http"
 	"strconv"
 )
 
-// loadHeader carries a node's load report, in the text form of the Open Request
-// Cost Aggregation format.
+// loadHeader carries a node's load report, in the text format of Open Request Cost Aggregation.
 const loadHeader = "endpoint-load-metrics"
 
-// responseInfo turns a node's answer into what the forwarder hears of it.
-func (k *nodeConn) responseInfo() forwarder.ResponseInfo {
-	w := forwarder.ResponseInfo{Result: dispatch.OK}
-	switch s := k.reader.Response.Status; {
-	case s == 503 || s == 429:
-		w.Result = dispatch.Rejected
-	case s >= 500 && s != 501:
-		w.Result = dispatch.ServerError
+// maxMetric bounds the values that are accepted from a load report.
+const maxMetric = 1e12
+
+// responseInfo returns what the forwarder needs to know of the response that is being read.
+func (n *nodeConn) responseInfo() forwarder.ResponseInfo {
+	resp := &n.reader.Response
+	info := forwarder.ResponseInfo{Result: resultOfStatus(resp.Status)}
+	sizeKnown := !resp.Chunked && !resp.UntilClose
+	if info.Result == dispatch.OK && n.request != nil && n.request.sizeUnknown && sizeKnown {
+		info.Units = n.worker.gateway.costs.Of(objectapi.GetObject, resp.Length).Units
 	}
-	if r := &k.reader.Response; w.Result == dispatch.OK && k.request != nil && k.request.sizeUnknown && !r.Chunked && !r.UntilClose {
-		w.Units = k.worker.gateway.costs.Of(objectapi.GetObject, r.Length).Units
+	if v := resp.Headers.Get(loadHeader); v != nil {
+		readLoadReport(v, n.request, &info)
 	}
-	if v := k.reader.Response.Headers.Get(loadHeader); v != nil {
-		k.worker.readLoadReport(v, k.request, &w)
+	info.QueueTime, info.ServiceTime, info.HasTiming = readTiming(resp.Headers)
+	return info
+}
+
+func resultOfStatus(status int) dispatch.AttemptResult {
+	switch {
+	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
+		return dispatch.Rejected
+	case status >= 500 && status != http.StatusNotImplemented:
+		return dispatch.ServerError
 	}
-	w.QueueTime, w.ServiceTime, w.HasTiming = readTiming(k.reader.Response.Headers)
-	return w
+	return dispatch.OK
 }
 
-// readLoadReport reads "TEXT name=value, …". Names that are not known are left out;
-// a value that is no number is as good as absent.
-func (l *loopWorker) readLoadReport(v []byte, c *nodeRequest, w *forwarder.ResponseInfo) {
+// readLoadReport reads "TEXT name=value, …" into info. Unknown names and malformed values are ignored.
+func readLoadReport(v []byte, r *nodeRequest, info *forwarder.ResponseInfo) {
 	rest, ok := bytes.CutPrefix(v, []byte("TEXT "))
 	if !ok {
 		return
@@ -43,18 +51,18 @@
 		item, rest, _ = bytes.Cut(rest, []byte(","))
 		name, val, _ := bytes.Cut(bytes.TrimSpace(item), []byte("="))
 		x, err := strconv.ParseFloat(string(val), 64)
-		if err != nil || !(x >= 0) || x > 1e12 {
+		if err != nil || !(x >= 0) || x > maxMetric {
 			continue
 		}
 		switch string(name) {
 		case "named_metrics.inflight":
-			w.LoadReport = dispatch.LoadReport{"inflight": x}
+			info.LoadReport = dispatch.LoadReport{"inflight": x}
 		case "named_metrics.volume_rate":
-			if c != nil && c.volumeRate > 0 {
-				w.QuotaUsage = 1 + 100*x/c.volumeRate
+			if r != nil && r.volumeRate > 0 {
+				info.QuotaUsage = 1 + 100*x/r.volumeRate
 			}
 		case "named_metrics.volume_elsewhere":
-			w.PeerUnits = x
+			info.PeerUnits = x
 		}
 	}
 }
--- a/gateway/nodetiming.go
+++ b/gateway/nodetiming.go
@@ -8,38 +8,36 @@
 	"time"
 )
 
-// timingHeader tells how a request's time at the node divides, in the form of the
-// Server-Timing recommendation: "queue;dur=1.5, work;dur=20" for the request that
-// is answered, and with a desc that names it as GATEWAY/REQUEST/ATTEMPT for one that
-// ended before. Durations are milliseconds.
+// timingHeader is how a node reports the parts of a request's time there, as a Server-Timing header:
+// "queue;dur=1.5, work;dur=20" for the request of this response, and with a desc that names it
+// as GATEWAY/REQUEST/ATTEMPT for an earlier one. Durations are milliseconds.
 const timingHeader = "server-timing"
 
-// timingMetric is one metric of the header.
+const (
+	maxTimings = 64             // metrics read from one response
+	maxTiming  = 24 * time.Hour // of a metric
+)
+
+// timingMetric is one metric of a Server-Timing header.
 type timingMetric struct {
-	work     bool // else in the queue
+	work     bool // else the time in the queue
 	duration time.Duration
-	desc     []byte // empty: of the request that is answered
+	desc     []byte // empty: of the request of this response
 }
 
-// maxTimings bounds the metrics that are read from one answer.
-const maxTimings = 64
-
-// maxTiming bounds what a metric may tell.
-const maxTiming = 24 * time.Hour
-
-// eachTiming calls f with the metrics that are known here. What is malformed, or
-// has another name, is left out.
+// eachTiming calls f for each queue and work metric. Malformed and other metrics are ignored.
 func eachTiming(hs http1.Headers, f func(timingMetric)) {
-	v := hs.Get(timingHeader)
-	for n := 0; len(v) > 0 && n < maxTimings; n++ {
+	rest := hs.Get(timingHeader)
+	for n := 0; len(rest) > 0 && n < maxTimings; n++ {
 		var item []byte
-		item, v, _ = bytes.Cut(v, []byte(","))
+		item, rest, _ = bytes.Cut(rest, []byte(","))
 		if m, ok := parseTiming(item); ok {
 			f(m)
 		}
 	}
 }
 
+// parseTiming parses a metric. It returns false if the metric has another name, or no valid duration.
 func parseTiming(item []byte) (m timingMetric, ok bool) {
 	name, rest, _ := bytes.Cut(item, []byte(";"))
 	switch string(bytes.TrimSpace(name)) {
@@ -49,7 +47,7 @@
 	default:
 		return m, false
 	}
-	told := false
+	hasDuration := false
 	for len(rest) > 0 {
 		var param []byte
 		param, rest, _ = bytes.Cut(rest, []byte(";"))
@@ -60,68 +58,69 @@
 			if err != nil || !(ms >= 0) || ms > float64(maxTiming/time.Millisecond) {
 				return m, false
 			}
-			m.duration, told = time.Duration(ms*float64(time.Millisecond)), true
+			m.duration = time.Duration(ms * float64(time.Millisecond))
+			hasDuration = true
 		case "desc":
 			m.desc = bytes.Trim(val, `"`)
 		}
 	}
-	return m, told
+	return m, hasDuration
 }
 
-// readTiming reads what a node tells of the request that it answers.
-func readTiming(hs http1.Headers) (queue, work time.Duration, told bool) {
+// readTiming returns the times of the request of a response; found is false if it has none.
+func readTiming(hs http1.Headers) (queue, work time.Duration, found bool) {
 	eachTiming(hs, func(m timingMetric) {
 		switch {
 		case len(m.desc) > 0:
 		case m.work:
-			work, told = m.duration, true
+			work, found = m.duration, true
 		default:
-			queue, told = m.duration, true
+			queue, found = m.duration, true
 		}
 	})
-	return queue, work, told
+	return queue, work, found
 }
 
-// readLateTimings reads what a node tells of requests that ended before, of this
-// gateway only.
-func (l *loopWorker) readLateTimings(hs http1.Headers) {
-	if l.gateway.attribution == nil {
+// readLateTimings batches the times that a response reports of earlier requests of this gateway.
+func (w *loopWorker) readLateTimings(hs http1.Headers) {
+	if w.gateway.attribution == nil {
 		return
 	}
-	var last []byte
-	var t attribution.NodeReport
+	var current []byte // desc of report
+	var report attribution.NodeReport
 	flush := func() {
-		if last != nil {
-			l.addNodeReport(t)
-			last = nil
+		if current != nil {
+			w.addNodeReport(report)
+			current = nil
 		}
 	}
 	eachTiming(hs, func(m timingMetric) {
 		if len(m.desc) == 0 {
 			return
 		}
-		if !bytes.Equal(m.desc, last) {
+		if !bytes.Equal(m.desc, current) {
 			flush()
-			gw, call, attempt, ok := parseAttemptID(m.desc)
-			if !ok || gw != l.gateway.cfg.Name {
+			gateway, request, attempt, ok := parseAttemptID(m.desc)
+			if !ok || gateway != w.gateway.cfg.Name {
 				return
 			}
-			last, t = m.desc, attribution.NodeReport{Call: call, Attempt: attempt}
+			current = m.desc
+			report = attribution.NodeReport{Call: request, Attempt: attempt}
 		}
 		if m.work {
-			t.Work = m.duration
+			report.Work = m.duration
 		} else {
-			t.Queue = m.duration
+			report.Queue = m.duration
 		}
 	})
 	flush()
 }
 
-// parseAttemptID reads GATEWAY/REQUEST/ATTEMPT.
-func parseAttemptID(b []byte) (gw string, call uint64, attempt int, ok bool) {
+// parseAttemptID parses GATEWAY/REQUEST/ATTEMPT.
+func parseAttemptID(b []byte) (gateway string, request uint64, attempt int, ok bool) {
 	name, rest, _ := bytes.Cut(b, []byte("/"))
-	id, att, _ := bytes.Cut(rest, []byte("/"))
-	call, err := strconv.ParseUint(string(id), 10, 64)
-	a, err2 := strconv.ParseUint(string(att), 10, 16)
-	return string(name), call, int(a), err == nil && err2 == nil
+	requestText, attemptText, _ := bytes.Cut(rest, []byte("/"))
+	request, requestErr := strconv.ParseUint(string(requestText), 10, 64)
+	n, attemptErr := strconv.ParseUint(string(attemptText), 10, 16)
+	return string(name), request, int(n), requestErr == nil && attemptErr == nil
 }
--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -61,7 +61,10 @@
 	if err := c.SetReadDeadline(time.Now().Add(clientTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	resp := kit.Must(http.ReadResponse(c.reader, nil))(t)
+	resp, err := http.ReadResponse(c.reader, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
 	kit.ReadAll(t, resp.Body)
 	if err := resp.Body.Close(); err != nil {
 		t.Fatal(err)
@@ -97,7 +100,13 @@
 
 // startOverloaded starts a site whose volume photos is overloaded, with so many clients whose requests
 // are all waiting when its loop goes on.
-func startOverloaded(t *testing.T, s settings.Settings, clients int, secret string, opts ...gateway.Option) (*kit.Site, []testClient) {
+func startOverloaded(
+	t *testing.T,
+	s settings.Settings,
+	clients int,
+	secret string,
+	opts ...gateway.Option,
+) (*kit.Site, []testClient) {
 	t.Helper()
 	site := kit.Start(t, s, nil, opts...)
 	for _, b := range []string{"photos", "loans"} {
--- /dev/null
+++ b/gateway/response.go
@@ -0,0 +1,229 @@
+package gateway
+
+import (
+	"chalkstand/attribution"
+	"chalkstand/internal/http1"
+	"chalkstand/internal/objectapi"
+	"net/http"
+	"strconv"
+	"time"
+)
+
+// xmlHeader is the header of responses with a document.
+const xmlHeader = "Content-Type: application/xml\r\n"
+
+// appendHead starts a response in the worker's scratch buffer.
+func (t *transaction) appendHead(status int) []byte {
+	w := t.conn.worker
+	if t.body != nil && !t.bodyComplete { // the rest of the body would be taken for a request
+		t.closeConn = true
+	}
+	b := http1.AppendStatus(w.scratch[:0], status)
+	b = http1.AppendHeader(b, "Server", "chalkstand")
+	b = http1.AppendHeader(b, "Date", w.httpDate())
+	b = http1.AppendHeader(b, "x-amz-request-id", t.id)
+	if t.closeConn {
+		b = http1.AppendHeader(b, "Connection", "close")
+	} else if t.httpMinor == 0 {
+		b = http1.AppendHeader(b, "Connection", "keep-alive")
+	}
+	t.status = status
+	return b
+}
+
+// hasBody reports whether a response of this status has a body or a length.
+func hasBody(status int) bool {
+	return status != http.StatusNoContent && status != http.StatusNotModified
+}
+
+// respond sends the whole response. extra holds header lines with their line ends.
+func (t *transaction) respond(status int, extra, body []byte) {
+	if t.responded || t.headersSent {
+		return // cannot happen: there is one response
+	}
+	b := t.appendHead(status)
+	b = append(b, extra...)
+	if hasBody(status) {
+		b = http1.AppendLength(b, int64(len(body)))
+	}
+	t.writeResponse(b, body)
+}
+
+// writeResponse ends the head in b, which is in the worker's scratch buffer, and sends it with the body.
+func (t *transaction) writeResponse(b, body []byte) {
+	b = append(b, "\r\n"...)
+	if !t.headOnly {
+		b = append(b, body...)
+	}
+	t.conn.worker.scratch = b[:0]
+	t.headersSent = true
+	t.conn.conn.Write(b)
+	t.finish()
+}
+
+// respondXML sends an XML document with status 200.
+func (t *transaction) respondXML(v any) {
+	t.respond(http.StatusOK, []byte(xmlHeader), objectapi.Marshal(v))
+}
+
+// respondError sends an error of the object API with the given status.
+func (t *transaction) respondError(e *objectapi.Error, status int) {
+	t.respond(status, []byte(xmlHeader), e.Document(t.resource, t.id))
+}
+
+// respondErrorCode sends an error of the object API with the status of its code.
+func (t *transaction) respondErrorCode(e *objectapi.Error) { t.respondError(e, e.Status()) }
+
+// respondSlowDown rejects the request: nothing was executed, and the client may retry after a time.
+func (t *transaction) respondSlowDown(retryAfter time.Duration) {
+	seconds := int64((retryAfter + time.Second - 1) / time.Second)
+	h := http1.AppendHeader([]byte(xmlHeader), "Retry-After", strconv.FormatInt(max(seconds, 1), 10))
+	h = http1.AppendHeader(h, "x-chalkstand-retry-after-ms", strconv.FormatInt(retryAfter.Milliseconds(), 10))
+	e := objectapi.Errorf("SlowDown", "Please reduce your request rate.")
+	t.outcome = attribution.Rejected
+	t.respond(http.StatusServiceUnavailable, h, e.Document(t.resource, t.id))
+}
+
+// respondFailure sends an error that leaves open whether the request was executed.
+func (t *transaction) respondFailure(timedOut bool) {
+	t.outcome = attribution.Failed
+	if timedOut {
+		e := objectapi.Errorf("GatewayTimeout",
+			"The storage node did not answer in time; whether the request was done is not known.")
+		t.respondError(e, http.StatusGatewayTimeout)
+		return
+	}
+	e := objectapi.Errorf("InternalError",
+		"We encountered an internal error; whether the request was done is not known.")
+	t.respondError(e, http.StatusInternalServerError)
+}
+
+// respondResult sends the result of a node request as the response.
+func (t *transaction) respondResult(r nodeResult) {
+	if t.responded {
+		return
+	}
+	switch r.kind {
+	case resultBuffered:
+		t.proxyResponse(r)
+	case resultStreamed:
+		t.endStream()
+	case resultAborted:
+		t.abortStream()
+	case resultRejected:
+		t.respondSlowDown(r.retryAfter)
+	case resultFailed:
+		t.respondFailure(r.timedOut)
+	}
+}
+
+// proxyResponse sends a node's buffered response.
+func (t *transaction) proxyResponse(r nodeResult) {
+	if t.responded || t.headersSent {
+		return
+	}
+	b := t.appendHead(r.resp.Status)
+	b = appendNodeHeaders(b, r.resp.Headers)
+	switch {
+	case t.headOnly: // the length that a GET would have
+		if v := r.resp.Headers.Get("content-length"); v != nil {
+			b = http1.AppendHeader(b, "Content-Length", v)
+		}
+	case hasBody(r.resp.Status):
+		b = http1.AppendLength(b, int64(len(r.body)))
+	}
+	t.writeResponse(b, r.body)
+}
+
+// responseHeaders starts to stream a node's response. It implements responseSink.
+func (t *transaction) responseHeaders(n *nodeConn, r *http1.Response) {
+	b := t.appendHead(r.Status)
+	b = appendNodeHeaders(b, r.Headers)
+	switch {
+	case !r.Chunked && !r.UntilClose:
+		b = http1.AppendLength(b, r.Length)
+	case t.httpMinor == 1:
+		t.chunkedResponse = true
+		b = append(b, "Transfer-Encoding: chunked\r\n"...)
+	default: // HTTP/1.0: the body ends with the connection
+		t.closeConn = true
+	}
+	b = append(b, "\r\n"...)
+	t.conn.worker.scratch = b[:0]
+	t.headersSent = true
+	t.streamingFrom = n
+	t.conn.setState(stateResponding)
+	t.conn.conn.Write(b)
+}
+
+// responseData sends a part of a streamed body, and stops the node while the client does not read. It
+// implements responseSink.
+func (t *transaction) responseData(p []byte) bool {
+	conn := t.conn.conn
+	if t.chunkedResponse {
+		b := http1.AppendChunk(t.conn.worker.scratch[:0], p)
+		t.conn.worker.scratch = b[:0]
+		conn.Write(b)
+	} else {
+		conn.Write(p)
+	}
+	if conn.Pending() == 0 {
+		t.conn.lastProgress = t.conn.worker.now()
+		return true
+	}
+	t.wasStalled = true
+	t.clientStall.start(t.now())
+	return false
+}
+
+// endStream ends a streamed response that is complete.
+func (t *transaction) endStream() {
+	if t.responded {
+		return
+	}
+	if t.chunkedResponse {
+		t.conn.conn.Write([]byte(http1.LastChunk))
+	}
+	t.finish()
+}
+
+// abortStream resets the connection under a streamed response that is incomplete, so that the client does
+// not take it for complete.
+func (t *transaction) abortStream() {
+	if t.responded {
+		return
+	}
+	t.status = 0
+	t.outcome = attribution.Aborted
+	t.markResponded()
+	t.endSpan()
+	t.conn.conn.Reset()
+}
+
+// appendNodeHeaders appends the headers of a node's response, without those that belong to its
+// connection or to the gateway.
+func appendNodeHeaders(b []byte, hs http1.Headers) []byte {
+	for _, h := range hs {
+		if isGatewayHeader(h.Name) {
+			continue
+		}
+		b = append(b, h.Name...)
+		b = append(b, ": "...)
+		b = append(b, h.Value...)
+		b = append(b, "\r\n"...)
+	}
+	return b
+}
+
+// isGatewayHeader reports whether a response header is set by the gateway, or by each hop.
+func isGatewayHeader(name []byte) bool {
+	for _, n := range [...]string{
+		"content-length", "transfer-encoding", "connection", "keep-alive", "trailer", "date", "server",
+		loadHeader, timingHeader, "x-amz-request-id", "retry-after",
+	} {
+		if http1.EqualFold(name, n) {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/gateway/serve.go
@@ -0,0 +1,139 @@
+package gateway
+
+import (
+	"chalkstand/internal/eventloop"
+	"context"
+	"fmt"
+	"net"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+const (
+	// sweepInterval is how often connections are checked for idle and slow clients, whose
+	// time limits are much longer.
+	sweepInterval = 100 * time.Millisecond
+	// drainPoll is how often Drain checks whether all requests have their responses.
+	drainPoll = 5 * time.Millisecond
+)
+
+// tooManyConns is the response on a connection that is not accepted.
+var tooManyConns = []byte("HTTP/1.1 503 Service Unavailable\r\n" +
+	"Retry-After: 1\r\n" +
+	"Content-Length: 0\r\n" +
+	"Connection: close\r\n\r\n")
+
+// Listen opens a listener for Serve.
+func Listen(addr string) (*net.TCPListener, error) {
+	var lc net.ListenConfig
+	ln, err := lc.Listen(context.Background(), "tcp", addr)
+	if err != nil {
+		return nil, fmt.Errorf("gateway: %w", err)
+	}
+	return ln.(*net.TCPListener), nil
+}
+
+// Serve accepts clients on the listeners, which it takes over, until ctx ends or the gateway is
+// closed. It returns an error at once when a listener cannot be used.
+func (g *Gateway) Serve(ctx context.Context, listeners ...*net.TCPListener) error {
+	for _, ln := range listeners {
+		fd, err := eventloop.Detach(ln)
+		if err != nil {
+			return fmt.Errorf("gateway: listener %v: %w", ln.Addr(), err)
+		}
+		_ = ln.Close() // fd is a duplicate
+		first := g.workers[0]
+		listening := make(chan error, 1)
+		first.loop.Post(func() { listening <- first.loop.Listen(fd, first.newcomers.flow, g.accept) })
+		if err := <-listening; err != nil {
+			return fmt.Errorf("gateway: listener: %w", err)
+		}
+	}
+	select {
+	case <-ctx.Done():
+	case <-g.core.done:
+	}
+	return nil
+}
+
+// accept assigns a new connection to a worker, round robin. It runs on the first worker's loop.
+func (g *Gateway) accept(fd int, _ unix.Sockaddr) {
+	if int(g.clientConns.Load()) >= g.cfg.Limits.Conns || g.draining.Load() {
+		g.metrics.connsRejected.Inc()
+		_, _ = unix.Write(fd, tooManyConns) // best effort
+		_ = unix.Close(fd)
+		return
+	}
+	g.clientConns.Add(1)
+	w := g.workers[g.nextWorker%len(g.workers)]
+	g.nextWorker++
+	if w == g.workers[0] {
+		w.addClient(fd)
+	} else {
+		w.loop.Post(func() { w.addClient(fd) })
+	}
+}
+
+// Drain stops accepting connections and waits until all requests in flight have their responses, or ctx
+// ends. The error wraps ctx's.
+func (g *Gateway) Drain(ctx context.Context) error {
+	g.draining.Store(true)
+	for _, w := range g.workers {
+		w.loop.Post(func() {
+			w.loop.StopListening()
+			w.closeIdleClients()
+		})
+	}
+	t := time.NewTicker(drainPoll)
+	defer t.Stop()
+	for g.inFlight.Load() > 0 {
+		select {
+		case <-t.C:
+		case <-ctx.Done():
+			return fmt.Errorf("gateway: %d requests still in hand: %w", g.inFlight.Load(), ctx.Err())
+		}
+	}
+	return nil
+}
+
+// Close stops the gateway at once and awaits its goroutines. Requests in flight get no response. It
+// always returns nil.
+func (g *Gateway) Close() error {
+	g.closeOnce.Do(func() {
+		g.core.stop()
+		for _, w := range g.workers {
+			w.loop.Stop()
+		}
+		if g.registry != nil {
+			g.registry.Unregister(g.metrics)
+		}
+	})
+	g.goroutines.Wait()
+	if g.attribution != nil {
+		g.flushOnce.Do(func() {
+			for _, w := range g.workers { // safe: their loops have ended
+				w.flushBatch()
+			}
+			close(g.attribution.batches)
+		})
+		<-g.attribution.done
+	}
+	return nil
+}
+
+// sweepPeriodically has each worker check its connections, until the gateway is closed.
+func (g *Gateway) sweepPeriodically() {
+	t := time.NewTicker(sweepInterval)
+	defer t.Stop()
+	for {
+		select {
+		case <-g.core.done:
+			return
+		case <-t.C:
+			for _, w := range g.workers {
+				w.loop.Post(w.sweep)
+			}
+		}
+	}
+}
--- a/gateway/upload.go
+++ b/gateway/upload.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// upload passes a client's body through to a node as it comes. The node gets the
-// last byte, or the end of the chunks, only when the whole body was found true:
-// what proves bad is never whole at the node, which throws it away.
+// upload streams a client's body to a node. The node gets the last byte, or the end of the chunks, only
+// when the whole body has been verified; so it never holds an invalid body that is complete.
 type upload struct {
 	transaction *transaction
 	request     *nodeRequest
-	conn        *nodeConn // nil until the forwarder has sent the request, and after its end
-	chunked     bool      // towards the node: the length or a checksum comes at the end
-	trailer     string    // the checksum's name, with chunked
-	heldByte    []byte    // held back
-	streaming   bool      // the forwarder was told that the body flows
-	startedAt   time.Duration
-	receivedAt  time.Duration // when the client had sent all; 0: not yet
-	nodeStall   stopwatch     // by the node
+	conn        *nodeConn // nil until the request has been sent
+	chunked     bool      // chunked transfer coding to the node
+	trailer     string    // name of the checksum's trailer field; empty: none
+	heldByte    []byte    // the last byte, unless chunked
+	streaming   bool      // BodyStreaming has been reported
+
+	startedAt  time.Duration // 0: not yet
+	receivedAt time.Duration // when the client had sent all; 0: not yet
+	nodeStall  stopwatch     // while the node does not read
 }
 
-// startBody begins to pass the body on.
-func (u *upload) startBody(k *nodeConn) {
-	u.conn = k
+// startBody starts to stream. It implements bodySource.
+func (u *upload) startBody(n *nodeConn) {
+	u.conn = n
 	c := u.transaction.conn
 	u.startedAt = u.transaction.now()
 	u.transaction.sendContinue()
@@ -34,7 +34,7 @@
 	c.conn.Redeliver()
 }
 
-// bodyDrained goes on after the node has taken what was sent.
+// bodyDrained continues after the node has read what was sent. It implements bodySource.
 func (u *upload) bodyDrained() {
 	if c := u.transaction.conn; c.state == stateUploading {
 		c.lastProgress = c.worker.now()
@@ -43,10 +43,14 @@
 	}
 }
 
-// feed takes bytes that the client sent.
+// attached reports whether the connection still carries the upload's request.
+func (u *upload) attached() bool { return u.conn != nil && u.conn.request == u.request }
+
+// feed processes a part of the body as the client sent it, and returns the number of bytes consumed.
 func (u *upload) feed(b []byte) int {
-	t, c := u.transaction, u.transaction.conn
-	if u.conn == nil || u.conn.request != u.request { // between the attempt's end and the answer
+	t := u.transaction
+	c := t.conn
+	if !u.attached() { // the attempt has ended, and its result is to come
 		c.conn.Pause()
 		return 0
 	}
@@ -64,41 +68,24 @@
 		u.streaming = true
 		c.worker.handle(forwarder.BodyStreaming{ID: u.request.id})
 	}
-	if u.conn != nil && u.conn.request == u.request && u.conn.conn.Pending() > 0 {
+	if u.attached() && u.conn.conn.Pending() > 0 {
 		u.nodeStall.start(t.now())
 		c.conn.Pause()
 	}
 	return used
 }
 
-// clientTime is how long the body has come in at the client's pace, until now at
-// most.
-func (u *upload) clientTime(now time.Duration) time.Duration {
-	if u.startedAt == 0 {
-		return 0
-	}
-	if u.receivedAt > 0 {
-		now = u.receivedAt
-	}
-	return max(0, now-u.startedAt-u.nodeStall.take(now))
-}
-
-// abort ends the request to the node: its body proved bad or stopped coming.
-func (u *upload) abort() {
-	l := u.transaction.conn.worker
-	l.forget(u.request)
-	l.handle(forwarder.AbortRequest{ID: u.request.id})
-}
-
+// forward sends a part of the body to the node, and keeps back the last byte unless chunked.
 func (u *upload) forward(p []byte) {
 	if u.chunked {
-		l := u.transaction.conn.worker
-		b := http1.AppendChunk(l.scratch[:0], p)
-		l.scratch = b[:0]
+		w := u.transaction.conn.worker
+		b := http1.AppendChunk(w.scratch[:0], p)
+		w.scratch = b[:0]
 		u.conn.conn.Write(b)
 		return
 	}
-	if u.transaction.body.Got == u.transaction.body.Length {
+	body := u.transaction.body
+	if body.Got == body.Length {
 		n := len(p) - 1
 		u.heldByte = append(u.heldByte, p[n])
 		p = p[:n]
@@ -108,7 +95,7 @@
 	}
 }
 
-// finish gives the node the end of a body that was found true.
+// finish sends the end of a body that has been verified.
 func (u *upload) finish() {
 	t := u.transaction
 	t.bodyComplete = true
@@ -126,18 +113,36 @@
 	u.conn.bodySent()
 }
 
-// checkTimeout looks for a client that has stopped sending, or a node that has stopped
-// taking.
+// abort aborts the node request of a body that is invalid or has stalled.
+func (u *upload) abort() {
+	w := u.transaction.conn.worker
+	w.forget(u.request)
+	w.handle(forwarder.AbortRequest{ID: u.request.id})
+}
+
+// clientTime returns how long the body was read at the client's pace, until now at most.
+func (u *upload) clientTime(now time.Duration) time.Duration {
+	if u.startedAt == 0 {
+		return 0
+	}
+	if u.receivedAt > 0 {
+		now = u.receivedAt
+	}
+	return max(0, now-u.startedAt-u.nodeStall.reset(now))
+}
+
+// checkTimeout closes the connection of a node that has stopped reading, or rejects the body of a client
+// that has stopped sending. waited is the time since the last progress.
 func (u *upload) checkTimeout(waited time.Duration) {
-	c := u.transaction.conn
-	l := c.worker.gateway.cfg.Limits
+	t := u.transaction
 	switch {
-	case u.conn == nil || u.conn.request != u.request || waited <= l.ClientBody.D():
+	case !u.attached() || waited <= t.conn.worker.gateway.cfg.Limits.ClientBody.D():
 	case u.conn.conn.Pending() > 0:
 		u.conn.abort()
 	default:
 		u.abort()
-		u.transaction.closeConn = true
-		u.transaction.rejectBody(objectapi.Errorf("RequestTimeout", "Your socket connection to the server was not read from or written to within the timeout period."))
+		t.closeConn = true
+		t.rejectBody(objectapi.Errorf("RequestTimeout",
+			"Your socket connection to the server was not read from or written to within the timeout period."))
 	}
 }
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -4,7 +4,6 @@
 	"chalkstand/fairshare"
 	"chalkstand/internal/eventloop"
 	"chalkstand/internal/settings"
-	"chalkstand/overload"
 	"cmp"
 	"encoding/json"
 	"net/http"
@@ -13,146 +12,151 @@
 	"time"
 )
 
-// loopOptions are a loop's settings.
+// loopOptions returns an event loop's options. Its clock is now.
 func loopOptions(s *settings.Settings, now func() time.Duration) eventloop.Options {
-	x := s.Share
+	share := s.Share
 	return eventloop.Options{
-		Quantum: x.Quantum,
-		Slice:   x.Slice.D(),
+		Quantum: share.Quantum,
+		Slice:   share.Slice.D(),
 		Now:     now,
 		FairShare: fairshare.Config{
-			ByteTime:         x.ByteTime,
-			Window:           x.Window.D(),
-			Flows:            x.Flows,
-			InProgressWeight: x.Finishing,
-			FIFO:             x.Order == "arrival",
+			ByteTime:         share.ByteTime,
+			Window:           share.Window.D(),
+			Flows:            share.Flows,
+			InProgressWeight: share.Finishing,
+			FIFO:             share.Order == "arrival",
 		},
 	}
 }
 
-// newOverloadController returns the state of one flow's refusals.
-func (l *loopWorker) newOverloadController() *overload.Controller {
-	x := l.gateway.cfg.Share.Overload
-	o, err := overload.New(overload.Config{
-		Target:        x.Target.D(),
-		Interval:      x.Interval.D(),
-		RetryAfter:    x.Back.D(),
-		MaxRetryAfter: x.MaxBack.D(),
-	})
-	if err != nil {
-		panic("gateway: " + err.Error()) // cannot happen: the settings were checked
-	}
-	return o
-}
-
-// usageRegistry joins the flows of a volume on all loops. It is asked once for each volume
-// and loop; turns do not come here.
+// usageRegistry holds what joins a volume's flows on all loops. It is used once per volume and worker.
 type usageRegistry struct {
 	mu       sync.Mutex
 	byVolume map[string]*fairshare.SharedUsage
 }
 
-// shared finds or makes the account of a volume. Beyond the bound there is none: such
-// a volume has its share of each loop by itself.
-func (s *usageRegistry) shared(name string, cfg *settings.Settings) *fairshare.SharedUsage {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if a := s.byVolume[name]; a != nil {
-		return a
+// shared returns the shared usage of a volume. It returns nil for volumes beyond share.flows, which
+// are scheduled on each loop separately.
+func (r *usageRegistry) shared(name string, cfg *settings.Settings) *fairshare.SharedUsage {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if u := r.byVolume[name]; u != nil {
+		return u
 	}
-	if len(s.byVolume) >= cfg.Share.Flows {
+	if len(r.byVolume) >= cfg.Share.Flows {
 		return nil
 	}
-	if s.byVolume == nil {
-		s.byVolume = map[string]*fairshare.SharedUsage{}
+	if r.byVolume == nil {
+		r.byVolume = map[string]*fairshare.SharedUsage{}
 	}
-	a := fairshare.NewSharedUsage(cfg.LoopCount())
-	s.byVolume[name] = a
-	return a
+	u := fairshare.NewSharedUsage(cfg.LoopCount())
+	r.byVolume[name] = u
+	return u
 }
 
-// chargedVolume is the volume that a transaction's work counts for.
-func (l *loopWorker) chargedVolume(t *transaction) *volume {
+// chargedVolume returns the volume that a transaction's work is charged to.
+func (w *loopWorker) chargedVolume(t *transaction) *volume {
 	if t.volume == nil {
-		return l.ownVolume
+		return w.ownVolume
 	}
 	return t.volume
 }
 
-// rateLimitDelay tells after which time a request that comes now is better asked again: where
-// the limit in bytes lets each body of its volume move so seldom that their clients
-// would take them for dead. 0: it is taken, and paced.
-func (l *loopWorker) rateLimitDelay(v *volume) time.Duration {
-	if wait := l.loop.Delay(v.flow, l.gateway.cfg.Share.Quantum); wait > l.gateway.cfg.Share.MaxWait.D() {
+// rateLimitDelay returns after which time a new request is to be retried because its volume's byte rate
+// would delay each body for longer than share.max_wait. 0: it is accepted.
+func (w *loopWorker) rateLimitDelay(v *volume) time.Duration {
+	if wait := w.loop.Delay(v.flow, w.gateway.cfg.Share.Quantum); wait > w.gateway.cfg.Share.MaxWait.D() {
 		return wait
 	}
 	return 0
 }
 
-// VolumeUsage is what a volume had of the gateway's loops since they first knew it, and what
-// of it waits.
+// VolumeUsage is what a volume has used of the event loops since they first served it, and what
+// of it is waiting.
 type VolumeUsage struct {
 	Volume      string        `json:"volume"`
 	Weight      float64       `json:"weight"`
-	LoopTime    time.Duration `json:"loops_ns"` // time, bytes at their price
+	LoopTime    time.Duration `json:"loops_ns"` // time, or bytes at share.byte_time
 	Bytes       int64         `json:"bytes"`    // read from clients and nodes
-	Waiting     int           `json:"waits"`    // connections that wait for a turn
-	Streams     int           `json:"streams"`  // answers that wait for leave to draw on their node
-	RateLimited bool          `json:"paced"`    // held by its limit on some loop
+	Waiting     int           `json:"waits"`    // connections that wait to be served
+	Streams     int           `json:"streams"`  // responses that wait for a grant of their node's gate
+	RateLimited bool          `json:"paced"`    // waiting for its byte rate on some loop
 }
 
-// VolumeUsage tells what the volumes had, in the order of their names.
+// plus returns the sum of a volume's usage on two loops, with the weight of u.
+func (u VolumeUsage) plus(other VolumeUsage) VolumeUsage {
+	u.LoopTime += other.LoopTime
+	u.Bytes += other.Bytes
+	u.Waiting += other.Waiting
+	u.Streams += other.Streams
+	u.RateLimited = u.RateLimited || other.RateLimited
+	return u
+}
+
+// VolumeUsage returns the usage of all volumes in the order of their names; nil once the gateway is
+// closed.
 func (g *Gateway) VolumeUsage() []VolumeUsage {
 	parts := make(chan map[string]VolumeUsage, len(g.workers))
-	for _, l := range g.workers {
-		l.loop.Post(func() { parts <- l.volumeUsage() })
+	for _, w := range g.workers {
+		w.loop.Post(func() { parts <- w.volumeUsage() })
 	}
-	all := map[string]VolumeUsage{}
+	sums := map[string]VolumeUsage{}
 	for range g.workers {
 		select {
-		case p := <-parts:
-			for name, x := range p {
-				s := all[name]
-				x.LoopTime, x.Bytes, x.Waiting, x.Streams, x.RateLimited = x.LoopTime+s.LoopTime, x.Bytes+s.Bytes, x.Waiting+s.Waiting, x.Streams+s.Streams, x.RateLimited || s.RateLimited
-				all[name] = x
+		case part := <-parts:
+			for name, u := range part {
+				sums[name] = u.plus(sums[name])
 			}
 		case <-g.core.done:
 			return nil
 		}
 	}
-	var out []VolumeUsage
-	for _, x := range all {
-		out = append(out, x)
+	var all []VolumeUsage
+	for _, u := range sums {
+		all = append(all, u)
 	}
-	slices.SortFunc(out, func(a, b VolumeUsage) int { return cmp.Compare(a.Volume, b.Volume) })
-	return out
+	slices.SortFunc(all, func(a, b VolumeUsage) int { return cmp.Compare(a.Volume, b.Volume) })
+	return all
 }
 
-func (l *loopWorker) volumeUsage() map[string]VolumeUsage {
-	out := map[string]VolumeUsage{}
-	l.loop.Flows(func(f *eventloop.Flow) {
-		had := f.Usage()
-		_, paced := f.RateLimitedUntil()
-		out[f.Name()] = VolumeUsage{Volume: f.Name(), Weight: f.Weight(), LoopTime: time.Duration(had.Cost), Bytes: had.Bytes, Waiting: f.Waiting(), RateLimited: paced}
+// volumeUsage returns the usage on this loop by volume.
+func (w *loopWorker) volumeUsage() map[string]VolumeUsage {
+	byVolume := map[string]VolumeUsage{}
+	w.loop.Flows(func(f *eventloop.Flow) {
+		used := f.Usage()
+		_, limited := f.RateLimitedUntil()
+		byVolume[f.Name()] = VolumeUsage{
+			Volume:      f.Name(),
+			Weight:      f.Weight(),
+			LoopTime:    time.Duration(used.Cost),
+			Bytes:       used.Bytes,
+			Waiting:     f.Waiting(),
+			RateLimited: limited,
+		}
 	})
-	for _, g := range l.gates {
+	for _, g := range w.gates {
 		g.Flows(func(f *fairshare.Flow[*nodeConn]) {
-			if s, ok := out[f.Name()]; ok {
-				s.Streams += f.Waiting()
-				out[f.Name()] = s
+			if u, ok := byVolume[f.Name()]; ok {
+				u.Streams += f.Waiting()
+				byVolume[f.Name()] = u
 			}
 		})
 	}
-	return out
+	return byVolume
 }
 
-// VolumeUsageHandler serves Shares as JSON: {"loops": n, "shares": [...]}.
+// VolumeUsageHandler serves VolumeUsage as JSON: {"loops": n, "shares": [...]}.
 func (g *Gateway) VolumeUsageHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(struct {
+		writeJSON(w, struct {
 			Loops  int           `json:"loops"`
 			Shares []VolumeUsage `json:"shares"`
 		}{len(g.workers), g.VolumeUsage()})
 	})
 }
+
+// writeJSON writes a JSON document. It ignores errors, which mean that the client has left.
+func writeJSON(w http.ResponseWriter, v any) {
+	w.Header().Set("Content-Type", "application/json")
+	_ = json.NewEncoder(w).Encode(v)
+}
--- /dev/null
+++ b/gateway/volume.go
@@ -0,0 +1,51 @@
+package gateway
+
+import (
+	"chalkstand/fairshare"
+	"chalkstand/internal/eventloop"
+	"chalkstand/overload"
+	"chalkstand/placement"
+	"strings"
+)
+
+// maxVolumes bounds a worker's cache of volumes, which is cleared when it is full.
+const maxVolumes = 4096
+
+// volume is a bucket as the settings see it, on one worker.
+type volume struct {
+	name        string
+	plan        int     // index in the settings
+	rate        float64 // of the plan, units per second
+	dispatchers int     // that serve the volume
+	placement   *placement.Volume
+	flow        *eventloop.Flow
+	flowConfig  fairshare.FlowConfig
+	overload    *overload.Controller
+}
+
+// volumeOf returns a bucket's volume; nil if no rule of the settings matches it.
+func (w *loopWorker) volumeOf(bucket string) *volume {
+	if v := w.volumes[bucket]; v != nil {
+		return v
+	}
+	cfg := w.gateway.cfg
+	rule := cfg.BucketRule(bucket)
+	if rule < 0 {
+		return nil
+	}
+	if len(w.volumes) >= maxVolumes {
+		clear(w.volumes)
+	}
+	v := &volume{
+		name:        strings.Clone(bucket),
+		plan:        cfg.Plan(rule),
+		dispatchers: cfg.Hosts(rule),
+		placement:   w.gateway.shards.Volume(bucket, cfg.Buckets[rule].Spread),
+	}
+	v.rate = cfg.Plans[v.plan].Rate
+	v.flowConfig = cfg.Terms(rule)
+	v.flow = w.loop.Flow(v.name, v.flowConfig, w.gateway.usage.shared(v.name, cfg))
+	v.overload = w.newOverloadController()
+	w.volumes[v.name] = v
+	return v
+}
