--- a/gateway/copy.go
+++ b/gateway/copy.go
@@ -1,126 +1,173 @@
 package gateway
 
 import (
+	"chalkstand/dispatch"
 	"chalkstand/internal/http1"
 	"chalkstand/internal/objectapi"
+	"net/http"
 	"strings"
 	"time"
 )
 
-// copying moves an object from one shard to another: a read whose answer's body is
-// the body of a write. Each is a request of its own.
-type copying struct {
-	t      *transaction
-	req    *http1.Request
-	get    *call
-	put    *call
-	from   *nodeConn // the read's, while it streams
-	to     *nodeConn // the write's, once it was sent
-	length int64
-	passed int64
-	last   []byte
-	given  bool // the write has its answer
-}
-
-// copyObject copies within a shard by the node itself, between shards through here.
+// objectCopy copies an object from one shard to another: the response of a read is the body of a write.
+// Each is a node request of its own.
+type objectCopy struct {
+	transaction *transaction
+	request     *http1.Request
+	read        *nodeRequest
+	write       *nodeRequest
+	source      *nodeConn // of the read, while it streams
+	target      *nodeConn // of the write, once it has been sent
+	length      int64     // of a streamed body, or unknownSize
+	received    int64     // bytes of it
+	pending     []byte    // received and not sent; the last byte until the source is complete
+	writeDone   bool
+}
+
+// copyObject copies an object. Within a shard the node does it.
 func (t *transaction) copyObject(r *http1.Request) {
-	l := t.conn.lane
-	src := l.volumeOf(t.op.FromBucket)
-	if src == nil {
-		t.deny(objectapi.Errorf("NoSuchBucket", "No rule of this gateway's settings fits the source's bucket."))
+	source := t.conn.worker.volumeOf(t.op.FromBucket)
+	if source == nil {
+		t.respondErrorCode(objectapi.Errorf("NoSuchBucket",
+			"No rule of this gateway's settings fits the source's bucket."))
 		return
 	}
-	from, to := src.place.Shard(t.op.FromKey), t.shard()
+	from, to := source.placement.Shard(t.op.FromKey), t.shard()
 	if from == to {
-		req := t.price(t.op.Kind, t.vol, to, t.op.Key, -1)
-		b := t.nodeHead(make([]byte, 0, 768), "PUT", t.op.Bucket, t.op.Key, t.op.Query, req, true, "")
-		b = appendPassed(b, r.Headers)
-		b = http1.AppendHeader(b, "x-amz-copy-source", objectapi.EncodeName(t.op.FromBucket+"/"+t.op.FromKey))
-		b = http1.AppendLength(b, 0)
-		t.call(&call{method: "PUT", head: b, collect: l.g.cfg.Limits.Replay, done: t.serve}, req)
+		t.copyWithinShard(r, to)
 		return
 	}
-	c := &copying{t: t, req: &http1.Request{Headers: r.Headers.Clone()}}
-	req := t.price(objectapi.GetObject, src, from, t.op.FromKey, rangeSize(r.Headers.Get("x-amz-copy-source-range")))
-	b := t.nodeHead(make([]byte, 0, 512), "GET", t.op.FromBucket, t.op.FromKey, nil, req, false, "")
+	c := &objectCopy{transaction: t, request: &http1.Request{Headers: r.Headers.Clone()}}
+	c.startRead(source, from)
+}
+
+func (t *transaction) copyWithinShard(r *http1.Request, shard dispatch.Shard) {
+	d := t.newDispatchRequest(t.op.Kind, t.volume, shard, t.op.Key, unknownSize)
+	b := make([]byte, 0, putHeadCapacity)
+	b = t.appendNodeHead(b, http.MethodPut, t.op.Bucket, t.op.Key, t.op.Query, d, true, "")
+	b = appendForwardedHeaders(b, r.Headers)
+	b = http1.AppendHeader(b, "x-amz-copy-source", objectapi.EncodeName(t.op.FromBucket+"/"+t.op.FromKey))
+	b = http1.AppendLength(b, 0)
+	t.startNodeRequest(&nodeRequest{
+		method:      http.MethodPut,
+		head:        b,
+		maxBuffered: t.conn.worker.gateway.cfg.Limits.Replay,
+		onResult:    t.respondResult,
+	}, d)
+}
+
+// startRead starts the request that reads the source.
+func (c *objectCopy) startRead(source *volume, shard dispatch.Shard) {
+	t := c.transaction
+	headers := c.request.Headers
+	byteRange := headers.Get("x-amz-copy-source-range")
+	d := t.newDispatchRequest(objectapi.GetObject, source, shard, t.op.FromKey, rangeSize(byteRange))
+	b := make([]byte, 0, headCapacity)
+	b = t.appendNodeHead(b, http.MethodGet, t.op.FromBucket, t.op.FromKey, nil, d, false, "")
 	for _, n := range [...]string{"if-match", "if-none-match", "if-modified-since", "if-unmodified-since"} {
-		if v := r.Headers.Get("x-amz-copy-source-" + n); v != nil {
+		if v := headers.Get("x-amz-copy-source-" + n); v != nil {
 			b = http1.AppendHeader(b, n, v)
 		}
 	}
-	if v := r.Headers.Get("x-amz-copy-source-range"); v != nil && t.op.Kind == objectapi.UploadPartCopy {
-		b = http1.AppendHeader(b, "range", v)
+	if byteRange != nil && t.op.Kind == objectapi.UploadPartCopy {
+		b = http1.AppendHeader(b, "range", byteRange)
 	}
-	c.get = &call{method: "GET", head: b, collect: l.g.cfg.Limits.Replay, sink: c, done: c.read}
-	t.call(c.get, req)
+	c.read = &nodeRequest{
+		method:      http.MethodGet,
+		head:        b,
+		maxBuffered: t.conn.worker.gateway.cfg.Limits.Replay,
+		sink:        c,
+		onResult:    c.onReadResult,
+	}
+	t.startNodeRequest(c.read, d)
 }
 
-// read goes on when the source's answer is there.
-func (c *copying) read(r result) {
-	t := c.t
-	t.forgetCall(c.get)
-	switch {
-	case t.ended:
-	case r.kind == answered && (r.resp.Status == 200 || r.resp.Status == 206):
-		c.write(r.resp, append([]byte(nil), r.body...), int64(len(r.body)), false)
-	case r.kind == answered && (r.resp.Status == 304 || r.resp.Status == 412):
-		t.deny(objectapi.Errorf("PreconditionFailed", "At least one of the pre-conditions you specified did not hold"))
-	case r.kind == streamed:
-		c.from = nil
-		c.flush()
-	case r.kind == cut: // the write must not become whole
-		c.from = nil
-		if !c.given {
-			t.conn.lane.drop(c.put)
-			t.giveUp(false)
+// onReadResult starts the write of a buffered source, or ends that of a streamed one.
+func (c *objectCopy) onReadResult(r nodeResult) {
+	t := c.transaction
+	t.removeNodeRequest(c.read)
+	if t.responded {
+		return
+	}
+	switch r.kind {
+	case resultBuffered:
+		c.onBufferedRead(r)
+	case resultStreamed:
+		c.source = nil
+		c.endBody()
+	case resultAborted: // the write must not complete
+		c.source = nil
+		if !c.writeDone {
+			t.conn.worker.cancelRequest(c.write)
+			t.respondFailure(false)
 		}
 	default:
-		t.serve(r)
+		t.respondResult(r)
 	}
 }
 
-// begin takes the head of a source that streams.
-func (c *copying) begin(k *nodeConn, r *http1.Response) {
-	c.from, c.length = k, r.Length
+func (c *objectCopy) onBufferedRead(r nodeResult) {
+	t := c.transaction
+	switch r.resp.Status {
+	case http.StatusOK, http.StatusPartialContent:
+		c.startWrite(r.resp, append([]byte(nil), r.body...), int64(len(r.body)), false)
+	case http.StatusNotModified, http.StatusPreconditionFailed:
+		t.respondErrorCode(objectapi.Errorf("PreconditionFailed",
+			"At least one of the pre-conditions you specified did not hold"))
+	default:
+		t.respondResult(r)
+	}
+}
+
+// responseHeaders starts the write of a streamed source. It implements responseSink.
+func (c *objectCopy) responseHeaders(n *nodeConn, r *http1.Response) {
+	c.source = n
+	c.length = r.Length
 	if r.Chunked || r.UntilClose {
-		c.length = -1
+		c.length = unknownSize
 	}
-	c.write(r, nil, c.length, true)
+	c.startWrite(r, nil, c.length, true)
 }
 
-// write begins the request that stores the copy.
-func (c *copying) write(r *http1.Response, body []byte, size int64, stream bool) {
-	t := c.t
+// startWrite starts the request that stores the copy. resp is the read's response.
+func (c *objectCopy) startWrite(resp *http1.Response, body []byte, size int64, stream bool) {
+	t := c.transaction
 	kind := objectapi.PutObject
 	if t.op.Kind == objectapi.UploadPartCopy {
 		kind = objectapi.UploadPart
 	}
-	req := t.price(kind, t.vol, t.shard(), t.op.Key, size)
-	b := t.nodeHead(make([]byte, 0, 768), "PUT", t.op.Bucket, t.op.Key, t.op.Query, req, true, "")
-	if strings.EqualFold(string(c.req.Headers.Get("x-amz-metadata-directive")), "REPLACE") {
-		b = appendPassed(b, c.req.Headers)
+	d := t.newDispatchRequest(kind, t.volume, t.shard(), t.op.Key, size)
+	b := make([]byte, 0, putHeadCapacity)
+	b = t.appendNodeHead(b, http.MethodPut, t.op.Bucket, t.op.Key, t.op.Query, d, true, "")
+	if strings.EqualFold(string(c.request.Headers.Get("x-amz-metadata-directive")), "REPLACE") {
+		b = appendForwardedHeaders(b, c.request.Headers)
 	} else if kind == objectapi.PutObject {
-		b = appendMetadata(b, r.Headers)
+		b = appendMetadata(b, resp.Headers)
 		for _, n := range [...]string{"if-match", "if-none-match"} {
-			if v := c.req.Headers.Get(n); v != nil {
+			if v := c.request.Headers.Get(n); v != nil {
 				b = http1.AppendHeader(b, n, v)
 			}
 		}
 	}
-	c.put = &call{method: "PUT", body: body, collect: t.conn.lane.g.cfg.Limits.Replay, done: c.written}
-	if stream {
-		c.put.source = c
-	}
 	if size < 0 {
 		b = append(b, "Transfer-Encoding: chunked\r\n"...)
 	} else {
 		b = http1.AppendLength(b, size)
 	}
-	c.put.head = b
-	t.call(c.put, req)
+	c.write = &nodeRequest{
+		method:      http.MethodPut,
+		head:        b,
+		body:        body,
+		maxBuffered: t.conn.worker.gateway.cfg.Limits.Replay,
+		onResult:    c.onWriteResult,
+	}
+	if stream {
+		c.write.source = c
+	}
+	t.startNodeRequest(c.write, d)
 }
 
-// appendMetadata passes on what a source's answer says of the object itself.
+// appendMetadata appends the headers of a response that describe the object itself.
 func appendMetadata(b []byte, hs http1.Headers) []byte {
 	for _, h := range hs {
 		name := strings.ToLower(string(h.Name))
@@ -136,90 +183,100 @@
 	return b
 }
 
-// start lets the source flow to the node that stores the copy.
-func (c *copying) start(k *nodeConn) {
-	c.to = k
-	c.flushHeld()
-	if c.from != nil {
-		c.from.resume()
+// startBody starts to stream to the node that stores the copy. It implements bodySource.
+func (c *objectCopy) startBody(n *nodeConn) {
+	c.target = n
+	c.sendPending()
+	if c.source != nil {
+		c.source.resumeReading()
 	} else {
-		c.flush()
+		c.endBody()
 	}
 }
 
-func (c *copying) drained() {
-	if c.from != nil {
-		c.from.resume()
+// bodyDrained continues after the target has read what was sent. It implements bodySource.
+func (c *objectCopy) bodyDrained() {
+	if c.source != nil {
+		c.source.resumeReading()
 	}
 }
 
-// data takes a piece of the source. Before the write was sent it holds the first
-// piece and stops the source; at most two reads are held so.
-func (c *copying) data(p []byte) bool {
-	c.passed += int64(len(p))
-	if c.length >= 0 && c.passed == c.length { // the end waits for the source's own
+// responseData sends a part of the source to the target. Before the write has been sent it keeps the
+// part and stops the source. It implements responseSink.
+func (c *objectCopy) responseData(p []byte) bool {
+	c.received += int64(len(p))
+	if c.complete() { // the last byte is sent once the source is complete
 		n := len(p) - 1
 		c.send(p[:n])
-		c.last = append(c.last, p[n])
+		c.pending = append(c.pending, p[n])
 		return true
 	}
 	c.send(p)
-	return c.to != nil && c.to.call == c.put && c.to.c.Pending() == 0
+	return c.attached() && c.target.conn.Pending() == 0
 }
 
-func (c *copying) send(p []byte) {
+// complete reports whether all bytes of a source of known length have been received.
+func (c *objectCopy) complete() bool { return c.length >= 0 && c.received == c.length }
+
+// attached reports whether the target still carries the write.
+func (c *objectCopy) attached() bool { return c.target != nil && c.target.request == c.write }
+
+// send sends a part of the body; it keeps the part if the write has not been sent, and drops it if the
+// write has its result.
+func (c *objectCopy) send(p []byte) {
 	switch {
-	case c.to == nil:
-		c.last = append(c.last, p...)
-	case c.to.call != c.put: // it has its answer
+	case c.target == nil:
+		c.pending = append(c.pending, p...)
+	case !c.attached():
 	case c.length < 0:
-		c.to.c.Write(http1.AppendChunk(nil, p))
+		c.target.conn.Write(http1.AppendChunk(nil, p))
 	case len(p) > 0:
-		c.to.c.Write(p)
+		c.target.conn.Write(p)
 	}
 }
 
-func (c *copying) flushHeld() {
-	p := c.last
-	c.last = nil
-	if c.length >= 0 && c.passed == c.length && len(p) > 0 {
-		c.last = append(c.last, p[len(p)-1])
+// sendPending sends what was kept, without the last byte of the source.
+func (c *objectCopy) sendPending() {
+	p := c.pending
+	c.pending = nil
+	if c.complete() && len(p) > 0 {
+		c.pending = append(c.pending, p[len(p)-1])
 		p = p[:len(p)-1]
 	}
 	c.send(p)
 }
 
-// flush ends the write's body once the source has ended whole.
-func (c *copying) flush() {
-	if c.to == nil || c.to.call != c.put {
+// endBody ends the write's body after the source has ended complete.
+func (c *objectCopy) endBody() {
+	if !c.attached() {
 		return
 	}
 	if c.length < 0 {
-		c.to.c.Write([]byte(http1.LastChunk))
+		c.target.conn.Write([]byte(http1.LastChunk))
 	} else {
-		c.to.c.Write(c.last)
+		c.target.conn.Write(c.pending)
 	}
-	c.last = nil
-	c.to.sent()
+	c.pending = nil
+	c.target.bodySent()
 }
 
-// written answers for the copy.
-func (c *copying) written(r result) {
-	t := c.t
-	c.given = true
-	t.conn.lane.drop(c.get)
-	if t.ended {
+// onWriteResult responds to the client.
+func (c *objectCopy) onWriteResult(r nodeResult) {
+	t := c.transaction
+	c.writeDone = true
+	t.conn.worker.cancelRequest(c.read)
+	if t.responded {
 		return
 	}
-	if r.kind != answered || r.resp.Status != 200 {
-		t.serve(r)
+	if r.kind != resultBuffered || r.resp.Status != http.StatusOK {
+		t.respondResult(r)
 		return
 	}
 	etag := string(r.resp.Headers.Get("etag"))
-	when := objectapi.FormatTime(t.conn.lane.g.wall().Truncate(time.Second))
+	modified := objectapi.FormatTime(t.conn.worker.gateway.wall().Truncate(time.Second))
 	if t.op.Kind == objectapi.UploadPartCopy {
-		t.document(200, objectapi.CopyPartResult{LastModified: when, ETag: etag})
+		t.respondXML(objectapi.CopyPartResult{LastModified: modified, ETag: etag})
 		return
 	}
-	t.document(200, objectapi.CopyObjectResult{LastModified: when, ETag: etag})
+	t.respondXML(objectapi.CopyObjectResult{LastModified: modified, ETag: etag})
 }
--- a/gateway/core.go
+++ b/gateway/core.go
@@ -7,75 +7,78 @@
 	"time"
 )
 
-// core owns the forwarder, and through it the dispatcher. Loops hand events to it
-// under a lock, which is held for a few microseconds (docs/design/running-gateway.md has the
-// measurement beside a goroutine of its own); actions go to the loop that owns the
-// connection, in the order in which they were decided.
+// core owns the forwarder, and through it the dispatcher. Workers pass events to it under a lock,
+// which is held for a few microseconds (docs/design/running-gateway.md compares it with a goroutine);
+// actions go to the worker that owns the connection, in the order in which they were decided.
 type core struct {
-	mu    sync.Mutex
-	x     *forwarder.Forwarder
-	start time.Time
-	lanes []*lane
-	timer *time.Timer
-	done  chan struct{}
-	once  sync.Once
-	nonce string // begins the keys of writes: no other process's are the same
+	mu        sync.Mutex // guards forwarder, and actions and wakePosted of each worker
+	forwarder *forwarder.Forwarder
+	workers   []*loopWorker
+	timer     *time.Timer
+	start     time.Time
+	done      chan struct{} // closed by stop
+	stopOnce  sync.Once
+	nonce     string // prefix of the idempotency keys, unique to this run
 }
 
-func newCore(x *forwarder.Forwarder) *core {
+func newCore(f *forwarder.Forwarder) *core {
 	c := &core{
-		x: x, start: time.Now(), timer: time.NewTimer(time.Hour), done: make(chan struct{}),
-		nonce: requestID(rand.Uint64()),
+		forwarder: f,
+		start:     time.Now(),
+		timer:     time.NewTimer(time.Hour),
+		done:      make(chan struct{}),
+		nonce:     requestID(rand.Uint64()),
 	}
 	c.timer.Stop()
 	return c
 }
 
+// now returns the time since the core was built.
 func (c *core) now() time.Duration { return time.Since(c.start) }
 
-// run fires the forwarder's timer until stop.
+// run fires the forwarder's timer until stop is called.
 func (c *core) run() {
 	for {
 		select {
 		case <-c.done:
 			return
 		case <-c.timer.C:
-			c.tell(nil, forwarder.TimerFired{})
+			c.handle(nil, forwarder.TimerFired{})
 		}
 	}
 }
 
-func (c *core) stop() { c.once.Do(func() { close(c.done) }) }
+func (c *core) stop() { c.stopOnce.Do(func() { close(c.done) }) }
 
-// tell hands an event over and has the actions followed: those of the lane on
-// which the caller runs before it returns, those of others soon. from is nil off
-// the loops.
-func (c *core) tell(from *lane, ev forwarder.Event) {
+// handle passes an event to the forwarder. Actions of the worker from, on whose loop the caller runs, are
+// applied before it returns, and those of other workers soon after. from is nil off the loops.
+func (c *core) handle(from *loopWorker, ev forwarder.Event) {
 	c.mu.Lock()
-	for _, a := range c.x.Handle(c.now(), ev) {
-		c.route(a)
+	for _, a := range c.forwarder.Handle(c.now(), ev) {
+		c.queueAction(a)
 	}
-	for _, l := range c.lanes {
-		if l != from && len(l.acts) > 0 && !l.woken {
-			l.woken = true
-			l.loop.Post(l.follow)
+	for _, w := range c.workers {
+		if w != from && len(w.actions) > 0 && !w.wakePosted {
+			w.wakePosted = true
+			w.loop.Post(w.applyActions)
 		}
 	}
 	c.mu.Unlock()
 	if from != nil {
-		from.follow()
+		from.applyActions()
 	}
 }
 
-// route puts an action into its lane's queue.
-func (c *core) route(a forwarder.Action) {
-	lane, ok := a.OnLoop()
+// queueAction appends an action to its worker's queue, or sets the timer. Requests for a discovery poll or
+// watch are dropped: here endpoint lists are pushed by UpdateEndpoints.
+func (c *core) queueAction(a forwarder.Action) {
+	loop, ok := a.OnLoop()
 	if !ok {
 		if t, timer := a.(forwarder.SetTimer); timer {
 			c.timer.Reset(max(t.At-c.now(), 0))
 		}
-		return // lists are told here, not asked for
+		return
 	}
-	l := c.lanes[lane]
-	l.acts = append(l.acts, a)
+	w := c.workers[loop]
+	w.actions = append(w.actions, a)
 }
--- /dev/null
+++ b/gateway/httpserver.go
@@ -0,0 +1,147 @@
+package gateway
+
+import (
+	"chalkstand/internal/http1"
+	"chalkstand/internal/objectapi"
+	"chalkstand/internal/payload"
+	"strings"
+)
+
+// handle processes a request whose head has been read. Nothing is sent to a node for a request that is
+// invalid, not signed or not permitted.
+func (t *transaction) handle(r *http1.Request) {
+	w := t.conn.worker
+	g := w.gateway
+	t.resource, _, _ = strings.Cut(string(r.Target), "?")
+	if !r.None() { // until the body has been read
+		t.body = &payload.Body{}
+	}
+	op, err := objectapi.Parse(r, g.cfg.Domains)
+	if err != nil {
+		t.respondErrorCode(err)
+		return
+	}
+	t.op = op
+	auth, authErr := g.verifier.Verify(g.wall(), r)
+	if authErr != nil {
+		t.respondError(objectapi.Errorf(authErr.Code, authErr.Message), authErr.Status)
+		return
+	}
+	t.key = (*g.keys.Load())[auth.KeyID]
+	if err := t.authorize(); err != nil {
+		t.respondErrorCode(err)
+		return
+	}
+	if err := checkUnsupportedHeaders(r.Headers); err != nil {
+		t.respondErrorCode(err)
+		return
+	}
+	if op.Bucket != "" && !t.enterVolume() {
+		return
+	}
+	if !op.Kind.HasBody() {
+		t.execute(r)
+		return
+	}
+	t.receiveBody(r, auth)
+}
+
+// authorize checks the permissions of the key.
+func (t *transaction) authorize() *objectapi.Error {
+	denied := objectapi.Errorf("AccessDenied", "Access Denied")
+	if t.key == nil || t.op.Kind.Writes() && !t.key.Write {
+		return denied
+	}
+	if t.op.Bucket != "" && !t.key.mayAccess(t.op.Bucket) {
+		return denied
+	}
+	if t.op.FromBucket != "" && !t.key.mayAccess(t.op.FromBucket) {
+		return denied
+	}
+	return nil
+}
+
+// unsupportedPrefixes begin the names of headers that are not supported.
+var unsupportedPrefixes = [...]string{
+	"x-amz-server-side-encryption", "x-amz-object-lock", "x-amz-grant-", "x-amz-copy-source-server-side",
+}
+
+// checkUnsupportedHeaders rejects headers that would change an object's meaning if they were ignored.
+func checkUnsupportedHeaders(hs http1.Headers) *objectapi.Error {
+	for _, h := range hs {
+		if !isAmzHeader(h.Name) {
+			continue
+		}
+		name := strings.ToLower(string(h.Name))
+		if isUnsupported(name, h.Value) {
+			return objectapi.Errorf("NotImplemented",
+				"The header "+name+" asks for something that is not offered here.")
+		}
+		if name == "x-amz-storage-class" && string(h.Value) != "STANDARD" {
+			return objectapi.Errorf("InvalidStorageClass", "The storage class you specified is not valid.")
+		}
+	}
+	return nil
+}
+
+func isUnsupported(name string, value []byte) bool {
+	switch name {
+	case "x-amz-tagging", "x-amz-website-redirect-location", "x-amz-write-offset-bytes":
+		return true
+	case "x-amz-acl":
+		return string(value) != "private" && string(value) != "bucket-owner-full-control"
+	}
+	for _, prefix := range unsupportedPrefixes {
+		if strings.HasPrefix(name, prefix) {
+			return true
+		}
+	}
+	return false
+}
+
+// enterVolume charges the connection's work to the volume of the request's bucket. It responds and
+// returns false if there is no such volume, or if its byte rate would delay the request for too long.
+func (t *transaction) enterVolume() bool {
+	w := t.conn.worker
+	if t.volume = w.volumeOf(t.op.Bucket); t.volume == nil {
+		t.respondErrorCode(objectapi.Errorf("NoSuchBucket", "No rule of this gateway's settings fits the bucket."))
+		return false
+	}
+	t.conn.assignVolume(t.volume)
+	if delay := w.rateLimitDelay(t.volume); delay > 0 {
+		t.closeConn = t.closeConn || t.body != nil // the body is not read
+		t.respondSlowDown(delay)
+		return false
+	}
+	return true
+}
+
+// execute starts the node requests of an operation whose body, if any, is buffered or to be streamed.
+func (t *transaction) execute(r *http1.Request) {
+	switch t.op.Kind {
+	case objectapi.ListBuckets:
+		t.listBuckets()
+	case objectapi.CreateBucket:
+		t.createBucket()
+	case objectapi.DeleteBucket:
+		t.deleteBucket()
+	case objectapi.GetBucketLocation:
+		t.getBucketLocation()
+	case objectapi.HeadBucket, objectapi.GetBucketVersioning:
+		t.forward(r, t.volume.placement.Shards()[0], 0)
+	case objectapi.ListObjectsV1, objectapi.ListObjectsV2:
+		t.listObjects()
+	case objectapi.ListMultipartUploads:
+		t.listMultipartUploads()
+	case objectapi.DeleteObjects:
+		t.deleteObjects()
+	case objectapi.CopyObject, objectapi.UploadPartCopy:
+		t.copyObject(r)
+	case objectapi.PutObject, objectapi.UploadPart:
+		t.putObject(r)
+	case objectapi.GetObject:
+		t.forward(r, t.shard(), rangeSize(r.Headers.Get("range")))
+	default:
+		t.forward(r, t.shard(), 0)
+	}
+}
--- /dev/null
+++ b/gateway/nodeconn.go
@@ -0,0 +1,272 @@
+package gateway
+
+import (
+	"chalkstand/dispatch"
+	"chalkstand/fairshare"
+	"chalkstand/forwarder"
+	"chalkstand/internal/eventloop"
+	"chalkstand/internal/upstreamhttp"
+	"errors"
+	"strconv"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// nodeConn is a connection to a node. It carries one request at a time.
+type nodeConn struct {
+	id      forwarder.ConnID
+	worker  *loopWorker
+	conn    *eventloop.Conn // nil until connected
+	request *nodeRequest    // nil while unused
+	reader  upstreamhttp.Reader
+	result  nodeResult // complete, while the forwarder decides what becomes of it
+	source  bodySource // nil once the body has been sent
+
+	lastData time.Time // when a part of a streamed response arrived last
+
+	gate           *nodeGate
+	grant          *fairshare.Grant[*nodeConn] // to read a streamed response; may be nil
+	grantUsed      int                         // bytes read under it
+	grantRequested bool
+}
+
+// dial opens a connection to a node.
+func (w *loopWorker) dial(a forwarder.Dial) {
+	n := &nodeConn{
+		id:     a.Conn,
+		worker: w,
+		gate:   w.gate(a.Node),
+		reader: upstreamhttp.Reader{Limits: w.httpLimits()},
+	}
+	w.conns[a.Conn] = n
+	w.loop.Dial(a.Addr, a.Timeout, func(fd int, err error) { n.dialCompleted(fd, err) })
+}
+
+func (n *nodeConn) dialCompleted(fd int, err error) {
+	w := n.worker
+	if w.conns[n.id] != n { // closed meanwhile
+		if err == nil {
+			_ = unix.Close(fd) // unused
+		}
+		return
+	}
+	if err == nil {
+		n.conn, err = w.loop.Add(fd, n)
+	}
+	if err == nil {
+		n.conn.AssignFlow(w.ownVolume.flow)
+		n.conn.SetReceiveBuffer(w.gateway.cfg.Share.Receive)
+	} else {
+		delete(w.conns, n.id)
+	}
+	w.handle(forwarder.DialCompleted{Conn: n.id, OK: err == nil})
+}
+
+// send writes a request's head and buffered body, and starts its source, if any.
+func (n *nodeConn) send(r *nodeRequest, a forwarder.SendRequest) {
+	n.request = r
+	n.result = nodeResult{}
+	n.conn.AssignFlow(n.worker.chargedVolume(r.transaction).flow)
+	if !n.reader.RequestSent(r.method, r.maxBuffered) { // cannot happen: the connection is unused
+		n.abort()
+		return
+	}
+	b := n.worker.scratch[:0]
+	b = append(b, r.head...)
+	b = append(b, "x-chalkstand-request: "...)
+	b = append(b, n.worker.gateway.cfg.Name...)
+	b = append(b, '/')
+	b = strconv.AppendUint(b, uint64(a.ID), 10)
+	b = append(b, '/')
+	b = strconv.AppendInt(b, int64(a.Attempt), 10)
+	b = append(b, "\r\n\r\n"...)
+	b = append(b, r.body...)
+	n.worker.scratch = b[:0]
+	n.worker.gateway.metrics.attempts.Inc()
+	n.conn.Write(b)
+	if r.source != nil {
+		n.source = r.source
+		r.source.startBody(n)
+	}
+}
+
+// bodySent is called by the source when the whole body has been written.
+func (n *nodeConn) bodySent() {
+	n.source = nil
+	if n.request != nil {
+		n.worker.handle(forwarder.BodySent{ID: n.request.id})
+	}
+}
+
+// OnDrained is called when all that was written has been sent.
+func (n *nodeConn) OnDrained(*eventloop.Conn) {
+	if n.source != nil {
+		n.source.bodyDrained()
+	}
+}
+
+// OnData reads a response, and returns the number of bytes consumed.
+func (n *nodeConn) OnData(_ *eventloop.Conn, b []byte) int {
+	used := 0
+	for {
+		step := n.reader.Next(b[used:])
+		used += step.Used
+		switch step.Kind {
+		case upstreamhttp.NeedMore:
+			return used
+		case upstreamhttp.ProtocolError:
+			n.abort()
+			return 0
+		case upstreamhttp.Headers:
+			if !n.handleHeaders() {
+				return used
+			}
+		case upstreamhttp.BodyData:
+			if !n.handleBody(step.Body, step.Last) {
+				return used
+			}
+		case upstreamhttp.BufferedResponse:
+			n.completeResponse(nodeResult{kind: resultBuffered, resp: &n.reader.Response, body: step.Body})
+			return used
+		case upstreamhttp.ResponseEnd:
+			n.completeResponse(nodeResult{kind: resultStreamed, resp: &n.reader.Response})
+			return used
+		}
+	}
+}
+
+// handleHeaders decides what becomes of a response that is not buffered by its size: a successful one
+// is streamed to the request's sink, if it has one, and any other is buffered after all. It
+// reports whether reading continues.
+func (n *nodeConn) handleHeaders() bool {
+	info := n.responseInfo()
+	sink := n.request.sink
+	if sink == nil || info.Result != dispatch.OK {
+		if n.reader.Buffer().Kind == upstreamhttp.ProtocolError {
+			n.abort()
+			return false
+		}
+		return true
+	}
+	n.reader.Stream()
+	n.lastData = n.worker.now()
+	n.worker.handle(forwarder.ResponseHeaders{Conn: n.id, Info: info})
+	if n.request == nil {
+		return false
+	}
+	sink.responseHeaders(n, &n.reader.Response)
+	if n.request == nil || n.conn == nil {
+		return false
+	}
+	n.conn.Pause()
+	n.acquireGrant()
+	return n.grant != nil
+}
+
+// handleBody passes a part of a streamed body to the sink, and reports whether reading continues.
+func (n *nodeConn) handleBody(b []byte, last bool) bool {
+	n.lastData = n.worker.now()
+	more := n.request.sink.responseData(b)
+	if n.request == nil { // the client has left
+		return false
+	}
+	n.request.streamedBytes += int64(len(b))
+	n.grantUsed += len(b)
+	if last {
+		return true
+	}
+	if !more {
+		n.conn.Pause()
+		n.releaseGrant()
+		return false
+	}
+	return n.grantUsed < n.worker.gateway.cfg.Share.Draw || n.renewGrant()
+}
+
+// completeResponse reports a complete response to the forwarder, which forwards or discards it.
+func (n *nodeConn) completeResponse(r nodeResult) {
+	n.result = r
+	reuse := n.reader.Reusable() && n.source == nil && n.conn.Pending() == 0
+	n.worker.readLateTimings(n.reader.Response.Headers)
+	n.worker.handle(forwarder.ResponseCompleted{Conn: n.id, Info: n.responseInfo(), Reuse: reuse})
+}
+
+// takeResult returns the complete response, and prepares the connection for the next request.
+func (n *nodeConn) takeResult() nodeResult {
+	n.releaseGrant()
+	r := n.result
+	n.request = nil
+	n.source = nil
+	n.result = nodeResult{}
+	n.reader.ResponseTaken()
+	return r
+}
+
+// resumeReading continues to read a response that the sink has stopped.
+func (n *nodeConn) resumeReading() {
+	switch {
+	case n.conn == nil:
+	case n.reader.State() == upstreamhttp.Streaming:
+		n.acquireGrant()
+	default:
+		n.conn.Resume()
+	}
+}
+
+// checkTimeout aborts a streamed response that has stalled. The client has its head, so that no other
+// attempt can replace it. A node that pauses for longer than limits.client_body is cut off.
+func (n *nodeConn) checkTimeout(now time.Time) {
+	if n.conn != nil && n.conn.AwaitsSlice() {
+		n.lastData = now // it is waiting for this gateway
+	}
+	if n.reader.State() != upstreamhttp.Streaming || n.conn.Paused() && !n.conn.WantsRead() {
+		return
+	}
+	if now.Sub(n.lastData) > n.worker.gateway.cfg.Limits.ClientBody.D() {
+		n.abort()
+	}
+}
+
+// OnClose reports a lost connection to the forwarder, unless the forwarder closed it.
+func (n *nodeConn) OnClose(_ *eventloop.Conn, err error) {
+	if n.worker.conns[n.id] != n {
+		return
+	}
+	if errors.Is(err, eventloop.ErrPeerClosed) && n.reader.PeerClosed().Kind == upstreamhttp.ResponseEnd {
+		// The body ends with its connection.
+		n.completeResponse(nodeResult{kind: resultStreamed, resp: &n.reader.Response})
+		if n.worker.conns[n.id] != n {
+			return
+		}
+	}
+	n.releaseGrant()
+	delete(n.worker.conns, n.id)
+	n.worker.handle(forwarder.ConnectionLost{Conn: n.id})
+}
+
+// close closes the connection at the forwarder's request. A source that is still sending is not
+// called again.
+func (n *nodeConn) close() {
+	n.releaseGrant()
+	n.request = nil
+	n.source = nil
+	n.reader.Break()
+	if n.conn != nil {
+		n.conn.Close()
+	}
+}
+
+// abort closes the connection, and reports it to the forwarder as lost.
+func (n *nodeConn) abort() {
+	delete(n.worker.conns, n.id)
+	conn := n.conn
+	n.releaseGrant()
+	n.request = nil
+	n.source = nil
+	n.reader.Break()
+	if conn != nil {
+		conn.Close()
+	}
+	n.worker.handle(forwarder.ConnectionLost{Conn: n.id})
+}
--- /dev/null
+++ b/gateway/scatter.go
@@ -0,0 +1,163 @@
+package gateway
+
+import (
+	"chalkstand/dispatch"
+	"chalkstand/internal/http1"
+	"chalkstand/internal/objectapi"
+	"net/http"
+	"slices"
+	"strconv"
+	"time"
+)
+
+// shardResponse is the result of one shard's request in a scatter-gather.
+type shardResponse struct {
+	shard      dispatch.Shard
+	kind       resultKind
+	retryAfter time.Duration // of resultRejected
+	timedOut   bool          // of resultFailed
+	status     int           // of resultBuffered
+	document   []byte        // of resultBuffered
+}
+
+// scatterGather sends a request to each of several shards, a few at a time, and gathers their results.
+type scatterGather struct {
+	transaction *transaction
+	shards      []dispatch.Shard
+	newRequest  func(dispatch.Shard) (*nodeRequest, dispatch.Request)
+	done        func([]shardResponse)
+	responses   []shardResponse // as shards
+	next        int             // index of the next shard
+	open        int             // requests without a result
+	starting    bool            // startMore runs
+	finished    bool            // done was called
+}
+
+// scatter sends a request to each shard, limits.fan_out at a time, and calls done with their results in
+// the order of shards. It does not call done if the transaction has its response before.
+func (t *transaction) scatter(
+	shards []dispatch.Shard,
+	newRequest func(dispatch.Shard) (*nodeRequest, dispatch.Request),
+	done func([]shardResponse),
+) {
+	s := &scatterGather{
+		transaction: t,
+		shards:      shards,
+		newRequest:  newRequest,
+		done:        done,
+		responses:   make([]shardResponse, len(shards)),
+	}
+	s.startMore()
+}
+
+// startMore starts as many requests as the limit allows. A nested call, by a result that comes at once, leaves
+// them to the outer one.
+func (s *scatterGather) startMore() {
+	if s.starting {
+		return
+	}
+	t := s.transaction
+	s.starting = true
+	for s.next < len(s.shards) && s.open < t.conn.worker.gateway.cfg.Limits.FanOut && !t.responded {
+		i := s.next
+		s.next++
+		s.open++
+		r, d := s.newRequest(s.shards[i])
+		r.onResult = func(result nodeResult) {
+			s.open--
+			s.responses[i] = newShardResponse(s.shards[i], result)
+			t.removeNodeRequest(r)
+			s.startMore()
+		}
+		t.startNodeRequest(r, d)
+	}
+	s.starting = false
+	if s.open == 0 && s.next == len(s.shards) && !s.finished && !t.responded {
+		s.finished = true
+		s.done(s.responses)
+	}
+}
+
+func newShardResponse(shard dispatch.Shard, r nodeResult) shardResponse {
+	response := shardResponse{shard: shard, kind: r.kind, retryAfter: r.retryAfter, timedOut: r.timedOut}
+	if r.kind == resultBuffered {
+		response.status = r.resp.Status
+		response.document = append([]byte(nil), r.body...)
+	}
+	return response
+}
+
+// requireAll reports whether all shards have responded with one of the statuses. If not, it responds with an
+// error: a part of the result must not pass for the whole.
+func (t *transaction) requireAll(responses []shardResponse, statuses ...int) bool {
+	var retryAfter time.Duration
+	worst := resultBuffered
+	timedOut := false
+	for _, r := range responses {
+		switch r.kind {
+		case resultRejected:
+			retryAfter = max(retryAfter, r.retryAfter)
+			if worst == resultBuffered {
+				worst = resultRejected
+			}
+		case resultFailed:
+			worst = resultFailed
+			timedOut = timedOut || r.timedOut
+		}
+	}
+	switch worst {
+	case resultRejected:
+		t.respondSlowDown(retryAfter)
+		return false
+	case resultFailed:
+		t.respondFailure(timedOut)
+		return false
+	}
+	for _, r := range responses {
+		if slices.Contains(statuses, r.status) {
+			continue
+		}
+		if e, ok := objectapi.ParseError(r.document); ok {
+			t.respondError(e, r.status)
+		} else {
+			t.respondFailure(false)
+		}
+		return false
+	}
+	return true
+}
+
+// newShardRequest returns a request to one shard, for an operation on a bucket or on none.
+func (t *transaction) newShardRequest(
+	kind objectapi.Kind,
+	method, bucket string,
+	q objectapi.Query,
+	s dispatch.Shard,
+	body []byte,
+) (*nodeRequest, dispatch.Request) {
+	d := t.newDispatchRequest(kind, t.volume, s, "", int64(len(body)))
+	b := make([]byte, 0, headCapacity)
+	b = t.appendNodeHead(b, method, bucket, "", q, d, kind.Writes(), "-"+strconv.Itoa(int(s)))
+	if method == http.MethodPut || method == http.MethodPost {
+		b = http1.AppendLength(b, int64(len(body)))
+	}
+	return &nodeRequest{
+		method:      method,
+		head:        b,
+		body:        body,
+		maxBuffered: t.conn.worker.gateway.cfg.Limits.Document,
+	}, d
+}
+
+// scatterBucket sends the same request for the operation's bucket, without a body, to each shard.
+func (t *transaction) scatterBucket(
+	shards []dispatch.Shard,
+	kind objectapi.Kind,
+	method string,
+	q objectapi.Query,
+	done func([]shardResponse),
+) {
+	t.scatter(shards, func(s dispatch.Shard) (*nodeRequest, dispatch.Request) {
+		return t.newShardRequest(kind, method, t.op.Bucket, q, s, nil)
+	}, done)
+}
--- a/gateway/upload.go
+++ b/gateway/upload.go
@@ -7,137 +7,142 @@
 	"time"
 )
 
-// upload passes a client's body through to a node as it comes. The node gets the
-// last byte, or the end of the chunks, only when the whole body was found true:
-// what proves bad is never whole at the node, which throws it away.
+// upload streams a client's body to a node. The node gets the last byte, or the end of the chunks, only
+// when the whole body has been verified; so it never holds an invalid body that is complete.
 type upload struct {
-	t       *transaction
-	call    *call
-	k       *nodeConn // nil until the forwarder has sent the request, and after its end
-	chunked bool      // towards the node: the length or a checksum comes at the end
-	trailer string    // the checksum's name, with chunked
-	last    []byte    // held back
-	flowing bool      // the forwarder was told that the body flows
-	began   time.Duration
-	taken   time.Duration // when the client had sent all; 0: not yet
-	stall   stall         // by the node
+	transaction *transaction
+	request     *nodeRequest
+	conn        *nodeConn // nil until the request has been sent
+	chunked     bool      // chunked transfer coding to the node
+	trailer     string    // name of the checksum's trailer field; empty: none
+	heldByte    []byte    // the last byte, unless chunked
+	streaming   bool      // BodyStreaming has been reported
+
+	startedAt  time.Duration // 0: not yet
+	receivedAt time.Duration // when the client had sent all; 0: not yet
+	nodeStall  stopwatch     // while the node does not read
 }
 
-// start begins to pass the body on.
-func (u *upload) start(k *nodeConn) {
-	u.k = k
-	c := u.t.conn
-	u.began = u.t.at()
-	u.t.continueBody()
-	c.set(uploading)
-	c.c.Resume()
-	c.c.Redeliver()
+// startBody starts to stream. It implements bodySource.
+func (u *upload) startBody(n *nodeConn) {
+	u.conn = n
+	c := u.transaction.conn
+	u.startedAt = u.transaction.now()
+	u.transaction.sendContinue()
+	c.setState(stateUploading)
+	c.conn.Resume()
+	c.conn.Redeliver()
 }
 
-// drained goes on after the node has taken what was sent.
-func (u *upload) drained() {
-	if c := u.t.conn; c.state == uploading {
-		c.since = c.lane.now()
-		u.stall.end(u.t.at())
-		c.c.Resume()
+// bodyDrained continues after the node has read what was sent. It implements bodySource.
+func (u *upload) bodyDrained() {
+	if c := u.transaction.conn; c.state == stateUploading {
+		c.lastProgress = c.worker.now()
+		u.nodeStall.stop(u.transaction.now())
+		c.conn.Resume()
 	}
 }
 
-// feed takes bytes that the client sent.
+// attached reports whether the connection still carries the upload's request.
+func (u *upload) attached() bool { return u.conn != nil && u.conn.request == u.request }
+
+// feed processes a part of the body as the client sent it, and returns the number of bytes consumed.
 func (u *upload) feed(b []byte) int {
-	t, c := u.t, u.t.conn
-	if u.k == nil || u.k.call != u.call { // between the attempt's end and the answer
-		c.c.Pause()
+	t := u.transaction
+	c := t.conn
+	if !u.attached() { // the attempt has ended, and its result is to come
+		c.conn.Pause()
 		return 0
 	}
-	used, done, err := t.body.Feed(b, u.pass)
+	used, done, err := t.body.Feed(b, u.forward)
 	if err != nil {
-		u.abandon()
-		t.bodyFailed(err)
+		u.abort()
+		t.rejectInvalidBody(err)
 		return used
 	}
 	if done {
 		u.finish()
 		return used
 	}
-	if !u.flowing {
-		u.flowing = true
-		c.lane.tell(forwarder.BodyStreaming{ID: u.call.id})
+	if !u.streaming {
+		u.streaming = true
+		c.worker.handle(forwarder.BodyStreaming{ID: u.request.id})
 	}
-	if u.k != nil && u.k.call == u.call && u.k.c.Pending() > 0 {
-		u.stall.begin(t.at())
-		c.c.Pause()
+	if u.attached() && u.conn.conn.Pending() > 0 {
+		u.nodeStall.start(t.now())
+		c.conn.Pause()
 	}
 	return used
 }
 
-// fromClient is how long the body has come in at the client's pace, until now at
-// most.
-func (u *upload) fromClient(now time.Duration) time.Duration {
-	if u.began == 0 {
-		return 0
-	}
-	if u.taken > 0 {
-		now = u.taken
-	}
-	return max(0, now-u.began-u.stall.take(now))
-}
-
-// abandon ends the request to the node: its body proved bad or stopped coming.
-func (u *upload) abandon() {
-	l := u.t.conn.lane
-	l.leave(u.call)
-	l.tell(forwarder.AbortRequest{ID: u.call.id})
-}
-
-func (u *upload) pass(p []byte) {
+// forward sends a part of the body to the node, and keeps back the last byte unless chunked.
+func (u *upload) forward(p []byte) {
 	if u.chunked {
-		l := u.t.conn.lane
-		b := http1.AppendChunk(l.scratch[:0], p)
-		l.scratch = b[:0]
-		u.k.c.Write(b)
+		w := u.transaction.conn.worker
+		b := http1.AppendChunk(w.scratch[:0], p)
+		w.scratch = b[:0]
+		u.conn.conn.Write(b)
 		return
 	}
-	if u.t.body.Got == u.t.body.Length {
+	body := u.transaction.body
+	if body.Got == body.Length {
 		n := len(p) - 1
-		u.last = append(u.last, p[n])
+		u.heldByte = append(u.heldByte, p[n])
 		p = p[:n]
 	}
 	if len(p) > 0 {
-		u.k.c.Write(p)
+		u.conn.conn.Write(p)
 	}
 }
 
-// finish gives the node the end of a body that was found true.
+// finish sends the end of a body that has been verified.
 func (u *upload) finish() {
-	t := u.t
-	t.whole = true
-	u.taken = t.at()
+	t := u.transaction
+	t.bodyComplete = true
+	u.receivedAt = t.now()
 	switch {
 	case u.chunked && u.trailer != "":
 		b := http1.AppendHeader([]byte("0\r\n"), u.trailer, t.body.Checksum.Value)
-		u.k.c.Write(append(b, "\r\n"...))
+		u.conn.conn.Write(append(b, "\r\n"...))
 	case u.chunked:
-		u.k.c.Write([]byte(http1.LastChunk))
+		u.conn.conn.Write([]byte(http1.LastChunk))
 	default:
-		u.k.c.Write(u.last)
+		u.conn.conn.Write(u.heldByte)
+	}
+	t.conn.setState(stateWaiting)
+	u.conn.bodySent()
+}
+
+// abort aborts the node request of a body that is invalid or has stalled.
+func (u *upload) abort() {
+	w := u.transaction.conn.worker
+	w.forget(u.request)
+	w.handle(forwarder.AbortRequest{ID: u.request.id})
+}
+
+// clientTime returns how long the body was read at the client's pace, until now at most.
+func (u *upload) clientTime(now time.Duration) time.Duration {
+	if u.startedAt == 0 {
+		return 0
+	}
+	if u.receivedAt > 0 {
+		now = u.receivedAt
 	}
-	t.conn.set(asking)
-	u.k.sent()
+	return max(0, now-u.startedAt-u.nodeStall.reset(now))
 }
 
-// check looks for a client that has stopped sending, or a node that has stopped
-// taking.
-func (u *upload) check(waited time.Duration) {
-	c := u.t.conn
-	l := c.lane.g.cfg.Limits
+// checkTimeout closes the connection of a node that has stopped reading, or rejects the body of a client
+// that has stopped sending. waited is the time since the last progress.
+func (u *upload) checkTimeout(waited time.Duration) {
+	t := u.transaction
 	switch {
-	case u.k == nil || u.k.call != u.call || waited <= l.ClientBody.D():
-	case u.k.c.Pending() > 0:
-		u.k.lose()
+	case !u.attached() || waited <= t.conn.worker.gateway.cfg.Limits.ClientBody.D():
+	case u.conn.conn.Pending() > 0:
+		u.conn.abort()
 	default:
-		u.abandon()
-		u.t.close = true
-		u.t.refuseBody(objectapi.Errorf("RequestTimeout", "Your socket connection to the server was not read from or written to within the timeout period."))
+		u.abort()
+		t.closeConn = true
+		t.rejectBody(objectapi.Errorf("RequestTimeout",
+			"Your socket connection to the server was not read from or written to within the timeout period."))
 	}
 }
--- /dev/null
+++ b/gateway/usage.go
@@ -0,0 +1,162 @@
+package gateway
+
+import (
+	"chalkstand/fairshare"
+	"chalkstand/internal/eventloop"
+	"chalkstand/internal/settings"
+	"cmp"
+	"encoding/json"
+	"net/http"
+	"slices"
+	"sync"
+	"time"
+)
+
+// loopOptions returns an event loop's options. Its clock is now.
+func loopOptions(s *settings.Settings, now func() time.Duration) eventloop.Options {
+	share := s.Share
+	return eventloop.Options{
+		Quantum: share.Quantum,
+		Slice:   share.Slice.D(),
+		Now:     now,
+		FairShare: fairshare.Config{
+			ByteTime:         share.ByteTime,
+			Window:           share.Window.D(),
+			Flows:            share.Flows,
+			InProgressWeight: share.Finishing,
+			FIFO:             share.Order == "arrival",
+		},
+	}
+}
+
+// usageRegistry holds what joins a volume's flows on all loops. It is used once per volume and worker.
+type usageRegistry struct {
+	mu       sync.Mutex
+	byVolume map[string]*fairshare.SharedUsage
+}
+
+// shared returns the shared usage of a volume. It returns nil for volumes beyond share.flows, which
+// are scheduled on each loop separately.
+func (r *usageRegistry) shared(name string, cfg *settings.Settings) *fairshare.SharedUsage {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if u := r.byVolume[name]; u != nil {
+		return u
+	}
+	if len(r.byVolume) >= cfg.Share.Flows {
+		return nil
+	}
+	if r.byVolume == nil {
+		r.byVolume = map[string]*fairshare.SharedUsage{}
+	}
+	u := fairshare.NewSharedUsage(cfg.LoopCount())
+	r.byVolume[name] = u
+	return u
+}
+
+// chargedVolume returns the volume that a transaction's work is charged to.
+func (w *loopWorker) chargedVolume(t *transaction) *volume {
+	if t.volume == nil {
+		return w.ownVolume
+	}
+	return t.volume
+}
+
+// rateLimitDelay returns after which time a new request is to be retried because its volume's byte rate
+// would delay each body for longer than share.max_wait. 0: it is accepted.
+func (w *loopWorker) rateLimitDelay(v *volume) time.Duration {
+	if wait := w.loop.Delay(v.flow, w.gateway.cfg.Share.Quantum); wait > w.gateway.cfg.Share.MaxWait.D() {
+		return wait
+	}
+	return 0
+}
+
+// VolumeUsage is what a volume has used of the event loops since they first served it, and what
+// of it is waiting.
+type VolumeUsage struct {
+	Volume      string        `json:"volume"`
+	Weight      float64       `json:"weight"`
+	LoopTime    time.Duration `json:"loops_ns"` // time, or bytes at share.byte_time
+	Bytes       int64         `json:"bytes"`    // read from clients and nodes
+	Waiting     int           `json:"waits"`    // connections that wait to be served
+	Streams     int           `json:"streams"`  // responses that wait for a grant of their node's gate
+	RateLimited bool          `json:"paced"`    // waiting for its byte rate on some loop
+}
+
+// plus returns the sum of a volume's usage on two loops, with the weight of u.
+func (u VolumeUsage) plus(other VolumeUsage) VolumeUsage {
+	u.LoopTime += other.LoopTime
+	u.Bytes += other.Bytes
+	u.Waiting += other.Waiting
+	u.Streams += other.Streams
+	u.RateLimited = u.RateLimited || other.RateLimited
+	return u
+}
+
+// VolumeUsage returns the usage of all volumes in the order of their names; nil once the gateway is
+// closed.
+func (g *Gateway) VolumeUsage() []VolumeUsage {
+	parts := make(chan map[string]VolumeUsage, len(g.workers))
+	for _, w := range g.workers {
+		w.loop.Post(func() { parts <- w.volumeUsage() })
+	}
+	sums := map[string]VolumeUsage{}
+	for range g.workers {
+		select {
+		case part := <-parts:
+			for name, u := range part {
+				sums[name] = u.plus(sums[name])
+			}
+		case <-g.core.done:
+			return nil
+		}
+	}
+	var all []VolumeUsage
+	for _, u := range sums {
+		all = append(all, u)
+	}
+	slices.SortFunc(all, func(a, b VolumeUsage) int { return cmp.Compare(a.Volume, b.Volume) })
+	return all
+}
+
+// volumeUsage returns the usage on this loop by volume.
+func (w *loopWorker) volumeUsage() map[string]VolumeUsage {
+	byVolume := map[string]VolumeUsage{}
+	w.loop.Flows(func(f *eventloop.Flow) {
+		used := f.Usage()
+		_, limited := f.RateLimitedUntil()
+		byVolume[f.Name()] = VolumeUsage{
+			Volume:      f.Name(),
+			Weight:      f.Weight(),
+			LoopTime:    time.Duration(used.Cost),
+			Bytes:       used.Bytes,
+			Waiting:     f.Waiting(),
+			RateLimited: limited,
+		}
+	})
+	for _, g := range w.gates {
+		g.Flows(func(f *fairshare.Flow[*nodeConn]) {
+			if u, ok := byVolume[f.Name()]; ok {
+				u.Streams += f.Waiting()
+				byVolume[f.Name()] = u
+			}
+		})
+	}
+	return byVolume
+}
+
+// VolumeUsageHandler serves VolumeUsage as JSON: {"loops": n, "shares": [...]}.
+func (g *Gateway) VolumeUsageHandler() http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		writeJSON(w, struct {
+			Loops  int           `json:"loops"`
+			Shares []VolumeUsage `json:"shares"`
+		}{len(g.workers), g.VolumeUsage()})
+	})
+}
+
+// writeJSON writes a JSON document. It ignores errors, which mean that the client has left.
+func writeJSON(w http.ResponseWriter, v any) {
+	w.Header().Set("Content-Type", "application/json")
+	_ = json.NewEncoder(w).Encode(v)
+}
