--- a/gateway/clientconn.go
+++ b/gateway/clientconn.go
@@ -169,7 +169,7 @@
 // checkTimeout enforces the time limits of the connection's state.
 func (c *clientConn) checkTimeout(now time.Time) {
 	limits := c.worker.gateway.cfg.Limits
-	if c.conn.AwaitsSlice() {
+	if c.conn.Queued() {
 		c.lastProgress = now // it is waiting for this gateway
 	}
 	waited := now.Sub(c.lastProgress)
--- a/gateway/nodeconn.go
+++ b/gateway/nodeconn.go
@@ -111,7 +111,7 @@
 	used := 0
 	for {
 		step := n.reader.Next(b[used:])
-		used += step.Used
+		used += step.Consumed
 		switch step.Kind {
 		case upstreamhttp.NeedMore:
 			return used
@@ -217,7 +217,7 @@
 // checkTimeout aborts a streamed response that has stalled. The client has its head, so that no other
 // attempt can replace it. A node that pauses for longer than limits.client_body is cut off.
 func (n *nodeConn) checkTimeout(now time.Time) {
-	if n.conn != nil && n.conn.AwaitsSlice() {
+	if n.conn != nil && n.conn.Queued() {
 		n.lastData = now // it is waiting for this gateway
 	}
 	if n.reader.State() != upstreamhttp.Streaming || n.conn.Paused() && !n.conn.WantsRead() {
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -16,9 +16,9 @@
 func loopOptions(s *settings.Settings, now func() time.Duration) eventloop.Options {
 	share := s.Share
 	return eventloop.Options{
-		Quantum: share.Quantum,
-		Slice:   share.Slice.D(),
-		Now:     now,
+		Quantum:      share.Quantum,
+		PollInterval: share.Slice.D(),
+		Now:          now,
 		FairShare: fairshare.Config{
 			ByteTime:         share.ByteTime,
 			Window:           share.Window.D(),
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// AwaitsSlice reports whether the connection has something to do and waits for a time slice.
-func (c *Conn) AwaitsSlice() bool { return c.queued }
+// Queued reports whether the connection has something to do and waits for a time slice.
+func (c *Conn) Queued() bool { return c.queued }
 
 // SliceWait returns how long the connection waited for the present time slice.
 func (c *Conn) SliceWait() time.Duration { return c.sliceWait }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -22,23 +22,23 @@
 
 // Options are a loop's settings.
 type Options struct {
-	FairShare fairshare.Config
-	Quantum   int                  // bytes that one time slice reads at most, in whole reads
-	Slice     time.Duration        // how long connections are served between two polls for events
-	Now       func() time.Duration // the clock; nil: time since the loop was made
+	FairShare    fairshare.Config
+	Quantum      int                  // bytes that one time slice reads at most, in whole reads
+	PollInterval time.Duration        // how long connections are served between two polls for events
+	Now          func() time.Duration // the clock; nil: time since the loop was made
 }
 
 // DefaultOptions are the options of NewLoop.
 var DefaultOptions = Options{
-	FairShare: fairshare.Config{Window: 20 * time.Millisecond, Flows: 4096},
-	Quantum:   64 << 10,
-	Slice:     200 * time.Microsecond,
+	FairShare:    fairshare.Config{Window: 20 * time.Millisecond, Flows: 4096},
+	Quantum:      64 << 10,
+	PollInterval: 200 * time.Microsecond,
 }
 
 // check returns an error for options that no loop can run with.
 func (o *Options) check() error {
-	if o.Quantum < 1 || o.Slice <= 0 {
-		return fmt.Errorf("eventloop: quantum of %d bytes and slice of %v, want more than 0", o.Quantum, o.Slice)
+	if o.Quantum < 1 || o.PollInterval <= 0 {
+		return fmt.Errorf("eventloop: quantum of %d bytes and slice of %v, want more than 0", o.Quantum, o.PollInterval)
 	}
 	return nil
 }
--- a/internal/eventloop/schedule.go
+++ b/internal/eventloop/schedule.go
@@ -57,7 +57,7 @@
 
 // runSlices gives time slices to connections until Options.Slice has passed or none is left.
 func (l *Loop) runSlices() {
-	for began := l.now; l.now-began < l.options.Slice; {
+	for began := l.now; l.now-began < l.options.PollInterval; {
 		c, f, ok := l.scheduler.Next(l.now)
 		if !ok {
 			break
--- a/internal/eventloop/tasks.go
+++ b/internal/eventloop/tasks.go
@@ -110,7 +110,7 @@
 	t := &task{}
 	t.next, t.stop = iter.Pull(func(yield func(struct{}) bool) {
 		f(func() bool {
-			if l.clock()-began < l.options.Slice {
+			if l.clock()-began < l.options.PollInterval {
 				return true
 			}
 			more := yield(struct{}{})
--- a/internal/eventloop/tasks_test.go
+++ b/internal/eventloop/tasks_test.go
@@ -22,7 +22,7 @@
 			return func(pause func() bool) {
 				for *n < limit {
 					*n++
-					clock += o.Slice
+					clock += o.PollInterval
 					if !pause() {
 						stopped <- true
 						return
--- a/internal/modelcheck/fingerprint.go
+++ b/internal/modelcheck/fingerprint.go
@@ -119,57 +119,57 @@
 
 	"dispatch.Request.Timeout": ignored, // only on arrival
 
-	"dispatch.request.class":    ignored,
-	"dispatch.request.sequence":      byRank,
-	"dispatch.request.sentAt":   relative,
-	"dispatch.request.deadline": relativeIfFuture,
-	"dispatch.request.objectiveAt":    relativeIfFuture,
-	"dispatch.request.ambiguousSince":  relative,
-	"dispatch.request.queueTime":     ignored,
-	"dispatch.request.blockedAtEnqueue":   ignored, // accounts
-
-	"dispatch.volume.plan":      ignored,
+	"dispatch.request.class":            ignored,
+	"dispatch.request.sequence":         byRank,
+	"dispatch.request.sentAt":           relative,
+	"dispatch.request.deadline":         relativeIfFuture,
+	"dispatch.request.objectiveAt":      relativeIfFuture,
+	"dispatch.request.ambiguousSince":   relative,
+	"dispatch.request.queueTime":        ignored,
+	"dispatch.request.blockedAtEnqueue": ignored, // accounts
+
+	"dispatch.volume.plan":             ignored,
 	"dispatch.volume.tokensUpdatedAt":  relative,
 	"dispatch.volume.reserveUpdatedAt": relative,
-	"dispatch.volume.lastSeen":      ignored, // forgotten after 30 s
+	"dispatch.volume.lastSeen":         ignored, // forgotten after 30 s
 
-	"dispatch.node.delay":        ignored,
+	"dispatch.node.delay":                ignored,
 	"dispatch.node.secondsPerUnit":       ignored, // taken as they have faded: learned
-	"dispatch.node.completions":       ignored, // it raises depth from 20 answers a second on
-	"dispatch.node.lastSentAt":     relative,
-	"dispatch.node.lastUnansweredSentAt":   relative,
-	"dispatch.node.lastPromptSentAt":    relative,
-	"dispatch.node.delayUpdatedAt":      ignored,
-	"dispatch.node.ejectedUntil":      relativeIfFuture,
-	"dispatch.node.releaseAt":       relativeIfFuture,
-	"dispatch.node.slowStartDebtAt":     relative,
-	"dispatch.node.blocked":    ignored,
-	"dispatch.node.blockedAt":  ignored,
+	"dispatch.node.completions":          ignored, // it raises depth from 20 answers a second on
+	"dispatch.node.lastSentAt":           relative,
+	"dispatch.node.lastUnansweredSentAt": relative,
+	"dispatch.node.lastPromptSentAt":     relative,
+	"dispatch.node.delayUpdatedAt":       ignored,
+	"dispatch.node.ejectedUntil":         relativeIfFuture,
+	"dispatch.node.releaseAt":            relativeIfFuture,
+	"dispatch.node.slowStartDebtAt":      relative,
+	"dispatch.node.blocked":              ignored,
+	"dispatch.node.blockedAt":            ignored,
 	"dispatch.node.blockedByEjection":    ignored,
-	"dispatch.node.slowStartTime":    ignored,
-	"dispatch.node.ejectedTime": ignored, // accounts
+	"dispatch.node.slowStartTime":        ignored,
+	"dispatch.node.ejectedTime":          ignored, // accounts
 
 	"dispatch.decayingSum.updatedAt": relative,
 
 	"dispatch.keyQueue.quiescentAt": relativeIfFuture,
 
-	"dispatch.Dispatcher.cfg":       ignored,
-	"dispatch.Dispatcher.now":       ignored,
-	"dispatch.Dispatcher.startedAt":      relative,
-	"dispatch.Dispatcher.tightestObjective":  ignored,
-	"dispatch.Dispatcher.maxTimeouts":   asDuration,
-	"dispatch.Dispatcher.wakeAt":    relativeIfNear,
-	"dispatch.Dispatcher.lastSequence":       ignored,
-	"dispatch.Dispatcher.budgetRequests":     relative,
+	"dispatch.Dispatcher.cfg":               ignored,
+	"dispatch.Dispatcher.now":               ignored,
+	"dispatch.Dispatcher.startedAt":         relative,
+	"dispatch.Dispatcher.tightestObjective": ignored,
+	"dispatch.Dispatcher.maxTimeouts":       asDuration,
+	"dispatch.Dispatcher.wakeAt":            relativeIfNear,
+	"dispatch.Dispatcher.lastSequence":      ignored,
+	"dispatch.Dispatcher.budgetRequests":    relative,
 	"dispatch.Dispatcher.budgetRetries":     relative,
-	"dispatch.Dispatcher.actions":      ignored,
-	"dispatch.Dispatcher.maxPriority": ignored,
-	"dispatch.Dispatcher.nodeOrder":     ignored,
-	"dispatch.Dispatcher.volumeOrder":  ignored,
+	"dispatch.Dispatcher.actions":           ignored,
+	"dispatch.Dispatcher.maxPriority":       ignored,
+	"dispatch.Dispatcher.nodeOrder":         ignored,
+	"dispatch.Dispatcher.volumeOrder":       ignored,
 
-	"dispatch.flow.throttledAt":  ignored,
+	"dispatch.flow.throttledAt":   ignored,
 	"dispatch.flow.throttledTime": ignored,
-	"dispatch.flow.heapIndex":       ignored, // accounts, and a place in the heap that follows from its order
+	"dispatch.flow.heapIndex":     ignored, // accounts, and a place in the heap that follows from its order
 }
 
 // heaps are the types of heaps with the fields by which they are ordered. Their entries
--- a/internal/modelcheck/loop.go
+++ b/internal/modelcheck/loop.go
@@ -174,7 +174,7 @@
 func (w *World) receive(c *conn, b []byte) {
 	for more := true; more; {
 		step := c.reader.Next(b)
-		b = b[step.Used:]
+		b = b[step.Consumed:]
 		more = w.receiveStep(c, step, len(b))
 	}
 }
--- a/internal/objectcommand/command.go
+++ b/internal/objectcommand/command.go
@@ -151,11 +151,11 @@
 	if c.Put {
 		count, name = putArguments, Put
 	}
-	to = resp.AppendCount(to, count)
+	to = resp.AppendArrayHeader(to, count)
 	to = resp.AppendBulk(to, name)
 	to = resp.AppendBulk(to, c.Piece)
 	to = resp.AppendBulk(to, c.ID)
-	to = resp.AppendSize(to, len(c.Fields)-(end-from)+len(timeout))
+	to = resp.AppendBulkHeader(to, len(c.Fields)-(end-from)+len(timeout))
 	to = append(to, c.Fields[:from]...)
 	to = append(to, timeout...)
 	to = append(to, c.Fields[end:]...)
--- a/internal/resp/command_test.go
+++ b/internal/resp/command_test.go
@@ -9,7 +9,7 @@
 
 // A command that comes in pieces is the same, and no incomplete command is an error.
 func TestCommandInPieces(t *testing.T) {
-	text := AppendCount(nil, 3)
+	text := AppendArrayHeader(nil, 3)
 	for _, word := range []string{"OBJ.GET", "", "a\r\nb"} {
 		text = AppendBulk(text, word)
 	}
@@ -85,7 +85,7 @@
 
 // appendCommand returns a command of these words.
 func appendCommand(words [][]byte) []byte {
-	out := AppendCount(nil, len(words))
+	out := AppendArrayHeader(nil, len(words))
 	for _, word := range words {
 		out = AppendBulk(out, word)
 	}
--- a/internal/resp/write.go
+++ b/internal/resp/write.go
@@ -2,11 +2,11 @@
 
 import "strconv"
 
-// AppendCount appends the header of an array of n items, which follow.
-func AppendCount(to []byte, n int) []byte { return appendNumber(to, '*', n) }
+// AppendArrayHeader appends the header of an array of n items, which follow.
+func AppendArrayHeader(to []byte, n int) []byte { return appendNumber(to, '*', n) }
 
-// AppendSize appends the header of a bulk string of n bytes, which follow with their CRLF.
-func AppendSize(to []byte, n int) []byte { return appendNumber(to, '$', n) }
+// AppendBulkHeader appends the header of a bulk string of n bytes, which follow with their CRLF.
+func AppendBulkHeader(to []byte, n int) []byte { return appendNumber(to, '$', n) }
 
 // appendNumber appends the line of a count or length.
 func appendNumber(to []byte, marker byte, n int) []byte {
@@ -17,7 +17,7 @@
 
 // AppendBulk appends a bulk string.
 func AppendBulk[T []byte | string](to []byte, b T) []byte {
-	to = append(AppendSize(to, len(b)), b...)
+	to = append(AppendBulkHeader(to, len(b)), b...)
 	return append(to, '\r', '\n')
 }
 
--- a/internal/simwire/json.go
+++ b/internal/simwire/json.go
@@ -13,14 +13,14 @@
 // Settings holds what the platform gives a dispatcher at its start: the settings of the
 // decisions and of the server around them.
 type Settings struct {
-	Dispatch      dispatch.Config
-	ClassWrites []bool // by class; nil: unknown
-	Shards      int
-	Zones       []string
+	Dispatch        dispatch.Config
+	ClassWrites     []bool // by class; nil: unknown
+	Shards          int
+	Zones           []string
 	NodeKinds       []string      // hardware kinds of nodes
-	NodeIdleTimeout    time.Duration // nodes close a connection that is idle for so long; 0: unknown
+	NodeIdleTimeout time.Duration // nodes close a connection that is idle for so long; 0: unknown
 	DialTimeout     time.Duration // timeout of opening a connection; 0: unknown
-	MaxOpenRequests     int           // requests open at once; 0: unknown
+	MaxOpenRequests int           // requests open at once; 0: unknown
 }
 
 // ParseSettings reads the settings as a JSON object: the simulator's names and units, with objects and
@@ -40,13 +40,13 @@
 		return Settings{}, err
 	}
 	s := Settings{
-		Dispatch:   cfg,
-		Shards:   r.integer("family_info.slots_total"),
+		Dispatch:        cfg,
+		Shards:          r.integer("family_info.slots_total"),
 		NodeIdleTimeout: r.duration("limits.conn_idle_ms"),
-		DialTimeout:  r.duration("limits.connect_timeout_ms"),
-		MaxOpenRequests:  r.integer("limits.max_open"),
-		Zones:    r.list("areas"),
-		NodeKinds:    r.list("kinds"),
+		DialTimeout:     r.duration("limits.connect_timeout_ms"),
+		MaxOpenRequests: r.integer("limits.max_open"),
+		Zones:           r.list("areas"),
+		NodeKinds:       r.list("kinds"),
 	}
 	if writes := r.list("family_info.class_writes"); len(writes) == len(cfg.Classes) {
 		for _, w := range writes {
--- a/internal/upstreamhttp/reader.go
+++ b/internal/upstreamhttp/reader.go
@@ -97,7 +97,7 @@
 	case HeadersReceived:
 		return Step{Kind: NeedMore}
 	case Broken:
-		return Step{Kind: ProtocolError, Why: "the connection is broken"}
+		return Step{Kind: ProtocolError, Reason: "the connection is broken"}
 	}
 	if len(b) == 0 {
 		return Step{Kind: NeedMore}
@@ -142,13 +142,13 @@
 // fail breaks the connection.
 func (r *Reader) fail(reason string) Step {
 	r.Break()
-	return Step{Kind: ProtocolError, Why: reason}
+	return Step{Kind: ProtocolError, Reason: reason}
 }
 
 // complete ends a response with a step that consumes its last bytes of b.
 func (r *Reader) complete(s Step, b []byte) Step {
 	r.state = Complete
-	r.surplus = len(b) > s.Used
+	r.surplus = len(b) > s.Consumed
 	return s
 }
 
@@ -168,7 +168,7 @@
 	if res.Status < firstFinalStatus {
 		r.head.Reset()
 		s := r.Next(b[n:])
-		s.Used += n
+		s.Consumed += n
 		return s
 	}
 	r.remaining = res.Length
@@ -184,7 +184,7 @@
 		return r.bufferBody(b, n)
 	}
 	r.state = HeadersReceived
-	return Step{Kind: Headers, Used: n}
+	return Step{Kind: Headers, Consumed: n}
 }
 
 // bufferBody waits until a response of known length is whole. Until then all of it stays in the
@@ -197,7 +197,7 @@
 		// Parsed again, as the buffer may have moved and Response points into it.
 		headLength, _ = r.head.ParseResponse(b, r.Limits, r.method, &r.Response)
 	}
-	return r.complete(Step{Kind: BufferedResponse, Used: r.total, Body: b[headLength:r.total]}, b)
+	return r.complete(Step{Kind: BufferedResponse, Consumed: r.total, Body: b[headLength:r.total]}, b)
 }
 
 // bufferChunks collects a chunked body.
@@ -214,10 +214,10 @@
 		r.body = append(r.body, data...)
 		used += n
 		if step == http1.Done {
-			return r.complete(Step{Kind: BufferedResponse, Used: used, Body: r.body}, b)
+			return r.complete(Step{Kind: BufferedResponse, Consumed: used, Body: r.body}, b)
 		}
 		if n == 0 {
-			return Step{Kind: NeedMore, Used: used}
+			return Step{Kind: NeedMore, Consumed: used}
 		}
 	}
 }
@@ -230,11 +230,11 @@
 	case len(b) == 0:
 		return Step{Kind: NeedMore}
 	case r.remaining < 0:
-		return Step{Kind: BodyData, Used: len(b), Body: b}
+		return Step{Kind: BodyData, Consumed: len(b), Body: b}
 	}
 	b = b[:min(int64(len(b)), r.remaining)]
 	r.remaining -= int64(len(b))
-	return Step{Kind: BodyData, Used: len(b), Body: b, Last: r.remaining == 0}
+	return Step{Kind: BodyData, Consumed: len(b), Body: b, Last: r.remaining == 0}
 }
 
 // streamChunks returns the next piece of a chunked body.
@@ -248,12 +248,12 @@
 		used += n
 		switch {
 		case step == http1.Done:
-			return r.complete(Step{Kind: ResponseEnd, Used: used}, b)
+			return r.complete(Step{Kind: ResponseEnd, Consumed: used}, b)
 		case len(data) > 0:
-			return Step{Kind: BodyData, Used: used, Body: data}
+			return Step{Kind: BodyData, Consumed: used, Body: data}
 		case n == 0:
-			return Step{Kind: NeedMore, Used: used}
+			return Step{Kind: NeedMore, Consumed: used}
 		}
 	}
-	return Step{Kind: NeedMore, Used: used}
+	return Step{Kind: NeedMore, Consumed: used}
 }
--- a/internal/upstreamhttp/reader_test.go
+++ b/internal/upstreamhttp/reader_test.go
@@ -28,7 +28,7 @@
 		buf = append(buf, p...)
 		for {
 			s := r.Next(buf)
-			buf = buf[s.Used:]
+			buf = buf[s.Consumed:]
 			if s.Kind == NeedMore {
 				break
 			}
@@ -53,7 +53,7 @@
 }
 
 // decide has the response whose headers were received streamed or buffered.
-func decide(r *Reader, stream bool) Kind {
+func decide(r *Reader, stream bool) StepKind {
 	if !stream {
 		return r.Buffer().Kind
 	}
@@ -205,7 +205,7 @@
 func reusableAfter(r *Reader, b []byte, stream bool) bool {
 	s := r.Next(b)
 	for s.Kind != NeedMore && s.Kind != ProtocolError && r.State() != Complete {
-		b = b[s.Used:]
+		b = b[s.Consumed:]
 		if s.Kind == Headers {
 			decide(r, stream)
 		}
--- a/internal/upstreamhttp/step.go
+++ b/internal/upstreamhttp/step.go
@@ -27,24 +27,24 @@
 // String returns the state's name.
 func (s State) String() string { return stateNames[s] }
 
-// Kind is the kind of a Step.
-type Kind uint8
+// StepKind is the kind of a Step.
+type StepKind uint8
 
 // The kinds of steps.
 const (
-	NeedMore         Kind = iota // more bytes are needed
-	Headers                      // headers of a response that is not buffered at once: Stream or Buffer
-	BodyData                     // a piece of a streamed body
-	BufferedResponse             // a buffered response is whole
-	ResponseEnd                  // a streamed response is whole
-	ProtocolError                // the input is no valid response: the connection is broken
+	NeedMore         StepKind = iota // more bytes are needed
+	Headers                          // headers of a response that is not buffered at once: Stream or Buffer
+	BodyData                         // a piece of a streamed body
+	BufferedResponse                 // a buffered response is whole
+	ResponseEnd                      // a streamed response is whole
+	ProtocolError                    // the input is no valid response: the connection is broken
 )
 
 // Step is what a call of Next has read.
 type Step struct {
-	Kind Kind
-	Used int    // bytes of the input that were consumed
-	Body []byte // of BodyData and BufferedResponse; valid as long as the input
-	Last bool   // with BodyData: it ends a body of known length
-	Why  string // with ProtocolError: the reason
+	Kind     StepKind
+	Consumed int    // bytes of the input that were consumed
+	Body     []byte // of BodyData and BufferedResponse; valid as long as the input
+	Last     bool   // with BodyData: it ends a body of known length
+	Reason   string // with ProtocolError: the reason
 }
