--- a/fairshare/scheduler.go
+++ b/fairshare/scheduler.go
@@ -5,7 +5,7 @@
 //
 // The scheduler runs about a million times per second, so that its methods neither allocate nor
 // exchange events; they are deterministic, as the other decision packages are
-// (docs/design/share.md).
+// (docs/design/fair-sharing.md).
 package fairshare
 
 import "time"
--- a/gateway/core.go
+++ b/gateway/core.go
@@ -8,7 +8,7 @@
 )
 
 // core owns the forwarder, and through it the dispatcher. Workers pass events to it under a lock,
-// which is held for a few microseconds (docs/design/running-gateway.md compares it with a goroutine);
+// which is held for a few microseconds (docs/design/http-gateway.md compares it with a goroutine);
 // actions go to the worker that owns the connection, in the order in which they were decided.
 type core struct {
 	mu        sync.Mutex // guards forwarder, and actions and wakePosted of each worker
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,6 +1,6 @@
 // Package eventloop runs sockets on epoll event loops. Reading can be paused, the amount of
 // unwritten output is known, and package fairshare decides which connection has the next time
-// slice (docs/design/share.md). Each loop is one goroutine; all methods of its connections
+// slice (docs/design/fair-sharing.md). Each loop is one goroutine; all methods of its connections
 // are to be called on it.
 package eventloop
 
