--- a/attribution/accounts_test.go
+++ b/attribution/accounts_test.go
@@ -80,7 +80,7 @@
 			if it.Error > total/int64(k) {
 				t.Fatalf("seed %d: error %d above %d/%d", seed, it.Error, total, k)
 			}
-			if w > total/int64(k) && whole.at[key] == nil {
+			if w > total/int64(k) && whole.counters[key] == nil {
 				t.Fatalf("seed %d: a key with %d of %d is not among %d", seed, w, total, k)
 			}
 		}
@@ -167,10 +167,10 @@
 		o.Ended(time.Duration(2*i+1)*ms, v, 1)
 	}
 	kept := 0
-	for _, h := range o.past {
+	for _, h := range o.history {
 		kept += len(h)
 	}
-	if kept > levels*perLevel {
+	if kept > historyLevels*intervalsPerLevel {
 		t.Fatalf("%d stretches", kept)
 	}
 	parts := func(from, to time.Duration) map[string]time.Duration {
@@ -248,8 +248,8 @@
 		if !ok || w.All.Parts.Total() != total || w.All.Requests != int64(n) {
 			t.Fatalf("seed %d: %v of %v, %d of %d requests", seed, w.All.Parts.Total(), total, w.All.Requests, n)
 		}
-		sum, count := w.Rest.Parts.Total(), w.Rest.Requests
-		for c, d := range w.Rest.Parts {
+		sum, count := w.Others.Parts.Total(), w.Others.Requests
+		for c, d := range w.Others.Parts {
 			if d < 0 {
 				t.Fatalf("the rest has %v of %v", d, Component(c))
 			}
--- a/attribution/books.go
+++ b/attribution/books.go
@@ -58,10 +58,10 @@
 // whole in the next coarser one. They are not safe for concurrent use.
 type Aggregator struct {
 	cfg   Config
-	rings [][]*page
-	// closed is told of each slot of the second resolution (the first, where there
+	levels [][]*page
+	// onClose is told of each slot of the second resolution (the first, where there
 	// is but one) when it closes.
-	closed func(ring int, p *page)
+	onClose func(ring int, p *page)
 }
 
 // NewAggregator returns empty books.
@@ -71,77 +71,77 @@
 	}
 	b := &Aggregator{cfg: cfg}
 	for _, r := range cfg.Resolutions {
-		b.rings = append(b.rings, make([]*page, r.Slots))
+		b.levels = append(b.levels, make([]*page, r.Slots))
 	}
 	return b, nil
 }
 
-// distRing is the finest resolution that has distributions.
-func (b *Aggregator) distRing() int { return min(1, len(b.rings)-1) }
+// distributionLevel is the finest resolution that has distributions.
+func (b *Aggregator) distributionLevel() int { return min(1, len(b.levels)-1) }
 
-func (b *Aggregator) newPage(index int64) *page {
-	return newPage(index, b.cfg.Volumes, b.cfg.Pairs)
+func (b *Aggregator) newSlot(index int64) *page {
+	return newSlot(index, b.cfg.Volumes, b.cfg.Pairs)
 }
 
-// held returns the page of a time in one ring, nil where there is none.
-func (b *Aggregator) held(ring int, at time.Duration) *page {
-	i := b.index(ring, at)
-	p := b.rings[ring][i%int64(len(b.rings[ring]))]
+// lookup returns the page of a time in one ring, nil where there is none.
+func (b *Aggregator) lookup(ring int, at time.Duration) *page {
+	i := b.slotIndex(ring, at)
+	p := b.levels[ring][i%int64(len(b.levels[ring]))]
 	if p == nil || p.index != i {
 		return nil
 	}
 	return p
 }
 
-func (b *Aggregator) index(ring int, at time.Duration) int64 {
+func (b *Aggregator) slotIndex(ring int, at time.Duration) int64 {
 	return int64(max(at, 0) / b.cfg.Resolutions[ring].Slot)
 }
 
-// page returns the page of a time in one ring, made where there is none; nil when
+// slotAt returns the page of a time in one ring, made where there is none; nil when
 // that time has left the ring.
-func (b *Aggregator) page(ring int, at time.Duration) *page {
-	i := b.index(ring, at)
-	place := &b.rings[ring][i%int64(len(b.rings[ring]))]
+func (b *Aggregator) slotAt(ring int, at time.Duration) *page {
+	i := b.slotIndex(ring, at)
+	place := &b.levels[ring][i%int64(len(b.levels[ring]))]
 	switch p := *place; {
 	case p != nil && p.index == i:
 		return p
 	case p != nil && p.index > i:
 		return nil
 	case p != nil:
-		b.roll(ring, p)
+		b.closeSlot(ring, p)
 	}
-	p := b.newPage(i)
+	p := b.newSlot(i)
 	*place = p
-	if ring == b.distRing() {
-		if last := b.held(ring, at-b.cfg.Resolutions[ring].Slot); last != nil && last != p {
-			for _, it := range last.heavy.Top(b.cfg.Distributions) {
-				p.kept = append(p.kept, it.Key)
+	if ring == b.distributionLevel() {
+		if last := b.lookup(ring, at-b.cfg.Resolutions[ring].Slot); last != nil && last != p {
+			for _, it := range last.heaviest.Top(b.cfg.Distributions) {
+				p.reserved = append(p.reserved, it.Key)
 			}
 		}
 	}
 	return p
 }
 
-// roll closes a page: from here on it is part of a coarser one too.
-func (b *Aggregator) roll(ring int, p *page) {
-	if p.rolled {
+// closeSlot closes a page: from here on it is part of a coarser one too.
+func (b *Aggregator) closeSlot(ring int, p *page) {
+	if p.closed {
 		return
 	}
-	p.rolled = true
-	if ring == b.distRing() && b.closed != nil {
-		b.closed(ring, p)
+	p.closed = true
+	if ring == b.distributionLevel() && b.onClose != nil {
+		b.onClose(ring, p)
 	}
-	for _, d := range p.dists {
+	for _, d := range p.distributions {
 		d.pack()
 	}
 	at := time.Duration(p.index) * b.cfg.Resolutions[ring].Slot
-	for up := ring + 1; up < len(b.rings); up++ {
-		q := b.page(up, at)
+	for up := ring + 1; up < len(b.levels); up++ {
+		q := b.slotAt(up, at)
 		if q == nil {
 			continue
 		}
-		q.absorb(p, b.cfg.Distributions)
-		if !q.rolled {
+		q.merge(p, b.cfg.Distributions)
+		if !q.closed {
 			return
 		}
 	}
@@ -151,45 +151,45 @@
 func (b *Aggregator) Advance(now time.Duration) {
 	for ring, r := range b.cfg.Resolutions[:len(b.cfg.Resolutions)-1] {
 		var due []*page
-		for _, p := range b.rings[ring] {
-			if p != nil && !p.rolled && time.Duration(p.index+1)*r.Slot+b.cfg.Settle <= now {
+		for _, p := range b.levels[ring] {
+			if p != nil && !p.closed && time.Duration(p.index+1)*r.Slot+b.cfg.Settle <= now {
 				due = append(due, p)
 			}
 		}
 		slices.SortFunc(due, func(a, b *page) int { return int(min(max(a.index-b.index, -1), 1)) })
 		for _, p := range due {
-			b.roll(ring, p)
+			b.closeSlot(ring, p)
 		}
 	}
 }
 
 // Add enters a request.
 func (b *Aggregator) Add(e Entry) {
-	for ring := range b.rings {
-		p := b.page(ring, e.Ended)
+	for ring := range b.levels {
+		p := b.slotAt(ring, e.Ended)
 		if p == nil {
 			continue
 		}
 		p.add(&e)
-		if !p.rolled {
+		if !p.closed {
 			break
 		}
 	}
 	if b.cfg.Distributions == 0 {
 		return
 	}
-	for ring := b.distRing(); ring < len(b.rings); ring++ {
-		p := b.page(ring, e.Ended)
+	for ring := b.distributionLevel(); ring < len(b.levels); ring++ {
+		p := b.slotAt(ring, e.Ended)
 		if p == nil {
 			continue
 		}
-		if d := p.dist(e.Volume, b.cfg.Distributions); d != nil {
+		if d := p.distributionsOf(e.Volume, b.cfg.Distributions); d != nil {
 			d.add(&e.Parts)
-			if p.rolled {
+			if p.closed {
 				d.pack()
 			}
 		}
-		if !p.rolled {
+		if !p.closed {
 			break
 		}
 	}
@@ -215,30 +215,30 @@
 // Correct applies a correction. It returns in how many resolutions the request's
 // slot was held, and whether one of them had been closed; such a slot is marked.
 func (b *Aggregator) Correct(c Correction) (held int, late bool) {
-	for ring := range b.rings {
-		p := b.held(ring, c.Ended)
+	for ring := range b.levels {
+		p := b.lookup(ring, c.Ended)
 		if p == nil {
 			continue
 		}
 		held++
 		p.correct(&c)
-		if !p.rolled {
+		if !p.closed {
 			break
 		}
-		p.fixed, late = true, true
+		p.corrected, late = true, true
 	}
-	for ring := b.distRing(); ring < len(b.rings); ring++ {
-		p := b.held(ring, c.Ended)
+	for ring := b.distributionLevel(); ring < len(b.levels); ring++ {
+		p := b.lookup(ring, c.Ended)
 		if p == nil {
 			continue
 		}
-		if d := p.dists[c.Volume]; d != nil {
+		if d := p.distributions[c.Volume]; d != nil {
 			d.correct(&c)
-			if p.rolled {
+			if p.closed {
 				d.pack()
 			}
 		}
-		if !p.rolled {
+		if !p.closed {
 			break
 		}
 	}
@@ -248,19 +248,19 @@
 // Over sums the slots that lie in the last span, by the finest resolution that
 // reaches so far. It returns false when none does.
 func (b *Aggregator) Over(now, span time.Duration) (Window, bool) {
-	ring, ok := b.reach(span)
+	ring, ok := b.finestLevel(span)
 	if !ok {
 		return Window{}, false
 	}
 	from := max(now-span, 0)
-	sum := b.newPage(0)
-	for i := b.index(ring, from); i <= b.index(ring, now); i++ {
-		b.gather(ring, i, sum)
-	}
-	if coarse := b.distRing(); ring < coarse { // distributions are of whole slots there
-		for i := b.index(coarse, from); i <= b.index(coarse, now); i++ {
-			if p := b.held(coarse, time.Duration(i)*b.cfg.Resolutions[coarse].Slot); p != nil {
-				sum.absorbDists(p, b.cfg.Distributions)
+	sum := b.newSlot(0)
+	for i := b.slotIndex(ring, from); i <= b.slotIndex(ring, now); i++ {
+		b.mergeInto(ring, i, sum)
+	}
+	if coarse := b.distributionLevel(); ring < coarse { // distributions are of whole slots there
+		for i := b.slotIndex(coarse, from); i <= b.slotIndex(coarse, now); i++ {
+			if p := b.lookup(coarse, time.Duration(i)*b.cfg.Resolutions[coarse].Slot); p != nil {
+				sum.mergeDistributions(p, b.cfg.Distributions)
 			}
 		}
 	}
@@ -271,35 +271,35 @@
 // Pages returns the slots of the last span one by one, those with requests only,
 // by the finest resolution that reaches so far.
 func (b *Aggregator) Pages(now, span time.Duration) ([]Window, bool) {
-	ring, ok := b.reach(span)
+	ring, ok := b.finestLevel(span)
 	if !ok {
 		return nil, false
 	}
-	slot, coarse := b.cfg.Resolutions[ring].Slot, b.distRing()
+	slot, coarse := b.cfg.Resolutions[ring].Slot, b.distributionLevel()
 	var out []Window
-	for i := b.index(ring, max(now-span, 0)); i <= b.index(ring, now); i++ {
-		p := b.newPage(i)
-		b.gather(ring, i, p)
-		if p.count == 0 {
+	for i := b.slotIndex(ring, max(now-span, 0)); i <= b.slotIndex(ring, now); i++ {
+		p := b.newSlot(i)
+		b.mergeInto(ring, i, p)
+		if p.requests == 0 {
 			continue
 		}
 		at := time.Duration(i) * slot
-		if n := len(out); ring < coarse && n > 0 && b.index(coarse, out[n-1].From) != b.index(coarse, at) {
-			b.lendDists(&out[n-1])
+		if n := len(out); ring < coarse && n > 0 && b.slotIndex(coarse, out[n-1].From) != b.slotIndex(coarse, at) {
+			b.attachDistributions(&out[n-1])
 		}
 		out = append(out, p.window(at, at+slot, slot))
 	}
 	if n := len(out); ring < coarse && n > 0 {
-		b.lendDists(&out[n-1])
+		b.attachDistributions(&out[n-1])
 	}
 	return out, true
 }
 
-// lendDists gives a slot that is too fine to have distributions those of the coarser
+// attachDistributions gives a slot that is too fine to have distributions those of the coarser
 // slot that it is the last one of, so that a sum over the slots has them once.
-func (b *Aggregator) lendDists(w *Window) {
-	if p := b.held(b.distRing(), w.From); p != nil {
-		w.Dists = p.tellDists()
+func (b *Aggregator) attachDistributions(w *Window) {
+	if p := b.lookup(b.distributionLevel(), w.From); p != nil {
+		w.Distributions = p.distributionList()
 	}
 }
 
@@ -309,7 +309,7 @@
 	return r.Slot * time.Duration(r.Slots-1)
 }
 
-func (b *Aggregator) reach(span time.Duration) (int, bool) {
+func (b *Aggregator) finestLevel(span time.Duration) (int, bool) {
 	for ring, r := range b.cfg.Resolutions {
 		if span > 0 && span <= r.Slot*time.Duration(r.Slots-1) {
 			return ring, true
@@ -318,18 +318,18 @@
 	return 0, false
 }
 
-// gather adds to sum what a slot holds, with what finer slots hold that are not
+// mergeInto adds to sum what a slot holds, with what finer slots hold that are not
 // closed yet.
-func (b *Aggregator) gather(ring int, index int64, sum *page) {
+func (b *Aggregator) mergeInto(ring int, index int64, sum *page) {
 	slot := b.cfg.Resolutions[ring].Slot
 	from := time.Duration(index) * slot
-	if p := b.held(ring, from); p != nil {
-		sum.absorb(p, b.cfg.Distributions)
+	if p := b.lookup(ring, from); p != nil {
+		sum.merge(p, b.cfg.Distributions)
 	}
 	for fine := range ring {
 		for at := from; at < from+slot; at += b.cfg.Resolutions[fine].Slot {
-			if p := b.held(fine, at); p != nil && !p.rolled {
-				sum.absorb(p, b.cfg.Distributions)
+			if p := b.lookup(fine, at); p != nil && !p.closed {
+				sum.merge(p, b.cfg.Distributions)
 			}
 		}
 	}
@@ -378,21 +378,21 @@
 	Slot      time.Duration   `json:"slot_ns"`
 	All       VolumeSummary   `json:"all"`
 	Volumes   []VolumeSummary `json:"volumes"` // the heaviest first
-	Rest      VolumeSummary   `json:"rest"`    // of volumes that no line names
+	Others      VolumeSummary   `json:"rest"`    // of volumes that no line names
 	Pairs     []Item[Pair]    `json:"pairs"`
 	PairError time.Duration   `json:"pair_error_ns"` // no pair that is not named has more
 	Behind    time.Duration   `json:"behind_ns"`     // all time behind others
 	Corrected bool            `json:"corrected,omitempty"`
-	Dists     []Distribution  `json:"distributions,omitempty"`
+	Distributions     []Distribution  `json:"distributions,omitempty"`
 }
 
 // Sum makes one window of several, with room for so many volumes, pairs and
 // distributions. The bounds of the sketches hold for the sum.
 func Sum(ws []Window, volumes, pairs, dists int) Window {
-	sum := newPage(0, max(volumes, 1), max(pairs, 1))
+	sum := newSlot(0, max(volumes, 1), max(pairs, 1))
 	out := Window{}
 	for i, w := range ws {
-		sum.absorb(loadPage(&w), dists)
+		sum.merge(restoreSlot(&w), dists)
 		if i == 0 || w.From < out.From {
 			out.From = w.From
 		}
@@ -401,8 +401,8 @@
 	return sum.window(out.From, out.To, out.Slot)
 }
 
-// Of returns a volume's line, and false where it has none of its own.
-func (w *Window) Of(volume string) (VolumeSummary, bool) {
+// Summary returns a volume's line, and false where it has none of its own.
+func (w *Window) Summary(volume string) (VolumeSummary, bool) {
 	i := slices.IndexFunc(w.Volumes, func(l VolumeSummary) bool { return l.Volume == volume })
 	if i < 0 {
 		return VolumeSummary{}, false
@@ -410,16 +410,16 @@
 	return w.Volumes[i], true
 }
 
-// Dist returns a volume's distributions, and false where none were kept.
-func (w *Window) Dist(volume string) (Distribution, bool) {
-	i := slices.IndexFunc(w.Dists, func(d Distribution) bool { return d.Volume == volume })
+// Distribution returns a volume's distributions, and false where none were kept.
+func (w *Window) Distribution(volume string) (Distribution, bool) {
+	i := slices.IndexFunc(w.Distributions, func(d Distribution) bool { return d.Volume == volume })
 	if i < 0 {
 		return Distribution{}, false
 	}
-	return w.Dists[i], true
+	return w.Distributions[i], true
 }
 
-func byTotal(a, b VolumeSummary) int {
+func compareByTotal(a, b VolumeSummary) int {
 	if x, y := a.Parts.Total(), b.Parts.Total(); x != y {
 		return int(min(max(y-x, -1), 1))
 	}
@@ -428,11 +428,11 @@
 
 // Apply returns the window with a correction of a request in it.
 func (w *Window) Apply(c Correction) Window {
-	p := loadPage(w)
+	p := restoreSlot(w)
 	p.correct(&c)
-	if d := p.dists[c.Volume]; d != nil {
+	if d := p.distributions[c.Volume]; d != nil {
 		d.correct(&c)
 	}
-	p.fixed = true
+	p.corrected = true
 	return p.window(w.From, w.To, w.Slot)
 }
--- a/attribution/cause.go
+++ b/attribution/cause.go
@@ -34,28 +34,28 @@
 	ResponseBody                        // its answer passes to the client
 	SlowClient                          // the client takes its answer, at its own pace
 	EventLoop                           // its head waits for a turn on its event loop
-	causes
+	componentCount
 )
 
 // Components is how many causes there are.
-const Components = int(causes)
+const Components = int(componentCount)
 
-var causeNames = [Components]string{
+var componentNames = [Components]string{
 	"gateway", "body_in", "held_untold", "behind_others", "behind_own", "limit", "cold_node", "suspect_node", "turn", "pause",
 	"lost_attempts", "connect", "node_queue", "node_work", "node_unknown", "body_out", "slow_client", "loop",
 }
 
 // String returns the cause's name in reports.
 func (c Component) String() string {
-	if c >= causes {
+	if c >= componentCount {
 		return "unknown"
 	}
-	return causeNames[c]
+	return componentNames[c]
 }
 
 // ParseComponent finds a cause by its name.
 func ParseComponent(name string) (Component, bool) {
-	for i, n := range causeNames {
+	for i, n := range componentNames {
 		if n == name {
 			return Component(i), true
 		}
@@ -87,32 +87,32 @@
 type Span struct {
 	Parts Breakdown
 	start time.Duration
-	since time.Duration
-	cause Component
+	lastChange time.Duration
+	component Component
 }
 
 // StartSpan starts a span.
-func StartSpan(now time.Duration, c Component) Span { return Span{start: now, since: now, cause: c} }
+func StartSpan(now time.Duration, c Component) Span { return Span{start: now, lastChange: now, component: c} }
 
 // Component returns the present cause.
-func (s *Span) Component() Component { return s.cause }
+func (s *Span) Component() Component { return s.component }
 
 // Enter puts the time since the last change down to the present cause, and goes on
 // with another. A clock that goes back changes nothing.
 func (s *Span) Enter(now time.Duration, c Component) {
-	if now > s.since {
-		s.Parts[s.cause] += now - s.since
-		s.since = now
+	if now > s.lastChange {
+		s.Parts[s.component] += now - s.lastChange
+		s.lastChange = now
 	}
-	s.cause = c
+	s.component = c
 }
 
 // Elapsed returns the time accounted for so far.
-func (s *Span) Elapsed() time.Duration { return s.since - s.start }
+func (s *Span) Elapsed() time.Duration { return s.lastChange - s.start }
 
 // Finish returns the account up to the last change of cause.
 func (s *Span) Finish(volume string, o Outcome) Entry {
-	return Entry{Volume: volume, Started: s.start, Ended: s.since, Outcome: o, Parts: s.Parts}
+	return Entry{Volume: volume, Started: s.start, Ended: s.lastChange, Outcome: o, Parts: s.Parts}
 }
 
 // Move puts time that was accounted to one cause down to another, as a late report
@@ -172,11 +172,11 @@
 	Failed                   // by the gateway, with nothing promised
 	Aborted                  // its answer broke off
 	Canceled                 // the client left before
-	outcomes
+	outcomeCount
 )
 
 // Outcomes is how many there are.
-const Outcomes = int(outcomes)
+const Outcomes = int(outcomeCount)
 
 var outcomeNames = [Outcomes]string{"answered", "refused", "failed", "cut", "left"}
 
--- a/attribution/dist.go
+++ b/attribution/dist.go
@@ -11,21 +11,21 @@
 // what is longer than longest counts as that long.
 
 const (
-	longest    = 30 * time.Minute
-	digits     = 2
-	whole      = Components // the index of the time over all causes
-	histograms = Components + 1
+	maxRecordedTime    = 30 * time.Minute
+	significantDigits     = 2
+	wholeIndex      = Components // the index of the time over all causes
+	histogramCount = Components + 1
 )
 
 // PercentileError is how far a told percentile may be off, as a share of it.
 const PercentileError = 0.01
 
-// dist is one volume's distributions in one slot. A cause that took no time of a
+// histogramSet is one volume's distributions in one slot. A cause that took no time of a
 // request is not entered; how often that was follows from the count of the whole.
-type dist struct {
-	live   [histograms]*hdrhistogram.Histogram
-	gone   [histograms]*hdrhistogram.Histogram // what was taken out of live again
-	packed [histograms]Bins
+type histogramSet struct {
+	live   [histogramCount]*hdrhistogram.Histogram
+	removed   [histogramCount]*hdrhistogram.Histogram // what was taken out of live again
+	packed [histogramCount]Bins
 }
 
 // Bins are the buckets of a histogram that are not empty, by their index.
@@ -38,15 +38,15 @@
 type Distribution struct {
 	Volume string          `json:"volume"`
 	Whole  Bins            `json:"whole"`
-	Causes map[string]Bins `json:"causes,omitempty"`
+	Components map[string]Bins `json:"causes,omitempty"`
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, longest.Microseconds(), digits)
+	return hdrhistogram.New(1, maxRecordedTime.Microseconds(), significantDigits)
 }
 
 // histogram returns a histogram that can be changed.
-func (d *dist) histogram(i int) *hdrhistogram.Histogram {
+func (d *histogramSet) histogram(i int) *hdrhistogram.Histogram {
 	if d.live[i] == nil {
 		d.live[i] = d.packed[i].Histogram()
 		d.packed[i] = Bins{}
@@ -54,23 +54,23 @@
 	return d.live[i]
 }
 
-func (d *dist) record(i int, t time.Duration) { record(d.histogram(i), t) }
+func (d *histogramSet) record(i int, t time.Duration) { record(d.histogram(i), t) }
 
 func record(h *hdrhistogram.Histogram, t time.Duration) {
-	h.RecordValue(min(max(t.Microseconds(), 0), longest.Microseconds()))
+	h.RecordValue(min(max(t.Microseconds(), 0), maxRecordedTime.Microseconds()))
 }
 
 // remove takes a value that was recorded out again: a histogram itself cannot.
-func (d *dist) remove(i int, t time.Duration) {
+func (d *histogramSet) remove(i int, t time.Duration) {
 	d.histogram(i)
-	if d.gone[i] == nil {
-		d.gone[i] = newHistogram()
+	if d.removed[i] == nil {
+		d.removed[i] = newHistogram()
 	}
-	record(d.gone[i], t)
+	record(d.removed[i], t)
 }
 
-func (d *dist) add(s *Breakdown) {
-	d.record(whole, s.Total())
+func (d *histogramSet) add(s *Breakdown) {
+	d.record(wholeIndex, s.Total())
 	for c, t := range s {
 		if t > 0 {
 			d.record(c, t)
@@ -80,7 +80,7 @@
 
 // correct takes a request's time under one cause out, and puts it in again as a late
 // report tells it.
-func (d *dist) correct(c *Correction) {
+func (d *histogramSet) correct(c *Correction) {
 	left := c.Had
 	for _, m := range c.To {
 		if m.Time > 0 {
@@ -97,11 +97,11 @@
 }
 
 // pack keeps only the buckets that are not empty.
-func (d *dist) pack() {
+func (d *histogramSet) pack() {
 	for i, h := range d.live {
 		if h != nil {
 			d.packed[i] = d.bins(i)
-			d.live[i], d.gone[i] = nil, nil
+			d.live[i], d.removed[i] = nil, nil
 		}
 	}
 }
@@ -116,20 +116,20 @@
 	return b
 }
 
-func (d *dist) bins(i int) Bins {
+func (d *histogramSet) bins(i int) Bins {
 	if d.live[i] == nil {
 		return d.packed[i]
 	}
 	b := binsOf(d.live[i])
-	if d.gone[i] != nil {
-		b = b.plus(binsOf(d.gone[i]).negative()).without0()
+	if d.removed[i] != nil {
+		b = b.plus(binsOf(d.removed[i]).negative()).withoutEmpty()
 	}
 	return b
 }
 
 // merge adds another's.
-func (d *dist) merge(o *dist) {
-	for i := range histograms {
+func (d *histogramSet) merge(o *histogramSet) {
+	for i := range histogramCount {
 		b := o.bins(i)
 		if len(b.At) == 0 {
 			continue
@@ -139,7 +139,7 @@
 			continue
 		}
 		d.packed[i] = d.bins(i).plus(b)
-		d.live[i], d.gone[i] = nil, nil
+		d.live[i], d.removed[i] = nil, nil
 	}
 }
 
@@ -170,8 +170,8 @@
 	return b
 }
 
-// without0 leaves out buckets that have become empty.
-func (b Bins) without0() Bins {
+// withoutEmpty leaves out buckets that have become empty.
+func (b Bins) withoutEmpty() Bins {
 	var out Bins
 	for i, n := range b.N {
 		if n > 0 {
@@ -209,10 +209,10 @@
 	return percentile(d.Whole, d.Whole.Count(), share)
 }
 
-// CausePercentile returns the same for the time under one cause, over all requests,
+// ComponentPercentile returns the same for the time under one cause, over all requests,
 // those without that cause included.
-func (d *Distribution) CausePercentile(c Component, share float64) time.Duration {
-	return percentile(d.Causes[c.String()], d.Whole.Count(), share)
+func (d *Distribution) ComponentPercentile(c Component, share float64) time.Duration {
+	return percentile(d.Components[c.String()], d.Whole.Count(), share)
 }
 
 // percentile is over n values, those that are not among the bins being zero.
@@ -226,21 +226,21 @@
 	return time.Duration(b.Histogram().ValueAtQuantile(100*(rank-zeros)/float64(with))) * time.Microsecond
 }
 
-// tell returns what is told of the distributions.
-func (d *dist) tell(volume string) Distribution {
-	t := Distribution{Volume: volume, Whole: d.bins(whole), Causes: map[string]Bins{}}
+// distribution returns what is told of the distributions.
+func (d *histogramSet) distribution(volume string) Distribution {
+	t := Distribution{Volume: volume, Whole: d.bins(wholeIndex), Components: map[string]Bins{}}
 	for c := range Components {
 		if b := d.bins(c); len(b.At) > 0 {
-			t.Causes[Component(c).String()] = b
+			t.Components[Component(c).String()] = b
 		}
 	}
 	return t
 }
 
-func loadDist(t *Distribution) *dist {
-	d := &dist{}
-	d.packed[whole] = t.Whole
-	for name, b := range t.Causes {
+func restoreHistogramSet(t *Distribution) *histogramSet {
+	d := &histogramSet{}
+	d.packed[wholeIndex] = t.Whole
+	for name, b := range t.Components {
 		if c, ok := ParseComponent(name); ok {
 			d.packed[c] = b
 		}
@@ -248,58 +248,58 @@
 	return d
 }
 
-// dist returns a volume's distributions. Places are kept for those that were heavy
+// distributionsOf returns a volume's distributions. Places are kept for those that were heavy
 // in the slot before; the others go to whoever comes first. A volume without a
 // place gets none.
-func (p *page) dist(volume string, most int) *dist {
-	if d := p.dists[volume]; d != nil {
+func (p *page) distributionsOf(volume string, most int) *histogramSet {
+	if d := p.distributions[volume]; d != nil {
 		return d
 	}
 	kept := 0
-	for _, v := range p.kept {
+	for _, v := range p.reserved {
 		if v == volume {
 			kept = -most // its own place
 			break
 		}
-		if p.dists[v] == nil {
+		if p.distributions[v] == nil {
 			kept++
 		}
 	}
-	if len(p.dists)+kept >= most {
+	if len(p.distributions)+kept >= most {
 		return nil
 	}
-	if p.dists == nil {
-		p.dists = map[string]*dist{}
+	if p.distributions == nil {
+		p.distributions = map[string]*histogramSet{}
 	}
-	d := &dist{}
-	p.dists[volume] = d
+	d := &histogramSet{}
+	p.distributions[volume] = d
 	return d
 }
 
-// absorbDists adds another page's, and keeps those of the heaviest volumes.
-func (p *page) absorbDists(o *page, most int) {
-	if len(o.dists) == 0 || most == 0 {
+// mergeDistributions adds another page's, and keeps those of the heaviest volumes.
+func (p *page) mergeDistributions(o *page, most int) {
+	if len(o.distributions) == 0 || most == 0 {
 		return
 	}
-	if p.dists == nil {
-		p.dists = map[string]*dist{}
+	if p.distributions == nil {
+		p.distributions = map[string]*histogramSet{}
 	}
-	for v, d := range o.dists {
-		if p.dists[v] == nil {
-			p.dists[v] = &dist{}
+	for v, d := range o.distributions {
+		if p.distributions[v] == nil {
+			p.distributions[v] = &histogramSet{}
 		}
-		p.dists[v].merge(d)
+		p.distributions[v].merge(d)
 	}
-	for _, it := range p.heavy.Top(p.heavy.room) {
+	for _, it := range p.heaviest.Top(p.heaviest.capacity) {
 		if most--; most < 0 {
-			delete(p.dists, it.Key)
-		} else if p.dists[it.Key] == nil {
+			delete(p.distributions, it.Key)
+		} else if p.distributions[it.Key] == nil {
 			most++
 		}
 	}
-	for v := range p.dists {
-		if !p.heavy.Has(v) {
-			delete(p.dists, v)
+	for v := range p.distributions {
+		if !p.heaviest.Has(v) {
+			delete(p.distributions, v)
 		}
 	}
 }
--- a/attribution/journey.go
+++ b/attribution/journey.go
@@ -49,7 +49,7 @@
 type ClientSpan struct {
 	span   Span
 	behind []Contribution
-	untold []Unreported
+	unreported []Unreported
 }
 
 // StartClientSpan starts a journey.
@@ -66,39 +66,39 @@
 // Include puts a request to a node in. What goes before it is the journey's own
 // time; what comes after it, in the gateway.
 func (j *ClientSpan) Include(e *Entry) {
-	j.span.Enter(e.Started, j.span.cause)
-	part, whole := e.Ended-j.span.since, e.Ended-e.Started
+	j.span.Enter(e.Started, j.span.component)
+	part, whole := e.Ended-j.span.lastChange, e.Ended-e.Started
 	if part <= 0 {
 		return
 	}
 	parts, behind := e.Parts, e.Behind
 	if part < whole {
-		parts, behind = scaled(e, part, whole)
+		parts, behind = scaleEntry(e, part, whole)
 	}
 	j.span.Parts.Add(&parts)
-	j.span.since = e.Ended
-	j.span.cause = Gateway
+	j.span.lastChange = e.Ended
+	j.span.component = Gateway
 	if j.behind == nil {
 		j.behind = behind
 	} else {
 		j.behind = append(slices.Clip(j.behind), behind...)
 	}
 	unknown := parts[NodeUnknown]
-	if j.untold == nil && len(e.Unreported) == 1 && e.Unreported[0].Unknown <= unknown { // as nearly always
-		j.untold = e.Unreported[:1:1]
+	if j.unreported == nil && len(e.Unreported) == 1 && e.Unreported[0].Unknown <= unknown { // as nearly always
+		j.unreported = e.Unreported[:1:1]
 		return
 	}
 	for _, u := range e.Unreported {
 		if u.Unknown = min(u.Unknown, unknown); u.Unknown > 0 {
 			unknown -= u.Unknown
-			j.untold = append(j.untold, u)
+			j.unreported = append(j.unreported, u)
 		}
 	}
 }
 
-// scaled takes the part of an account that no other accounts for: of each cause
+// scaleEntry takes the part of an account that no other accounts for: of each cause
 // its share. The parts sum exactly; what rounding leaves goes to the largest.
-func scaled(e *Entry, part, whole time.Duration) (Breakdown, []Contribution) {
+func scaleEntry(e *Entry, part, whole time.Duration) (Breakdown, []Contribution) {
 	f := float64(part) / float64(whole)
 	var s Breakdown
 	left, big := part, 0
@@ -121,7 +121,7 @@
 func (j *ClientSpan) End(now time.Duration, volume string, o Outcome) Entry {
 	j.span.Enter(now, Gateway)
 	e := j.span.Finish(volume, o)
-	e.Behind, e.Unreported = j.behind, j.untold
+	e.Behind, e.Unreported = j.behind, j.unreported
 	return e
 }
 
@@ -149,7 +149,7 @@
 	for i, s := range ahead {
 		sum[i] = InFlightUnits{Volume: s.Volume, Units: d.Seconds() * s.Units / units}
 	}
-	return exact(sum, 0, d)
+	return apportion(sum, 0, d)
 }
 
-func compareShare(s InFlightUnits, v string) int { return strings.Compare(s.Volume, v) }
+func compareVolume(s InFlightUnits, v string) int { return strings.Compare(s.Volume, v) }
--- a/attribution/keeper.go
+++ b/attribution/keeper.go
@@ -10,12 +10,12 @@
 // belong. It is told of events with the time and returns actions; it is not safe
 // for concurrent use.
 type Collector struct {
-	books  *Aggregator
+	aggregator  *Aggregator
 	now    time.Duration
-	await  *ring[callKey, awaited]    // requests whose nodes have not told
-	early  *ring[callKey, NodeReport] // reports of requests that are not entered yet
+	unreported  *boundedMap[attemptKey, pendingReport]    // requests whose nodes have not told
+	earlyReports  *boundedMap[attemptKey, NodeReport] // reports of requests that are not entered yet
 	counts Counts
-	acts   []Action
+	actions   []Action
 }
 
 // CollectorConfig bounds a keeper.
@@ -42,7 +42,7 @@
 }
 
 // Event is something that a keeper hears.
-type Event interface{ keeperEvent() }
+type Event interface{ collectorEvent() }
 
 // Batch is what has come together: entries and late reports, in any order.
 type Batch struct {
@@ -62,16 +62,16 @@
 // Tick tells that time has passed.
 type Tick struct{}
 
-func (Batch) keeperEvent() {}
-func (Tick) keeperEvent()  {}
+func (Batch) collectorEvent() {}
+func (Tick) collectorEvent()  {}
 
 // Flush closes all slots: nothing more will come.
 type Flush struct{}
 
-func (Flush) keeperEvent() {}
+func (Flush) collectorEvent() {}
 
 // Action is something that a keeper wants done.
-type Action interface{ keeperAction() }
+type Action interface{ collectorAction() }
 
 // SlotClosed tells that a slot is complete and can be saved. A Fixed may follow.
 type SlotClosed struct{ Window Window }
@@ -79,19 +79,19 @@
 // SlotCorrected tells of a correction to a slot that was told as Closed.
 type SlotCorrected struct{ Correction Correction }
 
-func (SlotClosed) keeperAction()    {}
-func (SlotCorrected) keeperAction() {}
+func (SlotClosed) collectorAction()    {}
+func (SlotCorrected) collectorAction() {}
 
-type callKey struct {
+type attemptKey struct {
 	call    uint64
 	attempt int
 }
 
-type awaited struct {
+type pendingReport struct {
 	volume  string
 	ended   time.Duration
 	unknown time.Duration
-	had     *time.Duration // the request's whole time at nodes that is not told
+	remaining     *time.Duration // the request's whole time at nodes that is not told
 	ahead   []InFlightUnits
 }
 
@@ -104,17 +104,17 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &Collector{books: b, await: newRing[callKey, awaited](cfg.Late), early: newRing[callKey, NodeReport](cfg.Early)}
-	b.closed = func(ring int, p *page) {
+	k := &Collector{aggregator: b, unreported: newBoundedMap[attemptKey, pendingReport](cfg.Late), earlyReports: newBoundedMap[attemptKey, NodeReport](cfg.Early)}
+	b.onClose = func(ring int, p *page) {
 		slot := cfg.Resolutions[ring].Slot
 		at := time.Duration(p.index) * slot
-		k.acts = append(k.acts, SlotClosed{p.window(at, at+slot, slot)})
+		k.actions = append(k.actions, SlotClosed{p.window(at, at+slot, slot)})
 	}
 	return k, nil
 }
 
 // Aggregator returns the books, for reading between events.
-func (k *Collector) Aggregator() *Aggregator { return k.books }
+func (k *Collector) Aggregator() *Aggregator { return k.aggregator }
 
 // Counts returns what was seen so far.
 func (k *Collector) Counts() Counts { return k.counts }
@@ -122,57 +122,57 @@
 // Handle takes an event and returns what is to be done. The slice is the caller's
 // until the next call.
 func (k *Collector) Handle(now time.Duration, ev Event) []Action {
-	k.acts = k.acts[:0]
+	k.actions = k.actions[:0]
 	k.now = max(now, k.now)
 	until := k.now
 	if _, ok := ev.(Flush); ok {
 		until = math.MaxInt64
 	}
-	k.books.Advance(until)
+	k.aggregator.Advance(until)
 	if b, ok := ev.(Batch); ok {
 		k.counts.Lost += b.Lost
 		for i := range b.Entries {
-			k.enter(&b.Entries[i])
+			k.addEntry(&b.Entries[i])
 		}
 		for _, t := range b.Reports {
-			k.told(t)
+			k.applyReport(t)
 		}
 	}
-	return k.acts
+	return k.actions
 }
 
-// enter puts a request into the books. Reports that came before it are applied to
+// addEntry puts a request into the books. Reports that came before it are applied to
 // the entry itself; for those that may come later it is remembered.
-func (k *Collector) enter(e *Entry) {
+func (k *Collector) addEntry(e *Entry) {
 	k.counts.Entered++
 	wait := e.Unreported
-	if len(k.early.at) > 0 {
-		wait = k.toldEarly(e)
+	if len(k.earlyReports.index) > 0 {
+		wait = k.applyEarlyReports(e)
 	}
-	if k.wasClosed(e.Ended) {
+	if k.slotClosed(e.Ended) {
 		k.counts.Overdue++
 	}
-	k.books.Add(*e)
+	k.aggregator.Add(*e)
 	if len(wait) == 0 {
 		return
 	}
 	had := e.Parts[NodeUnknown]
 	for _, u := range wait {
 		k.counts.Unreported++
-		k.await.put(callKey{u.Call, u.Attempt}, awaited{e.Volume, e.Ended, u.Unknown, &had, u.Ahead})
+		k.unreported.put(attemptKey{u.Call, u.Attempt}, pendingReport{e.Volume, e.Ended, u.Unknown, &had, u.Ahead})
 	}
 }
 
-// toldEarly applies the reports that came before their request and returns the
+// applyEarlyReports applies the reports that came before their request and returns the
 // attempts that are still untold.
-func (k *Collector) toldEarly(e *Entry) (wait []Unreported) {
+func (k *Collector) applyEarlyReports(e *Entry) (wait []Unreported) {
 	for _, u := range e.Unreported {
-		t, ok := k.early.take(callKey{u.Call, u.Attempt})
+		t, ok := k.earlyReports.take(attemptKey{u.Call, u.Attempt})
 		if !ok {
 			wait = append(wait, u)
 			continue
 		}
-		queue, work := t.within(u.Unknown)
+		queue, work := t.bounded(u.Unknown)
 		e.Move(NodeUnknown, NodeQueue, queue)
 		e.Move(NodeUnknown, NodeService, work)
 		e.Behind = append(e.Behind, Divide(u.Ahead, queue)...)
@@ -180,87 +180,87 @@
 	return wait
 }
 
-// within bounds what a report tells by the time that the attempt took.
-func (t NodeReport) within(unknown time.Duration) (queue, work time.Duration) {
+// bounded bounds what a report tells by the time that the attempt took.
+func (t NodeReport) bounded(unknown time.Duration) (queue, work time.Duration) {
 	queue = min(max(t.Queue, 0), unknown)
 	return queue, min(max(t.Work, 0), unknown-queue)
 }
 
-// told puts a late report on its request and slot. One that is told twice counts
+// applyReport puts a late report on its request and slot. One that is told twice counts
 // once.
-func (k *Collector) told(t NodeReport) {
-	key := callKey{t.Call, t.Attempt}
-	a, ok := k.await.take(key)
+func (k *Collector) applyReport(t NodeReport) {
+	key := attemptKey{t.Call, t.Attempt}
+	a, ok := k.unreported.take(key)
 	if !ok {
-		if _, full := k.early.put(key, t); full {
+		if _, full := k.earlyReports.put(key, t); full {
 			k.counts.Unplaced++
 		}
 		return
 	}
-	queue, work := t.within(a.unknown)
-	c := Correction{Volume: a.volume, Ended: a.ended, From: NodeUnknown, Had: *a.had, Behind: Divide(a.ahead, queue)}
+	queue, work := t.bounded(a.unknown)
+	c := Correction{Volume: a.volume, Ended: a.ended, From: NodeUnknown, Had: *a.remaining, Behind: Divide(a.ahead, queue)}
 	for _, m := range []ComponentTime{{NodeQueue, queue}, {NodeService, work}} {
 		if m.Time > 0 {
 			c.To = append(c.To, m)
 		}
 	}
-	*a.had -= queue + work
+	*a.remaining -= queue + work
 	k.counts.ReportedLate++
-	if _, late := k.books.Correct(c); late {
+	if _, late := k.aggregator.Correct(c); late {
 		k.counts.Corrected++
 	}
-	if k.wasClosed(a.ended) {
-		k.acts = append(k.acts, SlotCorrected{c})
+	if k.slotClosed(a.ended) {
+		k.actions = append(k.actions, SlotCorrected{c})
 	}
 }
 
-// wasClosed tells whether the slot of a time was told as Closed.
-func (k *Collector) wasClosed(at time.Duration) bool {
-	p := k.books.held(k.books.distRing(), at)
-	return p != nil && p.rolled
+// slotClosed tells whether the slot of a time was told as Closed.
+func (k *Collector) slotClosed(at time.Duration) bool {
+	p := k.aggregator.lookup(k.aggregator.distributionLevel(), at)
+	return p != nil && p.closed
 }
 
-// ring remembers so many things by key; the oldest give way.
-type ring[K comparable, V any] struct {
-	slots []ringSlot[K, V]
-	at    map[K]int
+// boundedMap remembers so many things by key; the oldest give way.
+type boundedMap[K comparable, V any] struct {
+	entries []boundedMapEntry[K, V]
+	index    map[K]int
 	next  int
 }
 
-type ringSlot[K comparable, V any] struct {
+type boundedMapEntry[K comparable, V any] struct {
 	key  K
 	val  V
 	used bool
 }
 
-func newRing[K comparable, V any](n int) *ring[K, V] {
-	return &ring[K, V]{slots: make([]ringSlot[K, V], n), at: map[K]int{}}
+func newBoundedMap[K comparable, V any](n int) *boundedMap[K, V] {
+	return &boundedMap[K, V]{entries: make([]boundedMapEntry[K, V], n), index: map[K]int{}}
 }
 
 // put remembers a value. It returns what had to give way.
-func (r *ring[K, V]) put(key K, v V) (gone V, gave bool) {
-	if i, ok := r.at[key]; ok {
-		r.slots[i].val = v
+func (r *boundedMap[K, V]) put(key K, v V) (gone V, gave bool) {
+	if i, ok := r.index[key]; ok {
+		r.entries[i].val = v
 		return gone, false
 	}
-	s := &r.slots[r.next]
+	s := &r.entries[r.next]
 	if gone, gave = s.val, s.used; gave {
-		delete(r.at, s.key)
+		delete(r.index, s.key)
 	}
-	*s = ringSlot[K, V]{key, v, true}
-	r.at[key] = r.next
-	r.next = (r.next + 1) % len(r.slots)
+	*s = boundedMapEntry[K, V]{key, v, true}
+	r.index[key] = r.next
+	r.next = (r.next + 1) % len(r.entries)
 	return gone, gave
 }
 
 // take returns a value and forgets it.
-func (r *ring[K, V]) take(key K) (v V, ok bool) {
-	i, ok := r.at[key]
+func (r *boundedMap[K, V]) take(key K) (v V, ok bool) {
+	i, ok := r.index[key]
 	if !ok {
 		return v, false
 	}
-	v = r.slots[i].val
-	r.slots[i] = ringSlot[K, V]{}
-	delete(r.at, key)
+	v = r.entries[i].val
+	r.entries[i] = boundedMapEntry[K, V]{}
+	delete(r.index, key)
 	return v, true
 }
--- a/attribution/keeper_test.go
+++ b/attribution/keeper_test.go
@@ -106,15 +106,15 @@
 	want := func(name string, k *Collector, corrected bool) {
 		t.Helper()
 		w, _ := k.Aggregator().Over(k.now, 20*time.Second)
-		l, _ := w.Of("v")
+		l, _ := w.Summary("v")
 		if l.Parts[NodeQueue] != 20*ms || l.Parts[NodeService] != 8*ms || l.Parts[NodeUnknown] != 2*ms || w.Corrected != corrected {
 			t.Fatalf("%s: %v, corrected %v", name, l.Parts, w.Corrected)
 		}
 		if len(w.Pairs) != 1 || w.Pairs[0].Key != (Pair{"v", "flood"}) || time.Duration(w.Pairs[0].Count) != 15*ms {
 			t.Fatalf("%s: %+v", name, w.Pairs)
 		}
-		d, ok := w.Dist("v")
-		if !ok || d.CausePercentile(NodeQueue, 0.5) < 19*ms || d.CausePercentile(NodeUnknown, 0.5) > 2100*time.Microsecond || d.Causes["node_unknown"].Count() != 1 {
+		d, ok := w.Distribution("v")
+		if !ok || d.ComponentPercentile(NodeQueue, 0.5) < 19*ms || d.ComponentPercentile(NodeUnknown, 0.5) > 2100*time.Microsecond || d.Components["node_unknown"].Count() != 1 {
 			t.Fatalf("%s: distributions %+v", name, d)
 		}
 	}
@@ -145,7 +145,7 @@
 	want("after the slot was saved", late, true)
 	fixed := saved.Apply(acts[0].(SlotCorrected).Correction)
 	w, _ := late.Aggregator().Over(13*time.Second, 20*time.Second)
-	if fixed.All.Parts != w.All.Parts || fixed.Pairs[0] != w.Pairs[0] || !fixed.Corrected || !reflect.DeepEqual(fixed.Dists, w.Dists) {
+	if fixed.All.Parts != w.All.Parts || fixed.Pairs[0] != w.Pairs[0] || !fixed.Corrected || !reflect.DeepEqual(fixed.Distributions, w.Distributions) {
 		t.Fatalf("the saved slot with its correction is %+v, the books say %+v", fixed, w)
 	}
 
@@ -178,8 +178,8 @@
 	for i := range uint64(20) {
 		k.Handle(700*ms, Batch{Reports: []NodeReport{{Call: i, Work: 30 * ms}}})
 	}
-	if c := k.Counts(); c.ReportedLate != 4 || c.Unplaced != 12 || len(k.await.at) != 0 || len(k.early.at) != 4 {
-		t.Fatalf("%+v, %d await, %d early", c, len(k.await.at), len(k.early.at))
+	if c := k.Counts(); c.ReportedLate != 4 || c.Unplaced != 12 || len(k.unreported.index) != 0 || len(k.earlyReports.index) != 4 {
+		t.Fatalf("%+v, %d await, %d early", c, len(k.unreported.index), len(k.earlyReports.index))
 	}
 }
 
@@ -233,7 +233,7 @@
 		if !ok || sum.All.Requests != 3000 || sum.All.Parts.Total() != w.All.Parts.Total() || sum.Behind > w.Behind {
 			t.Fatalf("seed %d: %+v beside %+v", seed, sum.All, w.All)
 		}
-		total := sum.Rest.Parts.Total()
+		total := sum.Others.Parts.Total()
 		for _, l := range sum.Volumes {
 			total += l.Parts.Total()
 		}
@@ -283,7 +283,7 @@
 		k.Handle(e.Ended, Batch{Entries: []Entry{e}})
 	}
 	w, _ := k.Aggregator().Over(k.now, 4*time.Minute)
-	d, ok := w.Dist("v")
+	d, ok := w.Distribution("v")
 	if !ok {
 		t.Fatal("no distributions")
 	}
@@ -293,7 +293,7 @@
 		for _, x := range []struct {
 			got    time.Duration
 			sorted []time.Duration
-		}{{d.Percentile(s), all}, {d.CausePercentile(QueuedBehindOthers, s), others}} {
+		}{{d.Percentile(s), all}, {d.ComponentPercentile(QueuedBehindOthers, s), others}} {
 			at := int(s * float64(len(x.sorted)))
 			lo, hi := x.sorted[max(at-2, 0)], x.sorted[min(at+2, len(x.sorted)-1)]
 			if x.got.Seconds() < lo.Seconds()*(1-PercentileError)-2e-6 || x.got.Seconds() > hi.Seconds()*(1+PercentileError)+2e-6 {
@@ -318,9 +318,9 @@
 		}
 	}
 	w, _ := k.Aggregator().Over(k.now, 4*time.Minute)
-	d, ok := w.Dist("heavy")
-	if len(w.Dists) > 2 || !ok || d.Whole.Count() < 8 {
-		t.Fatalf("%d distributions, heavy %v: %+v", len(w.Dists), ok, d.Whole)
+	d, ok := w.Distribution("heavy")
+	if len(w.Distributions) > 2 || !ok || d.Whole.Count() < 8 {
+		t.Fatalf("%d distributions, heavy %v: %+v", len(w.Distributions), ok, d.Whole)
 	}
 }
 
--- a/attribution/occupancy.go
+++ b/attribution/occupancy.go
@@ -16,30 +16,30 @@
 // in each older level merged times as long.
 type Occupancy struct {
 	quantum time.Duration
-	out     []InFlightUnits // by volume
-	marks   []float64       // of the clock, up to which each of out is accounted for
-	clock   float64         // seconds for each unit out: what a unit has been put down to
-	units   float64
-	since   time.Duration // accounted for in now up to here
-	now     stretch
-	past    [levels][]stretch // the oldest first in each
+	inFlight     []InFlightUnits // by volume
+	accruedTo   []float64       // of the clock, up to which each of out is accounted for
+	virtualTime   float64         // seconds for each unit out: what a unit has been put down to
+	totalUnits   float64
+	updatedAt   time.Duration // accounted for in now up to here
+	current     interval
+	history    [historyLevels][]interval // the oldest first in each
 }
 
 const (
-	levels   = 3
-	perLevel = 256
-	merged   = 8 // stretches of one level in one of the next
+	historyLevels   = 3
+	intervalsPerLevel = 256
+	mergeFactor   = 8 // stretches of one level in one of the next
 )
 
-// stretch is how a time divides: seconds by volume, and time when nothing was out.
-type stretch struct {
+// interval is how a time divides: seconds by volume, and time when nothing was out.
+type interval struct {
 	from, to time.Duration
-	secs     []InFlightUnits // Units are seconds here; by volume
+	busy     []InFlightUnits // Units are seconds here; by volume
 	idle     time.Duration
 }
 
-func addShare(to []InFlightUnits, volume string, units float64) []InFlightUnits {
-	i, found := slices.BinarySearchFunc(to, volume, compareShare)
+func addUnits(to []InFlightUnits, volume string, units float64) []InFlightUnits {
+	i, found := slices.BinarySearchFunc(to, volume, compareVolume)
 	if !found {
 		to = slices.Insert(to, i, InFlightUnits{Volume: volume})
 	}
@@ -53,77 +53,77 @@
 // advance lets the time up to now pass. A volume's part of it is reckoned when its
 // units change or the stretch ends, from how far the clock has gone.
 func (o *Occupancy) advance(now time.Duration) {
-	d := now - o.since
+	d := now - o.updatedAt
 	if d <= 0 {
 		return
 	}
-	if len(o.out) == 0 {
-		o.now.idle += d
+	if len(o.inFlight) == 0 {
+		o.current.idle += d
 	} else {
-		o.clock += d.Seconds() / o.units
+		o.virtualTime += d.Seconds() / o.totalUnits
 	}
-	o.since, o.now.to = now, now
-	if now-o.now.from < o.quantum {
+	o.updatedAt, o.current.to = now, now
+	if now-o.current.from < o.quantum {
 		return
 	}
-	o.reckonAll()
-	o.keep(0, o.now)
-	o.now = stretch{from: now, to: now}
+	o.accrueAll()
+	o.archive(0, o.current)
+	o.current = interval{from: now, to: now}
 }
 
-// reckon accounts for a volume's part up to now.
-func (o *Occupancy) reckon(i int) {
-	if d := o.clock - o.marks[i]; d > 0 {
-		o.now.secs = addShare(o.now.secs, o.out[i].Volume, d*o.out[i].Units)
+// accrue accounts for a volume's part up to now.
+func (o *Occupancy) accrue(i int) {
+	if d := o.virtualTime - o.accruedTo[i]; d > 0 {
+		o.current.busy = addUnits(o.current.busy, o.inFlight[i].Volume, d*o.inFlight[i].Units)
 	}
-	o.marks[i] = o.clock
+	o.accruedTo[i] = o.virtualTime
 }
 
-func (o *Occupancy) reckonAll() {
-	for i := range o.out {
-		o.reckon(i)
+func (o *Occupancy) accrueAll() {
+	for i := range o.inFlight {
+		o.accrue(i)
 	}
 }
 
-// keep puts a stretch into a level's history. A full level gives its oldest as one
+// archive puts a stretch into a level's history. A full level gives its oldest as one
 // to the next; the last forgets them.
-func (o *Occupancy) keep(level int, s stretch) {
-	if level == levels {
+func (o *Occupancy) archive(level int, s interval) {
+	if level == historyLevels {
 		return
 	}
-	h := o.past[level]
-	if len(h) == perLevel {
-		sum := stretch{from: h[0].from, to: h[merged-1].to}
-		for _, x := range h[:merged] {
+	h := o.history[level]
+	if len(h) == intervalsPerLevel {
+		sum := interval{from: h[0].from, to: h[mergeFactor-1].to}
+		for _, x := range h[:mergeFactor] {
 			sum.idle += x.idle
-			for _, y := range x.secs {
-				sum.secs = addShare(sum.secs, y.Volume, y.Units)
+			for _, y := range x.busy {
+				sum.busy = addUnits(sum.busy, y.Volume, y.Units)
 			}
 		}
-		n := copy(h, h[merged:])
+		n := copy(h, h[mergeFactor:])
 		clear(h[n:])
 		h = h[:n]
-		o.keep(level+1, sum)
+		o.archive(level+1, sum)
 	}
-	o.past[level] = append(h, s)
+	o.history[level] = append(h, s)
 }
 
 // Sent notes that a request of a volume is out from now on. It returns what was
 // out before it.
 func (o *Occupancy) Sent(now time.Duration, volume string, units float64) []InFlightUnits {
 	o.advance(now)
-	ahead := slices.Clone(o.out)
+	ahead := slices.Clone(o.inFlight)
 	units = max(units, minUnits)
-	i, found := slices.BinarySearchFunc(o.out, volume, compareShare)
+	i, found := slices.BinarySearchFunc(o.inFlight, volume, compareVolume)
 	if found {
-		o.reckon(i)
+		o.accrue(i)
 	} else {
-		o.out = slices.Insert(o.out, i, InFlightUnits{Volume: volume})
-		o.marks = slices.Insert(o.marks, i, o.clock)
+		o.inFlight = slices.Insert(o.inFlight, i, InFlightUnits{Volume: volume})
+		o.accruedTo = slices.Insert(o.accruedTo, i, o.virtualTime)
 	}
-	o.out[i].Units += units
-	o.out[i].count++
-	o.units += units
+	o.inFlight[i].Units += units
+	o.inFlight[i].count++
+	o.totalUnits += units
 	return ahead
 }
 
@@ -134,18 +134,18 @@
 func (o *Occupancy) Ended(now time.Duration, volume string, units float64) {
 	o.advance(now)
 	units = max(units, minUnits)
-	i, found := slices.BinarySearchFunc(o.out, volume, compareShare)
+	i, found := slices.BinarySearchFunc(o.inFlight, volume, compareVolume)
 	if !found {
 		return
 	}
-	o.reckon(i)
-	o.out[i].Units -= units
-	o.units -= units
-	if o.out[i].count--; o.out[i].count == 0 {
-		o.out, o.marks = slices.Delete(o.out, i, i+1), slices.Delete(o.marks, i, i+1)
+	o.accrue(i)
+	o.inFlight[i].Units -= units
+	o.totalUnits -= units
+	if o.inFlight[i].count--; o.inFlight[i].count == 0 {
+		o.inFlight, o.accruedTo = slices.Delete(o.inFlight, i, i+1), slices.Delete(o.accruedTo, i, i+1)
 	}
-	if len(o.out) == 0 {
-		o.units, o.clock = 0, 0 // rounding must not add up
+	if len(o.inFlight) == 0 {
+		o.totalUnits, o.virtualTime = 0, 0 // rounding must not add up
 	}
 }
 
@@ -163,36 +163,36 @@
 	if to <= from {
 		return nil
 	}
-	o.reckonAll()
+	o.accrueAll()
 	var sum []InFlightUnits // units as seconds here
 	var nobody, known time.Duration
 	// take adds what a stretch has of the wait, and tells whether an older one may
 	// have more.
-	take := func(s *stretch) bool {
+	take := func(s *interval) bool {
 		d := min(s.to, to) - max(s.from, from)
 		if d > 0 {
 			known += d
 			f := d.Seconds() / (s.to - s.from).Seconds()
 			nobody += time.Duration(f * float64(s.idle))
-			for _, x := range s.secs {
-				sum = addShare(sum, x.Volume, f*x.Units)
+			for _, x := range s.busy {
+				sum = addUnits(sum, x.Volume, f*x.Units)
 			}
 		}
 		return s.from > from
 	}
-	more := o.now.to == o.now.from || take(&o.now)
-	for level := 0; level < levels && more; level++ {
-		h := o.past[level]
+	more := o.current.to == o.current.from || take(&o.current)
+	for level := 0; level < historyLevels && more; level++ {
+		h := o.history[level]
 		for i := len(h) - 1; i >= 0 && more; i-- {
 			more = take(&h[i])
 		}
 	}
-	return exact(sum, nobody+to-from-known, to-from)
+	return apportion(sum, nobody+to-from-known, to-from)
 }
 
-// exact turns shares of seconds into whole times that sum to all: what rounding
+// apportion turns shares of seconds into whole times that sum to all: what rounding
 // leaves goes to the largest.
-func exact(sum []InFlightUnits, nobody, all time.Duration) []Contribution {
+func apportion(sum []InFlightUnits, nobody, all time.Duration) []Contribution {
 	out := make([]Contribution, 0, len(sum)+1)
 	if nobody > 0 {
 		out = append(out, Contribution{"", nobody})
--- a/cmd/chalkstand/accounts.go
+++ b/cmd/chalkstand/accounts.go
@@ -64,7 +64,7 @@
 	blame := &cobra.Command{
 		Use: "blame VOLUME", Short: "Whom a volume waited behind, and who waited behind it", Args: cobra.ExactArgs(1),
 		RunE: f.run(func(out io.Writer, d *attributionreport.Data, args []string) error {
-			return attributionreport.Blame(out, d, args[0])
+			return attributionreport.Contributions(out, d, args[0])
 		}),
 	}
 	for _, sub := range []*cobra.Command{top, volume, blame} {
@@ -137,7 +137,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t := attributionlog.Build(recs)
+	t := attributionlog.NewTimeline(recs)
 	d := &attributionreport.Data{Slots: t.Since(f.since), Notes: t.Notes}
 	for _, x := range damage {
 		d.Notes = append(d.Notes, x.Error())
@@ -202,7 +202,7 @@
 		if failed {
 			return
 		}
-		if err := w.Append(attributionlog.RecordOf(g.Run(), time.Now(), g.Now(), a)); err != nil {
+		if err := w.Append(attributionlog.NewRecord(g.Run(), time.Now(), g.Now(), a)); err != nil {
 			failed = true
 			log.Error("accounts are no longer saved", zap.Error(err))
 		}
--- a/cmd/chalkstand/accounts_test.go
+++ b/cmd/chalkstand/accounts_test.go
@@ -55,7 +55,7 @@
 		}
 	}
 	out, err := run("accounts", "volume", "photos", admin, "--json")
-	var a attributionreport.Account
+	var a attributionreport.Summary
 	if err != nil || json.Unmarshal([]byte(out), &a) != nil || a.Window.All.Requests != 41 || len(a.Window.Volumes) != 1 {
 		t.Errorf("as JSON: %v\n%s", err, out)
 	}
--- a/fake/storagenode/api.go
+++ b/fake/storagenode/api.go
@@ -18,8 +18,8 @@
 
 func bytesString(b []byte) string { return unsafe.String(unsafe.SliceData(b), len(b)) }
 
-// reply is an answer: a document, or a part of a blob.
-type reply struct {
+// response is an answer: a document, or a part of a blob.
+type response struct {
 	status int
 	header map[string]string
 	body   []byte
@@ -28,19 +28,19 @@
 	length int64
 }
 
-func document(v any) reply {
-	return reply{status: 200, header: map[string]string{"Content-Type": "application/xml"}, body: objectapi.Marshal(v)}
+func xmlResponse(v any) response {
+	return response{status: 200, header: map[string]string{"Content-Type": "application/xml"}, body: objectapi.Marshal(v)}
 }
 
-func failed(err *objectapi.Error, resource string) reply {
-	return reply{
+func errorResponse(err *objectapi.Error, resource string) response {
+	return response{
 		status: err.Status(), header: map[string]string{"Content-Type": "application/xml"},
 		body: err.Document(resource, "0"),
 	}
 }
 
-// operation reads a request of net/http as the gateway's own parser would.
-func operation(r *http.Request) (objectapi.Operation, *objectapi.Error) {
+// parseOperation reads a request of net/http as the gateway's own parser would.
+func parseOperation(r *http.Request) (objectapi.Operation, *objectapi.Error) {
 	h := http1.Request{
 		Method: []byte(r.Method), Target: []byte(r.RequestURI),
 		Headers: http1.Headers{{Name: []byte("host"), Value: []byte(r.Host)}},
@@ -52,34 +52,34 @@
 }
 
 // run does an operation on the data set.
-func (d *Dataset) run(o objectapi.Operation, r *http.Request) reply {
+func (d *Dataset) run(o objectapi.Operation, r *http.Request) response {
 	rep, err := d.dispatch(o, r)
 	if err != nil {
-		return failed(err, r.URL.Path)
+		return errorResponse(err, r.URL.Path)
 	}
 	return rep
 }
 
-func (d *Dataset) dispatch(o objectapi.Operation, r *http.Request) (reply, *objectapi.Error) {
+func (d *Dataset) dispatch(o objectapi.Operation, r *http.Request) (response, *objectapi.Error) {
 	switch o.Kind {
 	case objectapi.ListBuckets:
 		return d.listBuckets(), nil
 	case objectapi.CreateBucket:
 		if !d.AddBucket(o.Bucket, time.Now()) {
-			return reply{}, objectapi.Errorf("BucketAlreadyOwnedByYou", "The bucket is there already and is yours.")
+			return response{}, objectapi.Errorf("BucketAlreadyOwnedByYou", "The bucket is there already and is yours.")
 		}
-		return reply{status: 200, header: map[string]string{"Location": "/" + o.Bucket}}, nil
+		return response{status: 200, header: map[string]string{"Location": "/" + o.Bucket}}, nil
 	case objectapi.HeadBucket, objectapi.GetBucketLocation, objectapi.GetBucketVersioning:
 		if d.Objects(o.Bucket) < 0 {
-			return reply{}, noBucket()
+			return response{}, errNoSuchBucket()
 		}
 		switch o.Kind {
 		case objectapi.GetBucketLocation:
-			return document(objectapi.LocationConstraint{}), nil
+			return xmlResponse(objectapi.LocationConstraint{}), nil
 		case objectapi.GetBucketVersioning:
-			return document(objectapi.VersioningConfiguration{}), nil
+			return xmlResponse(objectapi.VersioningConfiguration{}), nil
 		}
-		return reply{status: 200}, nil
+		return response{status: 200}, nil
 	case objectapi.DeleteBucket:
 		return d.deleteBucket(o.Bucket)
 	case objectapi.ListObjectsV1, objectapi.ListObjectsV2:
@@ -94,7 +94,7 @@
 		return d.getObject(o, r)
 	case objectapi.DeleteObject:
 		err := d.delete(o.Bucket, o.Key, func(old *object) *objectapi.Error { return precondition(r, old) })
-		return reply{status: 204}, err
+		return response{status: 204}, err
 	case objectapi.CopyObject, objectapi.UploadPartCopy:
 		return d.copyObject(o, r)
 	case objectapi.CreateMultipartUpload:
@@ -103,16 +103,16 @@
 		return d.completeUpload(o, r)
 	case objectapi.AbortMultipartUpload:
 		if _, err := d.upload(o, true); err != nil {
-			return reply{}, err
+			return response{}, err
 		}
-		return reply{status: 204}, nil
+		return response{status: 204}, nil
 	case objectapi.ListParts:
 		return d.listParts(o)
 	}
-	return reply{}, objectapi.Errorf("NotImplemented", "Not offered.")
+	return response{}, objectapi.Errorf("NotImplemented", "Not offered.")
 }
 
-func (d *Dataset) listBuckets() reply {
+func (d *Dataset) listBuckets() response {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	res := objectapi.ListAllMyBucketsResult{Owner: objectapi.TheOwner}
@@ -120,56 +120,56 @@
 		res.Buckets = append(res.Buckets, objectapi.Bucket{Name: name, CreationDate: objectapi.FormatTime(b.created)})
 	}
 	slices.SortFunc(res.Buckets, func(a, b objectapi.Bucket) int { return strings.Compare(a.Name, b.Name) })
-	return document(res)
+	return xmlResponse(res)
 }
 
-func (d *Dataset) deleteBucket(name string) (reply, *objectapi.Error) {
+func (d *Dataset) deleteBucket(name string) (response, *objectapi.Error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	b := d.buckets[name]
 	if b == nil {
-		return reply{}, noBucket()
+		return response{}, errNoSuchBucket()
 	}
 	if len(b.objects) > 0 {
-		return reply{}, objectapi.Errorf("BucketNotEmpty", "The bucket you tried to delete is not empty.")
+		return response{}, objectapi.Errorf("BucketNotEmpty", "The bucket you tried to delete is not empty.")
 	}
 	delete(d.buckets, name)
-	d.note(change{What: "unbucket", Bucket: name})
-	return reply{status: 204}, nil
+	d.appendJournal(journalEntry{What: "unbucket", Bucket: name})
+	return response{status: 204}, nil
 }
 
-func number(s string, most int) int {
+func parseLimit(s string, most int) int {
 	if n, err := strconv.Atoi(s); err == nil {
 		return min(n, most)
 	}
 	return most
 }
 
-// encoder returns how names are written under the request's encoding-type.
-func encoder(o objectapi.Operation) func(string) string {
+// nameEncoder returns how names are written under the request's encoding-type.
+func nameEncoder(o objectapi.Operation) func(string) string {
 	if o.Query.Get("encoding-type") == "url" {
 		return objectapi.EncodeName
 	}
 	return func(s string) string { return s }
 }
 
-func (d *Dataset) listObjects(o objectapi.Operation) (reply, *objectapi.Error) {
-	q, enc := o.Query, encoder(o)
+func (d *Dataset) listObjects(o objectapi.Operation) (response, *objectapi.Error) {
+	q, enc := o.Query, nameEncoder(o)
 	after := q.Get("marker")
 	if o.Kind == objectapi.ListObjectsV2 {
 		after = q.Get("start-after")
 		if t := q.Get("continuation-token"); t != "" {
 			b, err := base64.URLEncoding.DecodeString(t)
 			if err != nil {
-				return reply{}, objectapi.Errorf("InvalidArgument", "The continuation token provided is incorrect")
+				return response{}, objectapi.Errorf("InvalidArgument", "The continuation token provided is incorrect")
 			}
 			after = string(b)
 		}
 	}
-	most := number(q.Get("max-keys"), 1000)
+	most := parseLimit(q.Get("max-keys"), 1000)
 	l, err := d.list(o.Bucket, q.Get("prefix"), q.Get("delimiter"), after, most)
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	res := objectapi.ListBucketResult{
 		Name: o.Bucket, Prefix: enc(q.Get("prefix")), Delimiter: enc(q.Get("delimiter")),
@@ -197,36 +197,36 @@
 			res.NextContinuationToken = base64.URLEncoding.EncodeToString([]byte(l.next))
 		}
 	}
-	return document(res), nil
+	return xmlResponse(res), nil
 }
 
-func (d *Dataset) deleteObjects(o objectapi.Operation, r *http.Request) (reply, *objectapi.Error) {
+func (d *Dataset) deleteObjects(o objectapi.Operation, r *http.Request) (response, *objectapi.Error) {
 	body, rerr := io.ReadAll(io.LimitReader(r.Body, 4<<20))
 	if rerr != nil {
-		return reply{}, objectapi.Errorf("IncompleteBody", "The body ended early.")
+		return response{}, objectapi.Errorf("IncompleteBody", "The body ended early.")
 	}
 	req, err := objectapi.ParseDelete(body)
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	var res objectapi.DeleteResult
 	for _, x := range req.Objects {
 		if err := d.delete(o.Bucket, x.Key, func(*object) *objectapi.Error { return nil }); err != nil {
-			return reply{}, err
+			return response{}, err
 		}
 		if !req.Quiet {
 			res.Deleted = append(res.Deleted, objectapi.Deleted{Key: x.Key})
 		}
 	}
-	return document(res), nil
+	return xmlResponse(res), nil
 }
 
-// kept are the headers that are stored with an object.
-var kept = []string{"Content-Type", "Content-Encoding", "Content-Disposition", "Content-Language", "Cache-Control", "Expires"}
+// storedHeaderNames are the headers that are stored with an object.
+var storedHeaderNames = []string{"Content-Type", "Content-Encoding", "Content-Disposition", "Content-Language", "Cache-Control", "Expires"}
 
 func storedHeaders(h http.Header) map[string]string {
 	m := map[string]string{}
-	for _, n := range kept {
+	for _, n := range storedHeaderNames {
 		if v := h.Get(n); v != "" {
 			m[n] = v
 		}
@@ -242,8 +242,8 @@
 	return m
 }
 
-// sumOf names the checksum that a request brings, in a header or a trailer.
-func sumOf(r *http.Request) string {
+// checksumHeader names the checksum that a request brings, in a header or a trailer.
+func checksumHeader(r *http.Request) string {
 	for _, hs := range []http.Header{r.Header, r.Trailer} {
 		for n := range hs {
 			n = strings.ToLower(n)
@@ -256,22 +256,22 @@
 	return ""
 }
 
-func (d *Dataset) putBody(o objectapi.Operation, r *http.Request) (reply, *objectapi.Error) {
-	name := sumOf(r)
+func (d *Dataset) putBody(o objectapi.Operation, r *http.Request) (response, *objectapi.Error) {
+	name := checksumHeader(r)
 	b, sum, value, rerr := d.receive(r.Body, r.ContentLength, name)
 	if rerr != nil {
-		return reply{}, objectapi.Errorf("IncompleteBody", "The body ended early.")
+		return response{}, objectapi.Errorf("IncompleteBody", "The body ended early.")
 	}
 	if want := r.Header.Get("Content-MD5"); want != "" {
 		if got, _ := hex.DecodeString(sum); base64.StdEncoding.EncodeToString(got) != want {
-			return reply{}, objectapi.Errorf("BadDigest", "The Content-MD5 you specified did not match what we received.")
+			return response{}, objectapi.Errorf("BadDigest", "The Content-MD5 you specified did not match what we received.")
 		}
 	}
 	if want := r.Header.Get(name) + r.Trailer.Get(name); name != "" && want != value {
-		return reply{}, objectapi.Errorf("BadDigest", "The checksum you specified did not match the calculated one.")
+		return response{}, objectapi.Errorf("BadDigest", "The checksum you specified did not match the calculated one.")
 	}
 	ob := &object{blob: b, etag: sum, modified: time.Now().Truncate(time.Second), sum: checksum{name, value}}
-	rep := reply{status: 200, header: map[string]string{"ETag": `"` + sum + `"`}}
+	rep := response{status: 200, header: map[string]string{"ETag": `"` + sum + `"`}}
 	if name != "" {
 		rep.header[name] = value
 	}
@@ -290,7 +290,7 @@
 	n, _ := strconv.Atoi(o.Query.Get("partNumber"))
 	d.mu.Lock()
 	u.parts[n] = ob
-	d.note(change{What: "part", ID: o.Query.Get("uploadId"), Part: n, Object: ob.record()})
+	d.appendJournal(journalEntry{What: "part", ID: o.Query.Get("uploadId"), Part: n, Object: ob.record()})
 	d.mu.Unlock()
 	return nil
 }
@@ -351,10 +351,10 @@
 	return nil
 }
 
-func (d *Dataset) getObject(o objectapi.Operation, r *http.Request) (reply, *objectapi.Error) {
+func (d *Dataset) getObject(o objectapi.Operation, r *http.Request) (response, *objectapi.Error) {
 	ob, err := d.get(o.Bucket, o.Key)
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	h := map[string]string{
 		"ETag": `"` + ob.etag + `"`, "Last-Modified": ob.modified.UTC().Format(http.TimeFormat),
@@ -362,30 +362,30 @@
 	}
 	if err := readCondition(r.Header, "", ob); err != nil {
 		if err.Code == "NotModified" {
-			return reply{status: 304, header: h}, nil
+			return response{status: 304, header: h}, nil
 		}
-		return reply{}, err
+		return response{}, err
 	}
 	for n, v := range ob.header {
 		h[n] = v
 	}
 	for _, p := range o.Query {
-		if n, ok := strings.CutPrefix(p.Name, "response-"); ok && slices.Contains(kept, http.CanonicalHeaderKey(n)) {
+		if n, ok := strings.CutPrefix(p.Name, "response-"); ok && slices.Contains(storedHeaderNames, http.CanonicalHeaderKey(n)) {
 			h[http.CanonicalHeaderKey(n)] = p.Value
 		}
 	}
-	rep := reply{status: 200, header: h, blob: &ob.blob, length: ob.blob.size}
+	rep := response{status: 200, header: h, blob: &ob.blob, length: ob.blob.size}
 	if strings.EqualFold(r.Header.Get("x-amz-checksum-mode"), "ENABLED") && ob.sum.name != "" && r.Header.Get("Range") == "" {
 		h[ob.sum.name] = ob.sum.value
 	}
 	if len(ob.parts) > 0 {
 		h["x-amz-mp-parts-count"] = strconv.Itoa(len(ob.parts))
 	}
-	return rep, rangeOf(o, r, ob, &rep, h)
+	return rep, applyRange(o, r, ob, &rep, h)
 }
 
-// rangeOf narrows an answer to the range or part asked for.
-func rangeOf(o objectapi.Operation, r *http.Request, ob *object, rep *reply, h map[string]string) *objectapi.Error {
+// applyRange narrows an answer to the range or part asked for.
+func applyRange(o objectapi.Operation, r *http.Request, ob *object, rep *response, h map[string]string) *objectapi.Error {
 	size := ob.blob.size
 	from, n, ok, bad := int64(0), size, false, false
 	if p := o.Query.Get("partNumber"); p != "" {
@@ -452,13 +452,13 @@
 	return a, min(z, size-1) - a + 1, true, false
 }
 
-func (d *Dataset) copyObject(o objectapi.Operation, r *http.Request) (reply, *objectapi.Error) {
+func (d *Dataset) copyObject(o objectapi.Operation, r *http.Request) (response, *objectapi.Error) {
 	src, err := d.get(o.FromBucket, o.FromKey)
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	if err := readCondition(r.Header, "x-amz-copy-source-", src); err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	ob := &object{blob: src.blob, etag: src.etag, modified: time.Now().Truncate(time.Second), header: src.header, sum: src.sum, parts: src.parts}
 	when := objectapi.FormatTime(ob.modified)
@@ -467,31 +467,31 @@
 		if v := r.Header.Get("x-amz-copy-source-range"); v != "" {
 			var ok bool
 			if from, n, ok, _ = parseRange(v, src.blob.size); !ok {
-				return reply{}, objectapi.Errorf("InvalidArgument", "The x-amz-copy-source-range value must be of the form bytes=first-last")
+				return response{}, objectapi.Errorf("InvalidArgument", "The x-amz-copy-source-range value must be of the form bytes=first-last")
 			}
 		}
 		rd, oerr := src.blob.open(from, n)
 		if oerr != nil {
-			return reply{}, objectapi.Errorf("InternalError", oerr.Error())
+			return response{}, objectapi.Errorf("InternalError", oerr.Error())
 		}
 		defer rd.Close()
 		b, sum, _, rerr := d.receive(rd, n, "")
 		if rerr != nil {
-			return reply{}, objectapi.Errorf("InternalError", rerr.Error())
+			return response{}, objectapi.Errorf("InternalError", rerr.Error())
 		}
 		ob.blob, ob.etag, ob.sum = b, sum, checksum{}
-		return document(objectapi.CopyPartResult{LastModified: when, ETag: `"` + sum + `"`}), d.putPart(o, ob)
+		return xmlResponse(objectapi.CopyPartResult{LastModified: when, ETag: `"` + sum + `"`}), d.putPart(o, ob)
 	}
 	if strings.EqualFold(r.Header.Get("x-amz-metadata-directive"), "REPLACE") {
 		ob.header = storedHeaders(r.Header)
 	} else if o.FromBucket == o.Bucket && o.FromKey == o.Key {
-		return reply{}, objectapi.Errorf("InvalidRequest", "This copy request is illegal because it is trying to copy an object to itself without changing the object's metadata.")
+		return response{}, objectapi.Errorf("InvalidRequest", "This copy request is illegal because it is trying to copy an object to itself without changing the object's metadata.")
 	}
-	return document(objectapi.CopyObjectResult{LastModified: when, ETag: `"` + ob.etag + `"`}),
+	return xmlResponse(objectapi.CopyObjectResult{LastModified: when, ETag: `"` + ob.etag + `"`}),
 		d.put(o.Bucket, o.Key, ob, func(old *object) *objectapi.Error { return precondition(r, old) })
 }
 
-func noUpload() *objectapi.Error {
+func errNoSuchUpload() *objectapi.Error {
 	return objectapi.Errorf("NoSuchUpload", "The specified upload does not exist. It may have been aborted or completed.")
 }
 
@@ -500,49 +500,49 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.buckets[o.Bucket] == nil {
-		return nil, noBucket()
+		return nil, errNoSuchBucket()
 	}
 	id := o.Query.Get("uploadId")
 	u := d.uploads[id]
 	if u == nil || u.bucket != o.Bucket || u.key != o.Key {
-		return nil, noUpload()
+		return nil, errNoSuchUpload()
 	}
 	if take {
 		delete(d.uploads, id)
-		d.note(change{What: "end", ID: id})
+		d.appendJournal(journalEntry{What: "end", ID: id})
 	}
 	return u, nil
 }
 
-func (d *Dataset) createUpload(o objectapi.Operation, r *http.Request) (reply, *objectapi.Error) {
+func (d *Dataset) createUpload(o objectapi.Operation, r *http.Request) (response, *objectapi.Error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.buckets[o.Bucket] == nil {
-		return reply{}, noBucket()
+		return response{}, errNoSuchBucket()
 	}
 	d.nextID++
 	now := time.Now()
 	id := fmt.Sprintf("%016x%08x", now.UnixNano(), d.nextID)
 	d.uploads[id] = &upload{bucket: o.Bucket, key: o.Key, started: now, header: storedHeaders(r.Header), parts: map[int]*object{}}
-	d.note(change{What: "upload", Bucket: o.Bucket, Key: o.Key, ID: id, At: now, Header: d.uploads[id].header})
-	return document(objectapi.InitiateMultipartUploadResult{Bucket: o.Bucket, Key: o.Key, UploadId: id}), nil
+	d.appendJournal(journalEntry{What: "upload", Bucket: o.Bucket, Key: o.Key, ID: id, At: now, Header: d.uploads[id].header})
+	return xmlResponse(objectapi.InitiateMultipartUploadResult{Bucket: o.Bucket, Key: o.Key, UploadId: id}), nil
 }
 
 // minPart is the least size of a part that is not the last, by the specification.
 const minPart = 5 << 20
 
-func (d *Dataset) completeUpload(o objectapi.Operation, r *http.Request) (reply, *objectapi.Error) {
+func (d *Dataset) completeUpload(o objectapi.Operation, r *http.Request) (response, *objectapi.Error) {
 	body, rerr := io.ReadAll(io.LimitReader(r.Body, 4<<20))
 	if rerr != nil {
-		return reply{}, objectapi.Errorf("IncompleteBody", "The body ended early.")
+		return response{}, objectapi.Errorf("IncompleteBody", "The body ended early.")
 	}
 	want, err := objectapi.ParseComplete(body)
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	u, err := d.upload(o, false)
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	d.mu.Lock()
 	var parts []*object
@@ -557,7 +557,7 @@
 		}
 		if err != nil {
 			d.mu.Unlock()
-			return reply{}, err
+			return response{}, err
 		}
 		sum, _ := hex.DecodeString(p.etag)
 		all.Write(sum)
@@ -565,28 +565,28 @@
 		ob.parts = append(ob.parts, p.blob.size)
 	}
 	d.mu.Unlock()
-	ob.blob = join(parts)
+	ob.blob = concatenate(parts)
 	ob.etag = fmt.Sprintf("%x-%d", all.Sum(nil), len(parts))
 	if err := d.put(o.Bucket, o.Key, ob, func(old *object) *objectapi.Error { return precondition(r, old) }); err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	d.upload(o, true)
-	return document(objectapi.CompleteMultipartUploadResult{
+	return xmlResponse(objectapi.CompleteMultipartUploadResult{
 		Location: "/" + o.Bucket + "/" + o.Key, Bucket: o.Bucket, Key: o.Key,
 		ETag: `"` + ob.etag + `"`,
 	}), nil
 }
 
-func (d *Dataset) listParts(o objectapi.Operation) (reply, *objectapi.Error) {
+func (d *Dataset) listParts(o objectapi.Operation) (response, *objectapi.Error) {
 	u, err := d.upload(o, false)
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	most, after := number(o.Query.Get("max-parts"), 1000), 0
+	most, after := parseLimit(o.Query.Get("max-parts"), 1000), 0
 	if m := o.Query.Get("part-number-marker"); m != "" {
-		after = number(m, objectapi.MaxPart)
+		after = parseLimit(m, objectapi.MaxPart)
 	}
 	res := objectapi.ListPartsResult{
 		Bucket: o.Bucket, Key: o.Key, UploadId: o.Query.Get("uploadId"), Initiator: objectapi.TheOwner,
@@ -610,17 +610,17 @@
 		})
 		res.NextPartNumberMarker = n
 	}
-	return document(res), nil
+	return xmlResponse(res), nil
 }
 
-func (d *Dataset) listUploads(o objectapi.Operation) (reply, *objectapi.Error) {
+func (d *Dataset) listUploads(o objectapi.Operation) (response, *objectapi.Error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.buckets[o.Bucket] == nil {
-		return reply{}, noBucket()
+		return response{}, errNoSuchBucket()
 	}
-	q, enc := o.Query, encoder(o)
-	most := number(q.Get("max-uploads"), 1000)
+	q, enc := o.Query, nameEncoder(o)
+	most := parseLimit(q.Get("max-uploads"), 1000)
 	res := objectapi.ListMultipartUploadsResult{
 		Bucket: o.Bucket, KeyMarker: enc(q.Get("key-marker")), UploadIdMarker: q.Get("upload-id-marker"),
 		Prefix: enc(q.Get("prefix")), Delimiter: enc(q.Get("delimiter")), EncodingType: q.Get("encoding-type"), MaxUploads: most,
@@ -665,5 +665,5 @@
 	if !res.IsTruncated {
 		res.NextKeyMarker, res.NextUploadIdMarker = "", ""
 	}
-	return document(res), nil
+	return xmlResponse(res), nil
 }
--- a/fake/storagenode/dataset.go
+++ b/fake/storagenode/dataset.go
@@ -29,8 +29,8 @@
 	mu      sync.Mutex
 	buckets map[string]*bucket
 	uploads map[string]*upload
-	repeats map[string]*repeat
-	ended   []string // keys of repeats in the order in which they are forgotten
+	dedup map[string]*dedupEntry
+	dedupOrder   []string // keys of repeats in the order in which they are forgotten
 	nextID  uint64
 	journal *os.File // nil: nothing outlasts the process
 }
@@ -60,17 +60,17 @@
 	parts       map[int]*object
 }
 
-// repeat remembers a keyed write, so that another of the same key does nothing.
-type repeat struct {
+// dedupEntry remembers a keyed write, so that another of the same key does nothing.
+type dedupEntry struct {
 	until time.Time
 	done  chan struct{}
-	reply reply
+	reply response
 }
 
 // NewDataset returns an empty shard. With a directory the blobs are files in it;
 // what they are called outlasts the process only with OpenDataset.
 func NewDataset(dir string) *Dataset {
-	return &Dataset{dir: dir, buckets: map[string]*bucket{}, uploads: map[string]*upload{}, repeats: map[string]*repeat{}}
+	return &Dataset{dir: dir, buckets: map[string]*bucket{}, uploads: map[string]*upload{}, dedup: map[string]*dedupEntry{}}
 }
 
 // blob is bytes in memory or files, one after another.
@@ -86,7 +86,7 @@
 		return io.NopCloser(strings.NewReader(bytesString(b.mem[from : from+n]))), nil
 	}
 	var rs []io.Reader
-	var cs closers
+	var cs multiCloser
 	for i, f := range b.files {
 		if from >= b.sizes[i] {
 			from -= b.sizes[i]
@@ -112,16 +112,16 @@
 	}{io.MultiReader(rs...), cs}, nil
 }
 
-type closers []io.Closer
+type multiCloser []io.Closer
 
-func (c closers) Close() error {
+func (c multiCloser) Close() error {
 	for _, x := range c {
 		x.Close()
 	}
 	return nil
 }
 
-func join(parts []*object) blob {
+func concatenate(parts []*object) blob {
 	var b blob
 	for _, p := range parts {
 		b.size += p.blob.size
@@ -153,7 +153,7 @@
 	if d.dir == "" {
 		b.mem = make([]byte, 0, max(size, 512))
 		w := io.MultiWriter(append(ws, (*appender)(&b.mem))...)
-		b.size, err = io.Copy(w, yielding{r})
+		b.size, err = io.Copy(w, yieldingReader{r})
 	} else {
 		d.mu.Lock()
 		d.nextID++
@@ -163,7 +163,7 @@
 		if ferr != nil {
 			return b, "", "", ferr
 		}
-		b.size, err = io.Copy(io.MultiWriter(append(ws, f)...), yielding{r})
+		b.size, err = io.Copy(io.MultiWriter(append(ws, f)...), yieldingReader{r})
 		if cerr := f.Close(); err == nil {
 			err = cerr
 		}
@@ -179,11 +179,11 @@
 	return b, hex.EncodeToString(m.Sum(nil)), value, err
 }
 
-// yielding lets other requests of the node go on after each piece of a body: hashing one
+// yieldingReader lets other requests of the node go on after each piece of a body: hashing one
 // whose bytes are there already would else take a core for many milliseconds.
-type yielding struct{ io.Reader }
+type yieldingReader struct{ io.Reader }
 
-func (y yielding) Read(p []byte) (int, error) {
+func (y yieldingReader) Read(p []byte) (int, error) {
 	runtime.Gosched()
 	return y.Reader.Read(p)
 }
@@ -200,7 +200,7 @@
 	defer d.mu.Unlock()
 	b := d.buckets[bkt]
 	if b == nil {
-		return nil, noBucket()
+		return nil, errNoSuchBucket()
 	}
 	o := b.objects[key]
 	if o == nil {
@@ -209,7 +209,7 @@
 	return o, nil
 }
 
-func noBucket() *objectapi.Error {
+func errNoSuchBucket() *objectapi.Error {
 	return objectapi.Errorf("NoSuchBucket", "The specified bucket does not exist.")
 }
 
@@ -219,7 +219,7 @@
 	defer d.mu.Unlock()
 	b := d.buckets[bkt]
 	if b == nil {
-		return noBucket()
+		return errNoSuchBucket()
 	}
 	old := b.objects[key]
 	if err := cond(old); err != nil {
@@ -229,7 +229,7 @@
 		b.keys = nil
 	}
 	b.objects[key] = o
-	d.note(change{What: "put", Bucket: bkt, Key: key, Object: o.record()})
+	d.appendJournal(journalEntry{What: "put", Bucket: bkt, Key: key, Object: o.record()})
 	return nil
 }
 
@@ -238,7 +238,7 @@
 	defer d.mu.Unlock()
 	b := d.buckets[bkt]
 	if b == nil {
-		return noBucket()
+		return errNoSuchBucket()
 	}
 	if err := cond(b.objects[key]); err != nil {
 		return err
@@ -246,7 +246,7 @@
 	if b.objects[key] != nil {
 		delete(b.objects, key)
 		b.keys = nil
-		d.note(change{What: "delete", Bucket: bkt, Key: key})
+		d.appendJournal(journalEntry{What: "delete", Bucket: bkt, Key: key})
 	}
 	return nil
 }
@@ -262,8 +262,8 @@
 	return b.keys
 }
 
-// listed is a page of a list, before it becomes a document.
-type listed struct {
+// listPage is a page of a list, before it becomes a document.
+type listPage struct {
 	keys     []string
 	objects  []*object
 	prefixes []string
@@ -272,15 +272,15 @@
 }
 
 // list gives up to most keys and prefixes after a name, in order.
-func (d *Dataset) list(bkt, prefix, delimiter, after string, most int) (listed, *objectapi.Error) {
+func (d *Dataset) list(bkt, prefix, delimiter, after string, most int) (listPage, *objectapi.Error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	b := d.buckets[bkt]
 	if b == nil {
-		return listed{}, noBucket()
+		return listPage{}, errNoSuchBucket()
 	}
 	keys := b.sorted()
-	var l listed
+	var l listPage
 	for i := sort.SearchStrings(keys, max(prefix, after)); i < len(keys); i++ {
 		k := keys[i]
 		if !strings.HasPrefix(k, prefix) {
@@ -336,7 +336,7 @@
 		return false
 	}
 	d.buckets[name] = &bucket{created: created, objects: map[string]*object{}}
-	d.note(change{What: "bucket", Bucket: name, At: created})
+	d.appendJournal(journalEntry{What: "bucket", Bucket: name, At: created})
 	return true
 }
 
--- a/fake/storagenode/journal.go
+++ b/fake/storagenode/journal.go
@@ -19,7 +19,7 @@
 
 const journalName = "journal"
 
-type change struct {
+type journalEntry struct {
 	What   string            `json:"What"` // bucket, unbucket, put, delete, upload, part, end
 	Bucket string            `json:"Bucket"`
 	Key    string            `json:"Key,omitempty"`
@@ -27,11 +27,11 @@
 	Part   int               `json:"Part,omitempty"`
 	At     time.Time         `json:"At,omitempty"`
 	Header map[string]string `json:"Header,omitempty"`
-	Object *record           `json:"Object,omitempty"`
+	Object *objectRecord           `json:"Object,omitempty"`
 }
 
-// record is an object as the journal has it.
-type record struct {
+// objectRecord is an object as the journal has it.
+type objectRecord struct {
 	Files    []string          `json:"Files,omitempty"`
 	Sizes    []int64           `json:"Sizes,omitempty"`
 	Size     int64             `json:"Size"`
@@ -43,11 +43,11 @@
 	Parts    []int64           `json:"Parts,omitempty"`
 }
 
-func (o *object) record() *record {
-	return &record{o.blob.files, o.blob.sizes, o.blob.size, o.etag, o.modified, o.header, o.sum.name, o.sum.value, o.parts}
+func (o *object) record() *objectRecord {
+	return &objectRecord{o.blob.files, o.blob.sizes, o.blob.size, o.etag, o.modified, o.header, o.sum.name, o.sum.value, o.parts}
 }
 
-func (r *record) object() *object {
+func (r *objectRecord) object() *object {
 	return &object{
 		blob: blob{files: r.Files, sizes: r.Sizes, size: r.Size}, etag: r.ETag, modified: r.Modified, header: r.Header,
 		sum: checksum{r.Sum, r.Value}, parts: r.Parts,
@@ -96,8 +96,8 @@
 	return err
 }
 
-// note writes a change. Called with mu held.
-func (d *Dataset) note(c change) {
+// appendJournal writes a change. Called with mu held.
+func (d *Dataset) appendJournal(c journalEntry) {
 	if d.journal == nil {
 		return
 	}
@@ -122,7 +122,7 @@
 		if err != nil {
 			return end, err
 		}
-		var c change
+		var c journalEntry
 		if err := json.Unmarshal(line, &c); err != nil {
 			return end, fmt.Errorf("journal, line %d: %w", n, err)
 		}
@@ -131,7 +131,7 @@
 	}
 }
 
-func (d *Dataset) apply(c change) {
+func (d *Dataset) apply(c journalEntry) {
 	switch b := d.buckets[c.Bucket]; c.What {
 	case "bucket":
 		d.buckets[c.Bucket] = &bucket{created: c.At, objects: map[string]*object{}}
--- a/fake/storagenode/ledger.go
+++ b/fake/storagenode/ledger.go
@@ -10,16 +10,16 @@
 // what each node served for other gateways since it last told one.
 type Ledger struct {
 	Period time.Duration // over which a rate is taken
-	Late   time.Duration // until a finished period is told
+	Delay   time.Duration // until a finished period is told
 
 	mu   sync.Mutex
-	vols map[string]*account
+	volumes map[string]*volumeAccount
 }
 
-type account struct {
+type volumeAccount struct {
 	periods []period // oldest first
-	others  map[pair]float64
-	seen    map[pair]bool
+	unreported  map[nodeGateway]float64
+	reporters    map[nodeGateway]bool
 }
 
 type period struct {
@@ -27,18 +27,18 @@
 	units float64
 }
 
-type pair struct{ node, gateway string }
+type nodeGateway struct{ node, gateway string }
 
 // NewLedger returns an empty ledger.
 func NewLedger(period, late time.Duration) *Ledger {
-	return &Ledger{Period: period, Late: late, vols: map[string]*account{}}
+	return &Ledger{Period: period, Delay: late, volumes: map[string]*volumeAccount{}}
 }
 
-func (l *Ledger) account(vol string) *account {
-	a := l.vols[vol]
+func (l *Ledger) account(vol string) *volumeAccount {
+	a := l.volumes[vol]
 	if a == nil {
-		a = &account{others: map[pair]float64{}, seen: map[pair]bool{}}
-		l.vols[vol] = a
+		a = &volumeAccount{unreported: map[nodeGateway]float64{}, reporters: map[nodeGateway]bool{}}
+		l.volumes[vol] = a
 	}
 	return a
 }
@@ -56,9 +56,9 @@
 		}
 	}
 	a.periods[len(a.periods)-1].units += units
-	for p := range a.seen {
+	for p := range a.reporters {
 		if p.node == node && p.gateway != gateway {
-			a.others[p] += units
+			a.unreported[p] += units
 		}
 	}
 }
@@ -69,15 +69,15 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(vol)
-	told := time.Now().Add(-l.Late).UnixNano()/int64(l.Period) - 1
+	told := time.Now().Add(-l.Delay).UnixNano()/int64(l.Period) - 1
 	for _, p := range a.periods {
 		if p.index == told {
 			rate = p.units / l.Period.Seconds()
 		}
 	}
-	k := pair{node, gateway}
-	a.seen[k] = true
-	elsewhere = a.others[k]
-	a.others[k] = 0
+	k := nodeGateway{node, gateway}
+	a.reporters[k] = true
+	elsewhere = a.unreported[k]
+	a.unreported[k] = 0
 	return rate, elsewhere
 }
--- a/fake/storagenode/link.go
+++ b/fake/storagenode/link.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// link is what all connections of a node send through: pieces of all of them, in the
+// sharedLink is what all connections of a node send through: pieces of all of them, in the
 // order in which they come, at a rate. Whoever has more connections gets more of it.
-type link struct {
+type sharedLink struct {
 	rate float64 // bytes a second; 0: no bound
 	mu   sync.Mutex
-	free time.Time // when what was taken has left
+	freeAt time.Time // when what was taken has left
 }
 
 // linkPiece is what a connection sends at a time.
@@ -21,15 +21,15 @@
 // long do not make it slower.
 const linkSlack = 5 * time.Millisecond
 
-// take waits until a piece has gone.
-func (l *link) take(n int) {
+// send waits until a piece has gone.
+func (l *sharedLink) send(n int) {
 	l.mu.Lock()
 	now := time.Now()
-	if early := now.Add(-linkSlack); l.free.Before(early) {
-		l.free = early
+	if early := now.Add(-linkSlack); l.freeAt.Before(early) {
+		l.freeAt = early
 	}
-	l.free = l.free.Add(time.Duration(float64(n) / l.rate * 1e9))
-	at := l.free
+	l.freeAt = l.freeAt.Add(time.Duration(float64(n) / l.rate * 1e9))
+	at := l.freeAt
 	l.mu.Unlock()
 	time.Sleep(time.Until(at))
 }
@@ -38,7 +38,7 @@
 // bounded send buffer in the kernel.
 type linkListener struct {
 	net.Listener
-	link   *link
+	link   *sharedLink
 	buffer int
 }
 
@@ -61,7 +61,7 @@
 
 type linkConn struct {
 	net.Conn
-	link *link
+	link *sharedLink
 }
 
 func (c *linkConn) Write(b []byte) (sum int, err error) {
@@ -69,7 +69,7 @@
 		piece := b[:min(len(b), linkPiece)]
 		var n int
 		n, err = c.Conn.Write(piece) // one whose peer does not read keeps nobody from the link
-		c.link.take(n)
+		c.link.send(n)
 		sum += n
 		b = b[n:]
 	}
--- a/fake/storagenode/node.go
+++ b/fake/storagenode/node.go
@@ -37,14 +37,14 @@
 	// ReportEvery is how long a load report stays the same; ReportNoise is the
 	// share by which it may be off.
 	ReportEvery time.Duration
-	ReportLate  time.Duration // until a report is told
+	ReportDelay  time.Duration // until a report is told
 	ReportNoise float64
 	// Timing tells how a request's time here divides, in Server-Timing: with its
 	// answer, or where TimingLate is set, with an answer that leaves so much later.
 	// TimingLose is the share that is never told.
 	Timing      bool
-	TimingLate  time.Duration
-	TimingLose  float64
+	TimingDelay  time.Duration
+	TimingLossRate  float64
 	DedupWindow time.Duration // how long repeats of a keyed write are dropped
 	DiscardLog  bool          // keep no log: for nodes that run for long
 	Seed        uint64
@@ -100,10 +100,10 @@
 	Ran      bool          // the work was done
 	Repeat   bool          // dropped as a repeat
 	Status   int           // 0: no answer was given
-	BadWords string
-	Queued   time.Duration // waited for a core
-	Worked   time.Duration // had it
-	name     string        // that its gateway gave it
+	ParseError string
+	QueueTime   time.Duration // waited for a core
+	ServiceTime   time.Duration // had it
+	requestName     string        // that its gateway gave it
 }
 
 // Node is one running stand-in.
@@ -115,35 +115,35 @@
 	started time.Time
 	srv     *http.Server
 	ln      net.Listener
-	slots   chan struct{}
+	cores   chan struct{}
 	ctx     context.Context
-	stop    context.CancelFunc
+	cancel    context.CancelFunc
 
 	mu       sync.Mutex
 	rng      *rand.Rand
-	faults   []*order
+	faults   []*activeFault
 	log      []*LogEntry
 	inflight int
 	waiting  int
-	fallen   bool
-	paused   time.Time // nothing works before
-	recent   []load    // of a node just started
-	deferred time.Duration
+	overloaded   bool
+	pausedUntil   time.Time // nothing works before
+	recentLoads   []recentLoad    // of a node just started
+	deferredWork time.Duration
 	report   string // that is told
-	reported time.Time
-	next     string // that will be told
-	nextAt   time.Time
-	arrived  func(LogEntry) // told of each arrival
-	untold   []timing       // that are to be told late
+	reportedAt time.Time
+	nextReport     string // that will be told
+	nextReportAt   time.Time
+	onArrival  func(LogEntry) // told of each arrival
+	lateTimings   []serverTiming       // that are to be told late
 }
 
-type order struct {
+type activeFault struct {
 	Fault
 	until time.Time
-	left  int
+	remaining  int
 }
 
-type load struct {
+type recentLoad struct {
 	at    time.Time
 	units float64
 }
@@ -160,16 +160,16 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	n := &Node{
-		cfg: cfg, data: data, ledger: ledger, epoch: epoch, started: time.Now(), ln: ln, ctx: ctx, stop: stop,
+		cfg: cfg, data: data, ledger: ledger, epoch: epoch, started: time.Now(), ln: ln, ctx: ctx, cancel: stop,
 		rng: rand.New(rand.NewPCG(cfg.Seed, 11)),
 	}
 	if cfg.Cores > 0 {
-		n.slots = make(chan struct{}, cfg.Cores)
+		n.cores = make(chan struct{}, cfg.Cores)
 	}
 	n.srv = &http.Server{Handler: n, ReadHeaderTimeout: 30 * time.Second}
-	go n.srv.Serve(&linkListener{ln, &link{rate: cfg.Link}, cfg.SendBuffer})
+	go n.srv.Serve(&linkListener{ln, &sharedLink{rate: cfg.Link}, cfg.SendBuffer})
 	if cfg.Deferred > 0 && cfg.DeferEvery > 0 {
-		go n.catchUp()
+		go n.runDeferredWork()
 	}
 	return n, nil
 }
@@ -187,12 +187,12 @@
 func (n *Node) Overloaded() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.fallen
+	return n.overloaded
 }
 
 // Stop ends the node at once: it listens no more and its connections break.
 func (n *Node) Stop() {
-	n.stop()
+	n.cancel()
 	n.srv.Close()
 }
 
@@ -200,12 +200,12 @@
 func (n *Node) Inject(f Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	o := &order{Fault: f, left: f.Count}
+	o := &activeFault{Fault: f, remaining: f.Count}
 	if f.For > 0 {
 		o.until = time.Now().Add(f.For)
 	}
 	if f.Kind == Pause {
-		n.paused = o.until
+		n.pausedUntil = o.until
 		return
 	}
 	n.faults = append(n.faults, o)
@@ -216,7 +216,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.faults = nil
-	n.paused = time.Time{}
+	n.pausedUntil = time.Time{}
 }
 
 // Log returns a copy of what reached the node.
@@ -234,22 +234,22 @@
 func (n *Node) OnArrival(f func(LogEntry)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.arrived = f
+	n.onArrival = f
 }
 
-// fault picks the order that a request falls under.
-func (n *Node) fault(r *http.Request) *order {
+// matchFault picks the order that a request falls under.
+func (n *Node) matchFault(r *http.Request) *activeFault {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
 	for _, o := range n.faults {
-		if !o.until.IsZero() && now.After(o.until) || o.Count > 0 && o.left == 0 || o.Match != nil && !o.Match(r) {
+		if !o.until.IsZero() && now.After(o.until) || o.Count > 0 && o.remaining == 0 || o.Match != nil && !o.Match(r) {
 			continue
 		}
 		if o.Share > 0 && n.rng.Float64() >= o.Share {
 			continue
 		}
-		o.left--
+		o.remaining--
 		return o
 	}
 	return nil
@@ -257,10 +257,10 @@
 
 // ServeHTTP answers one request.
 func (n *Node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	e := n.arrive(r)
+	e := n.recordArrival(r)
 	watch := context.AfterFunc(r.Context(), func() {
 		at := time.Since(n.epoch)
-		n.note(e, func(x *LogEntry) { x.Left = at })
+		n.update(e, func(x *LogEntry) { x.Left = at })
 	})
 	defer func() {
 		watch()
@@ -269,65 +269,65 @@
 		e.Ended = time.Since(n.epoch)
 		n.mu.Unlock()
 	}()
-	f := n.fault(r)
+	f := n.matchFault(r)
 	kind := FaultKind(0)
 	if f != nil {
 		kind = f.Kind
 	}
 	switch kind {
 	case Reject:
-		n.turnAway(w, e)
+		n.reject(w, e)
 		return
 	case ResetConnection:
-		abort(w)
+		resetConnection(w)
 		return
 	case Stall:
 		n.hold(r, f)
-		abort(w)
+		resetConnection(w)
 		return
 	case ServerError:
-		n.note(e, func(x *LogEntry) { x.Status = 500 })
-		n.write(w, r, e, failed(objectapi.Errorf("InternalError", "We encountered an internal error."), r.URL.Path), 0, f)
+		n.update(e, func(x *LogEntry) { x.Status = 500 })
+		n.writeResponse(w, r, e, errorResponse(objectapi.Errorf("InternalError", "We encountered an internal error."), r.URL.Path), 0, f)
 		return
 	}
-	op, perr := operation(r)
+	op, perr := parseOperation(r)
 	if perr != nil {
-		n.note(e, func(x *LogEntry) { x.BadWords, x.Status = perr.Error(), perr.Status() })
-		n.write(w, r, e, failed(perr, r.URL.Path), 0, f)
+		n.update(e, func(x *LogEntry) { x.ParseError, x.Status = perr.Error(), perr.Status() })
+		n.writeResponse(w, r, e, errorResponse(perr, r.URL.Path), 0, f)
 		return
 	}
-	n.note(e, func(x *LogEntry) { x.Op = op.Kind })
+	n.update(e, func(x *LogEntry) { x.Op = op.Kind })
 	if !n.work(r, op, e, f) {
-		if n.gone(r) {
-			abort(w)
+		if n.canceled(r) {
+			resetConnection(w)
 			return
 		}
-		n.turnAway(w, e)
+		n.reject(w, e)
 		return
 	}
-	rep := n.once(op, r, e)
+	rep := n.execute(op, r, e)
 	if kind == LoseResponse {
 		n.hold(r, f)
-		abort(w)
+		resetConnection(w)
 		return
 	}
-	n.note(e, func(x *LogEntry) { x.Status = rep.status })
-	n.write(w, r, e, rep, kind, f)
+	n.update(e, func(x *LogEntry) { x.Status = rep.status })
+	n.writeResponse(w, r, e, rep, kind, f)
 }
 
-func (n *Node) note(e *LogEntry, f func(*LogEntry)) {
+func (n *Node) update(e *LogEntry, f func(*LogEntry)) {
 	n.mu.Lock()
 	f(e)
 	n.mu.Unlock()
 }
 
-// arrive logs a request and counts what it adds to a cold node's load.
-func (n *Node) arrive(r *http.Request) *LogEntry {
+// recordArrival logs a request and counts what it adds to a cold node's load.
+func (n *Node) recordArrival(r *http.Request) *LogEntry {
 	h := r.Header
 	e := &LogEntry{Node: n.cfg.ID, Volume: h.Get("x-chalkstand-volume"), Path: r.RequestURI, Key: h.Get("x-chalkstand-key"), Tag: h.Get("x-amz-meta-tag")}
 	e.Units, _ = strconv.ParseFloat(h.Get("x-chalkstand-units"), 64)
 	if p := strings.Split(h.Get("x-chalkstand-request"), "/"); len(p) == 3 {
-		e.Gateway, e.name = p[0], h.Get("x-chalkstand-request")
+		e.Gateway, e.requestName = p[0], h.Get("x-chalkstand-request")
 		e.Request, _ = strconv.ParseUint(p[1], 10, 64)
 		e.Attempt, _ = strconv.Atoi(p[2])
 	}
@@ -339,31 +339,31 @@
 	if !n.cfg.DiscardLog {
 		n.log = append(n.log, e)
 	}
-	n.strain(now, e.Units)
-	if n.arrived != nil {
-		n.arrived(*e)
+	n.checkOverload(now, e.Units)
+	if n.onArrival != nil {
+		n.onArrival(*e)
 	}
 	return e
 }
 
-// strain lets a node that has just started fall over when too much reaches it.
-func (n *Node) strain(now time.Time, units float64) {
+// checkOverload lets a node that has just started fall over when too much reaches it.
+func (n *Node) checkOverload(now time.Time, units float64) {
 	c := n.cfg
 	age := now.Sub(n.started)
 	if c.OverloadFactor <= 0 || c.PerUnit <= 0 || age > c.WarmUp+c.OverloadWindow {
 		return
 	}
-	n.recent = append(n.recent, load{now, units})
+	n.recentLoads = append(n.recentLoads, recentLoad{now, units})
 	sum := 0.0
-	for len(n.recent) > 0 && now.Sub(n.recent[0].at) > c.OverloadWindow {
-		n.recent = n.recent[1:]
+	for len(n.recentLoads) > 0 && now.Sub(n.recentLoads[0].at) > c.OverloadWindow {
+		n.recentLoads = n.recentLoads[1:]
 	}
-	for _, l := range n.recent {
+	for _, l := range n.recentLoads {
 		sum += l.units
 	}
 	can := n.speed(now) * float64(max(c.Cores, 1)) * c.OverloadWindow.Seconds() / c.PerUnit.Seconds()
-	if sum > max(c.OverloadFactor*can, c.InitialUnits) && !n.fallen {
-		n.fallen = true
+	if sum > max(c.OverloadFactor*can, c.InitialUnits) && !n.overloaded {
+		n.overloaded = true
 		go n.Stop()
 	}
 }
@@ -380,12 +380,12 @@
 
 // work waits for a core and keeps it for as long as the request takes. False: the
 // queue is full, or nobody waits any more.
-func (n *Node) work(r *http.Request, op objectapi.Operation, e *LogEntry, f *order) bool {
-	if n.cfg.PerUnit <= 0 && n.slots == nil {
+func (n *Node) work(r *http.Request, op objectapi.Operation, e *LogEntry, f *activeFault) bool {
+	if n.cfg.PerUnit <= 0 && n.cores == nil {
 		return true
 	}
 	n.mu.Lock()
-	if n.slots != nil && n.waiting >= n.cfg.Cores+n.cfg.Queue {
+	if n.cores != nil && n.waiting >= n.cfg.Cores+n.cfg.Queue {
 		n.mu.Unlock()
 		return false
 	}
@@ -398,21 +398,21 @@
 		n.mu.Unlock()
 	}()
 	came := time.Now()
-	if n.slots != nil {
+	if n.cores != nil {
 		select {
-		case n.slots <- struct{}{}:
+		case n.cores <- struct{}{}:
 		case <-n.ctx.Done():
 			return false
 		}
-		defer func() { <-n.slots }()
+		defer func() { <-n.cores }()
 	}
 	n.mu.Lock()
 	now := time.Now()
-	still := n.paused.Sub(now)
+	still := n.pausedUntil.Sub(now)
 	took := time.Duration(units * float64(n.cfg.PerUnit) / n.speed(now))
 	if op.Kind.Writes() && n.cfg.Deferred > 0 {
 		put := time.Duration(n.cfg.Deferred * float64(took))
-		n.deferred += put
+		n.deferredWork += put
 		took -= put
 	}
 	n.mu.Unlock()
@@ -421,7 +421,7 @@
 	}
 	ok := n.sleep(max(still, 0) + took)
 	end := time.Now()
-	n.note(e, func(x *LogEntry) { x.Queued, x.Worked = now.Sub(came), end.Sub(now) })
+	n.update(e, func(x *LogEntry) { x.QueueTime, x.ServiceTime = now.Sub(came), end.Sub(now) })
 	return ok
 }
 
@@ -439,21 +439,21 @@
 	}
 }
 
-// catchUp does the work that was put off, with all cores.
-func (n *Node) catchUp() {
+// runDeferredWork does the work that was put off, with all cores.
+func (n *Node) runDeferredWork() {
 	for n.sleep(n.cfg.DeferEvery) {
 		n.mu.Lock()
-		d := n.deferred / time.Duration(max(n.cfg.Cores, 1))
-		n.deferred = 0
-		n.paused = time.Now().Add(d)
+		d := n.deferredWork / time.Duration(max(n.cfg.Cores, 1))
+		n.deferredWork = 0
+		n.pausedUntil = time.Now().Add(d)
 		n.mu.Unlock()
 	}
 }
 
-func (n *Node) gone(r *http.Request) bool { return r.Context().Err() != nil || n.ctx.Err() != nil }
+func (n *Node) canceled(r *http.Request) bool { return r.Context().Err() != nil || n.ctx.Err() != nil }
 
 // hold keeps a request without an answer.
-func (n *Node) hold(r *http.Request, f *order) {
+func (n *Node) hold(r *http.Request, f *activeFault) {
 	d := f.Hold
 	if d <= 0 {
 		d = f.For
@@ -470,8 +470,8 @@
 	}
 }
 
-// abort resets the connection.
-func abort(w http.ResponseWriter) {
+// resetConnection resets the connection.
+func resetConnection(w http.ResponseWriter) {
 	if h, ok := w.(http.Hijacker); ok {
 		if c, _, err := h.Hijack(); err == nil {
 			if t, ok := c.(*net.TCPConn); ok {
@@ -484,53 +484,53 @@
 	panic(http.ErrAbortHandler)
 }
 
-func (n *Node) turnAway(w http.ResponseWriter, e *LogEntry) {
-	n.note(e, func(x *LogEntry) { x.Status = 503 })
+func (n *Node) reject(w http.ResponseWriter, e *LogEntry) {
+	n.update(e, func(x *LogEntry) { x.Status = 503 })
 	w.Header().Set("Retry-After", "1")
 	w.Header().Set("Content-Type", "application/xml")
 	w.WriteHeader(503)
 	w.Write(objectapi.Errorf("SlowDown", "Please reduce your request rate.").Document("", "0"))
 }
 
-// once runs the operation, or gives a repeat the answer of the first.
-func (n *Node) once(op objectapi.Operation, r *http.Request, e *LogEntry) reply {
+// execute runs the operation, or gives a repeat the answer of the first.
+func (n *Node) execute(op objectapi.Operation, r *http.Request, e *LogEntry) response {
 	key := r.Header.Get("x-chalkstand-key")
 	if key == "" || n.cfg.DedupWindow <= 0 || !op.Kind.Writes() {
-		n.ran(r, e)
+		n.recordExecution(r, e)
 		return n.data.run(op, r)
 	}
 	d, now := n.data, time.Now()
 	d.mu.Lock()
-	p := d.repeats[key]
+	p := d.dedup[key]
 	if p != nil && (p.until.IsZero() || now.Before(p.until)) {
 		d.mu.Unlock()
 		io.Copy(io.Discard, r.Body)
-		n.note(e, func(x *LogEntry) { x.Repeat = true })
+		n.update(e, func(x *LogEntry) { x.Repeat = true })
 		select {
 		case <-p.done:
 		case <-n.ctx.Done():
 		}
 		return p.reply
 	}
-	p = &repeat{done: make(chan struct{})}
-	d.repeats[key] = p
+	p = &dedupEntry{done: make(chan struct{})}
+	d.dedup[key] = p
 	d.mu.Unlock()
-	n.ran(r, e)
+	n.recordExecution(r, e)
 	p.reply = d.run(op, r)
 	d.mu.Lock()
 	p.until = time.Now().Add(n.cfg.DedupWindow)
-	d.ended = append(d.ended, key)
-	for len(d.ended) > 0 && now.After(d.repeats[d.ended[0]].until) {
-		delete(d.repeats, d.ended[0])
-		d.ended = d.ended[1:]
+	d.dedupOrder = append(d.dedupOrder, key)
+	for len(d.dedupOrder) > 0 && now.After(d.dedup[d.dedupOrder[0]].until) {
+		delete(d.dedup, d.dedupOrder[0])
+		d.dedupOrder = d.dedupOrder[1:]
 	}
 	d.mu.Unlock()
 	close(p.done)
 	return p.reply
 }
 
-func (n *Node) ran(r *http.Request, e *LogEntry) {
-	n.note(e, func(x *LogEntry) { x.Ran = true })
+func (n *Node) recordExecution(r *http.Request, e *LogEntry) {
+	n.update(e, func(x *LogEntry) { x.Ran = true })
 	if n.ledger != nil {
 		h := r.Header
 		u, _ := strconv.ParseFloat(h.Get("x-chalkstand-units"), 64)
@@ -543,8 +543,8 @@
 	return g
 }
 
-// write sends an answer, whole or with the fault that was ordered.
-func (n *Node) write(w http.ResponseWriter, r *http.Request, e *LogEntry, rep reply, kind FaultKind, f *order) {
+// writeResponse sends an answer, whole or with the fault that was ordered.
+func (n *Node) writeResponse(w http.ResponseWriter, r *http.Request, e *LogEntry, rep response, kind FaultKind, f *activeFault) {
 	h := w.Header()
 	for k, v := range rep.header {
 		h.Set(k, v)
@@ -568,7 +568,7 @@
 	if rep.blob != nil {
 		rd, err := rep.blob.open(rep.from, rep.length)
 		if err != nil {
-			abort(w)
+			resetConnection(w)
 			return
 		}
 		defer rd.Close()
@@ -581,11 +581,11 @@
 	io.CopyN(w, body, length/2)
 	http.NewResponseController(w).Flush()
 	if kind == TruncateResponse {
-		abort(w)
+		resetConnection(w)
 		return
 	}
 	n.hold(r, f)
-	if !n.gone(r) {
+	if !n.canceled(r) {
 		io.Copy(w, body)
 	}
 }
@@ -595,17 +595,17 @@
 func (n *Node) loadReport(h http.Header) string {
 	n.mu.Lock()
 	now := time.Now()
-	if n.report == "" || now.Sub(n.reported) >= n.cfg.ReportEvery {
+	if n.report == "" || now.Sub(n.reportedAt) >= n.cfg.ReportEvery {
 		noise := 1 + n.cfg.ReportNoise*(2*n.rng.Float64()-1)
 		busy := 0.0
 		if n.cfg.Cores > 0 {
 			busy = min(1, float64(n.waiting)/float64(n.cfg.Cores))
 		}
-		n.next, n.nextAt = fmt.Sprintf("TEXT cpu_utilization=%.3f, named_metrics.inflight=%.2f", busy*noise, float64(n.inflight)*noise), now
-		n.reported = now
+		n.nextReport, n.nextReportAt = fmt.Sprintf("TEXT cpu_utilization=%.3f, named_metrics.inflight=%.2f", busy*noise, float64(n.inflight)*noise), now
+		n.reportedAt = now
 	}
-	if n.report == "" || now.Sub(n.nextAt) >= n.cfg.ReportLate {
-		n.report = n.next
+	if n.report == "" || now.Sub(n.nextReportAt) >= n.cfg.ReportDelay {
+		n.report = n.nextReport
 	}
 	rep := n.report
 	n.mu.Unlock()
@@ -620,7 +620,7 @@
 func (n *Node) FreezeReport(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.reported = time.Now().Add(d)
+	n.reportedAt = time.Now().Add(d)
 }
 
 // Idle tells whether the node has no request in hand.
--- a/fake/storagenode/timing.go
+++ b/fake/storagenode/timing.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// timing is how a request's time here divided, to be told later.
-type timing struct {
+// serverTiming is how a request's time here divided, to be told later.
+type serverTiming struct {
 	due          time.Time
 	gateway      string
 	name         string
-	queued, work time.Duration
+	queued, service time.Duration
 }
 
 // The bounds of what is told late: so many wait, and so many go with one answer.
 const (
-	maxUntold   = 4096
-	timingsEach = 8
+	maxLateTimings   = 4096
+	timingsPerResponse = 8
 )
 
 // timings returns the Server-Timing of an answer: this request's own, or where the
@@ -28,26 +28,26 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.cfg.TimingLose > 0 && n.rng.Float64() < n.cfg.TimingLose {
+	if n.cfg.TimingLossRate > 0 && n.rng.Float64() < n.cfg.TimingLossRate {
 		return ""
 	}
-	if n.cfg.TimingLate <= 0 {
-		return metric("queue", e.Queued, "") + ", " + metric("work", e.Worked, "")
+	if n.cfg.TimingDelay <= 0 {
+		return metric("queue", e.QueueTime, "") + ", " + metric("work", e.ServiceTime, "")
 	}
 	now := time.Now()
-	if len(n.untold) < maxUntold {
-		n.untold = append(n.untold, timing{now.Add(n.cfg.TimingLate), e.Gateway, e.name, e.Queued, e.Worked})
+	if len(n.lateTimings) < maxLateTimings {
+		n.lateTimings = append(n.lateTimings, serverTiming{now.Add(n.cfg.TimingDelay), e.Gateway, e.requestName, e.QueueTime, e.ServiceTime})
 	}
 	var out []string
-	kept := n.untold[:0]
-	for _, t := range n.untold {
-		if len(out) < 2*timingsEach && t.gateway == e.Gateway && !now.Before(t.due) {
-			out = append(out, metric("queue", t.queued, t.name), metric("work", t.work, t.name))
+	kept := n.lateTimings[:0]
+	for _, t := range n.lateTimings {
+		if len(out) < 2*timingsPerResponse && t.gateway == e.Gateway && !now.Before(t.due) {
+			out = append(out, metric("queue", t.queued, t.name), metric("work", t.service, t.name))
 			continue
 		}
 		kept = append(kept, t)
 	}
-	n.untold = kept
+	n.lateTimings = kept
 	return strings.Join(out, ", ")
 }
 
--- a/internal/attributionlog/log.go
+++ b/internal/attributionlog/log.go
@@ -26,9 +26,9 @@
 // maxRecord bounds one record, compressed and not.
 const maxRecord = 64 << 20
 
-// frame is what stands before each record: its length and the checksum of its
+// frameSize is what stands before each record: its length and the checksum of its
 // compressed bytes.
-const frame = 4 + 8
+const frameSize = 4 + 8
 
 // Record is one entry of the log: a closed slot, or a correction to one.
 type Record struct {
@@ -36,32 +36,32 @@
 	Saved time.Time               `json:"saved"` // by the wall clock then, which may have been set meanwhile
 	At    time.Duration           `json:"at_ns"` // the same moment in the run's own time
 	Slot  *attribution.Window     `json:"slot,omitempty"`
-	Fix   *attribution.Correction `json:"fix,omitempty"`
+	Correction   *attribution.Correction `json:"fix,omitempty"`
 }
 
-// RecordOf returns the record of what a keeper wants saved.
-func RecordOf(run attribution.Run, saved time.Time, at time.Duration, a attribution.Action) Record {
+// NewRecord returns the record of what a keeper wants saved.
+func NewRecord(run attribution.Run, saved time.Time, at time.Duration, a attribution.Action) Record {
 	r := Record{Run: run, Saved: saved, At: at}
 	switch a := a.(type) {
 	case attribution.SlotClosed:
 		r.Slot = &a.Window
 	case attribution.SlotCorrected:
-		r.Fix = &a.Correction
+		r.Correction = &a.Correction
 	}
 	return r
 }
 
-// Step returns how far the wall clock had been set since the run's start.
-func (r *Record) Step() time.Duration { return r.Saved.Sub(r.Run.At(r.At)) }
+// ClockStep returns how far the wall clock had been set since the run's start.
+func (r *Record) ClockStep() time.Duration { return r.Saved.Sub(r.Run.At(r.At)) }
 
 // Writer appends records. It is not safe for concurrent use.
 type Writer struct {
 	path  string
-	bytes int64 // of one file
-	files int
-	f     *os.File
+	maxFileSize int64 // of one file
+	maxFiles int
+	file     *os.File
 	size  int64
-	enc   *zstd.Encoder
+	encoder   *zstd.Encoder
 	buf   []byte
 }
 
@@ -73,7 +73,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("attribution log: %w", err)
 	}
-	w := &Writer{path: path, bytes: bytes, files: max(files, 1), enc: enc}
+	w := &Writer{path: path, maxFileSize: bytes, maxFiles: max(files, 1), encoder: enc}
 	if err := w.open(); err != nil {
 		return nil, err
 	}
@@ -90,7 +90,7 @@
 		f.Close()
 		return err
 	}
-	w.f, w.size = f, size
+	w.file, w.size = f, size
 	return nil
 }
 
@@ -116,7 +116,7 @@
 		return 0, fmt.Errorf("attribution log: %w", err)
 	}
 	end, err := scan(f, info.Size(), nil)
-	var d *Damage
+	var d *CorruptionError
 	if err != nil && !errors.As(err, &d) {
 		return 0, fmt.Errorf("attribution log %s: %w", w.path, err)
 	}
@@ -140,17 +140,17 @@
 	if err != nil {
 		return fmt.Errorf("attribution log: %w", err)
 	}
-	w.buf = append(w.buf[:0], make([]byte, frame)...)
-	w.buf = w.enc.EncodeAll(plain, w.buf)
-	body := w.buf[frame:]
+	w.buf = append(w.buf[:0], make([]byte, frameSize)...)
+	w.buf = w.encoder.EncodeAll(plain, w.buf)
+	body := w.buf[frameSize:]
 	binary.LittleEndian.PutUint32(w.buf, uint32(len(body)))
 	binary.LittleEndian.PutUint64(w.buf[4:], xxhash.Sum64(body))
-	if w.size > int64(len(header())) && w.size+int64(len(w.buf)) > w.bytes {
+	if w.size > int64(len(header())) && w.size+int64(len(w.buf)) > w.maxFileSize {
 		if err := w.rotate(); err != nil {
 			return err
 		}
 	}
-	if err := writeAt(w.f, w.buf, w.size); err != nil {
+	if err := writeAt(w.file, w.buf, w.size); err != nil {
 		return fmt.Errorf("attribution log: %w", err)
 	}
 	w.size += int64(len(w.buf))
@@ -159,15 +159,15 @@
 
 // rotate begins another file. The oldest goes.
 func (w *Writer) rotate() error {
-	if err := w.f.Close(); err != nil {
+	if err := w.file.Close(); err != nil {
 		return fmt.Errorf("attribution log: %w", err)
 	}
-	for i := w.files - 1; i >= 1; i-- {
-		if err := os.Rename(name(w.path, i-1), name(w.path, i)); err != nil && !errors.Is(err, os.ErrNotExist) {
+	for i := w.maxFiles - 1; i >= 1; i-- {
+		if err := os.Rename(fileName(w.path, i-1), fileName(w.path, i)); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return fmt.Errorf("attribution log: %w", err)
 		}
 	}
-	if w.files == 1 {
+	if w.maxFiles == 1 {
 		if err := os.Remove(w.path); err != nil {
 			return fmt.Errorf("attribution log: %w", err)
 		}
@@ -175,8 +175,8 @@
 	return w.open()
 }
 
-// name is that of the i-th file, the newest being 0.
-func name(path string, i int) string {
+// fileName is that of the i-th file, the newest being 0.
+func fileName(path string, i int) string {
 	if i == 0 {
 		return path
 	}
@@ -185,41 +185,41 @@
 
 // Close ends writing.
 func (w *Writer) Close() error {
-	w.enc.Close()
-	if err := w.f.Close(); err != nil {
+	w.encoder.Close()
+	if err := w.file.Close(); err != nil {
 		return fmt.Errorf("attribution log: %w", err)
 	}
 	return nil
 }
 
-// Damage tells where a file stops being whole. What lies before was read.
-type Damage struct {
+// CorruptionError tells where a file stops being whole. What lies before was read.
+type CorruptionError struct {
 	File string
-	At   int64 // bytes from its start
-	What string
+	Offset   int64 // bytes from its start
+	Reason string
 }
 
-func (d *Damage) Error() string {
-	return fmt.Sprintf("%s: whole up to byte %d; there %s", d.File, d.At, d.What)
+func (d *CorruptionError) Error() string {
+	return fmt.Sprintf("%s: whole up to byte %d; there %s", d.File, d.Offset, d.Reason)
 }
 
 // Read returns the records of a log, oldest first, from all its files. Where a file
 // is damaged its records up to there are returned, and the damage is told. An error
 // means that nothing of that kind can be read: no file, another form, or a newer
 // version.
-func Read(path string) (recs []Record, damage []*Damage, err error) {
+func Read(path string) (recs []Record, damage []*CorruptionError, err error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, nil, fmt.Errorf("attribution log: %w", err)
 	}
 	last := 0
 	for {
-		if _, err := os.Stat(name(path, last+1)); err != nil {
+		if _, err := os.Stat(fileName(path, last+1)); err != nil {
 			break
 		}
 		last++
 	}
 	for i := last; i >= 0; i-- {
-		f, err := os.Open(name(path, i))
+		f, err := os.Open(fileName(path, i))
 		if err != nil {
 			return nil, nil, fmt.Errorf("attribution log: %w", err)
 		}
@@ -228,13 +228,13 @@
 			_, err = scan(f, info.Size(), func(r Record) { recs = append(recs, r) })
 		}
 		f.Close()
-		var d *Damage
+		var d *CorruptionError
 		switch {
 		case errors.As(err, &d):
-			d.File = name(path, i)
+			d.File = fileName(path, i)
 			damage = append(damage, d)
 		case err != nil:
-			return nil, nil, fmt.Errorf("attribution log %s: %w", name(path, i), err)
+			return nil, nil, fmt.Errorf("attribution log %s: %w", fileName(path, i), err)
 		}
 	}
 	return recs, damage, nil
@@ -248,7 +248,7 @@
 		return 0, err
 	}
 	if !bytes.Equal(head, header()) {
-		return 0, wrongHeader(head)
+		return 0, headerError(head)
 	}
 	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxRecord))
 	if err != nil {
@@ -259,7 +259,7 @@
 	for at < size {
 		rec, n, err := readRecord(r, size-at, dec)
 		if err != nil {
-			return at, &Damage{At: at, What: err.Error()}
+			return at, &CorruptionError{Offset: at, Reason: err.Error()}
 		}
 		if take != nil {
 			take(rec)
@@ -269,9 +269,9 @@
 	return at, nil
 }
 
-func wrongHeader(head []byte) error {
+func headerError(head []byte) error {
 	if len(head) == 0 || bytes.HasPrefix(header(), head) {
-		return &Damage{At: 0, What: "its first line is cut short"}
+		return &CorruptionError{Offset: 0, Reason: "its first line is cut short"}
 	}
 	v, ok := bytes.CutPrefix(head, []byte(magic))
 	if !ok {
@@ -281,9 +281,9 @@
 }
 
 func readRecord(r io.Reader, left int64, dec *zstd.Decoder) (rec Record, n int64, err error) {
-	var fr [frame]byte
-	if left < frame {
-		return rec, 0, fmt.Errorf("a record's frame is cut short: %d of %d bytes", left, frame)
+	var fr [frameSize]byte
+	if left < frameSize {
+		return rec, 0, fmt.Errorf("a record's frame is cut short: %d of %d bytes", left, frameSize)
 	}
 	if _, err := io.ReadFull(r, fr[:]); err != nil {
 		return rec, 0, err
@@ -292,8 +292,8 @@
 	if size > maxRecord {
 		return rec, 0, fmt.Errorf("a record claims %d bytes; at most %d are believed", size, maxRecord)
 	}
-	if size > left-frame {
-		return rec, 0, fmt.Errorf("a record is cut short: %d of %d bytes", left-frame, size)
+	if size > left-frameSize {
+		return rec, 0, fmt.Errorf("a record is cut short: %d of %d bytes", left-frameSize, size)
 	}
 	body := make([]byte, size)
 	if _, err := io.ReadFull(r, body); err != nil {
@@ -309,5 +309,5 @@
 	if err := json.Unmarshal(plain, &rec); err != nil {
 		return rec, 0, fmt.Errorf("a record cannot be read: %w", err)
 	}
-	return rec, frame + size, nil
+	return rec, frameSize + size, nil
 }
--- a/internal/attributionlog/log_test.go
+++ b/internal/attributionlog/log_test.go
@@ -76,7 +76,7 @@
 func endOf(b []byte, n int) int {
 	at := len(header())
 	for range n {
-		at += frame + int(uint32(b[at])|uint32(b[at+1])<<8|uint32(b[at+2])<<16|uint32(b[at+3])<<24)
+		at += frameSize + int(uint32(b[at])|uint32(b[at+1])<<8|uint32(b[at+2])<<16|uint32(b[at+3])<<24)
 	}
 	return at
 }
@@ -96,7 +96,7 @@
 		if n >= endOf(whole, 1) {
 			want = 1
 		}
-		if err != nil || len(damage) != 1 || len(recs) != want || damage[0].At != int64(endOf(whole, want)) {
+		if err != nil || len(damage) != 1 || len(recs) != want || damage[0].Offset != int64(endOf(whole, want)) {
 			t.Fatalf("byte %d: %d records, %v, %v", n, len(recs), damage, err)
 		}
 	}
@@ -158,18 +158,18 @@
 
 // Corrections find their slots; a second life and a step of the wall clock are told.
 func TestTimeline(t *testing.T) {
-	fix := Record{Run: slot("a", 0).Run, Saved: epoch.Add(25 * time.Second), At: 25 * time.Second, Fix: &attribution.Correction{
+	fix := Record{Run: slot("a", 0).Run, Saved: epoch.Add(25 * time.Second), At: 25 * time.Second, Correction: &attribution.Correction{
 		Volume: "v", Ended: 15 * time.Second,
 		From: attribution.NodeUnknown, Had: 2 * time.Millisecond, To: []attribution.ComponentTime{{Component: attribution.NodeQueue, Time: time.Millisecond}},
 	}}
 	lost := fix
-	lost.Fix = &attribution.Correction{Volume: "v", Ended: time.Hour}
+	lost.Correction = &attribution.Correction{Volume: "v", Ended: time.Hour}
 	stepped := slot("a", 2)
 	stepped.Saved = stepped.Saved.Add(-time.Hour)
 	second := slot("b", 0)
 	second.Run.Started = epoch.Add(time.Minute)
 	second.Saved = second.Run.At(second.At)
-	l := Build([]Record{slot("a", 0), slot("a", 1), fix, lost, stepped, second})
+	l := NewTimeline([]Record{slot("a", 0), slot("a", 1), fix, lost, stepped, second})
 	if len(l.Slots) != 4 || l.Slots[1].All.Parts[attribution.NodeQueue] != time.Millisecond || !l.Slots[1].Corrected || l.Slots[0].Corrected {
 		t.Fatalf("%+v", l.Slots)
 	}
@@ -204,7 +204,7 @@
 		file := filepath.Join(t.TempDir(), "log")
 		os.WriteFile(file, b, 0o600)
 		if recs, _, err := Read(file); err == nil {
-			Build(recs)
+			NewTimeline(recs)
 		}
 	})
 }
--- a/internal/attributionlog/timeline.go
+++ b/internal/attributionlog/timeline.go
@@ -21,11 +21,11 @@
 	attribution.Window
 }
 
-// stepShown is how far the wall clock must have been set to be told of.
-const stepShown = time.Second
+// minReportedStep is how far the wall clock must have been set to be told of.
+const minReportedStep = time.Second
 
-// Build orders records.
-func Build(recs []Record) Timeline {
+// NewTimeline orders records.
+func NewTimeline(recs []Record) Timeline {
 	var t Timeline
 	at := map[string]map[time.Duration]int{} // slots by run and start
 	steps := map[string]time.Duration{}
@@ -39,17 +39,17 @@
 					r.Run.Gateway, r.Run.Started.Format(time.RFC3339)))
 			}
 		}
-		if d := r.Step() - steps[r.Run.ID]; d >= stepShown || d <= -stepShown {
+		if d := r.ClockStep() - steps[r.Run.ID]; d >= minReportedStep || d <= -minReportedStep {
 			t.Notes = append(t.Notes, fmt.Sprintf("the wall clock was set by %v before %s; slots are shown by the clock at the gateway's start",
 				d.Round(time.Millisecond), r.Saved.Format(time.RFC3339)))
-			steps[r.Run.ID] = r.Step()
+			steps[r.Run.ID] = r.ClockStep()
 		}
 		switch {
 		case r.Slot != nil:
 			at[r.Run.ID][r.Slot.From] = len(t.Slots)
 			t.Slots = append(t.Slots, Slot{r.Run, r.Run.At(r.Slot.From), *r.Slot})
-		case r.Fix != nil:
-			if !t.fix(at[r.Run.ID], r.Fix) {
+		case r.Correction != nil:
+			if !t.applyCorrection(at[r.Run.ID], r.Correction) {
 				lost++
 			}
 		}
@@ -61,8 +61,8 @@
 	return t
 }
 
-// fix applies a correction to its slot.
-func (t *Timeline) fix(slots map[time.Duration]int, c *attribution.Correction) bool {
+// applyCorrection applies a correction to its slot.
+func (t *Timeline) applyCorrection(slots map[time.Duration]int, c *attribution.Correction) bool {
 	for from, i := range slots {
 		if w := &t.Slots[i].Window; from <= c.Ended && c.Ended < w.To {
 			*w = w.Apply(*c)
--- a/internal/attributionreport/html.go
+++ b/internal/attributionreport/html.go
@@ -26,7 +26,7 @@
 	Text  string
 }
 
-type page struct {
+type htmlPage struct {
 	Title    string
 	Span     string
 	Notes    []string
@@ -38,10 +38,10 @@
 // empty, comes first; the heaviest volumes follow.
 func HTML(out io.Writer, d *Data, volume string) error {
 	w := d.Sum()
-	pg := page{Title: "Latency accounts", Span: d.span(), Notes: d.Notes}
+	pg := htmlPage{Title: "Latency accounts", Span: d.span(), Notes: d.Notes}
 	var volumes []string
 	if volume != "" {
-		if _, err := find(&w, volume); err != nil {
+		if _, err := findVolume(&w, volume); err != nil {
 			return err
 		}
 		volumes = append(volumes, volume)
@@ -62,7 +62,7 @@
 	return pageTemplate.Execute(out, pg)
 }
 
-func (pg *page) pictures(d *Data, w *attribution.Window, volumes []string) error {
+func (pg *htmlPage) pictures(d *Data, w *attribution.Window, volumes []string) error {
 	add := func(title, text string, p *plot.Plot, err error, width, height vg.Length) error {
 		if err != nil || p == nil {
 			return err
--- a/internal/attributionreport/pictures.go
+++ b/internal/attributionreport/pictures.go
@@ -16,9 +16,9 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// colours of the causes: waiting in reds, the node in blues, the gateway's own and
+// componentColors of the causes: waiting in reds, the node in blues, the gateway's own and
 // the client's in greys and greens.
-var colours = [attribution.Components]color.RGBA{
+var componentColors = [attribution.Components]color.RGBA{
 	attribution.Gateway: {140, 140, 140, 255}, attribution.RequestBody: {120, 180, 120, 255}, attribution.QueuedUnknown: {235, 200, 200, 255},
 	attribution.QueuedBehindOthers: {200, 30, 40, 255}, attribution.QueuedBehindOwn: {240, 140, 90, 255}, attribution.RateLimited: {230, 170, 40, 255},
 	attribution.SlowStart: {120, 90, 160, 255}, attribution.Ejected: {170, 120, 200, 255}, attribution.KeyOrder: {250, 215, 120, 255},
@@ -31,16 +31,16 @@
 type point struct {
 	at    time.Time
 	width time.Duration
-	line  attribution.VolumeSummary
+	summary  attribution.VolumeSummary
 }
 
-// over returns a volume's line in each slot; "" for all volumes.
-func (d *Data) over(volume string) []point {
+// volumePoints returns a volume's line in each slot; "" for all volumes.
+func (d *Data) volumePoints(volume string) []point {
 	var ps []point
 	for _, s := range d.Slots {
 		l := s.All
 		if volume != "" {
-			l, _ = s.Of(volume)
+			l, _ = s.Summary(volume)
 		}
 		ps = append(ps, point{s.From, s.Slot, l})
 	}
@@ -49,13 +49,13 @@
 
 // Stacked draws the mean time of a request over time, stacked by cause.
 func Stacked(d *Data, volume string) (*plot.Plot, error) {
-	ps := d.over(volume)
+	ps := d.volumePoints(volume)
 	if len(ps) == 0 {
 		return nil, fmt.Errorf("no slots to draw")
 	}
 	var sum attribution.Breakdown
 	for _, p := range ps {
-		sum.Add(&p.line.Parts)
+		sum.Add(&p.summary.Parts)
 	}
 	p := plot.New()
 	p.Title.Text = "Mean time of a request by cause: " + volume
@@ -67,7 +67,7 @@
 	p.X.Tick.Marker = plot.TimeTicks{Format: "15:04:05"}
 	p.Legend.Top = true
 	base := make([]float64, len(ps))
-	for _, c := range heaviest(sum) {
+	for _, c := range componentsByTime(sum) {
 		poly, err := band(ps, c, base)
 		if err != nil {
 			return nil, err
@@ -85,8 +85,8 @@
 	var up, down plotter.XYs
 	for i, p := range ps {
 		y := 0.0
-		if p.line.Requests > 0 {
-			y = 1e3 * p.line.Parts[c].Seconds() / float64(p.line.Requests)
+		if p.summary.Requests > 0 {
+			y = 1e3 * p.summary.Parts[c].Seconds() / float64(p.summary.Requests)
 		}
 		x0 := float64(p.at.UnixMilli()) / 1e3
 		x1 := x0 + p.width.Seconds()
@@ -106,7 +106,7 @@
 	if err != nil {
 		return nil, err
 	}
-	poly.Color = colours[c]
+	poly.Color = componentColors[c]
 	poly.LineStyle.Width = 0
 	return poly, nil
 }
@@ -114,22 +114,22 @@
 // matrix is victims by culprits, in seconds.
 type matrix struct {
 	victims, culprits []string
-	secs              [][]float64 // by victim, then culprit
+	seconds              [][]float64 // by victim, then culprit
 }
 
 func (m *matrix) Dims() (int, int)   { return len(m.culprits), len(m.victims) }
 func (m *matrix) X(c int) float64    { return float64(c) }
 func (m *matrix) Y(r int) float64    { return float64(r) }
-func (m *matrix) Z(c, r int) float64 { return m.secs[r][c] }
-func (m *matrix) most() (z float64) {
-	for _, row := range m.secs {
+func (m *matrix) Z(c, r int) float64 { return m.seconds[r][c] }
+func (m *matrix) max() (z float64) {
+	for _, row := range m.seconds {
 		z = max(z, slices.Max(row))
 	}
 	return z
 }
 
-// blame collects the pairs of the volumes that have most.
-func blame(w *attribution.Window, n int) *matrix {
+// contributionMatrix collects the pairs of the volumes that have most.
+func contributionMatrix(w *attribution.Window, n int) *matrix {
 	weight := map[string]time.Duration{}
 	for _, p := range w.Pairs {
 		weight["v"+p.Key.Victim] += time.Duration(p.Count)
@@ -149,22 +149,22 @@
 	}
 	m := &matrix{victims: pick('v'), culprits: pick('c')}
 	for range m.victims {
-		m.secs = append(m.secs, make([]float64, len(m.culprits)))
+		m.seconds = append(m.seconds, make([]float64, len(m.culprits)))
 	}
 	for _, p := range w.Pairs {
 		v, c := slices.Index(m.victims, p.Key.Victim), slices.Index(m.culprits, p.Key.Culprit)
 		if v >= 0 && c >= 0 {
-			m.secs[v][c] = time.Duration(p.Count).Seconds()
+			m.seconds[v][c] = time.Duration(p.Count).Seconds()
 		}
 	}
 	slices.Reverse(m.victims) // the heaviest on top
-	slices.Reverse(m.secs)
+	slices.Reverse(m.seconds)
 	return m
 }
 
 // Matrix draws who waited behind whom; nil where nobody did.
 func Matrix(w *attribution.Window, n int) (*plot.Plot, error) {
-	m := blame(w, n)
+	m := contributionMatrix(w, n)
 	if len(m.victims) == 0 {
 		return nil, nil
 	}
@@ -175,12 +175,12 @@
 	cols := pal.Colors()
 	slices.Reverse(cols) // dark is much
 	h := plotter.NewHeatMap(m, fixedPalette(cols[:220]))
-	h.Min, h.Max = 0, math.Max(m.most(), 1e-9)
+	h.Min, h.Max = 0, math.Max(m.max(), 1e-9)
 	p.Add(h)
 	var labels plotter.XYLabels
 	for r := range m.victims {
 		for c := range m.culprits {
-			if s := m.secs[r][c]; s > 0 {
+			if s := m.seconds[r][c]; s > 0 {
 				labels.XYs = append(labels.XYs, plotter.XY{X: float64(c), Y: float64(r)})
 				labels.Labels = append(labels.Labels, round(time.Duration(s*float64(time.Second))))
 			}
@@ -193,13 +193,13 @@
 		}
 		for i := range l.TextStyle {
 			l.TextStyle[i].XAlign, l.TextStyle[i].YAlign = -0.5, -0.5
-			if m.secs[int(labels.XYs[i].Y)][int(labels.XYs[i].X)] > h.Max/2 {
+			if m.seconds[int(labels.XYs[i].Y)][int(labels.XYs[i].X)] > h.Max/2 {
 				l.TextStyle[i].Color = color.White
 			}
 		}
 		p.Add(l)
 	}
-	p.X.Tick.Marker, p.Y.Tick.Marker = names(m.culprits), names(m.victims)
+	p.X.Tick.Marker, p.Y.Tick.Marker = nameTicks(m.culprits), nameTicks(m.victims)
 	p.X.Min, p.X.Max, p.Y.Min, p.Y.Max = -0.5, float64(len(m.culprits))-0.5, -0.5, float64(len(m.victims))-0.5
 	return p, nil
 }
@@ -209,10 +209,10 @@
 // Colors implements palette.Palette.
 func (f fixedPalette) Colors() []color.Color { return f }
 
-type names []string
+type nameTicks []string
 
 // Ticks implements plot.Ticker.
-func (n names) Ticks(_, _ float64) []plot.Tick {
+func (n nameTicks) Ticks(_, _ float64) []plot.Tick {
 	var ts []plot.Tick
 	for i, s := range n {
 		if len(s) > 16 {
@@ -233,14 +233,14 @@
 	shares := []float64{0.01, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 0.95, 0.98, 0.99, 0.995, 0.999}
 	drawn := 0
 	for _, v := range volumes {
-		d, ok := w.Dist(v)
+		d, ok := w.Distribution(v)
 		if !ok {
 			continue
 		}
 		var xy plotter.XYs
 		for _, s := range shares {
 			if t := d.Percentile(s); t > 0 {
-				xy = append(xy, plotter.XY{X: nines(s), Y: 1e3 * t.Seconds()})
+				xy = append(xy, plotter.XY{X: logScale(s), Y: 1e3 * t.Seconds()})
 			}
 		}
 		if len(xy) == 0 {
@@ -250,7 +250,7 @@
 		if err != nil {
 			return nil, err
 		}
-		l.Color, l.Width = lineColours[drawn%len(lineColours)], vg.Points(2)
+		l.Color, l.Width = lineColors[drawn%len(lineColors)], vg.Points(2)
 		p.Add(l)
 		p.Legend.Add(v, l)
 		drawn++
@@ -264,10 +264,10 @@
 	return p, nil
 }
 
-var lineColours = []color.RGBA{{200, 30, 40, 255}, {30, 60, 140, 255}, {60, 130, 60, 255}, {230, 150, 30, 255}, {120, 90, 160, 255}, {90, 90, 90, 255}, {40, 170, 170, 255}}
+var lineColors = []color.RGBA{{200, 30, 40, 255}, {30, 60, 140, 255}, {60, 130, 60, 255}, {230, 150, 30, 255}, {120, 90, 160, 255}, {90, 90, 90, 255}, {40, 170, 170, 255}}
 
-// nines spreads the shares near 1: 0.9, 0.99 and 0.999 lie at 1, 2 and 3.
-func nines(s float64) float64 { return -math.Log10(1 - s) }
+// logScale spreads the shares near 1: 0.9, 0.99 and 0.999 lie at 1, 2 and 3.
+func logScale(s float64) float64 { return -math.Log10(1 - s) }
 
 type shareTicks struct{}
 
@@ -275,7 +275,7 @@
 func (shareTicks) Ticks(_, _ float64) []plot.Tick {
 	var ts []plot.Tick
 	for _, s := range []float64{0, 0.5, 0.9, 0.99, 0.999} {
-		ts = append(ts, plot.Tick{Value: nines(s), Label: fmt.Sprintf("%g %%", 100*s)})
+		ts = append(ts, plot.Tick{Value: logScale(s), Label: fmt.Sprintf("%g %%", 100*s)})
 	}
 	return ts
 }
--- a/internal/attributionreport/text.go
+++ b/internal/attributionreport/text.go
@@ -21,8 +21,8 @@
 	Counts *attribution.Counts // nil: from a log, which has none
 }
 
-// room bounds what sums of slots keep.
-const room = 1024
+// maxKept bounds what sums of slots keep.
+const maxKept = 1024
 
 // Sum returns the account over all slots.
 func (d *Data) Sum() attribution.Window {
@@ -30,7 +30,7 @@
 	for i, s := range d.Slots {
 		ws[i] = s.Window
 	}
-	return attribution.Sum(ws, room, room, room)
+	return attribution.Sum(ws, maxKept, maxKept, maxKept)
 }
 
 // span tells from when to when the slots reach.
@@ -43,24 +43,24 @@
 		last.From.Add(last.To-last.Window.From).Format("15:04:05"), last.Slot)
 }
 
-// UnknownVolume is asked for a volume that has no line.
-type UnknownVolume struct {
+// UnknownVolumeError is asked for a volume that has no line.
+type UnknownVolumeError struct {
 	Volume string
 	Known  []string // some that have one
 }
 
-func (e *UnknownVolume) Error() string {
+func (e *UnknownVolumeError) Error() string {
 	if len(e.Known) == 0 {
 		return fmt.Sprintf("no request of volume %q in that time, nor of any other", e.Volume)
 	}
 	return fmt.Sprintf("volume %q has no line of its own in that time; the heaviest that have: %s", e.Volume, strings.Join(e.Known, ", "))
 }
 
-func find(w *attribution.Window, volume string) (attribution.VolumeSummary, error) {
-	if l, ok := w.Of(volume); ok {
+func findVolume(w *attribution.Window, volume string) (attribution.VolumeSummary, error) {
+	if l, ok := w.Summary(volume); ok {
 		return l, nil
 	}
-	e := &UnknownVolume{Volume: volume}
+	e := &UnknownVolumeError{Volume: volume}
 	for _, l := range w.Volumes[:min(5, len(w.Volumes))] {
 		e.Known = append(e.Known, l.Volume)
 	}
@@ -84,8 +84,8 @@
 	return fmt.Sprintf("%.1f %%", 100*part.Seconds()/all.Seconds())
 }
 
-// heaviest returns a line's causes, the longest first.
-func heaviest(s attribution.Breakdown) []attribution.Component {
+// componentsByTime returns a line's causes, the longest first.
+func componentsByTime(s attribution.Breakdown) []attribution.Component {
 	var cs []attribution.Component
 	for c := range attribution.Component(attribution.Components) {
 		if s[c] > 0 {
@@ -96,8 +96,8 @@
 	return cs
 }
 
-// behind returns the pairs of a volume, as victim or as culprit, the longest first.
-func behind(w *attribution.Window, volume string, victim bool) []attribution.Item[attribution.Pair] {
+// volumePairs returns the pairs of a volume, as victim or as culprit, the longest first.
+func volumePairs(w *attribution.Window, volume string, victim bool) []attribution.Item[attribution.Pair] {
 	var out []attribution.Item[attribution.Pair]
 	for _, p := range w.Pairs {
 		if victim && p.Key.Victim == volume || !victim && p.Key.Culprit == volume {
@@ -110,7 +110,7 @@
 // Top writes the heaviest volumes.
 func Top(out io.Writer, d *Data, n int) {
 	w := d.Sum()
-	d.head(out)
+	d.writeHeader(out)
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "volume\trequests\trefused\ttime\teach\tmost of it\twaited behind")
 	line := func(name string, l attribution.VolumeSummary) {
@@ -119,10 +119,10 @@
 		}
 		var most, blame []string
 		total := l.Parts.Total()
-		for _, c := range heaviest(l.Parts)[:min(3, len(heaviest(l.Parts)))] {
+		for _, c := range componentsByTime(l.Parts)[:min(3, len(componentsByTime(l.Parts)))] {
 			most = append(most, fmt.Sprintf("%s %s", c, share(l.Parts[c], total)))
 		}
-		for _, p := range behind(&w, l.Volume, true) {
+		for _, p := range volumePairs(&w, l.Volume, true) {
 			if len(blame) < 2 {
 				blame = append(blame, fmt.Sprintf("%s %s", p.Key.Culprit, round(time.Duration(p.Count))))
 			}
@@ -133,7 +133,7 @@
 	for _, l := range w.Volumes[:min(n, len(w.Volumes))] {
 		line(l.Volume, l)
 	}
-	others := w.Rest
+	others := w.Others
 	for _, l := range w.Volumes[min(n, len(w.Volumes)):] {
 		others.Requests += l.Requests
 		others.Parts.Add(&l.Parts)
@@ -144,17 +144,17 @@
 	line("(others)", others)
 	line("(all)", w.All)
 	t.Flush()
-	d.foot(out, &w)
+	d.writeFooter(out, &w)
 }
 
 // Volume writes one volume's account.
 func Volume(out io.Writer, d *Data, volume string) error {
 	w := d.Sum()
-	l, err := find(&w, volume)
+	l, err := findVolume(&w, volume)
 	if err != nil {
 		return err
 	}
-	d.head(out)
+	d.writeHeader(out)
 	fmt.Fprintf(out, "volume %s: %d requests", volume, l.Requests)
 	for o, n := range l.Outcomes {
 		if n > 0 {
@@ -167,7 +167,7 @@
 		fmt.Fprintf(out, "up to %s more of it is among (others), from slots in which it was not among the heaviest\n", round(l.Missing))
 	}
 	fmt.Fprintln(out)
-	dist, known := w.Dist(volume)
+	dist, known := w.Distribution(volume)
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "cause\ttime\tshare\teach\t50 %\t90 %\t99 %")
 	row := func(name string, d time.Duration, q func(float64) time.Duration) {
@@ -181,38 +181,38 @@
 		}
 		fmt.Fprintln(t)
 	}
-	for _, c := range heaviest(l.Parts) {
-		row(c.String(), l.Parts[c], func(p float64) time.Duration { return dist.CausePercentile(c, p) })
+	for _, c := range componentsByTime(l.Parts) {
+		row(c.String(), l.Parts[c], func(p float64) time.Duration { return dist.ComponentPercentile(c, p) })
 	}
 	row("(all)", total, dist.Percentile)
 	t.Flush()
 	if known {
 		fmt.Fprintf(out, "percentiles are of %d of its requests, each at most %.0f %% off\n", dist.Whole.Count(), 100*attribution.PercentileError)
 	}
-	pairs(out, &w, volume)
-	d.foot(out, &w)
+	writePairs(out, &w, volume)
+	d.writeFooter(out, &w)
 	return nil
 }
 
-// Blame writes whom a volume waited behind, and who waited behind it.
-func Blame(out io.Writer, d *Data, volume string) error {
+// Contributions writes whom a volume waited behind, and who waited behind it.
+func Contributions(out io.Writer, d *Data, volume string) error {
 	w := d.Sum()
-	if _, err := find(&w, volume); err != nil && len(behind(&w, volume, false)) == 0 {
+	if _, err := findVolume(&w, volume); err != nil && len(volumePairs(&w, volume, false)) == 0 {
 		return err
 	}
-	d.head(out)
+	d.writeHeader(out)
 	fmt.Fprintf(out, "volume %s\n", volume)
-	pairs(out, &w, volume)
-	d.foot(out, &w)
+	writePairs(out, &w, volume)
+	d.writeFooter(out, &w)
 	return nil
 }
 
-func pairs(out io.Writer, w *attribution.Window, volume string) {
+func writePairs(out io.Writer, w *attribution.Window, volume string) {
 	for _, x := range []struct {
 		title  string
 		victim bool
 	}{{"it waited behind", true}, {"behind it waited", false}} {
-		ps := behind(w, volume, x.victim)
+		ps := volumePairs(w, volume, x.victim)
 		fmt.Fprintf(out, "\n%s\n", x.title)
 		if len(ps) == 0 {
 			fmt.Fprintln(out, "  nobody that is known")
@@ -234,7 +234,7 @@
 	}
 }
 
-func (d *Data) head(out io.Writer) {
+func (d *Data) writeHeader(out io.Writer) {
 	fmt.Fprintf(out, "%s\n", d.span())
 	for _, n := range d.Notes {
 		fmt.Fprintf(out, "note: %s\n", n)
@@ -242,7 +242,7 @@
 	fmt.Fprintln(out)
 }
 
-func (d *Data) foot(out io.Writer, w *attribution.Window) {
+func (d *Data) writeFooter(out io.Writer, w *attribution.Window) {
 	fmt.Fprintln(out)
 	if w.PairError > 0 {
 		fmt.Fprintf(out, "no pair that is not named has more than %s\n", round(w.PairError))
@@ -259,8 +259,8 @@
 	}
 }
 
-// Account is what is told as JSON.
-type Account struct {
+// Summary is what is told as JSON.
+type Summary struct {
 	Notes   []string            `json:"notes,omitempty"`
 	Counts  *attribution.Counts `json:"counts,omitempty"`
 	From    time.Time           `json:"from"`
@@ -271,8 +271,8 @@
 
 // JSON returns what the tables show: the whole sum, or only what concerns the
 // volumes asked for.
-func JSON(d *Data, volumes []string) Account {
-	a := Account{Notes: d.Notes, Counts: d.Counts, Window: d.Sum(), Volumes: volumes}
+func JSON(d *Data, volumes []string) Summary {
+	a := Summary{Notes: d.Notes, Counts: d.Counts, Window: d.Sum(), Volumes: volumes}
 	if n := len(d.Slots); n > 0 {
 		last := d.Slots[n-1]
 		a.From, a.To = d.Slots[0].From, last.From.Add(last.To-last.Window.From)
@@ -284,6 +284,6 @@
 	w := &a.Window
 	w.Volumes = slices.DeleteFunc(w.Volumes, func(l attribution.VolumeSummary) bool { return !asked(l.Volume) })
 	w.Pairs = slices.DeleteFunc(w.Pairs, func(p attribution.Item[attribution.Pair]) bool { return !asked(p.Key.Victim) && !asked(p.Key.Culprit) })
-	w.Dists = slices.DeleteFunc(w.Dists, func(x attribution.Distribution) bool { return !asked(x.Volume) })
+	w.Distributions = slices.DeleteFunc(w.Distributions, func(x attribution.Distribution) bool { return !asked(x.Volume) })
 	return a
 }
--- a/lab/attributiontest/attributiontest.go
+++ b/lab/attributiontest/attributiontest.go
@@ -212,7 +212,7 @@
 }
 
 func (p *play) save(g *gateway.Gateway, a attribution.Action) {
-	if err := p.log.Append(attributionlog.RecordOf(g.Run(), p.wall(), g.Now(), a)); err != nil {
+	if err := p.log.Append(attributionlog.NewRecord(g.Run(), p.wall(), g.Now(), a)); err != nil {
 		p.fault("%v", err)
 	}
 }
@@ -351,7 +351,7 @@
 	for _, d := range damage {
 		p.fault("%v", d)
 	}
-	line := attributionlog.Build(recs)
+	line := attributionlog.NewTimeline(recs)
 	r.Data = line.Slots
 	if s.expect != nil {
 		s.expect(p, &verdict{p: p, Window: r.Window, Counts: counts, Timeline: line})
--- a/lab/attributiontest/scenarios.go
+++ b/lab/attributiontest/scenarios.go
@@ -44,13 +44,13 @@
 
 // part is a volume's time under one cause.
 func (v *verdict) part(volume string, c attribution.Component) time.Duration {
-	l, _ := v.Window.Of(volume)
+	l, _ := v.Window.Summary(volume)
 	return l.Parts[c]
 }
 
 // most wants a cause to have at least a share of a volume's time.
 func (v *verdict) most(volume string, share float64, cs ...attribution.Component) {
-	l, ok := v.Window.Of(volume)
+	l, ok := v.Window.Summary(volume)
 	if !ok {
 		v.p.fault("%s has no account", volume)
 		return
@@ -67,7 +67,7 @@
 // named wants a culprit to have made a victim wait by far the longest.
 func (v *verdict) named(victim, culprit string, others ...string) {
 	d := behind(&v.Window, victim, culprit)
-	l, _ := v.Window.Of(victim)
+	l, _ := v.Window.Summary(victim)
 	if d < l.Parts.Total()/4 {
 		v.p.fault("%s waited %v behind %s, of %v", victim, d, culprit, l.Parts.Total())
 	}
@@ -183,7 +183,7 @@
 		},
 		{
 			Name: "late-reports", What: "nodes tell late, after the slot was closed, and not of every request",
-			node: func(c *storagenode.Config) { c.TimingLate, c.TimingLose = 2300*time.Millisecond, 0.3 },
+			node: func(c *storagenode.Config) { c.TimingDelay, c.TimingLossRate = 2300*time.Millisecond, 0.3 },
 			play: func(p *play) {
 				p.clients(12, "flood", 0, p.during(1500*time.Millisecond))
 				p.clients(2, "review", 5*time.Millisecond, p.over)
@@ -204,7 +204,7 @@
 		},
 		{
 			Name: "restart", What: "the gateway ends and another takes its place; late reports of the first find nobody",
-			node: func(c *storagenode.Config) { c.TimingLate = 300 * time.Millisecond },
+			node: func(c *storagenode.Config) { c.TimingDelay = 300 * time.Millisecond },
 			play: func(p *play) {
 				first := p.during(time.Second)
 				p.clients(4, "review", 5*time.Millisecond, first)
