--- /dev/null
+++ b/attribution/distribution_test.go
@@ -0,0 +1,67 @@
+package attribution
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+)
+
+// A percentile is as far off as is told, beside a plain sorted list, zeros included,
+// over slots that were closed, packed and merged.
+func TestPercentilesBesideASortedList(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 1))
+	k := keeper(t, nil)
+	var all, others []time.Duration
+	for i := range 5000 {
+		e := Entry{Volume: "v", Ended: time.Duration(i) * 5 * ms}
+		e.Parts[NodeService] = time.Duration(math.Exp(rng.NormFloat64()*2+2) * float64(ms))
+		if rng.IntN(3) == 0 {
+			e.Parts[QueuedBehindOthers] = time.Duration(rng.IntN(1_000_000)) * time.Microsecond
+		}
+		all, others = append(all, e.Parts.Total()), append(others, e.Parts[QueuedBehindOthers])
+		k.Handle(e.Ended, Batch{Entries: []Entry{e}})
+	}
+	w, _ := k.Aggregator().Over(k.now, 4*time.Minute)
+	d, ok := w.Distribution("v")
+	if !ok {
+		t.Fatal("no distributions")
+	}
+	slices.Sort(all)
+	slices.Sort(others)
+	for _, s := range []float64{0.1, 0.5, 0.66, 0.7, 0.9, 0.99, 0.999} {
+		for _, x := range []struct {
+			got    time.Duration
+			sorted []time.Duration
+		}{{d.Percentile(s), all}, {d.ComponentPercentile(QueuedBehindOthers, s), others}} {
+			at := int(s * float64(len(x.sorted)))
+			lo, hi := x.sorted[max(at-2, 0)], x.sorted[min(at+2, len(x.sorted)-1)]
+			if x.got.Seconds() < lo.Seconds()*(1-PercentileError)-2e-6 || x.got.Seconds() > hi.Seconds()*(1+PercentileError)+2e-6 {
+				t.Errorf("%g: %v, the list says %v to %v", s, x.got, lo, hi)
+			}
+		}
+	}
+}
+
+// Places for distributions go to the heavy volumes, whoever came first.
+func TestDistributionsAreOfTheHeaviest(t *testing.T) {
+	k := keeper(t, func(c *CollectorConfig) { c.Distributions = 2 })
+	for slot := range 3 {
+		for i := range 40 {
+			v, d := fmt.Sprint("light", i%20), ms
+			if i%10 == 9 {
+				v, d = "heavy", 100*ms
+			}
+			e := Entry{Volume: v, Ended: time.Duration(slot)*10*time.Second + time.Duration(i)*50*ms}
+			e.Parts[NodeService] = d
+			k.Handle(e.Ended, Batch{Entries: []Entry{e}})
+		}
+	}
+	w, _ := k.Aggregator().Over(k.now, 4*time.Minute)
+	d, ok := w.Distribution("heavy")
+	if len(w.Distributions) > 2 || !ok || d.Whole.Count() < 8 {
+		t.Fatalf("%d distributions, heavy %v: %+v", len(w.Distributions), ok, d.Whole)
+	}
+}
--- a/attribution/document.go
+++ b/attribution/document.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Version is that of the documents and records that tell of accounts.
+// Version is the version of Document and of the records in the attribution log.
 const Version = 1
 
-// Run is one life of a gateway. Times in its accounts count from Started by a clock
-// that never goes back; steps of the wall clock do not move them.
+// Run is one run of a gateway process. Times in its attribution count from Started by a
+// monotonic clock; steps of the wall clock do not move them.
 type Run struct {
 	ID      string    `json:"id"`
 	Gateway string    `json:"gateway"`
-	Started time.Time `json:"started"` // by the wall clock at the start
+	Started time.Time `json:"started"` // wall clock at the start
 }
 
-// At returns a time of the run as the wall clock at its start counts it.
+// At returns the wall-clock time of a moment of the run, by the wall clock at its start.
 func (r Run) At(t time.Duration) time.Time { return r.Started.Add(t) }
 
-// Document is what a gateway tells of its accounts.
+// Document is what a gateway's admin address returns.
 type Document struct {
 	Version int           `json:"version"`
 	Run     Run           `json:"run"`
--- a/attribution/occupancy.go
+++ b/attribution/occupancy.go
@@ -1,115 +1,49 @@
 package attribution
 
 import (
-	"cmp"
 	"slices"
 	"time"
 )
 
-// Occupancy follows who has requests out at one node, so that the time of a request
-// that was held can be put down to those whose requests took the places. While it
-// is held, each moment belongs to the volumes that are out, by their units.
+// Occupancy records which volumes have requests in flight at one node, so that the time of a
+// queued request can be attributed to them: each moment belongs to the volumes in flight, in
+// proportion to their units.
 //
-// History is kept in stretches that grow coarser with their age, a bounded number
-// of them: within a stretch only the sums are known, so the two ends of a wait are
-// divided as their whole stretches are. A stretch is at least a quantum long, and
-// in each older level merged times as long.
+// The history is a bounded number of intervals that grow coarser with age. Within an interval
+// only sums are known, so the two ends of a wait are divided as the whole of their intervals.
+// An interval is at least a quantum long, and mergeFactor times as long in each older level.
 type Occupancy struct {
-	quantum time.Duration
-	inFlight     []InFlightUnits // by volume
-	accruedTo   []float64       // of the clock, up to which each of out is accounted for
-	virtualTime   float64         // seconds for each unit out: what a unit has been put down to
-	totalUnits   float64
-	updatedAt   time.Duration // accounted for in now up to here
+	quantum     time.Duration
+	inFlight    []InFlightUnits // sorted by volume
+	accruedTo   []float64       // for each of inFlight: virtual time up to which it is accrued
+	virtualTime float64         // seconds attributed to each unit in flight
+	totalUnits  float64         // sum over inFlight
+	updatedAt   time.Duration
 	current     interval
-	history    [historyLevels][]interval // the oldest first in each
+	history     [historyLevels][]interval // oldest first in each level
 }
 
 const (
-	historyLevels   = 3
+	historyLevels     = 3
 	intervalsPerLevel = 256
-	mergeFactor   = 8 // stretches of one level in one of the next
+	mergeFactor       = 8 // intervals of one level that become one of the next
 )
 
-// interval is how a time divides: seconds by volume, and time when nothing was out.
+// minUnits is the least that a request counts for: one of no units occupies the node too.
+const minUnits = 1e-3
+
+// interval is how a time span divides among volumes.
 type interval struct {
 	from, to time.Duration
-	busy     []InFlightUnits // Units are seconds here; by volume
-	idle     time.Duration
+	busy     []InFlightUnits // Units are seconds here; sorted by volume
+	idle     time.Duration   // nothing in flight
 }
 
-func addUnits(to []InFlightUnits, volume string, units float64) []InFlightUnits {
-	i, found := slices.BinarySearchFunc(to, volume, compareVolume)
-	if !found {
-		to = slices.Insert(to, i, InFlightUnits{Volume: volume})
-	}
-	to[i].Units += units
-	return to
-}
-
-// NewOccupancy returns the view of a node where nothing is out.
+// NewOccupancy returns the occupancy of an idle node.
 func NewOccupancy(quantum time.Duration) *Occupancy { return &Occupancy{quantum: quantum} }
 
-// advance lets the time up to now pass. A volume's part of it is reckoned when its
-// units change or the stretch ends, from how far the clock has gone.
-func (o *Occupancy) advance(now time.Duration) {
-	d := now - o.updatedAt
-	if d <= 0 {
-		return
-	}
-	if len(o.inFlight) == 0 {
-		o.current.idle += d
-	} else {
-		o.virtualTime += d.Seconds() / o.totalUnits
-	}
-	o.updatedAt, o.current.to = now, now
-	if now-o.current.from < o.quantum {
-		return
-	}
-	o.accrueAll()
-	o.archive(0, o.current)
-	o.current = interval{from: now, to: now}
-}
-
-// accrue accounts for a volume's part up to now.
-func (o *Occupancy) accrue(i int) {
-	if d := o.virtualTime - o.accruedTo[i]; d > 0 {
-		o.current.busy = addUnits(o.current.busy, o.inFlight[i].Volume, d*o.inFlight[i].Units)
-	}
-	o.accruedTo[i] = o.virtualTime
-}
-
-func (o *Occupancy) accrueAll() {
-	for i := range o.inFlight {
-		o.accrue(i)
-	}
-}
-
-// archive puts a stretch into a level's history. A full level gives its oldest as one
-// to the next; the last forgets them.
-func (o *Occupancy) archive(level int, s interval) {
-	if level == historyLevels {
-		return
-	}
-	h := o.history[level]
-	if len(h) == intervalsPerLevel {
-		sum := interval{from: h[0].from, to: h[mergeFactor-1].to}
-		for _, x := range h[:mergeFactor] {
-			sum.idle += x.idle
-			for _, y := range x.busy {
-				sum.busy = addUnits(sum.busy, y.Volume, y.Units)
-			}
-		}
-		n := copy(h, h[mergeFactor:])
-		clear(h[n:])
-		h = h[:n]
-		o.archive(level+1, sum)
-	}
-	o.history[level] = append(h, s)
-}
-
-// Sent notes that a request of a volume is out from now on. It returns what was
-// out before it.
+// Sent records that a request of a volume is in flight from now on. It returns what was in
+// flight before it.
 func (o *Occupancy) Sent(now time.Duration, volume string, units float64) []InFlightUnits {
 	o.advance(now)
 	ahead := slices.Clone(o.inFlight)
@@ -127,10 +61,7 @@
 	return ahead
 }
 
-// minUnits is what a request counts at least: one without units takes a place too.
-const minUnits = 1e-3
-
-// Ended notes that it is out no more.
+// Ended records that a request is no longer in flight.
 func (o *Occupancy) Ended(now time.Duration, volume string, units float64) {
 	o.advance(now)
 	units = max(units, minUnits)
@@ -140,78 +71,107 @@
 	}
 	o.accrue(i)
 	o.inFlight[i].Units -= units
+	o.inFlight[i].count--
 	o.totalUnits -= units
-	if o.inFlight[i].count--; o.inFlight[i].count == 0 {
-		o.inFlight, o.accruedTo = slices.Delete(o.inFlight, i, i+1), slices.Delete(o.accruedTo, i, i+1)
+	if o.inFlight[i].count == 0 {
+		o.inFlight = slices.Delete(o.inFlight, i, i+1)
+		o.accruedTo = slices.Delete(o.accruedTo, i, i+1)
 	}
-	if len(o.inFlight) == 0 {
-		o.totalUnits, o.virtualTime = 0, 0 // rounding must not add up
+	if len(o.inFlight) == 0 { // rounding errors must not accumulate
+		o.totalUnits = 0
+		o.virtualTime = 0
 	}
 }
 
-// Contribution is a part of a wait and the volume it is put down to; "" where nothing was
-// out, or where it lies before what is still known.
-type Contribution struct {
-	Volume string        `json:"volume"`
-	Time   time.Duration `json:"ns"`
-}
-
-// Between divides the time from one moment to another among those who were out,
-// the volumes in order. The parts sum to the whole exactly.
+// Between divides the time from one moment to another among the volumes that were in flight,
+// sorted by volume. The parts sum to to-from exactly.
 func (o *Occupancy) Between(from, to time.Duration) []Contribution {
 	o.advance(to)
 	if to <= from {
 		return nil
 	}
 	o.accrueAll()
-	var sum []InFlightUnits // units as seconds here
+	var seconds []InFlightUnits // Units are seconds here
 	var nobody, known time.Duration
-	// take adds what a stretch has of the wait, and tells whether an older one may
-	// have more.
-	take := func(s *interval) bool {
-		d := min(s.to, to) - max(s.from, from)
+	// add adds the share that an interval has of the wait and reports whether an older one
+	// may have more.
+	add := func(v *interval) bool {
+		d := min(v.to, to) - max(v.from, from)
 		if d > 0 {
 			known += d
-			f := d.Seconds() / (s.to - s.from).Seconds()
-			nobody += time.Duration(f * float64(s.idle))
-			for _, x := range s.busy {
-				sum = addUnits(sum, x.Volume, f*x.Units)
+			f := d.Seconds() / (v.to - v.from).Seconds()
+			nobody += time.Duration(f * float64(v.idle))
+			for _, b := range v.busy {
+				seconds = addUnits(seconds, b.Volume, f*b.Units)
 			}
 		}
-		return s.from > from
+		return v.from > from
 	}
-	more := o.current.to == o.current.from || take(&o.current)
+	more := o.current.to == o.current.from || add(&o.current)
 	for level := 0; level < historyLevels && more; level++ {
 		h := o.history[level]
 		for i := len(h) - 1; i >= 0 && more; i-- {
-			more = take(&h[i])
+			more = add(&h[i])
 		}
 	}
-	return apportion(sum, nobody+to-from-known, to-from)
+	return apportion(seconds, nobody+to-from-known, to-from)
 }
 
-// apportion turns shares of seconds into whole times that sum to all: what rounding
-// leaves goes to the largest.
-func apportion(sum []InFlightUnits, nobody, all time.Duration) []Contribution {
-	out := make([]Contribution, 0, len(sum)+1)
-	if nobody > 0 {
-		out = append(out, Contribution{"", nobody})
+// advance accounts for the time up to now. A volume's share of it is accrued when its units
+// change or the interval ends, from how far the virtual time has gone.
+func (o *Occupancy) advance(now time.Duration) {
+	d := now - o.updatedAt
+	if d <= 0 {
+		return
 	}
-	rest := all - nobody
-	big := -1
-	for _, s := range sum {
-		d := min(time.Duration(s.Units*float64(time.Second)), rest)
-		rest -= d
-		out = append(out, Contribution{s.Volume, d})
-		if big < 0 || d > out[big].Time {
-			big = len(out) - 1
-		}
+	if len(o.inFlight) == 0 {
+		o.current.idle += d
+	} else {
+		o.virtualTime += d.Seconds() / o.totalUnits
 	}
-	if rest > 0 && big >= 0 {
-		out[big].Time += rest
-	} else if rest > 0 {
-		out = append(out, Contribution{"", rest})
+	o.updatedAt = now
+	o.current.to = now
+	if now-o.current.from < o.quantum {
+		return
+	}
+	o.accrueAll()
+	o.archive(0, o.current)
+	o.current = interval{from: now, to: now}
+}
+
+// accrue adds the i-th volume's time since it was last accrued to the current interval.
+func (o *Occupancy) accrue(i int) {
+	if d := o.virtualTime - o.accruedTo[i]; d > 0 {
+		o.current.busy = addUnits(o.current.busy, o.inFlight[i].Volume, d*o.inFlight[i].Units)
+	}
+	o.accruedTo[i] = o.virtualTime
+}
+
+func (o *Occupancy) accrueAll() {
+	for i := range o.inFlight {
+		o.accrue(i)
+	}
+}
+
+// archive appends an interval to a level of the history. A full level passes its oldest
+// intervals to the next, merged into one; the last level drops them.
+func (o *Occupancy) archive(level int, v interval) {
+	if level == historyLevels {
+		return
+	}
+	h := o.history[level]
+	if len(h) == intervalsPerLevel {
+		sum := interval{from: h[0].from, to: h[mergeFactor-1].to}
+		for _, x := range h[:mergeFactor] {
+			sum.idle += x.idle
+			for _, b := range x.busy {
+				sum.busy = addUnits(sum.busy, b.Volume, b.Units)
+			}
+		}
+		n := copy(h, h[mergeFactor:])
+		clear(h[n:])
+		h = h[:n]
+		o.archive(level+1, sum)
 	}
-	slices.SortFunc(out, func(a, b Contribution) int { return cmp.Compare(a.Volume, b.Volume) })
-	return out
+	o.history[level] = append(h, v)
 }
