--- a/attribution/clientspan_test.go
+++ b/attribution/clientspan_test.go
@@ -1,39 +1,46 @@
 package attribution
 
 import (
-	"fmt"
+	"strconv"
 	"testing"
 	"time"
 
 	"pgregory.net/rapid"
 )
 
-// A journey's causes sum to its time, whatever requests to nodes it took: one after
-// the other, at a time, or none.
-func TestJourneySumsExactly(t *testing.T) {
+// drawEntry draws a request to a node that ended now and started after start.
+func drawEntry(t *rapid.T, call uint64, start, now time.Duration) Entry {
+	t.Helper()
+	e := Entry{Started: max(start, now-time.Duration(rapid.Int64Range(0, 3e6).Draw(t, "long"))), Ended: now}
+	left := e.Ended - e.Started
+	for left > 0 {
+		d := time.Duration(rapid.Int64Range(1, int64(left)).Draw(t, "part"))
+		e.Parts[drawComponent(t, "component")] += d
+		left -= d
+	}
+	if d := e.Parts[QueuedBehindOthers]; d > 0 {
+		e.Behind = []Contribution{{"a", d / 2}, {"b", d - d/2}}
+	}
+	e.Unreported = []Unreported{{Call: call, Unknown: e.Parts[NodeUnknown]}}
+	return e
+}
+
+// The parts of a client span sum to its duration, whatever requests to nodes it took: one after
+// the other, concurrent, or none.
+func TestClientSpanSumsExactly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(rapid.Int64Range(0, 1e9).Draw(t, "start"))
 		start := now
-		j := StartClientSpan(now, Gateway)
+		s := StartClientSpan(now, Gateway)
 		n := rapid.IntRange(0, 6).Draw(t, "calls")
 		for i := range n {
 			now += time.Duration(rapid.Int64Range(0, 1e6).Draw(t, "later"))
-			j.Enter(now, []Component{Gateway, RequestBody}[i%2])
-			e := Entry{Started: max(start, now-time.Duration(rapid.Int64Range(0, 3e6).Draw(t, "long"))), Ended: now}
-			left := e.Ended - e.Started
-			for left > 0 {
-				d := time.Duration(rapid.Int64Range(1, int64(left)).Draw(t, "part"))
-				e.Parts[rapid.IntRange(0, Components-1).Draw(t, "cause")] += d
-				left -= d
-			}
-			if d := e.Parts[QueuedBehindOthers]; d > 0 {
-				e.Behind = []Contribution{{"a", d / 2}, {"b", d - d/2}}
-			}
-			e.Unreported = []Unreported{{Call: uint64(i), Unknown: e.Parts[NodeUnknown]}}
-			j.Include(&e)
+			s.Enter(now, []Component{Gateway, RequestBody}[i%2])
+			e := drawEntry(t, uint64(i), start, now)
+			s.Include(&e)
 		}
 		now += time.Duration(rapid.Int64Range(0, 1e6).Draw(t, "tail"))
-		e := j.End(now, "v", Completed)
+		e := s.End(now, "v", Completed)
 		var behind, unknown time.Duration
 		for _, b := range e.Behind {
 			behind += b.Time
@@ -45,13 +52,10 @@
 			t.Fatalf("%v of %v: %v", e.Parts.Total(), now-start, e.Parts)
 		}
 		if behind > e.Parts[QueuedBehindOthers] || unknown > e.Parts[NodeUnknown] {
-			t.Fatalf("behind %v of %v, untold %v of %v", behind, e.Parts[QueuedBehindOthers], unknown, e.Parts[NodeUnknown])
-		}
-		for c, d := range e.Parts {
-			if d < 0 {
-				t.Fatalf("%v: %v", Component(c), d)
-			}
+			t.Fatalf("behind %v of %v, unreported %v of %v",
+				behind, e.Parts[QueuedBehindOthers], unknown, e.Parts[NodeUnknown])
 		}
+		requireNoNegativePart(t, e.Parts)
 	})
 }
 
@@ -59,7 +63,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var ahead []InFlightUnits
 		for i := range rapid.IntRange(0, 8).Draw(t, "n") {
-			ahead = append(ahead, InFlightUnits{Volume: fmt.Sprint(i), Units: rapid.Float64Range(1e-3, 1e3).Draw(t, "units")})
+			units := rapid.Float64Range(1e-3, 1e3).Draw(t, "units")
+			ahead = append(ahead, InFlightUnits{Volume: strconv.Itoa(i), Units: units})
 		}
 		d := time.Duration(rapid.Int64Range(0, 1e12).Draw(t, "wait"))
 		var sum time.Duration
--- a/attribution/component.go
+++ b/attribution/component.go
@@ -34,8 +34,24 @@
 
 // componentNames are the names in logs, reports and JSON, which are a stable interface.
 var componentNames = [Components]string{
-	"gateway", "body_in", "held_untold", "behind_others", "behind_own", "limit", "cold_node", "suspect_node", "turn", "pause",
-	"lost_attempts", "connect", "node_queue", "node_work", "node_unknown", "body_out", "slow_client", "loop",
+	Gateway:            "gateway",
+	RequestBody:        "body_in",
+	QueuedUnknown:      "held_untold",
+	QueuedBehindOthers: "behind_others",
+	QueuedBehindOwn:    "behind_own",
+	RateLimited:        "limit",
+	SlowStart:          "cold_node",
+	Ejected:            "suspect_node",
+	KeyOrder:           "turn",
+	RetryBackoff:       "pause",
+	FailedAttempts:     "lost_attempts",
+	Dialing:            "connect",
+	NodeQueue:          "node_queue",
+	NodeService:        "node_work",
+	NodeUnknown:        "node_unknown",
+	ResponseBody:       "body_out",
+	SlowClient:         "slow_client",
+	EventLoop:          "loop",
 }
 
 // String returns the component's name in reports.
--- a/attribution/distribution_test.go
+++ b/attribution/distribution_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// A percentile is as far off as is told, beside a plain sorted list, zeros included,
-// over slots that were closed, packed and merged.
-func TestPercentilesBesideASortedList(t *testing.T) {
+// A percentile is at most PercentileError off beside a plain sorted list, zeros included, over
+// slots that were closed, packed and merged.
+func TestPercentilesAgainstSortedList(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	k := keeper(t, nil)
+	c := newTestCollector(t, nil)
 	var all, others []time.Duration
 	for i := range 5000 {
 		e := Entry{Volume: "v", Ended: time.Duration(i) * 5 * ms}
@@ -21,10 +21,11 @@
 		if rng.IntN(3) == 0 {
 			e.Parts[QueuedBehindOthers] = time.Duration(rng.IntN(1_000_000)) * time.Microsecond
 		}
-		all, others = append(all, e.Parts.Total()), append(others, e.Parts[QueuedBehindOthers])
-		k.Handle(e.Ended, Batch{Entries: []Entry{e}})
+		all = append(all, e.Parts.Total())
+		others = append(others, e.Parts[QueuedBehindOthers])
+		c.Handle(e.Ended, Batch{Entries: []Entry{e}})
 	}
-	w, _ := k.Aggregator().Over(k.now, 4*time.Minute)
+	w, _ := c.Aggregator().Over(c.now, 4*time.Minute)
 	d, ok := w.Distribution("v")
 	if !ok {
 		t.Fatal("no distributions")
@@ -33,21 +34,27 @@
 	slices.Sort(others)
 	for _, s := range []float64{0.1, 0.5, 0.66, 0.7, 0.9, 0.99, 0.999} {
 		for _, x := range []struct {
+			name   string
 			got    time.Duration
 			sorted []time.Duration
-		}{{d.Percentile(s), all}, {d.ComponentPercentile(QueuedBehindOthers, s), others}} {
+		}{
+			{"whole", d.Percentile(s), all},
+			{"behind others", d.ComponentPercentile(QueuedBehindOthers, s), others},
+		} {
 			at := int(s * float64(len(x.sorted)))
 			lo, hi := x.sorted[max(at-2, 0)], x.sorted[min(at+2, len(x.sorted)-1)]
-			if x.got.Seconds() < lo.Seconds()*(1-PercentileError)-2e-6 || x.got.Seconds() > hi.Seconds()*(1+PercentileError)+2e-6 {
-				t.Errorf("%g: %v, the list says %v to %v", s, x.got, lo, hi)
+			least := lo.Seconds()*(1-PercentileError) - 2e-6
+			most := hi.Seconds()*(1+PercentileError) + 2e-6
+			if x.got.Seconds() < least || x.got.Seconds() > most {
+				t.Errorf("%s, %g: %v, the list says %v to %v", x.name, s, x.got, lo, hi)
 			}
 		}
 	}
 }
 
-// Places for distributions go to the heavy volumes, whoever came first.
-func TestDistributionsAreOfTheHeaviest(t *testing.T) {
-	k := keeper(t, func(c *CollectorConfig) { c.Distributions = 2 })
+// Distributions are reserved for the heavy volumes, whichever came first.
+func TestDistributionsOfTheHeaviest(t *testing.T) {
+	c := newTestCollector(t, func(cfg *CollectorConfig) { cfg.Distributions = 2 })
 	for slot := range 3 {
 		for i := range 40 {
 			v, d := fmt.Sprint("light", i%20), ms
@@ -56,10 +63,10 @@
 			}
 			e := Entry{Volume: v, Ended: time.Duration(slot)*10*time.Second + time.Duration(i)*50*ms}
 			e.Parts[NodeService] = d
-			k.Handle(e.Ended, Batch{Entries: []Entry{e}})
+			c.Handle(e.Ended, Batch{Entries: []Entry{e}})
 		}
 	}
-	w, _ := k.Aggregator().Over(k.now, 4*time.Minute)
+	w, _ := c.Aggregator().Over(c.now, 4*time.Minute)
 	d, ok := w.Distribution("heavy")
 	if len(w.Distributions) > 2 || !ok || d.Whole.Count() < 8 {
 		t.Fatalf("%d distributions, heavy %v: %+v", len(w.Distributions), ok, d.Whole)
--- a/attribution/occupancy_test.go
+++ b/attribution/occupancy_test.go
@@ -3,78 +3,102 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"strconv"
 	"testing"
 	"time"
 )
 
-// A wait is divided as a plain count of every millisecond divides it, and sums exactly.
-func TestOccupancyBesideAPlainCount(t *testing.T) {
-	for seed := range uint64(100) {
-		rng := rand.New(rand.NewPCG(seed, 4))
-		o := NewOccupancy(0)
-		type req struct {
-			v        string
-			u        float64
-			from, to int
-		}
-		const end = 300
-		var reqs []req
-		for range 1 + rng.IntN(60) {
-			a := rng.IntN(end - 1)
-			reqs = append(reqs, req{fmt.Sprint("v", rng.IntN(5)), float64(1 + rng.IntN(8)), a, a + 1 + rng.IntN(end-a)})
-		}
-		for at := range end {
-			for _, r := range reqs {
-				if r.to == at {
-					o.Ended(time.Duration(at)*ms, r.v, r.u)
-				}
-			}
-			for _, r := range reqs {
-				if r.from == at {
-					o.Sent(time.Duration(at)*ms, r.v, r.u)
-				}
+// occupant is a request that is in flight in the milliseconds from <= t < to.
+type occupant struct {
+	volume   string
+	units    float64
+	from, to int
+}
+
+// play records the requests of the milliseconds below end, ends before starts.
+func play(o *Occupancy, reqs []occupant, end int) {
+	for at := range end {
+		for _, r := range reqs {
+			if r.to == at {
+				o.Ended(time.Duration(at)*ms, r.volume, r.units)
 			}
 		}
-		a := rng.IntN(end)
-		z := a + rng.IntN(end-a)
-		want := map[string]float64{}
-		for at := a; at < z; at++ {
-			units := 0.0
-			for _, r := range reqs {
-				if r.from <= at && at < r.to {
-					units += r.u
-				}
-			}
-			if units == 0 {
-				want[""]++
-			}
-			for _, r := range reqs {
-				if r.from <= at && at < r.to {
-					want[r.v] += r.u / units
-				}
+		for _, r := range reqs {
+			if r.from == at {
+				o.Sent(time.Duration(at)*ms, r.volume, r.units)
 			}
 		}
-		var sum time.Duration
-		got := map[string]float64{}
-		for _, b := range o.Between(time.Duration(a)*ms, time.Duration(z)*ms) {
-			sum += b.Time
-			got[b.Volume] += float64(b.Time) / float64(ms)
+	}
+}
+
+// countMillisecond adds one millisecond to the volumes in flight at it, by their units.
+func countMillisecond(counted map[string]float64, reqs []occupant, at int) {
+	units := 0.0
+	for _, r := range reqs {
+		if r.from <= at && at < r.to {
+			units += r.units
 		}
-		if sum != time.Duration(z-a)*ms {
-			t.Fatalf("seed %d: parts sum to %v of %v", seed, sum, time.Duration(z-a)*ms)
+	}
+	if units == 0 {
+		counted[""]++
+	}
+	for _, r := range reqs {
+		if r.from <= at && at < r.to {
+			counted[r.volume] += r.units / units
 		}
-		for v, w := range want {
-			if d := got[v] - w; d > 0.01 || d < -0.01 {
-				t.Fatalf("seed %d: %q has %.3f ms, the count says %.3f", seed, v, got[v], w)
+	}
+}
+
+// A wait is divided as a plain count of every millisecond divides it, and sums exactly.
+func TestOccupancyAgainstPlainCount(t *testing.T) {
+	const end = 300 // ms
+	for seed := range uint64(100) {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			rng := rand.New(rand.NewPCG(seed, 4))
+			o := NewOccupancy(0)
+			var reqs []occupant
+			for range 1 + rng.IntN(60) {
+				from := rng.IntN(end - 1)
+				reqs = append(reqs, occupant{
+					volume: fmt.Sprint("v", rng.IntN(5)),
+					units:  float64(1 + rng.IntN(8)),
+					from:   from,
+					to:     from + 1 + rng.IntN(end-from),
+				})
 			}
+			play(o, reqs, end)
+			from := rng.IntN(end)
+			checkBetween(t, o, reqs, from, from+rng.IntN(end-from))
+		})
+	}
+}
+
+// checkBetween compares the division of a wait, in milliseconds, with a plain count.
+func checkBetween(t *testing.T, o *Occupancy, reqs []occupant, from, to int) {
+	t.Helper()
+	want := map[string]float64{}
+	for at := from; at < to; at++ {
+		countMillisecond(want, reqs, at)
+	}
+	var sum time.Duration
+	got := map[string]float64{}
+	for _, b := range o.Between(time.Duration(from)*ms, time.Duration(to)*ms) {
+		sum += b.Time
+		got[b.Volume] += float64(b.Time) / float64(ms)
+	}
+	if sum != time.Duration(to-from)*ms {
+		t.Fatalf("parts sum to %v of %v", sum, time.Duration(to-from)*ms)
+	}
+	for v, w := range want {
+		if d := got[v] - w; d > 0.01 || d < -0.01 {
+			t.Fatalf("%q has %.3f ms, the plain count %.3f", v, got[v], w)
 		}
 	}
 }
 
-// History is bounded and grows coarser: over a long time volumes have what they
-// had, within the coarsest stretch; what lies before is put down to nobody, never
-// guessed.
-func TestOccupancyForgets(t *testing.T) {
+// The history is bounded and grows coarser: over a long time volumes have what they had, within
+// the coarsest interval; what lies before it belongs to no volume.
+func TestOccupancyHistoryIsBounded(t *testing.T) {
 	o := NewOccupancy(ms)
 	const n = 200_000
 	for i := range n {
@@ -87,7 +111,7 @@
 		kept += len(h)
 	}
 	if kept > historyLevels*intervalsPerLevel {
-		t.Fatalf("%d stretches", kept)
+		t.Fatalf("%d intervals", kept)
 	}
 	parts := func(from, to time.Duration) map[string]time.Duration {
 		m := map[string]time.Duration{}
@@ -110,11 +134,11 @@
 	}
 }
 
-// BenchmarkOccupancy tells of a request that is sent and ends while so many volumes
-// are out, beside a history of every change.
+// BenchmarkOccupancy measures a request that is sent and ends while so many volumes have
+// requests in flight.
 func BenchmarkOccupancy(b *testing.B) {
 	for _, n := range []int{1, 8, 32} {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
+		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			o := NewOccupancy(8 * ms)
 			for i := range n {
 				o.Sent(0, fmt.Sprint("v", i), 1)
--- a/attribution/outcome.go
+++ b/attribution/outcome.go
@@ -17,7 +17,13 @@
 const Outcomes = int(outcomeCount)
 
 // outcomeNames are the names in reports, which are a stable interface.
-var outcomeNames = [Outcomes]string{"answered", "refused", "failed", "cut", "left"}
+var outcomeNames = [Outcomes]string{
+	Completed: "answered",
+	Rejected:  "refused",
+	Failed:    "failed",
+	Aborted:   "cut",
+	Canceled:  "left",
+}
 
 // String returns the outcome's name in reports.
 func (o Outcome) String() string { return outcomeNames[o] }
--- a/attribution/sketch_test.go
+++ b/attribution/sketch_test.go
@@ -8,48 +8,56 @@
 	"testing"
 )
 
-// The sketch keeps its word beside a plain map, for streams of many shapes.
+// The sketch's bounds hold beside a plain map, for streams of many shapes.
 func TestSketchBounds(t *testing.T) {
 	for seed := range uint64(60) {
-		rng := rand.New(rand.NewPCG(seed, 3))
-		k := 1 + rng.IntN(40)
-		zipf := rand.NewZipf(rng, 1.01+rng.Float64(), 1, uint64(1+rng.IntN(2000)))
-		parts := 1 + rng.IntN(4)
-		truth := map[int]int64{}
-		whole := NewSketch[int](k)
-		for range parts { // merged from several, as windows are
-			s := NewSketch[int](k)
-			for range rng.IntN(3000) {
-				key, w := int(zipf.Uint64()), 1+rng.Int64N(1000)
-				truth[key] += w
-				s.Add(key, w)
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			rng := rand.New(rand.NewPCG(seed, 3))
+			k := 1 + rng.IntN(40)
+			zipf := rand.NewZipf(rng, 1.01+rng.Float64(), 1, uint64(1+rng.IntN(2000)))
+			parts := 1 + rng.IntN(4)
+			truth := map[int]int64{}
+			whole := NewSketch[int](k)
+			for range parts { // merged from several, as windows are
+				s := NewSketch[int](k)
+				for range rng.IntN(3000) {
+					key, weight := int(zipf.Uint64()), 1+rng.Int64N(1000)
+					truth[key] += weight
+					s.Add(key, weight)
+				}
+				whole.Merge(s)
 			}
-			whole.Merge(s)
-		}
-		var total int64
-		for _, w := range truth {
-			total += w
-		}
-		if whole.Total() != total || whole.Len() > k {
-			t.Fatalf("seed %d: total %d of %d, %d keys", seed, whole.Total(), total, whole.Len())
+			checkSketch(t, whole, truth, k)
+		})
+	}
+}
+
+// checkSketch compares a sketch with a capacity of k keys with the true weights.
+func checkSketch(t *testing.T, s *Sketch[int], truth map[int]int64, k int) {
+	t.Helper()
+	var total int64
+	for _, weight := range truth {
+		total += weight
+	}
+	if s.Total() != total || s.Len() > k {
+		t.Fatalf("total %d of %d, %d keys", s.Total(), total, s.Len())
+	}
+	for key, weight := range truth {
+		item := s.Get(key)
+		if item.Count < weight || item.Count-item.Error > weight {
+			t.Fatalf("key %d: %d with error %d, truth %d", key, item.Count, item.Error, weight)
 		}
-		for key, w := range truth {
-			it := whole.Get(key)
-			if it.Count < w || it.Count-it.Error > w {
-				t.Fatalf("seed %d: key %d: %d with error %d, truth %d", seed, key, it.Count, it.Error, w)
-			}
-			if it.Error > total/int64(k) {
-				t.Fatalf("seed %d: error %d above %d/%d", seed, it.Error, total, k)
-			}
-			if w > total/int64(k) && whole.counters[key] == nil {
-				t.Fatalf("seed %d: a key with %d of %d is not among %d", seed, w, total, k)
-			}
+		if item.Error > total/int64(k) {
+			t.Fatalf("error %d above %d/%d", item.Error, total, k)
 		}
-		top := whole.Top(k)
-		if !slices.IsSortedFunc(top, func(a, b Item[int]) int { return cmp.Compare(b.Count, a.Count) }) {
-			t.Fatal("top is not in order")
+		if weight > total/int64(k) && s.counters[key] == nil {
+			t.Fatalf("a key with %d of %d is not among %d", weight, total, k)
 		}
 	}
+	top := s.Top(k)
+	if !slices.IsSortedFunc(top, func(a, b Item[int]) int { return cmp.Compare(b.Count, a.Count) }) {
+		t.Fatal("Top is not sorted")
+	}
 }
 
 // BenchmarkPairs compares the sketch with a plain map over 100,000 volumes.
@@ -57,10 +65,7 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	zipf := rand.NewZipf(rng, 1.2, 1, 99_999)
 	stream := make([]Pair, 1<<20)
-	names := make([]string, 100_000)
-	for i := range names {
-		names[i] = fmt.Sprint("volume-", i)
-	}
+	names := volumeNames(100_000)
 	for i := range stream {
 		stream[i] = Pair{names[zipf.Uint64()], names[zipf.Uint64()]}
 	}
@@ -81,3 +86,11 @@
 		b.ReportMetric(float64(len(m)), "keys")
 	})
 }
+
+func volumeNames(n int) []string {
+	names := make([]string, n)
+	for i := range names {
+		names[i] = fmt.Sprint("volume-", i)
+	}
+	return names
+}
--- a/attribution/span_test.go
+++ b/attribution/span_test.go
@@ -9,7 +9,21 @@
 
 const ms = time.Millisecond
 
-// Whatever the schedule, the parts of a span sum to its time.
+func drawComponent(t *rapid.T, label string) Component {
+	t.Helper()
+	return Component(rapid.IntRange(0, Components-1).Draw(t, label))
+}
+
+func requireNoNegativePart(t *rapid.T, parts Breakdown) {
+	t.Helper()
+	for c, d := range parts {
+		if d < 0 {
+			t.Fatalf("%v: %v", Component(c), d)
+		}
+	}
+}
+
+// Whatever the schedule, the parts of a span sum to its duration.
 func TestSpanSumsExactly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(rapid.Int64Range(0, 1e12).Draw(t, "start"))
@@ -17,26 +31,23 @@
 		first, latest := now, now
 		for _, step := range rapid.SliceOf(rapid.Int64Range(-1e6, 1e9)).Draw(t, "steps") {
 			now += time.Duration(step) // clocks that go back change nothing
-			s.Enter(now, Component(rapid.IntRange(0, Components-1).Draw(t, "cause")))
+			s.Enter(now, drawComponent(t, "component"))
 			latest = max(latest, now)
-			s.Move(Component(rapid.IntRange(0, Components-1).Draw(t, "from")), Component(rapid.IntRange(0, Components-1).Draw(t, "to")), time.Duration(step))
+			from, to := drawComponent(t, "from"), drawComponent(t, "to")
+			s.Move(from, to, time.Duration(step))
 		}
 		if s.Parts.Total() != s.Elapsed() || s.Elapsed() != latest-first {
-			t.Fatalf("parts %v, took %v, time %v", s.Parts.Total(), s.Elapsed(), latest-first)
-		}
-		for c, d := range s.Parts {
-			if d < 0 {
-				t.Fatalf("%v: %v", Component(c), d)
-			}
+			t.Fatalf("parts %v, elapsed %v, want %v", s.Parts.Total(), s.Elapsed(), latest-first)
 		}
+		requireNoNegativePart(t, s.Parts)
 	})
 }
 
-func TestCausesHaveNames(t *testing.T) {
+func TestComponentNames(t *testing.T) {
 	seen := map[string]bool{}
 	for c := range Component(Components) {
-		back, ok := ParseComponent(c.String())
-		if !ok || back != c || seen[c.String()] {
+		parsed, ok := ParseComponent(c.String())
+		if !ok || parsed != c || seen[c.String()] {
 			t.Errorf("%d is %q", c, c)
 		}
 		seen[c.String()] = true
