--- a/internal/attributionlog/timeline.go
+++ b/internal/attributionlog/timeline.go
@@ -7,63 +7,67 @@
 	"time"
 )
 
-// Timeline is a log put in order: the slots of each run, with their corrections
-// applied.
+// Timeline is the contents of a log in order of time: the slots of each run, with their
+// corrections applied.
 type Timeline struct {
 	Slots []Slot
-	Notes []string // restarts, steps of the wall clock, what could not be placed
+	Notes []string // restarts, steps of the wall clock, corrections without a slot
 }
 
-// Slot is one slot at its time by the wall clock of its run's start.
+// Slot is one slot, at its time by the wall clock of its run's start.
 type Slot struct {
 	Run  attribution.Run
 	From time.Time
 	attribution.Window
 }
 
-// minReportedStep is how far the wall clock must have been set to be told of.
+// minReportedStep is the smallest step of the wall clock that gets a note.
 const minReportedStep = time.Second
 
 // NewTimeline orders records.
 func NewTimeline(recs []Record) Timeline {
 	var t Timeline
-	at := map[string]map[time.Duration]int{} // slots by run and start
-	steps := map[string]time.Duration{}
-	lost := 0
+	slotAt := map[string]map[time.Duration]int{} // index into t.Slots by run and start
+	steps := map[string]time.Duration{}          // by run, as last noted
+	unplaced := 0
 	for i := range recs {
 		r := &recs[i]
-		if at[r.Run.ID] == nil {
-			at[r.Run.ID] = map[time.Duration]int{}
-			if len(at) > 1 {
-				t.Notes = append(t.Notes, fmt.Sprintf("gateway %s was started anew at %s; what the life before had open is not in the log",
-					r.Run.Gateway, r.Run.Started.Format(time.RFC3339)))
+		if slotAt[r.Run.ID] == nil {
+			slotAt[r.Run.ID] = map[time.Duration]int{}
+			if len(slotAt) > 1 {
+				t.note("gateway %s was started anew at %s; what the life before had open is not in the log",
+					r.Run.Gateway, r.Run.Started.Format(time.RFC3339))
 			}
 		}
 		if d := r.ClockStep() - steps[r.Run.ID]; d >= minReportedStep || d <= -minReportedStep {
-			t.Notes = append(t.Notes, fmt.Sprintf("the wall clock was set by %v before %s; slots are shown by the clock at the gateway's start",
-				d.Round(time.Millisecond), r.Saved.Format(time.RFC3339)))
+			t.note("the wall clock was set by %v before %s; slots are shown by the clock at the gateway's start",
+				d.Round(time.Millisecond), r.Saved.Format(time.RFC3339))
 			steps[r.Run.ID] = r.ClockStep()
 		}
 		switch {
 		case r.Slot != nil:
-			at[r.Run.ID][r.Slot.From] = len(t.Slots)
-			t.Slots = append(t.Slots, Slot{r.Run, r.Run.At(r.Slot.From), *r.Slot})
+			slotAt[r.Run.ID][r.Slot.From] = len(t.Slots)
+			t.Slots = append(t.Slots, Slot{Run: r.Run, From: r.Run.At(r.Slot.From), Window: *r.Slot})
 		case r.Correction != nil:
-			if !t.applyCorrection(at[r.Run.ID], r.Correction) {
-				lost++
+			if !t.applyCorrection(slotAt[r.Run.ID], r.Correction) {
+				unplaced++
 			}
 		}
 	}
-	if lost > 0 {
-		t.Notes = append(t.Notes, fmt.Sprintf("%d late reports are of slots that are not in the log", lost))
+	if unplaced > 0 {
+		t.note("%d late reports are of slots that are not in the log", unplaced)
 	}
 	slices.SortStableFunc(t.Slots, func(a, b Slot) int { return a.From.Compare(b.From) })
 	return t
 }
 
-// applyCorrection applies a correction to its slot.
-func (t *Timeline) applyCorrection(slots map[time.Duration]int, c *attribution.Correction) bool {
-	for from, i := range slots {
+func (t *Timeline) note(format string, args ...any) {
+	t.Notes = append(t.Notes, fmt.Sprintf(format, args...))
+}
+
+// applyCorrection applies a correction to its slot and reports whether there is one.
+func (t *Timeline) applyCorrection(slotAt map[time.Duration]int, c *attribution.Correction) bool {
+	for from, i := range slotAt {
 		if w := &t.Slots[i].Window; from <= c.Ended && c.Ended < w.To {
 			*w = w.Apply(*c)
 			return true
@@ -72,7 +76,7 @@
 	return false
 }
 
-// Since returns the slots of the last span before the newest one's end.
+// Since returns the slots of the last span before the end of the newest.
 func (t *Timeline) Since(span time.Duration) []Slot {
 	if len(t.Slots) == 0 {
 		return nil
--- /dev/null
+++ b/internal/attributionlog/writer.go
@@ -0,0 +1,151 @@
+package attributionlog
+
+import (
+	"bytes"
+	"encoding/binary"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/klauspost/compress/zstd"
+)
+
+// Writer appends records to a log. It is not safe for concurrent use.
+type Writer struct {
+	path        string
+	maxFileSize int64 // bytes
+	maxFiles    int
+	file        *os.File
+	size        int64 // of file, in bytes
+	encoder     *zstd.Encoder
+	buf         []byte
+}
+
+// Open opens a log for appending. An incomplete record at its end, as a crash leaves it, is cut
+// off. A file has at most maxFileSize bytes, and there are at most maxFiles: path, path.1 (older)
+// and so on. A file that is not a log (ErrFormat) or has another version (*VersionError) is an
+// error and stays as it is.
+func Open(path string, maxFileSize int64, maxFiles int) (*Writer, error) {
+	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
+	if err != nil {
+		return nil, fmt.Errorf("attribution log: %w", err)
+	}
+	w := &Writer{path: path, maxFileSize: maxFileSize, maxFiles: max(maxFiles, 1), encoder: encoder}
+	if err := w.open(); err != nil {
+		return nil, errors.Join(err, encoder.Close())
+	}
+	return w, nil
+}
+
+func (w *Writer) open() error {
+	f, err := os.OpenFile(w.path, os.O_RDWR|os.O_CREATE, 0o644)
+	if err != nil {
+		return fmt.Errorf("attribution log: %w", err)
+	}
+	size, err := w.recover(f)
+	if err != nil {
+		_ = f.Close() // err says more
+		return err
+	}
+	w.file = f
+	w.size = size
+	return nil
+}
+
+// recover cuts off what follows the last whole record and returns the size. A file that ends
+// within its header is started anew.
+func (w *Writer) recover(f *os.File) (int64, error) {
+	info, err := f.Stat()
+	if err != nil {
+		return 0, fmt.Errorf("attribution log: %w", err)
+	}
+	head := header()
+	start := make([]byte, min(info.Size(), int64(len(head))))
+	if _, err := io.ReadFull(f, start); err != nil {
+		return 0, fmt.Errorf("attribution log: %w", err)
+	}
+	if len(start) < len(head) && bytes.HasPrefix(head, start) {
+		if err := errors.Join(f.Truncate(0), writeAt(f, head, 0)); err != nil {
+			return 0, fmt.Errorf("attribution log: %w", err)
+		}
+		return int64(len(head)), nil
+	}
+	if _, err := f.Seek(0, io.SeekStart); err != nil {
+		return 0, fmt.Errorf("attribution log: %w", err)
+	}
+	end, err := scan(f, info.Size(), func(Record) {})
+	var corruption *CorruptionError
+	if err != nil && !errors.As(err, &corruption) {
+		return 0, fmt.Errorf("attribution log %s: %w", w.path, err)
+	}
+	if err := f.Truncate(end); err != nil {
+		return 0, fmt.Errorf("attribution log: %w", err)
+	}
+	return end, nil
+}
+
+func writeAt(f *os.File, b []byte, at int64) error {
+	_, err := f.WriteAt(b, at)
+	return err
+}
+
+// Append writes a record with a single write call. It starts another file where this one is full.
+func (w *Writer) Append(r Record) error {
+	plain, err := json.Marshal(r)
+	if err != nil {
+		return fmt.Errorf("attribution log: %w", err)
+	}
+	w.buf = append(w.buf[:0], make([]byte, frameSize)...)
+	w.buf = w.encoder.EncodeAll(plain, w.buf)
+	body := w.buf[frameSize:]
+	binary.LittleEndian.PutUint32(w.buf, uint32(len(body)))
+	binary.LittleEndian.PutUint64(w.buf[lengthSize:], xxhash.Sum64(body))
+	if w.size > int64(len(header())) && w.size+int64(len(w.buf)) > w.maxFileSize {
+		if err := w.rotate(); err != nil {
+			return err
+		}
+	}
+	if err := writeAt(w.file, w.buf, w.size); err != nil {
+		return fmt.Errorf("attribution log: %w", err)
+	}
+	w.size += int64(len(w.buf))
+	return nil
+}
+
+// rotate starts another file and drops the oldest.
+func (w *Writer) rotate() error {
+	if err := w.file.Close(); err != nil {
+		return fmt.Errorf("attribution log: %w", err)
+	}
+	for i := w.maxFiles - 1; i >= 1; i-- {
+		err := os.Rename(fileName(w.path, i-1), fileName(w.path, i))
+		if err != nil && !errors.Is(err, os.ErrNotExist) {
+			return fmt.Errorf("attribution log: %w", err)
+		}
+	}
+	if w.maxFiles == 1 {
+		if err := os.Remove(w.path); err != nil {
+			return fmt.Errorf("attribution log: %w", err)
+		}
+	}
+	return w.open()
+}
+
+// fileName returns the name of the i-th file, the newest being 0.
+func fileName(path string, i int) string {
+	if i == 0 {
+		return path
+	}
+	return fmt.Sprintf("%s.%d", path, i)
+}
+
+// Close closes the log.
+func (w *Writer) Close() error {
+	if err := errors.Join(w.encoder.Close(), w.file.Close()); err != nil {
+		return fmt.Errorf("attribution log: %w", err)
+	}
+	return nil
+}
