--- a/internal/attributionlog/log_test.go
+++ b/internal/attributionlog/log_test.go
@@ -108,7 +108,8 @@
 		if n >= endOf(whole, 1) {
 			want = 1
 		}
-		if err != nil || len(corruption) != 1 || len(recs) != want || corruption[0].Offset != int64(endOf(whole, want)) {
+		if err != nil || len(recs) != want || len(corruption) != 1 ||
+			corruption[0].Offset != int64(endOf(whole, want)) {
 			t.Fatalf("byte %d: %d records, %v, %v", n, len(recs), corruption, err)
 		}
 	}
--- a/internal/attributionreport/html.go
+++ b/internal/attributionreport/html.go
@@ -12,12 +12,19 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// The sizes of the pictures, and how many volumes they show.
+// Sizes of the plots.
 const (
-	wide, high    = 26 * vg.Centimeter, 10 * vg.Centimeter
-	square        = 16 * vg.Centimeter
-	matrixVolumes = 12
-	reportVolumes = 6
+	wideWidth    = 26 * vg.Centimeter
+	wideHeight   = 10 * vg.Centimeter
+	squareWidth  = 16 * vg.Centimeter
+	squareHeight = squareWidth * 3 / 4
+)
+
+// Bounds of the report.
+const (
+	topVolumes    = 20 // in the table
+	matrixVolumes = 12 // as victims and as culprits
+	reportVolumes = 6  // with a section of their own
 )
 
 type section struct {
@@ -34,11 +41,12 @@
 	Sections []section
 }
 
-// HTML writes a report as one file that needs nothing else. volume, if it is not
-// empty, comes first; the heaviest volumes follow.
+// HTML writes a report as one self-contained file. If volume is not empty it comes first; the
+// heaviest volumes follow. It returns an *UnknownVolumeError for a volume without a summary of its
+// own.
 func HTML(out io.Writer, d *Data, volume string) error {
 	w := d.Sum()
-	pg := htmlPage{Title: "Latency accounts", Span: d.span(), Notes: d.Notes}
+	page := htmlPage{Title: "Latency accounts", Span: d.span(), Notes: d.Notes}
 	var volumes []string
 	if volume != "" {
 		if _, err := findVolume(&w, volume); err != nil {
@@ -46,55 +54,77 @@
 		}
 		volumes = append(volumes, volume)
 	}
-	for _, l := range w.Volumes {
-		if len(volumes) < reportVolumes && l.Volume != volume {
-			volumes = append(volumes, l.Volume)
+	for _, v := range w.Volumes {
+		if len(volumes) < reportVolumes && v.Volume != volume {
+			volumes = append(volumes, v.Volume)
 		}
 	}
 	var top bytes.Buffer
-	Top(&top, d, 20)
-	pg.Top = top.String()
+	Top(&top, d, topVolumes)
+	page.Top = top.String()
 	if len(d.Slots) > 0 {
-		if err := pg.pictures(d, &w, volumes); err != nil {
+		if err := page.addSections(d, &w, volumes); err != nil {
 			return fmt.Errorf("report: %w", err)
 		}
 	}
-	return pageTemplate.Execute(out, pg)
+	return pageTemplate.Execute(out, page)
 }
 
-func (pg *htmlPage) pictures(d *Data, w *attribution.Window, volumes []string) error {
-	add := func(title, text string, p *plot.Plot, err error, width, height vg.Length) error {
-		if err != nil || p == nil {
-			return err
-		}
-		png, err := draw(p, width, height, "png")
-		if err != nil {
-			return err
-		}
-		pg.Sections = append(pg.Sections, section{title, template.URL("data:image/png;base64," + base64.StdEncoding.EncodeToString(png)), text})
-		return nil
-	}
+// addSections adds the plots and the volumes.
+func (h *htmlPage) addSections(d *Data, w *attribution.Window, volumes []string) error {
 	p, err := Matrix(w, matrixVolumes)
-	text := fmt.Sprintf("All time behind others: %s. No pair that is not named has more than %s.", round(w.Behind), round(w.PairError))
-	if err := add("Who waited behind whom", text, p, err, square, square*3/4); err != nil {
+	if err != nil {
+		return err
+	}
+	text := fmt.Sprintf("All time behind others: %s. No pair that is not named has more than %s.",
+		round(w.Behind), round(w.PairError))
+	if err := h.add("Who waited behind whom", text, p, squareWidth, squareHeight); err != nil {
 		return err
 	}
 	p, err = Percentiles(w, volumes)
-	if err := add("Percentiles", fmt.Sprintf("Each at most %.0f %% off.", 100*attribution.PercentileError), p, err, square, square*3/4); err != nil {
+	if err != nil {
+		return err
+	}
+	text = fmt.Sprintf("Each at most %.0f %% off.", 100*attribution.PercentileError)
+	if err := h.add("Percentiles", text, p, squareWidth, squareHeight); err != nil {
 		return err
 	}
 	for _, v := range volumes {
-		var b bytes.Buffer
-		if err := Volume(&b, &Data{Slots: d.Slots}, v); err != nil {
-			return err
-		}
-		p, err := Stacked(d, v)
-		if err := add("Volume "+v, b.String(), p, err, wide, high); err != nil {
+		if err := h.addVolume(d, v); err != nil {
 			return err
 		}
 	}
 	p, err = Stacked(d, "")
-	return add("All volumes", "", p, err, wide, high)
+	if err != nil {
+		return err
+	}
+	return h.add("All volumes", "", p, wideWidth, wideHeight)
+}
+
+func (h *htmlPage) addVolume(d *Data, volume string) error {
+	var text bytes.Buffer
+	if err := Volume(&text, &Data{Slots: d.Slots}, volume); err != nil {
+		return err
+	}
+	p, err := Stacked(d, volume)
+	if err != nil {
+		return err
+	}
+	return h.add("Volume "+volume, text.String(), p, wideWidth, wideHeight)
+}
+
+// add adds a section with a plot, none for a plot of nil.
+func (h *htmlPage) add(title, text string, p *plot.Plot, width, height vg.Length) error {
+	if p == nil {
+		return nil
+	}
+	png, err := draw(p, width, height, "png")
+	if err != nil {
+		return err
+	}
+	image := template.URL("data:image/png;base64," + base64.StdEncoding.EncodeToString(png))
+	h.Sections = append(h.Sections, section{Title: title, Image: image, Text: text})
+	return nil
 }
 
 var pageTemplate = template.Must(template.New("report").Parse(`<!doctype html>
--- /dev/null
+++ b/internal/attributionreport/plots.go
@@ -0,0 +1,366 @@
+package attributionreport
+
+import (
+	"bytes"
+	"chalkstand/attribution"
+	"cmp"
+	"errors"
+	"fmt"
+	"image/color"
+	"math"
+	"slices"
+	"time"
+
+	"gonum.org/v1/plot"
+	"gonum.org/v1/plot/palette/moreland"
+	"gonum.org/v1/plot/plotter"
+	"gonum.org/v1/plot/vg"
+)
+
+// componentColors are the colors of the components: waiting in reds, the node in blues, the gateway
+// and the client in grays and greens.
+var componentColors = [attribution.Components]color.RGBA{
+	attribution.Gateway:            {140, 140, 140, 255},
+	attribution.RequestBody:        {120, 180, 120, 255},
+	attribution.QueuedUnknown:      {235, 200, 200, 255},
+	attribution.QueuedBehindOthers: {200, 30, 40, 255},
+	attribution.QueuedBehindOwn:    {240, 140, 90, 255},
+	attribution.RateLimited:        {230, 170, 40, 255},
+	attribution.SlowStart:          {120, 90, 160, 255},
+	attribution.Ejected:            {170, 120, 200, 255},
+	attribution.KeyOrder:           {250, 215, 120, 255},
+	attribution.RetryBackoff:       {190, 150, 110, 255},
+	attribution.FailedAttempts:     {90, 50, 30, 255},
+	attribution.Dialing:            {90, 200, 200, 255},
+	attribution.NodeQueue:          {30, 60, 140, 255},
+	attribution.NodeService:        {80, 140, 220, 255},
+	attribution.NodeUnknown:        {175, 205, 240, 255},
+	attribution.ResponseBody:       {150, 210, 150, 255},
+	attribution.SlowClient:         {60, 130, 60, 255},
+	attribution.EventLoop:          {150, 30, 90, 255},
+}
+
+// lineColors are the colors of the lines of Percentiles, in order.
+var lineColors = []color.RGBA{
+	{200, 30, 40, 255},
+	{30, 60, 140, 255},
+	{60, 130, 60, 255},
+	{230, 150, 30, 255},
+	{120, 90, 160, 255},
+	{90, 90, 90, 255},
+	{40, 170, 170, 255},
+}
+
+// point is one slot of a plot over time.
+type point struct {
+	at      time.Time
+	width   time.Duration
+	summary attribution.VolumeSummary
+}
+
+// volumePoints returns a volume's summary in each slot; "" stands for all volumes.
+func (d *Data) volumePoints(volume string) []point {
+	var ps []point
+	for _, s := range d.Slots {
+		summary := s.All
+		if volume != "" {
+			summary, _ = s.Summary(volume)
+		}
+		ps = append(ps, point{at: s.From, width: s.Slot, summary: summary})
+	}
+	return ps
+}
+
+// Stacked plots the mean time of a request over time, stacked by component; volume may be "" for all.
+func Stacked(d *Data, volume string) (*plot.Plot, error) {
+	ps := d.volumePoints(volume)
+	if len(ps) == 0 {
+		return nil, errors.New("no slots to draw")
+	}
+	var sum attribution.Breakdown
+	for _, p := range ps {
+		sum.Add(&p.summary.Parts)
+	}
+	p := plot.New()
+	p.Title.Text = "Mean time of a request by cause: " + volume
+	if volume == "" {
+		p.Title.Text = "Mean time of a request by cause, all volumes"
+	}
+	p.Y.Label.Text = "ms"
+	p.Y.Min = 0
+	p.X.Tick.Marker = plot.TimeTicks{Format: "15:04:05"}
+	p.Legend.Top = true
+	base := make([]float64, len(ps))
+	for _, c := range componentsByTime(sum) {
+		poly, err := band(ps, c, base)
+		if err != nil {
+			return nil, err
+		}
+		p.Add(poly)
+		p.Legend.Add(fmt.Sprintf("%s %s", c, share(sum[c], sum.Total())), poly)
+	}
+	p.Add(plotter.NewGrid())
+	p.X.Max += (p.X.Max - p.X.Min) * 0.45 // room for the legend
+	return p, nil
+}
+
+// band returns one component's area, as steps on top of base, to which it adds its own height.
+func band(ps []point, c attribution.Component, base []float64) (*plotter.Polygon, error) {
+	var up, down plotter.XYs
+	for i, p := range ps {
+		y := 0.0
+		if p.summary.Requests > 0 {
+			y = 1e3 * p.summary.Parts[c].Seconds() / float64(p.summary.Requests)
+		}
+		x0 := float64(p.at.UnixMilli()) / 1e3
+		x1 := x0 + p.width.Seconds()
+		if i+1 < len(ps) { // a slot without requests in between shows as a gap
+			x1 = min(x1, float64(ps[i+1].at.UnixMilli())/1e3)
+		}
+		if n := len(down); n > 0 && down[n-1].X < x0 { // a gap
+			x := down[n-1].X
+			up = append(up, plotter.XY{X: x}, plotter.XY{X: x0})
+			down = append(down, plotter.XY{X: x}, plotter.XY{X: x0})
+		}
+		up = append(up, plotter.XY{X: x0, Y: base[i] + y}, plotter.XY{X: x1, Y: base[i] + y})
+		down = append(down, plotter.XY{X: x0, Y: base[i]}, plotter.XY{X: x1, Y: base[i]})
+		base[i] += y
+	}
+	slices.Reverse(down)
+	poly, err := plotter.NewPolygon(append(up, down...))
+	if err != nil {
+		return nil, err
+	}
+	poly.Color = componentColors[c]
+	poly.Width = 0
+	return poly, nil
+}
+
+// matrix is victims by culprits, in seconds.
+type matrix struct {
+	victims, culprits []string
+	seconds           [][]float64 // by victim, then culprit
+}
+
+// Dims implements plotter.GridXYZ, as the methods X, Y and Z do.
+func (m *matrix) Dims() (int, int) { return len(m.culprits), len(m.victims) }
+
+// X returns the coordinate of a culprit.
+func (m *matrix) X(c int) float64 { return float64(c) }
+
+// Y returns the coordinate of a victim.
+func (m *matrix) Y(r int) float64 { return float64(r) }
+
+// Z returns for how many seconds a victim waited behind a culprit.
+func (m *matrix) Z(c, r int) float64 { return m.seconds[r][c] }
+
+// max returns the largest Z.
+func (m *matrix) max() (z float64) {
+	for _, row := range m.seconds {
+		z = max(z, slices.Max(row))
+	}
+	return z
+}
+
+// contributionMatrix returns the pairs of the n volumes that waited most and the n that most was
+// waited behind.
+func contributionMatrix(w *attribution.Window, n int) *matrix {
+	weight := map[string]time.Duration{}
+	for _, p := range w.Pairs {
+		weight["v"+p.Key.Victim] += time.Duration(p.Count)
+		weight["c"+p.Key.Culprit] += time.Duration(p.Count)
+	}
+	pick := func(kind byte) []string {
+		var names []string
+		for k := range weight {
+			if k[0] == kind {
+				names = append(names, k[1:])
+			}
+		}
+		slices.SortFunc(names, func(a, b string) int {
+			return cmp.Or(cmp.Compare(weight[string(kind)+b], weight[string(kind)+a]), cmp.Compare(a, b))
+		})
+		return names[:min(n, len(names))]
+	}
+	m := &matrix{victims: pick('v'), culprits: pick('c')}
+	for range m.victims {
+		m.seconds = append(m.seconds, make([]float64, len(m.culprits)))
+	}
+	for _, p := range w.Pairs {
+		v, c := slices.Index(m.victims, p.Key.Victim), slices.Index(m.culprits, p.Key.Culprit)
+		if v >= 0 && c >= 0 {
+			m.seconds[v][c] = time.Duration(p.Count).Seconds()
+		}
+	}
+	slices.Reverse(m.victims) // the heaviest on top
+	slices.Reverse(m.seconds)
+	return m
+}
+
+// Matrix plots which volumes waited behind which, at most n of each. It returns nil if none did.
+func Matrix(w *attribution.Window, n int) (*plot.Plot, error) {
+	m := contributionMatrix(w, n)
+	if len(m.victims) == 0 {
+		return nil, nil
+	}
+	p := plot.New()
+	p.Title.Text = "Seconds that a volume (row) waited behind another (column)"
+	p.X.Label.Text = "culprit"
+	p.Y.Label.Text = "victim"
+	colors := moreland.ExtendedBlackBody().Palette(256).Colors()
+	slices.Reverse(colors) // dark is much
+	heat := plotter.NewHeatMap(m, fixedPalette(colors[:220]))
+	heat.Min = 0
+	heat.Max = math.Max(m.max(), 1e-9)
+	p.Add(heat)
+	labels, err := m.labels(heat.Max / 2)
+	if err != nil {
+		return nil, err
+	}
+	if labels != nil {
+		p.Add(labels)
+	}
+	p.X.Tick.Marker = nameTicks(m.culprits)
+	p.Y.Tick.Marker = nameTicks(m.victims)
+	p.X.Min = -0.5
+	p.X.Max = float64(len(m.culprits)) - 0.5
+	p.Y.Min = -0.5
+	p.Y.Max = float64(len(m.victims)) - 0.5
+	return p, nil
+}
+
+// labels returns the times in the cells, in white above dark seconds, nil if there are none.
+func (m *matrix) labels(dark float64) (*plotter.Labels, error) {
+	var cells plotter.XYLabels
+	for r := range m.victims {
+		for c := range m.culprits {
+			if s := m.seconds[r][c]; s > 0 {
+				cells.XYs = append(cells.XYs, plotter.XY{X: float64(c), Y: float64(r)})
+				cells.Labels = append(cells.Labels, round(time.Duration(s*float64(time.Second))))
+			}
+		}
+	}
+	if len(cells.XYs) == 0 {
+		return nil, nil
+	}
+	labels, err := plotter.NewLabels(cells)
+	if err != nil {
+		return nil, err
+	}
+	for i := range labels.TextStyle {
+		style := &labels.TextStyle[i]
+		style.XAlign = -0.5
+		style.YAlign = -0.5
+		if m.seconds[int(cells.XYs[i].Y)][int(cells.XYs[i].X)] > dark {
+			style.Color = color.White
+		}
+	}
+	return labels, nil
+}
+
+// fixedPalette is a palette of given colors.
+type fixedPalette []color.Color
+
+// Colors implements palette.Palette.
+func (f fixedPalette) Colors() []color.Color { return f }
+
+// maxTickLength is the length in bytes from which a name is cut short.
+const maxTickLength = 16
+
+// nameTicks are names at 0, 1, 2 and so on.
+type nameTicks []string
+
+// Ticks implements plot.Ticker.
+func (n nameTicks) Ticks(_, _ float64) []plot.Tick {
+	var ts []plot.Tick
+	for i, s := range n {
+		if len(s) > maxTickLength {
+			s = s[:maxTickLength-1] + "…"
+		}
+		ts = append(ts, plot.Tick{Value: float64(i), Label: s})
+	}
+	return ts
+}
+
+// percentileShares are the shares of requests that Percentiles plots.
+var percentileShares = []float64{
+	0.01, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 0.95, 0.98, 0.99, 0.995, 0.999,
+}
+
+// Percentiles plots the distributions of volumes' times: the time that a share of the requests did
+// not exceed, on a scale that widens towards 1. It returns nil if no volume has a distribution.
+func Percentiles(w *attribution.Window, volumes []string) (*plot.Plot, error) {
+	p := plot.New()
+	p.Title.Text = "Time that a share of the requests did not pass"
+	p.X.Label.Text = "share of requests"
+	p.Y.Label.Text = "ms"
+	p.Y.Scale = plot.LogScale{}
+	p.Y.Tick.Marker = plot.LogTicks{Prec: -1}
+	drawn := 0
+	for _, v := range volumes {
+		d, ok := w.Distribution(v)
+		if !ok {
+			continue
+		}
+		xy := percentilePoints(&d)
+		if len(xy) == 0 {
+			continue
+		}
+		line, err := plotter.NewLine(xy)
+		if err != nil {
+			return nil, err
+		}
+		line.Color = lineColors[drawn%len(lineColors)]
+		line.Width = vg.Points(2)
+		p.Add(line)
+		p.Legend.Add(v, line)
+		drawn++
+	}
+	if drawn == 0 {
+		return nil, nil
+	}
+	p.Legend.Top = true
+	p.Legend.Left = true
+	p.X.Tick.Marker = shareTicks{}
+	p.Add(plotter.NewGrid())
+	return p, nil
+}
+
+// percentilePoints returns the percentiles above 0 in ms, by the scale of shares.
+func percentilePoints(d *attribution.Distribution) plotter.XYs {
+	var xy plotter.XYs
+	for _, s := range percentileShares {
+		if t := d.Percentile(s); t > 0 {
+			xy = append(xy, plotter.XY{X: shareScale(s), Y: 1e3 * t.Seconds()})
+		}
+	}
+	return xy
+}
+
+// shareScale spreads the shares near 1: 0.9, 0.99 and 0.999 lie at 1, 2 and 3.
+func shareScale(s float64) float64 { return -math.Log10(1 - s) }
+
+// shareTicks mark shares on the scale of shareScale.
+type shareTicks struct{}
+
+// Ticks implements plot.Ticker.
+func (shareTicks) Ticks(_, _ float64) []plot.Tick {
+	var ts []plot.Tick
+	for _, s := range []float64{0, 0.5, 0.9, 0.99, 0.999} {
+		ts = append(ts, plot.Tick{Value: shareScale(s), Label: fmt.Sprintf("%g %%", 100*s)})
+	}
+	return ts
+}
+
+// draw renders a plot in a format such as "png".
+func draw(p *plot.Plot, w, h vg.Length, format string) ([]byte, error) {
+	wt, err := p.WriterTo(w, h, format)
+	if err != nil {
+		return nil, err
+	}
+	var b bytes.Buffer
+	if _, err := wt.WriteTo(&b); err != nil {
+		return nil, err
+	}
+	return b.Bytes(), nil
+}
--- a/internal/attributionreport/text.go
+++ b/internal/attributionreport/text.go
@@ -1,10 +1,7 @@
-// Package attributionreport shows latency accounts to people: as tables, and as one
-// HTML file with pictures.
 package attributionreport
 
 import (
 	"chalkstand/attribution"
-	"chalkstand/internal/attributionlog"
 	"cmp"
 	"fmt"
 	"io"
@@ -14,59 +11,16 @@
 	"time"
 )
 
-// Data is what is shown: slots of a time in order, and what must be known of them.
-type Data struct {
-	Slots  []attributionlog.Slot
-	Notes  []string
-	Counts *attribution.Counts // nil: from a log, which has none
-}
-
-// maxKept bounds what sums of slots keep.
-const maxKept = 1024
-
-// Sum returns the account over all slots.
-func (d *Data) Sum() attribution.Window {
-	ws := make([]attribution.Window, len(d.Slots))
-	for i, s := range d.Slots {
-		ws[i] = s.Window
-	}
-	return attribution.Sum(ws, maxKept, maxKept, maxKept)
-}
-
-// span tells from when to when the slots reach.
-func (d *Data) span() string {
-	if len(d.Slots) == 0 {
-		return "no request in that time"
-	}
-	first, last := d.Slots[0], d.Slots[len(d.Slots)-1]
-	return fmt.Sprintf("%s to %s, slots of %v", first.From.Format("2006-01-02 15:04:05"),
-		last.From.Add(last.To-last.Window.From).Format("15:04:05"), last.Slot)
-}
-
-// UnknownVolumeError is asked for a volume that has no line.
-type UnknownVolumeError struct {
-	Volume string
-	Known  []string // some that have one
-}
-
-func (e *UnknownVolumeError) Error() string {
-	if len(e.Known) == 0 {
-		return fmt.Sprintf("no request of volume %q in that time, nor of any other", e.Volume)
-	}
-	return fmt.Sprintf("volume %q has no line of its own in that time; the heaviest that have: %s", e.Volume, strings.Join(e.Known, ", "))
-}
+// How many components and volumes a row of Top names.
+const (
+	topComponents = 3
+	topCulprits   = 2
+)
 
-func findVolume(w *attribution.Window, volume string) (attribution.VolumeSummary, error) {
-	if l, ok := w.Summary(volume); ok {
-		return l, nil
-	}
-	e := &UnknownVolumeError{Volume: volume}
-	for _, l := range w.Volumes[:min(5, len(w.Volumes))] {
-		e.Known = append(e.Known, l.Volume)
-	}
-	return attribution.VolumeSummary{}, e
-}
+// flush writes what a table holds. An error is ignored, as those of Fprintf are.
+func flush(t *tabwriter.Writer) { _ = t.Flush() }
 
+// round formats a duration with the precision that suits its size.
 func round(d time.Duration) string {
 	switch {
 	case d >= time.Second:
@@ -77,6 +31,7 @@
 	return d.Round(time.Microsecond).String()
 }
 
+// share formats a share as a percentage.
 func share(part, all time.Duration) string {
 	if all <= 0 {
 		return "-"
@@ -84,7 +39,7 @@
 	return fmt.Sprintf("%.1f %%", 100*part.Seconds()/all.Seconds())
 }
 
-// componentsByTime returns a line's causes, the longest first.
+// componentsByTime returns the components that took time, the longest first.
 func componentsByTime(s attribution.Breakdown) []attribution.Component {
 	var cs []attribution.Component
 	for c := range attribution.Component(attribution.Components) {
@@ -107,94 +62,109 @@
 	return out
 }
 
-// Top writes the heaviest volumes.
+// Top writes the n heaviest volumes, the sum of the others and the sum of all.
 func Top(out io.Writer, d *Data, n int) {
 	w := d.Sum()
 	d.writeHeader(out)
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "volume\trequests\trefused\ttime\teach\tmost of it\twaited behind")
-	line := func(name string, l attribution.VolumeSummary) {
-		if l.Requests == 0 {
-			return
-		}
-		var most, blame []string
-		total := l.Parts.Total()
-		for _, c := range componentsByTime(l.Parts)[:min(3, len(componentsByTime(l.Parts)))] {
-			most = append(most, fmt.Sprintf("%s %s", c, share(l.Parts[c], total)))
-		}
-		for _, p := range volumePairs(&w, l.Volume, true) {
-			if len(blame) < 2 {
-				blame = append(blame, fmt.Sprintf("%s %s", p.Key.Culprit, round(time.Duration(p.Count))))
-			}
-		}
-		fmt.Fprintf(t, "%s\t%d\t%d\t%s\t%s\t%s\t%s\n", name, l.Requests, l.Outcomes[attribution.Rejected], round(total), round(total/time.Duration(l.Requests)),
-			strings.Join(most, ", "), strings.Join(blame, ", "))
-	}
-	for _, l := range w.Volumes[:min(n, len(w.Volumes))] {
-		line(l.Volume, l)
+	n = min(n, len(w.Volumes))
+	for i := range w.Volumes[:n] {
+		writeTopRow(t, &w, w.Volumes[i].Volume, &w.Volumes[i])
 	}
 	others := w.Others
-	for _, l := range w.Volumes[min(n, len(w.Volumes)):] {
-		others.Requests += l.Requests
-		others.Parts.Add(&l.Parts)
-		for i, x := range l.Outcomes {
+	for _, v := range w.Volumes[n:] {
+		others.Requests += v.Requests
+		others.Parts.Add(&v.Parts)
+		for i, x := range v.Outcomes {
 			others.Outcomes[i] += x
 		}
 	}
-	line("(others)", others)
-	line("(all)", w.All)
-	t.Flush()
+	writeTopRow(t, &w, "(others)", &others)
+	writeTopRow(t, &w, "(all)", &w.All)
+	flush(t)
 	d.writeFooter(out, &w)
 }
 
-// Volume writes one volume's account.
+// writeTopRow writes a row of Top, none for a summary without requests.
+func writeTopRow(out io.Writer, w *attribution.Window, name string, v *attribution.VolumeSummary) {
+	if v.Requests == 0 {
+		return
+	}
+	total := v.Parts.Total()
+	var components, culprits []string
+	byTime := componentsByTime(v.Parts)
+	for _, c := range byTime[:min(topComponents, len(byTime))] {
+		components = append(components, fmt.Sprintf("%s %s", c, share(v.Parts[c], total)))
+	}
+	pairs := volumePairs(w, v.Volume, true)
+	for _, p := range pairs[:min(topCulprits, len(pairs))] {
+		culprits = append(culprits, fmt.Sprintf("%s %s", p.Key.Culprit, round(time.Duration(p.Count))))
+	}
+	fmt.Fprintf(out, "%s\t%d\t%d\t%s\t%s\t%s\t%s\n", name, v.Requests, v.Outcomes[attribution.Rejected],
+		round(total), round(total/time.Duration(v.Requests)),
+		strings.Join(components, ", "), strings.Join(culprits, ", "))
+}
+
+// Volume writes one volume's latency attribution. It returns an *UnknownVolumeError for a volume
+// without a summary of its own.
 func Volume(out io.Writer, d *Data, volume string) error {
 	w := d.Sum()
-	l, err := findVolume(&w, volume)
+	v, err := findVolume(&w, volume)
 	if err != nil {
 		return err
 	}
 	d.writeHeader(out)
-	fmt.Fprintf(out, "volume %s: %d requests", volume, l.Requests)
-	for o, n := range l.Outcomes {
+	fmt.Fprintf(out, "volume %s: %d requests", volume, v.Requests)
+	for o, n := range v.Outcomes {
 		if n > 0 {
 			fmt.Fprintf(out, ", %d %s", n, attribution.Outcome(o))
 		}
 	}
-	total := l.Parts.Total()
-	fmt.Fprintf(out, "; %s in all, %s each\n", round(total), round(total/time.Duration(max(l.Requests, 1))))
-	if l.Missing > 0 {
-		fmt.Fprintf(out, "up to %s more of it is among (others), from slots in which it was not among the heaviest\n", round(l.Missing))
+	total := v.Parts.Total()
+	fmt.Fprintf(out, "; %s in all, %s each\n", round(total), round(total/time.Duration(max(v.Requests, 1))))
+	if v.Missing > 0 {
+		fmt.Fprintf(out, "up to %s more of it is among (others), from slots in which it was not among the heaviest\n",
+			round(v.Missing))
 	}
 	fmt.Fprintln(out)
-	dist, known := w.Distribution(volume)
+	writeComponents(out, &w, &v)
+	writePairs(out, &w, volume)
+	d.writeFooter(out, &w)
+	return nil
+}
+
+// writeComponents writes a volume's time by component, with percentiles where they are known.
+func writeComponents(out io.Writer, w *attribution.Window, v *attribution.VolumeSummary) {
+	distribution, known := w.Distribution(v.Volume)
+	total := v.Parts.Total()
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "cause\ttime\tshare\teach\t50 %\t90 %\t99 %")
-	row := func(name string, d time.Duration, q func(float64) time.Duration) {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s", name, round(d), share(d, total), round(d/time.Duration(max(l.Requests, 1))))
+	row := func(name string, d time.Duration, percentile func(float64) time.Duration) {
+		each := d / time.Duration(max(v.Requests, 1))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s", name, round(d), share(d, total), round(each))
 		for _, p := range []float64{0.5, 0.9, 0.99} {
 			if !known {
 				fmt.Fprint(t, "\t-")
 				continue
 			}
-			fmt.Fprintf(t, "\t%s", round(q(p)))
+			fmt.Fprintf(t, "\t%s", round(percentile(p)))
 		}
 		fmt.Fprintln(t)
 	}
-	for _, c := range componentsByTime(l.Parts) {
-		row(c.String(), l.Parts[c], func(p float64) time.Duration { return dist.ComponentPercentile(c, p) })
+	for _, c := range componentsByTime(v.Parts) {
+		row(c.String(), v.Parts[c], func(p float64) time.Duration { return distribution.ComponentPercentile(c, p) })
 	}
-	row("(all)", total, dist.Percentile)
-	t.Flush()
+	row("(all)", total, distribution.Percentile)
+	flush(t)
 	if known {
-		fmt.Fprintf(out, "percentiles are of %d of its requests, each at most %.0f %% off\n", dist.Whole.Count(), 100*attribution.PercentileError)
+		fmt.Fprintf(out, "percentiles are of %d of its requests, each at most %.0f %% off\n",
+			distribution.Whole.Count(), 100*attribution.PercentileError)
 	}
-	writePairs(out, &w, volume)
-	d.writeFooter(out, &w)
-	return nil
 }
 
-// Contributions writes whom a volume waited behind, and who waited behind it.
+// Contributions writes which volumes a volume waited behind, and which waited behind it. It returns
+// an *UnknownVolumeError if nothing is known of the volume.
 func Contributions(out io.Writer, d *Data, volume string) error {
 	w := d.Sum()
 	if _, err := findVolume(&w, volume); err != nil && len(volumePairs(&w, volume, false)) == 0 {
@@ -207,6 +177,7 @@
 	return nil
 }
 
+// writePairs writes the pairs of a volume, as victim and as culprit.
 func writePairs(out io.Writer, w *attribution.Window, volume string) {
 	for _, x := range []struct {
 		title  string
@@ -230,7 +201,7 @@
 			}
 			fmt.Fprintln(t)
 		}
-		t.Flush()
+		flush(t)
 	}
 }
 
@@ -251,39 +222,12 @@
 		fmt.Fprintln(out, "late reports have corrected slots that were closed")
 	}
 	if c := d.Counts; c != nil {
-		fmt.Fprintf(out, "since its start: %d requests; of %d attempts the node had not told how its time divides, of %d it has since, %d of these in closed slots\n",
+		fmt.Fprintf(out, "since its start: %d requests; of %d attempts the node had not told how its time divides, "+
+			"of %d it has since, %d of these in closed slots\n",
 			c.Entered, c.Unreported, c.ReportedLate, c.Corrected)
 		if c.Unplaced+c.Lost+c.Overdue > 0 {
-			fmt.Fprintf(out, "%d reports of requests that are not known, %d accounts thrown away for lack of room, %d came after their slot was closed\n", c.Unplaced, c.Lost, c.Overdue)
+			fmt.Fprintf(out, "%d reports of requests that are not known, %d accounts thrown away for lack of room, "+
+				"%d came after their slot was closed\n", c.Unplaced, c.Lost, c.Overdue)
 		}
 	}
 }
-
-// Summary is what is told as JSON.
-type Summary struct {
-	Notes   []string            `json:"notes,omitempty"`
-	Counts  *attribution.Counts `json:"counts,omitempty"`
-	From    time.Time           `json:"from"`
-	To      time.Time           `json:"to"`
-	Window  attribution.Window  `json:"window"`
-	Volumes []string            `json:"asked,omitempty"`
-}
-
-// JSON returns what the tables show: the whole sum, or only what concerns the
-// volumes asked for.
-func JSON(d *Data, volumes []string) Summary {
-	a := Summary{Notes: d.Notes, Counts: d.Counts, Window: d.Sum(), Volumes: volumes}
-	if n := len(d.Slots); n > 0 {
-		last := d.Slots[n-1]
-		a.From, a.To = d.Slots[0].From, last.From.Add(last.To-last.Window.From)
-	}
-	if len(volumes) == 0 {
-		return a
-	}
-	asked := func(v string) bool { return slices.Contains(volumes, v) }
-	w := &a.Window
-	w.Volumes = slices.DeleteFunc(w.Volumes, func(l attribution.VolumeSummary) bool { return !asked(l.Volume) })
-	w.Pairs = slices.DeleteFunc(w.Pairs, func(p attribution.Item[attribution.Pair]) bool { return !asked(p.Key.Victim) && !asked(p.Key.Culprit) })
-	w.Distributions = slices.DeleteFunc(w.Distributions, func(x attribution.Distribution) bool { return !asked(x.Volume) })
-	return a
-}
