--- /dev/null
+++ b/fake/storagenode/buckets.go
@@ -0,0 +1,89 @@
+package storagenode
+
+import (
+	"chalkstand/internal/objectapi"
+	"net/http"
+	"slices"
+	"strings"
+	"time"
+)
+
+func errNoSuchBucket() *objectapi.Error {
+	return objectapi.Errorf("NoSuchBucket", "The specified bucket does not exist.")
+}
+
+func (d *Dataset) listBuckets(objectapi.Operation, *http.Request) (response, *objectapi.Error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	res := objectapi.ListAllMyBucketsResult{Owner: objectapi.TheOwner}
+	for name, b := range d.buckets {
+		res.Buckets = append(res.Buckets, objectapi.Bucket{Name: name, CreationDate: objectapi.FormatTime(b.created)})
+	}
+	slices.SortFunc(res.Buckets, func(a, b objectapi.Bucket) int { return strings.Compare(a.Name, b.Name) })
+	return xmlResponse(res), nil
+}
+
+func (d *Dataset) createBucket(o objectapi.Operation, _ *http.Request) (response, *objectapi.Error) {
+	if !d.AddBucket(o.Bucket, time.Now()) {
+		return response{}, objectapi.Errorf("BucketAlreadyOwnedByYou", "The bucket is there already and is yours.")
+	}
+	return response{status: http.StatusOK, header: map[string]string{"Location": "/" + o.Bucket}}, nil
+}
+
+func (d *Dataset) headBucket(o objectapi.Operation, _ *http.Request) (response, *objectapi.Error) {
+	if d.Objects(o.Bucket) < 0 {
+		return response{}, errNoSuchBucket()
+	}
+	return response{status: http.StatusOK}, nil
+}
+
+func (d *Dataset) bucketLocation(o objectapi.Operation, _ *http.Request) (response, *objectapi.Error) {
+	if d.Objects(o.Bucket) < 0 {
+		return response{}, errNoSuchBucket()
+	}
+	return xmlResponse(objectapi.LocationConstraint{}), nil
+}
+
+func (d *Dataset) bucketVersioning(o objectapi.Operation, _ *http.Request) (response, *objectapi.Error) {
+	if d.Objects(o.Bucket) < 0 {
+		return response{}, errNoSuchBucket()
+	}
+	return xmlResponse(objectapi.VersioningConfiguration{}), nil
+}
+
+func (d *Dataset) deleteBucket(o objectapi.Operation, _ *http.Request) (response, *objectapi.Error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	b := d.buckets[o.Bucket]
+	if b == nil {
+		return response{}, errNoSuchBucket()
+	}
+	if len(b.objects) > 0 {
+		return response{}, objectapi.Errorf("BucketNotEmpty", "The bucket you tried to delete is not empty.")
+	}
+	delete(d.buckets, o.Bucket)
+	d.appendJournal(journalEntry{What: entryDeleteBucket, Bucket: o.Bucket})
+	return response{status: http.StatusNoContent}, nil
+}
+
+// Objects returns the number of objects in a bucket, -1 if there is no such bucket.
+func (d *Dataset) Objects(bucket string) int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if b := d.buckets[bucket]; b != nil {
+		return len(b.objects)
+	}
+	return -1
+}
+
+// AddBucket creates a bucket, and returns false if it exists already.
+func (d *Dataset) AddBucket(name string, created time.Time) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.buckets[name] != nil {
+		return false
+	}
+	d.buckets[name] = newBucket(created)
+	d.appendJournal(journalEntry{What: entryBucket, Bucket: name, At: created})
+	return true
+}
--- a/fake/storagenode/journal.go
+++ b/fake/storagenode/journal.go
@@ -13,24 +13,36 @@
 	"golang.org/x/sys/unix"
 )
 
-// A data set in a directory keeps a journal of what changed, a JSON line a change,
-// beside the files with the objects' bytes. A node process that takes the directory
-// over reads it from its start; a last line that broke off counts as not written.
+// A data set in a directory keeps a journal of its changes, as JSON lines, beside the files with
+// the objects' bytes. A process that takes the directory over replays it; an incomplete last line
+// counts as not written.
 
 const journalName = "journal"
 
+// Kinds of changes in the journal.
+const (
+	entryBucket       = "bucket"
+	entryDeleteBucket = "unbucket"
+	entryPut          = "put"
+	entryDelete       = "delete"
+	entryUpload       = "upload"
+	entryPart         = "part"
+	entryEndUpload    = "end"
+)
+
+// journalEntry is one change.
 type journalEntry struct {
-	What   string            `json:"What"` // bucket, unbucket, put, delete, upload, part, end
+	What   string            `json:"What"`
 	Bucket string            `json:"Bucket"`
 	Key    string            `json:"Key,omitempty"`
 	ID     string            `json:"ID,omitempty"` // of an upload
 	Part   int               `json:"Part,omitempty"`
 	At     time.Time         `json:"At,omitempty"`
 	Header map[string]string `json:"Header,omitempty"`
-	Object *objectRecord           `json:"Object,omitempty"`
+	Object *objectRecord     `json:"Object,omitempty"`
 }
 
-// objectRecord is an object as the journal has it.
+// objectRecord is an object in the journal.
 type objectRecord struct {
 	Files    []string          `json:"Files,omitempty"`
 	Sizes    []int64           `json:"Sizes,omitempty"`
@@ -38,24 +50,38 @@
 	ETag     string            `json:"ETag"`
 	Modified time.Time         `json:"Modified"`
 	Header   map[string]string `json:"Header,omitempty"`
-	Sum      string            `json:"Sum,omitempty"`
-	Value    string            `json:"Value,omitempty"`
+	Sum      string            `json:"Sum,omitempty"`   // header name of the checksum
+	Value    string            `json:"Value,omitempty"` // of the checksum
 	Parts    []int64           `json:"Parts,omitempty"`
 }
 
 func (o *object) record() *objectRecord {
-	return &objectRecord{o.blob.files, o.blob.sizes, o.blob.size, o.etag, o.modified, o.header, o.sum.name, o.sum.value, o.parts}
+	return &objectRecord{
+		Files:    o.blob.files,
+		Sizes:    o.blob.sizes,
+		Size:     o.blob.size,
+		ETag:     o.etag,
+		Modified: o.modified,
+		Header:   o.header,
+		Sum:      o.sum.name,
+		Value:    o.sum.value,
+		Parts:    o.parts,
+	}
 }
 
 func (r *objectRecord) object() *object {
 	return &object{
-		blob: blob{files: r.Files, sizes: r.Sizes, size: r.Size}, etag: r.ETag, modified: r.Modified, header: r.Header,
-		sum: checksum{r.Sum, r.Value}, parts: r.Parts,
+		blob:     blob{files: r.Files, sizes: r.Sizes, size: r.Size},
+		etag:     r.ETag,
+		modified: r.Modified,
+		header:   r.Header,
+		sum:      checksum{name: r.Sum, value: r.Value},
+		parts:    r.Parts,
 	}
 }
 
-// OpenDataset opens the data set of a directory, which no other process may have
-// open. An empty directory is an empty shard.
+// OpenDataset opens the data set of a directory, which no other process may have open. An empty
+// directory is an empty shard.
 func OpenDataset(dir string) (*Dataset, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("data set: %w", err)
@@ -64,27 +90,34 @@
 	if err != nil {
 		return nil, fmt.Errorf("data set: %w", err)
 	}
+	d := NewDataset(dir)
+	if err := d.openJournal(f); err != nil {
+		_ = f.Close() // err says more
+		return nil, fmt.Errorf("data set %s: %w", dir, err)
+	}
+	return d, nil
+}
+
+// openJournal locks a journal, replays it and cuts off an incomplete last line.
+func (d *Dataset) openJournal(f *os.File) error {
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		f.Close()
-		return nil, fmt.Errorf("data set %s: another node holds it: %w", dir, err)
+		return fmt.Errorf("another node holds it: %w", err)
 	}
-	d := NewDataset(dir)
 	end, err := d.replay(f)
-	if err == nil {
-		err = f.Truncate(end)
+	if err != nil {
+		return err
 	}
-	if err == nil {
-		_, err = f.Seek(end, io.SeekStart)
+	if err := f.Truncate(end); err != nil {
+		return err
 	}
-	if err != nil {
-		f.Close()
-		return nil, fmt.Errorf("data set %s: %w", dir, err)
+	if _, err := f.Seek(end, io.SeekStart); err != nil {
+		return err
 	}
 	d.journal = f
-	return d, nil
+	return nil
 }
 
-// Close gives the directory free for a successor.
+// Close releases the directory for a successor.
 func (d *Dataset) Close() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -96,7 +129,8 @@
 	return err
 }
 
-// appendJournal writes a change. Called with mu held.
+// appendJournal writes a change to the journal, if there is one. It is called with mu held, and panics
+// if it fails, as the node must not confirm a change that its successor would not see.
 func (d *Dataset) appendJournal(c journalEntry) {
 	if d.journal == nil {
 		return
@@ -105,8 +139,8 @@
 	if err == nil {
 		_, err = d.journal.Write(append(b, '\n'))
 	}
-	if err != nil { // a stand-in that cannot keep its word must not give it
-		panic(fmt.Sprintf("storage: journal: %v", err))
+	if err != nil {
+		panic(fmt.Sprintf("storage node: journal: %v", err))
 	}
 }
 
@@ -131,23 +165,30 @@
 	}
 }
 
+// apply replays one change.
 func (d *Dataset) apply(c journalEntry) {
 	switch b := d.buckets[c.Bucket]; c.What {
-	case "bucket":
-		d.buckets[c.Bucket] = &bucket{created: c.At, objects: map[string]*object{}}
-	case "unbucket":
+	case entryBucket:
+		d.buckets[c.Bucket] = newBucket(c.At)
+	case entryDeleteBucket:
 		delete(d.buckets, c.Bucket)
-	case "put":
+	case entryPut:
 		b.objects[c.Key] = c.Object.object()
-	case "delete":
+	case entryDelete:
 		delete(b.objects, c.Key)
-	case "upload":
-		d.uploads[c.ID] = &upload{bucket: c.Bucket, key: c.Key, started: c.At, header: c.Header, parts: map[int]*object{}}
-	case "part":
+	case entryUpload:
+		d.uploads[c.ID] = &upload{
+			bucket:  c.Bucket,
+			key:     c.Key,
+			started: c.At,
+			header:  c.Header,
+			parts:   map[int]*object{},
+		}
+	case entryPart:
 		if u := d.uploads[c.ID]; u != nil {
 			u.parts[c.Part] = c.Object.object()
 		}
-	case "end":
+	case entryEndUpload:
 		delete(d.uploads, c.ID)
 	}
 }
--- /dev/null
+++ b/fake/storagenode/operations.go
@@ -0,0 +1,60 @@
+package storagenode
+
+import (
+	"chalkstand/internal/http1"
+	"chalkstand/internal/objectapi"
+	"net/http"
+)
+
+// parseOperation parses a request of net/http as the gateway's own parser does.
+func parseOperation(r *http.Request) (objectapi.Operation, *objectapi.Error) {
+	h := http1.Request{
+		Method:  []byte(r.Method),
+		Target:  []byte(r.RequestURI),
+		Headers: http1.Headers{{Name: []byte("host"), Value: []byte(r.Host)}},
+	}
+	if s := r.Header.Get(headerCopySource); s != "" {
+		h.Headers = append(h.Headers, http1.Header{Name: []byte(headerCopySource), Value: []byte(s)})
+	}
+	return objectapi.Parse(&h, nil)
+}
+
+// handler executes one kind of operation.
+type handler func(*Dataset, objectapi.Operation, *http.Request) (response, *objectapi.Error)
+
+var handlers = map[objectapi.Kind]handler{
+	objectapi.ListBuckets:             (*Dataset).listBuckets,
+	objectapi.CreateBucket:            (*Dataset).createBucket,
+	objectapi.HeadBucket:              (*Dataset).headBucket,
+	objectapi.GetBucketLocation:       (*Dataset).bucketLocation,
+	objectapi.GetBucketVersioning:     (*Dataset).bucketVersioning,
+	objectapi.DeleteBucket:            (*Dataset).deleteBucket,
+	objectapi.ListObjectsV1:           (*Dataset).listObjects,
+	objectapi.ListObjectsV2:           (*Dataset).listObjects,
+	objectapi.ListMultipartUploads:    (*Dataset).listUploads,
+	objectapi.DeleteObjects:           (*Dataset).deleteObjects,
+	objectapi.PutObject:               (*Dataset).putBody,
+	objectapi.UploadPart:              (*Dataset).putBody,
+	objectapi.GetObject:               (*Dataset).getObject,
+	objectapi.HeadObject:              (*Dataset).getObject,
+	objectapi.DeleteObject:            (*Dataset).deleteObject,
+	objectapi.CopyObject:              (*Dataset).copyObject,
+	objectapi.UploadPartCopy:          (*Dataset).copyPart,
+	objectapi.CreateMultipartUpload:   (*Dataset).createUpload,
+	objectapi.CompleteMultipartUpload: (*Dataset).completeUpload,
+	objectapi.AbortMultipartUpload:    (*Dataset).abortUpload,
+	objectapi.ListParts:               (*Dataset).listParts,
+}
+
+// run executes an operation on the data set.
+func (d *Dataset) run(o objectapi.Operation, r *http.Request) response {
+	handle, ok := handlers[o.Kind]
+	if !ok {
+		return errorResponse(objectapi.Errorf("NotImplemented", "Not offered."), r.URL.Path)
+	}
+	resp, err := handle(d, o, r)
+	if err != nil {
+		return errorResponse(err, r.URL.Path)
+	}
+	return resp
+}
--- a/fake/storagenode/script.go
+++ b/fake/storagenode/script.go
@@ -11,13 +11,21 @@
 	"github.com/tailscale/hujson"
 )
 
-// faultNames are the faults as a script names them.
+// faultNames are the kinds of faults by their names in scripts.
 var faultNames = map[string]FaultKind{
-	"stall": Stall, "within": StallInResponse, "refuse": Reject, "broken": ServerError, "reset": ResetConnection, "lose": LoseResponse, "half": TruncateResponse,
-	"slow": Slow, "pause": Pause, "die": Exit,
+	"stall":  Stall,
+	"within": StallInResponse,
+	"refuse": Reject,
+	"broken": ServerError,
+	"reset":  ResetConnection,
+	"lose":   LoseResponse,
+	"half":   TruncateResponse,
+	"slow":   Slow,
+	"pause":  Pause,
+	"die":    Exit,
 }
 
-// ScriptedFault is one line of a node's script of faults.
+// ScriptedFault is one entry of a script of faults.
 type ScriptedFault struct {
 	AtMS   int     `json:"at_ms"` // since the node's start
 	ForMS  int     `json:"for_ms"`
@@ -26,10 +34,10 @@
 	Share  float64 `json:"share"`
 	Factor float64 `json:"factor"`
 	Method string  `json:"method"` // "": all
-	Path   string  `json:"path"`   // that a request's path holds; "": all
+	Path   string  `json:"path"`   // substring of the request's path; "": all
 }
 
-// ParseScript reads a script: a JSON list, comments allowed.
+// ParseScript parses a script: a JSON list, which may contain comments.
 func ParseScript(text []byte) ([]ScriptedFault, error) {
 	plain, err := hujson.Standardize(slices.Clone(text))
 	if err != nil {
@@ -37,41 +45,51 @@
 	}
 	dec := json.NewDecoder(strings.NewReader(string(plain)))
 	dec.DisallowUnknownFields()
-	var os []ScriptedFault
-	if err := dec.Decode(&os); err != nil {
+	var script []ScriptedFault
+	if err := dec.Decode(&script); err != nil {
 		return nil, fmt.Errorf("faults: %w", err)
 	}
-	for i, o := range os {
-		if _, ok := faultNames[o.Kind]; !ok {
-			return nil, fmt.Errorf("faults: order %d: no fault is called %q", i+1, o.Kind)
+	for i, s := range script {
+		if _, ok := faultNames[s.Kind]; !ok {
+			return nil, fmt.Errorf("faults: entry %d: unknown kind %q", i+1, s.Kind)
 		}
-		if o.AtMS < 0 || o.ForMS < 0 || o.Count < 0 || o.Share < 0 || o.Share > 1 || o.Factor < 0 {
-			return nil, fmt.Errorf("faults: order %d: figures must not be negative, a share at most 1", i+1)
+		if s.AtMS < 0 || s.ForMS < 0 || s.Count < 0 || s.Share < 0 || s.Share > 1 || s.Factor < 0 {
+			return nil, fmt.Errorf("faults: entry %d: figures must not be negative, a share at most 1", i+1)
 		}
 	}
-	return os, nil
+	return script, nil
 }
 
-// RunScript shows the faults of a script, each at its time.
-func (n *Node) RunScript(os []ScriptedFault) {
-	for _, o := range os {
-		f := Fault{Kind: faultNames[o.Kind], Count: o.Count, For: time.Duration(o.ForMS) * time.Millisecond, Share: o.Share, Factor: o.Factor}
-		if o.Method != "" || o.Path != "" {
-			f.Match = func(r *http.Request) bool {
-				return (o.Method == "" || r.Method == o.Method) && strings.Contains(r.URL.Path, o.Path)
-			}
+// fault returns the fault to inject.
+func (s *ScriptedFault) fault() Fault {
+	f := Fault{
+		Kind:   faultNames[s.Kind],
+		Count:  s.Count,
+		For:    time.Duration(s.ForMS) * time.Millisecond,
+		Share:  s.Share,
+		Factor: s.Factor,
+	}
+	if s.Method != "" || s.Path != "" {
+		f.Match = func(r *http.Request) bool {
+			return (s.Method == "" || r.Method == s.Method) && strings.Contains(r.URL.Path, s.Path)
 		}
-		go func() {
-			if n.sleep(time.Duration(o.AtMS) * time.Millisecond) {
-				if f.Kind == Exit {
-					n.Stop()
-					return
-				}
-				n.Inject(f)
-			}
-		}()
 	}
+	return f
 }
 
-// Done is closed when the node has ended.
-func (n *Node) Done() <-chan struct{} { return n.ctx.Done() }
+// RunScript injects the faults of a script, each at its time, until the node stops.
+func (n *Node) RunScript(script []ScriptedFault) {
+	for _, s := range script {
+		n.tasks.Go(func() {
+			if !n.sleep(time.Duration(s.AtMS) * time.Millisecond) {
+				return
+			}
+			f := s.fault()
+			if f.Kind == Exit {
+				n.shutdown()
+				return
+			}
+			n.Inject(f)
+		})
+	}
+}
--- /dev/null
+++ b/fake/storagenode/serve.go
@@ -0,0 +1,168 @@
+package storagenode
+
+import (
+	"bytes"
+	"chalkstand/internal/objectapi"
+	"context"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+)
+
+// ServeHTTP implements http.Handler.
+func (n *Node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	e := n.recordArrival(r)
+	stopWatch := context.AfterFunc(r.Context(), func() {
+		at := time.Since(n.epoch)
+		n.update(e, func(x *LogEntry) { x.Left = at })
+	})
+	defer func() {
+		stopWatch()
+		n.recordEnd(e)
+	}()
+	f := n.matchFault(r)
+	if n.failEarly(w, r, e, f) {
+		return
+	}
+	op, opErr := parseOperation(r)
+	if opErr != nil {
+		n.update(e, func(x *LogEntry) {
+			x.ParseError = opErr.Error()
+			x.Status = opErr.Status()
+		})
+		n.writeResponse(w, r, e, errorResponse(opErr, r.URL.Path), nil)
+		return
+	}
+	n.update(e, func(x *LogEntry) { x.Op = op.Kind })
+	if !n.work(op, e, f) {
+		if n.canceled(r) {
+			resetConnection(w)
+			return
+		}
+		n.reject(w, e)
+		return
+	}
+	resp := n.execute(op, r, e)
+	if f.kind() == LoseResponse {
+		n.stall(r, f)
+		resetConnection(w)
+		return
+	}
+	n.update(e, func(x *LogEntry) { x.Status = resp.status })
+	n.writeResponse(w, r, e, resp, f)
+}
+
+// failEarly shows a fault that comes before the operation, and reports whether it did.
+func (n *Node) failEarly(w http.ResponseWriter, r *http.Request, e *LogEntry, f *activeFault) bool {
+	switch f.kind() {
+	case Reject:
+		n.reject(w, e)
+	case ResetConnection:
+		resetConnection(w)
+	case Stall:
+		n.stall(r, f)
+		resetConnection(w)
+	case ServerError:
+		n.update(e, func(x *LogEntry) { x.Status = http.StatusInternalServerError })
+		err := objectapi.Errorf("InternalError", "We encountered an internal error.")
+		n.writeResponse(w, r, e, errorResponse(err, r.URL.Path), nil)
+	default:
+		return false
+	}
+	return true
+}
+
+// canceled reports whether the client has disconnected or the node has stopped.
+func (n *Node) canceled(r *http.Request) bool { return r.Context().Err() != nil || n.ctx.Err() != nil }
+
+// reject responds that the request was not executed.
+func (n *Node) reject(w http.ResponseWriter, e *LogEntry) {
+	n.update(e, func(x *LogEntry) { x.Status = http.StatusServiceUnavailable })
+	w.Header().Set("Retry-After", "1")
+	w.Header().Set("Content-Type", "application/xml")
+	w.WriteHeader(http.StatusServiceUnavailable)
+	_, _ = w.Write(objectapi.Errorf("SlowDown", "Please reduce your request rate.").Document("", "0"))
+}
+
+// writeResponse sends a response, whole or with a fault that breaks it. Errors of sending are
+// ignored: the client has disconnected.
+func (n *Node) writeResponse(w http.ResponseWriter, r *http.Request, e *LogEntry, resp response, f *activeFault) {
+	h := w.Header()
+	for k, v := range resp.header {
+		h.Set(k, v)
+	}
+	h.Set("endpoint-load-metrics", n.loadReport(r.Header))
+	if t := n.timings(e); t != "" {
+		h.Set("Server-Timing", t)
+	}
+	length := resp.contentLength()
+	if resp.status != http.StatusNoContent && resp.status != http.StatusNotModified {
+		h.Set("Content-Length", strconv.FormatInt(length, 10))
+	}
+	w.WriteHeader(resp.status)
+	if r.Method == http.MethodHead || length == 0 {
+		return
+	}
+	body, err := resp.open()
+	if err != nil {
+		resetConnection(w)
+		return
+	}
+	defer func() { _ = body.Close() }() // it was only read
+	kind := f.kind()
+	if kind != TruncateResponse && kind != StallInResponse {
+		_, _ = io.Copy(w, body)
+		return
+	}
+	_, _ = io.CopyN(w, body, length/2)
+	_ = http.NewResponseController(w).Flush()
+	if kind == TruncateResponse {
+		resetConnection(w)
+		return
+	}
+	n.stall(r, f)
+	if !n.canceled(r) {
+		_, _ = io.Copy(w, body)
+	}
+}
+
+// response is a response of the object API: a document, or a part of a blob.
+type response struct {
+	status int
+	header map[string]string
+	body   []byte // if blob is nil
+	blob   *blob
+	offset int64 // in blob
+	length int64 // of the part of blob
+}
+
+func xmlResponse(v any) response {
+	return response{
+		status: http.StatusOK,
+		header: map[string]string{"Content-Type": "application/xml"},
+		body:   objectapi.Marshal(v),
+	}
+}
+
+func errorResponse(err *objectapi.Error, resource string) response {
+	return response{
+		status: err.Status(),
+		header: map[string]string{"Content-Type": "application/xml"},
+		body:   err.Document(resource, "0"),
+	}
+}
+
+func (p *response) contentLength() int64 {
+	if p.blob != nil {
+		return p.length
+	}
+	return int64(len(p.body))
+}
+
+func (p *response) open() (io.ReadCloser, error) {
+	if p.blob != nil {
+		return p.blob.open(p.offset, p.length)
+	}
+	return io.NopCloser(bytes.NewReader(p.body)), nil
+}
--- a/fake/storagenode/stored_test.go
+++ b/fake/storagenode/stored_test.go
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = d.Close() })
-	n := run(t, d, Config{ID: "a"})
+	n := startNode(t, d, Config{ID: "a"})
 	text := "hello, storage node\n"
 	long, err := os.ReadFile("testdata/dataset/blob-25768-1796290101710915798-2")
 	if err != nil {
@@ -64,14 +64,15 @@
 		{"/old", 404, ""},
 	} {
 		t.Run(c.path, func(t *testing.T) {
-			status, body := ask(t, n, "GET", c.path, "")
+			status, body := request(t, n, "GET", c.path, "")
 			if status != c.status || status == 200 && body != c.body {
 				t.Errorf("%d, %d bytes; want %d, %d bytes", status, len(body), c.status, len(c.body))
 			}
 		})
 	}
 	o, e := d.get("photos", "a.txt")
-	if e != nil || o.etag != "17d4f96a28e154f4d3078a24cffab007" || o.header["X-Amz-Meta-Camera"] != "north" || o.modified.IsZero() {
+	if e != nil || o.etag != "17d4f96a28e154f4d3078a24cffab007" || o.header["X-Amz-Meta-Camera"] != "north" ||
+		o.modified.IsZero() {
 		t.Errorf("%+v %v", o, e)
 	}
 	if o, e := d.get("photos", "multi.bin"); e != nil || !slices.Equal(o.parts, []int64{20}) {
@@ -94,10 +95,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := run(t, d, Config{ID: "a"})
-	ask(t, n, "PUT", "/photos", "")
-	ask(t, n, "PUT", "/photos/k", "text")
-	ask(t, n, "POST", "/photos/big?uploads", "")
+	n := startNode(t, d, Config{ID: "a"})
+	request(t, n, "PUT", "/photos", "")
+	request(t, n, "PUT", "/photos/k", "text")
+	request(t, n, "POST", "/photos/big?uploads", "")
 	if err := d.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -132,18 +133,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	orders, err := ParseScript(text)
-	if err != nil || len(orders) != 10 {
-		t.Fatalf("%d orders, %v", len(orders), err)
+	script, err := ParseScript(text)
+	if err != nil || len(script) != 10 {
+		t.Fatalf("%d entries, %v", len(script), err)
 	}
 	want := ScriptedFault{AtMS: 60000, ForMS: 1000, Kind: "stall", Share: 0.5, Method: "GET", Path: "/photos/"}
-	if orders[0] != want || orders[7].Factor != 2.5 || orders[2].Count != 2 {
-		t.Errorf("%+v", orders)
+	if script[0] != want || script[7].Factor != 2.5 || script[2].Count != 2 {
+		t.Errorf("%+v", script)
 	}
-	kinds := []FaultKind{Stall, StallInResponse, Reject, ServerError, ResetConnection, LoseResponse, TruncateResponse, Slow, Pause, Exit}
-	for i, o := range orders {
-		if faultNames[o.Kind] != kinds[i] {
-			t.Errorf("%q means %v, want %v", o.Kind, faultNames[o.Kind], kinds[i])
+	kinds := []FaultKind{
+		Stall, StallInResponse, Reject, ServerError, ResetConnection, LoseResponse, TruncateResponse, Slow, Pause, Exit,
+	}
+	for i, s := range script {
+		if faultNames[s.Kind] != kinds[i] {
+			t.Errorf("%q means %v, want %v", s.Kind, faultNames[s.Kind], kinds[i])
 		}
 	}
 }
--- a/fake/storagenode/timing.go
+++ b/fake/storagenode/timing.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// serverTiming is how a request's time here divided, to be told later.
+// serverTiming is how a request's time at the node divided, to be reported later.
 type serverTiming struct {
-	due          time.Time
-	gateway      string
-	name         string
-	queued, service time.Duration
+	due         time.Time
+	gateway     string
+	requestName string
+	queued      time.Duration
+	service     time.Duration
 }
 
-// The bounds of what is told late: so many wait, and so many go with one answer.
+// Bounds of late timings.
 const (
-	maxLateTimings   = 4096
+	maxLateTimings     = 4096 // waiting to be reported
 	timingsPerResponse = 8
 )
 
-// timings returns the Server-Timing of an answer: this request's own, or where the
-// node tells late, those of requests of the same gateway that have become due.
+// timings returns the Server-Timing of a response: that of its own request or, where the node
+// reports with a delay, those of the same gateway's requests that are due.
 func (n *Node) timings(e *LogEntry) string {
 	if !n.cfg.Timing {
 		return ""
@@ -32,29 +33,39 @@
 		return ""
 	}
 	if n.cfg.TimingDelay <= 0 {
-		return metric("queue", e.QueueTime, "") + ", " + metric("work", e.ServiceTime, "")
+		return timingMetric("queue", e.QueueTime, "") + ", " + timingMetric("work", e.ServiceTime, "")
 	}
 	now := time.Now()
 	if len(n.lateTimings) < maxLateTimings {
-		n.lateTimings = append(n.lateTimings, serverTiming{now.Add(n.cfg.TimingDelay), e.Gateway, e.requestName, e.QueueTime, e.ServiceTime})
+		n.lateTimings = append(n.lateTimings, serverTiming{
+			due:         now.Add(n.cfg.TimingDelay),
+			gateway:     e.Gateway,
+			requestName: e.requestName,
+			queued:      e.QueueTime,
+			service:     e.ServiceTime,
+		})
 	}
-	var out []string
-	kept := n.lateTimings[:0]
+	var metrics []string
+	waiting := n.lateTimings[:0]
 	for _, t := range n.lateTimings {
-		if len(out) < 2*timingsPerResponse && t.gateway == e.Gateway && !now.Before(t.due) {
-			out = append(out, metric("queue", t.queued, t.name), metric("work", t.service, t.name))
+		if len(metrics) < 2*timingsPerResponse && t.gateway == e.Gateway && !now.Before(t.due) {
+			metrics = append(metrics,
+				timingMetric("queue", t.queued, t.requestName),
+				timingMetric("work", t.service, t.requestName))
 			continue
 		}
-		kept = append(kept, t)
+		waiting = append(waiting, t)
 	}
-	n.lateTimings = kept
-	return strings.Join(out, ", ")
+	n.lateTimings = waiting
+	return strings.Join(metrics, ", ")
 }
 
-func metric(name string, d time.Duration, of string) string {
+// timingMetric formats one metric of Server-Timing, in milliseconds, of a request's name unless
+// that is empty.
+func timingMetric(name string, d time.Duration, request string) string {
 	s := fmt.Sprintf("%s;dur=%.3f", name, float64(d)/float64(time.Millisecond))
-	if of != "" {
-		s += fmt.Sprintf(";desc=%q", of)
+	if request != "" {
+		s += fmt.Sprintf(";desc=%q", request)
 	}
 	return s
 }
