--- a/fake/storagenode/log.go
+++ b/fake/storagenode/log.go
@@ -43,6 +43,14 @@
 	return out
 }
 
+// OnArrival has f called with the entry of each request as it arrives. f must not call methods of
+// the node.
+func (n *Node) OnArrival(f func(LogEntry)) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.onArrival = f
+}
+
 // recordArrival logs a request and counts what it adds to the load of a node that has just started.
 func (n *Node) recordArrival(r *http.Request) *LogEntry {
 	h := r.Header
@@ -69,6 +77,9 @@
 		n.log = append(n.log, e)
 	}
 	n.checkOverload(now, e.Units)
+	if n.onArrival != nil {
+		n.onArrival(*e)
+	}
 	return e
 }
 
--- a/fake/storagenode/node.go
+++ b/fake/storagenode/node.go
@@ -31,6 +31,7 @@
 	rng          *rand.Rand
 	faults       []*activeFault
 	log          []*LogEntry
+	onArrival    func(LogEntry) // may be nil
 	inflight     int
 	waiting      int // requests queued or in service
 	overloaded   bool
@@ -95,6 +96,13 @@
 	return n.overloaded
 }
 
+// Idle reports whether the node has no request in progress.
+func (n *Node) Idle() bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.inflight == 0
+}
+
 // Done is closed when the node has stopped.
 func (n *Node) Done() <-chan struct{} { return n.ctx.Done() }
 
