--- a/internal/e2e/bench_test.go
+++ b/internal/e2e/bench_test.go
@@ -6,19 +6,75 @@
 	"chalkstand/forwarder"
 	"chalkstand/gateway"
 	"chalkstand/internal/http1"
-	"context"
 	"fmt"
 	"net"
+	"net/http"
+	"strings"
 	"testing"
 	"time"
 
 	kit "chalkstand/internal/testkit"
 )
 
-// plainNode answers every request head with the same bytes and allocates nothing
-// for it, so that what a benchmark counts is the gateway's.
-func plainNode(b *testing.B, answer []byte) string {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+const (
+	benchBodySize   = 4 << 10  // bytes of the object that a benchmark reads
+	benchBufferSize = 64 << 10 // bytes; more than a request, or than a response
+	benchWarmUp     = 100      // requests before those that are measured
+)
+
+// BenchmarkGet reads a 4 KiB object through a gateway and one node connection. Its allocations are those of
+// the gateway for one request. "accounts" is with latency attribution.
+func BenchmarkGet(b *testing.B) {
+	b.Run("plain", func(b *testing.B) { benchmarkGet(b, false) })
+	b.Run("accounts", func(b *testing.B) { benchmarkGet(b, true) })
+}
+
+func benchmarkGet(b *testing.B, attribution bool) {
+	b.Helper()
+	s := kit.Settings(1)
+	s.Loops = 1
+	s.Accounts.On = attribution
+	g, err := gateway.New(s, gateway.WithSeed(1))
+	if err != nil {
+		b.Fatal(err)
+	}
+	b.Cleanup(func() {
+		if err := g.Close(); err != nil {
+			b.Error(err)
+		}
+	})
+	nodeAddr := startFixedNode(b, benchResponse())
+	g.UpdateEndpoints(dispatch.Snapshot, []forwarder.Node{{Addr: nodeAddr, Node: dispatch.Node{ID: "n"}}})
+	c := newBenchClient(b, kit.Serve(b, g))
+	for range benchWarmUp {
+		if err := c.get(); err != nil {
+			b.Fatal(err)
+		}
+	}
+	b.ReportAllocs()
+	for b.Loop() {
+		if err := c.get(); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
+
+// benchResponse returns the node's response with an object and a load report.
+func benchResponse() []byte {
+	header := "HTTP/1.1 200 OK\r\n" +
+		"Content-Type: image/jpeg\r\n" +
+		"ETag: \"x\"\r\n" +
+		"endpoint-load-metrics: TEXT cpu_utilization=0.1, named_metrics.inflight=1.0\r\n" +
+		fmt.Sprintf("Content-Length: %d\r\n\r\n", benchBodySize)
+	return append([]byte(header), make([]byte, benchBodySize)...)
+}
+
+// startFixedNode starts a node that sends the same response to each request and allocates nothing for it, so
+// that a benchmark counts the gateway's allocations. It returns the node's address.
+func startFixedNode(b *testing.B, response []byte) string {
+	b.Helper()
+	var lc net.ListenConfig
+	ln, err := lc.Listen(b.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -29,93 +85,89 @@
 			if err != nil {
 				return
 			}
-			go func() {
-				defer c.Close()
-				buf := make([]byte, 64<<10)
-				have := 0
-				for {
-					n, err := c.Read(buf[have:])
-					if err != nil {
-						return
-					}
-					have += n
-					for {
-						i := bytes.Index(buf[:have], []byte("\r\n\r\n"))
-						if i < 0 {
-							break
-						}
-						have = copy(buf, buf[i+4:have])
-						if _, err := c.Write(answer); err != nil {
-							return
-						}
-					}
-				}
-			}()
+			go serveFixedResponse(c, response)
 		}
 	}()
 	return ln.Addr().String()
 }
 
-// BenchmarkGet passes 4 KiB reads through a gateway: signature, every decision, one
-// node connection. Its allocations are the gateway's for one request.
-func BenchmarkGet(b *testing.B) {
-	b.Run("plain", func(b *testing.B) { benchmarkGet(b, false) })
-	b.Run("accounts", func(b *testing.B) { benchmarkGet(b, true) })
+// serveFixedResponse responds to each request, none of which has a body, until the connection ends.
+func serveFixedResponse(c net.Conn, response []byte) {
+	defer c.Close()
+	headerEnd := []byte("\r\n\r\n")
+	buf := make([]byte, benchBufferSize)
+	buffered := 0
+	for {
+		n, err := c.Read(buf[buffered:])
+		if err != nil {
+			return
+		}
+		buffered += n
+		for {
+			i := bytes.Index(buf[:buffered], headerEnd)
+			if i < 0 {
+				break
+			}
+			buffered = copy(buf, buf[i+len(headerEnd):buffered])
+			if _, err := c.Write(response); err != nil {
+				return
+			}
+		}
+	}
 }
 
-func benchmarkGet(b *testing.B, accounts bool) {
-	s := kit.Settings(1)
-	s.Loops, s.Accounts.On = 1, accounts
-	g, err := gateway.New(s, gateway.WithSeed(1))
-	if err != nil {
-		b.Fatal(err)
-	}
-	defer g.Close()
-	answer := append([]byte("HTTP/1.1 200 OK\r\nContent-Type: image/jpeg\r\nETag: \"x\"\r\nendpoint-load-metrics: TEXT cpu_utilization=0.1, named_metrics.inflight=1.0\r\nContent-Length: 4096\r\n\r\n"),
-		make([]byte, 4096)...)
-	addr := plainNode(b, answer)
-	g.UpdateEndpoints(dispatch.Snapshot, []forwarder.Node{{Addr: addr, Node: dispatch.Node{ID: "n"}}})
-	ln, err := gateway.Listen("127.0.0.1:0")
-	if err != nil {
-		b.Fatal(err)
+// benchClient sends the same request again and again, and allocates nothing for it.
+type benchClient struct {
+	conn     net.Conn
+	request  []byte
+	buf      []byte
+	parser   http1.Head
+	response http1.Response
+}
+
+func newBenchClient(b *testing.B, addr string) *benchClient {
+	b.Helper()
+	base := "http://" + addr
+	url := kit.PresignURL(http.MethodGet, base+"/photos/line-7/part-1.jpg", kit.KeyID, kit.Secret, time.Now(), "3600")
+	target := strings.TrimPrefix(url, base)
+	return &benchClient{
+		conn:    kit.Dial(b, addr),
+		request: fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", target, addr),
+		buf:     make([]byte, benchBufferSize),
 	}
-	at := ln.Addr().String()
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
-	go g.Serve(ctx, ln)
-	url := kit.PresignURL("GET", "http://"+at+"/photos/line-7/part-1.jpg", kit.KeyID, kit.Secret, time.Now(), "3600")
-	text := []byte(fmt.Sprintf("GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", url[len("http://"+at):], at))
-	c, err := net.Dial("tcp", at)
-	if err != nil {
-		b.Fatal(err)
+}
+
+// get sends the request and reads the response.
+func (c *benchClient) get() error {
+	if _, err := c.conn.Write(c.request); err != nil {
+		return err
 	}
-	defer c.Close()
-	buf := make([]byte, 64<<10)
-	var scan http1.Head
-	var resp http1.Response
-	round := func() {
-		c.Write(text)
-		have, need := 0, 1
-		for have < need {
-			n, err := c.Read(buf[have:])
-			if err != nil {
-				b.Fatal(err)
-			}
-			have += n
-			if need == 1 {
-				if k, _ := scan.ParseResponse(buf[:have], http1.DefaultLimits, "GET", &resp); k > 0 {
-					if need = k + int(resp.Length); resp.Status != 200 {
-						b.Fatalf("%d", resp.Status)
-					}
-				}
-			}
+	size := 0 // of the response; unknown before its header is complete
+	for received := 0; size == 0 || received < size; {
+		n, err := c.conn.Read(c.buf[received:])
+		if err != nil {
+			return err
+		}
+		received += n
+		if size > 0 {
+			continue
+		}
+		if size, err = c.responseSize(c.buf[:received]); err != nil {
+			return err
 		}
 	}
-	for range 100 {
-		round()
+	return nil
+}
+
+// responseSize returns the size of the response that begins with what has been received, 0 if its header is
+// not complete.
+func (c *benchClient) responseSize(received []byte) (int, error) {
+	headerSize, _ := c.parser.ParseResponse(received, http1.DefaultLimits, http.MethodGet, &c.response)
+	if headerSize <= 0 {
+		return 0, nil
 	}
-	b.ReportAllocs()
-	for b.Loop() {
-		round()
+	if c.response.Status != http.StatusOK {
+		return 0, fmt.Errorf("status %d", c.response.Status)
 	}
+	return headerSize + int(c.response.Length), nil
 }
--- /dev/null
+++ b/internal/testkit/settings.go
@@ -0,0 +1,52 @@
+// Package testkit starts gateways with fake storage nodes on loopback, and sends them requests, for tests.
+package testkit
+
+import (
+	"chalkstand/internal/settings"
+	"fmt"
+)
+
+// The access key of the test settings that may read and write every bucket.
+const (
+	KeyID  = "TESTKEY"
+	Secret = "test-secret-key"
+)
+
+// Settings returns the settings of a gateway with the given number of shards.
+func Settings(shards int) settings.Settings {
+	s, err := settings.Parse("testkit", fmt.Appendf(nil, settingsFormat, shards))
+	if err != nil {
+		panic(err) // the text is constant
+	}
+	return *s
+}
+
+const settingsFormat = `{
+	"name": "gw", "listen": "127.0.0.1:0", "domains": ["localhost"], "loops": 2, "shards": %d,
+	"keys": [
+		{"id": "TESTKEY", "secret": "test-secret-key", "buckets": ["*"], "write": true},
+		{"id": "READER", "secret": "reader-secret", "buckets": ["photos*"]},
+	],
+	"classes": [
+		{"name": "read", "aim": "2s", "deadline": "4s", "worth": 3, "effect": "safe"},
+		{"name": "write", "aim": "3s", "deadline": "6s", "worth": 2, "effect": "keyed",
+			"group": "shard", "window": "30s", "in_turn": true},
+		{"name": "bulk", "aim": "30s", "deadline": "60s", "worth": 1, "effect": "keyed",
+			"group": "shard", "window": "30s"},
+	],
+	"plans": [{"name": "standard", "rate": 10000, "reserve": 5000, "weight": 1, "price": 1}],
+	"buckets": [
+		{"pattern": "closed-*", "plan": "standard", "spread": 1},
+		{"pattern": "*", "plan": "standard"},
+	],
+	"operations": [
+		{"operations": ["GetObject"], "class": "read", "units": 1, "per_mib": 1, "assume_bytes": 65536},
+		{"operations": ["HeadObject", "HeadBucket", "ListObjects", "ListObjectsV2", "ListMultipartUploads",
+			"ListParts", "ListBuckets", "GetBucketLocation", "GetBucketVersioning"], "class": "read", "units": 1},
+		{"operations": ["PutObject", "UploadPart"], "max_bytes": 65536, "class": "write", "units": 1},
+		{"operations": ["PutObject", "UploadPart", "CopyObject", "UploadPartCopy"],
+			"class": "bulk", "units": 1, "per_mib": 1},
+		{"operations": ["*"], "class": "write", "units": 1},
+	],
+	"rules": {"usual_units": 1, "largest_units": 16, "settle": "50ms"},
+}`
--- /dev/null
+++ b/internal/testkit/site.go
@@ -0,0 +1,164 @@
+package testkit
+
+import (
+	"chalkstand/dispatch"
+	"chalkstand/fake/storagenode"
+	"chalkstand/forwarder"
+	"chalkstand/gateway"
+	"chalkstand/internal/settings"
+	"context"
+	"fmt"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/aws/aws-sdk-go-v2/aws"
+	"github.com/aws/aws-sdk-go-v2/credentials"
+	"github.com/aws/aws-sdk-go-v2/service/s3"
+	"github.com/minio/minio-go/v7"
+	miniocredentials "github.com/minio/minio-go/v7/pkg/credentials"
+)
+
+const (
+	loopbackAnyPort = "127.0.0.1:0"
+	dedupWindow     = 30 * time.Second // of the nodes: that of the settings' classes
+)
+
+// Site is a gateway on loopback with a fake storage node for each shard.
+type Site struct {
+	Gateway *gateway.Gateway
+	G       *gateway.Gateway // Gateway, by the name that cmd/chalkstand's tests use
+	Addr    string           // of the gateway, host:port
+	Data    []*storagenode.Dataset
+	Nodes   []*storagenode.Node
+	Epoch   time.Time // zero of the times in the nodes' logs
+
+	tb testing.TB
+}
+
+// Start starts a site, which is stopped at the end of the test. configureNode, unless it is nil, is called
+// with each node's shard and configuration before the node starts.
+func Start(
+	tb testing.TB,
+	s settings.Settings,
+	configureNode func(shard int, c *storagenode.Config),
+	opts ...gateway.Option,
+) *Site {
+	tb.Helper()
+	g, err := gateway.New(s, append(opts, gateway.WithSeed(1))...)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	tb.Cleanup(func() {
+		if err := g.Close(); err != nil {
+			tb.Error(err)
+		}
+	})
+	site := &Site{Gateway: g, G: g, Epoch: time.Now(), tb: tb}
+	for shard := range s.Shards {
+		site.Data = append(site.Data, storagenode.NewDataset(""))
+		site.AddNode(fmt.Sprintf("node-%d", shard), shard, configureNode)
+	}
+	site.Addr = Serve(tb, g)
+	return site
+}
+
+// Serve has a gateway serve a loopback port until the end of the test, and returns its address.
+func Serve(tb testing.TB, g *gateway.Gateway) string {
+	tb.Helper()
+	ln, err := gateway.Listen(loopbackAnyPort)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	addr := ln.Addr().String()
+	ctx, stop := context.WithCancel(context.Background())
+	served := make(chan error, 1)
+	go func() { served <- g.Serve(ctx, ln) }()
+	tb.Cleanup(func() {
+		stop()
+		if err := <-served; err != nil {
+			tb.Error(err)
+		}
+	})
+	return addr
+}
+
+// AddNode starts a node of a shard and adds it to the gateway's endpoints.
+func (s *Site) AddNode(id string, shard int, configure func(shard int, c *storagenode.Config)) *storagenode.Node {
+	s.tb.Helper()
+	cfg := storagenode.Config{ID: id, Shard: shard, DedupWindow: dedupWindow, Seed: uint64(shard)}
+	if configure != nil {
+		configure(shard, &cfg)
+	}
+	n, err := storagenode.Start(loopbackAnyPort, cfg, s.Data[shard], nil, s.Epoch)
+	if err != nil {
+		s.tb.Fatal(err)
+	}
+	s.tb.Cleanup(n.Stop)
+	s.Nodes = append(s.Nodes, n)
+	s.SetNodeState(n, shard, dispatch.Ready)
+	return n
+}
+
+// SetNodeState updates a node's state in the gateway's endpoints.
+func (s *Site) SetNodeState(n *storagenode.Node, shard int, state dispatch.NodeState) {
+	s.Gateway.UpdateEndpoints(dispatch.Delta, []forwarder.Node{{
+		Addr: n.Addr(),
+		Node: dispatch.Node{ID: dispatch.NodeID(n.ID()), Shard: dispatch.Shard(shard), State: state},
+	}})
+}
+
+// Log returns the requests that reached the nodes, node by node.
+func (s *Site) Log() []storagenode.LogEntry {
+	var all []storagenode.LogEntry
+	for _, n := range s.Nodes {
+		all = append(all, n.Log()...)
+	}
+	return all
+}
+
+// AWSClient returns an unmodified aws-sdk-go-v2 client with its default settings.
+func (s *Site) AWSClient() *s3.Client {
+	return s3.New(s3.Options{
+		BaseEndpoint: aws.String("http://" + s.Addr),
+		Region:       "us-east-1",
+		UsePathStyle: true,
+		Credentials:  credentials.NewStaticCredentialsProvider(KeyID, Secret, ""),
+	})
+}
+
+// MinioClient returns an unmodified minio-go client with its default settings.
+func (s *Site) MinioClient() *minio.Client {
+	s.tb.Helper()
+	return NewMinioClient(s.tb, s.Addr)
+}
+
+// NewMinioClient returns an unmodified minio-go client of the gateway, or proxy, at addr.
+func NewMinioClient(tb testing.TB, addr string) *minio.Client {
+	tb.Helper()
+	c, err := minio.New(addr, &minio.Options{Creds: miniocredentials.NewStaticV4(KeyID, Secret, "")})
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return c
+}
+
+// Dial opens a connection to the gateway that is closed at the end of the test at the latest.
+func (s *Site) Dial() net.Conn {
+	s.tb.Helper()
+	return Dial(s.tb, s.Addr)
+}
+
+// Dial opens a TCP connection that is closed at the end of the test at the latest.
+func Dial(tb testing.TB, addr string) net.Conn {
+	tb.Helper()
+	var d net.Dialer
+	c, err := d.DialContext(tb.Context(), "tcp", addr)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	tb.Cleanup(func() {
+		_ = c.Close() // may have been closed by the test
+	})
+	return c
+}
