--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -24,23 +24,9 @@
 	path   string
 }
 
-// testResponse is a response whose body has been read.
-type testResponse struct {
-	code   int
-	status string
-	header http.Header
-}
-
 func dialTestClient(t *testing.T, addr, path string) testClient {
 	t.Helper()
-	var d net.Dialer
-	conn, err := d.DialContext(t.Context(), "tcp", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() {
-		_ = conn.Close() // may be closed by the test, too
-	})
+	conn := kit.Dial(t, addr)
 	return testClient{Conn: conn, reader: bufio.NewReader(conn), addr: addr, path: path}
 }
 
@@ -56,20 +42,12 @@
 	}
 }
 
-func (c testClient) readResponse(t *testing.T) testResponse {
+func (c testClient) readResponse(t *testing.T) kit.Response {
 	t.Helper()
 	if err := c.SetReadDeadline(time.Now().Add(clientTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	resp, err := http.ReadResponse(c.reader, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	kit.ReadAll(t, resp.Body)
-	if err := resp.Body.Close(); err != nil {
-		t.Fatal(err)
-	}
-	return testResponse{code: resp.StatusCode, status: resp.Status, header: resp.Header}
+	return kit.ReadResponse(t, c.reader)
 }
 
 // overloadSettings returns settings of one loop with overload control; retryAfter 0 turns it off.
@@ -123,11 +101,11 @@
 	}
 	for _, c := range all { // assigns the connection to its volume
 		c.sendRequest(t, kit.Secret)
-		if resp := c.readResponse(t); resp.code != http.StatusOK {
-			t.Fatal(resp.status)
+		if resp := c.readResponse(t); resp.Status != http.StatusOK {
+			t.Fatal(resp)
 		}
 	}
-	release := site.G.Overload("photos")
+	release := site.Gateway.Overload("photos")
 	for _, c := range all {
 		c.sendRequest(t, secret)
 	}
@@ -142,7 +120,7 @@
 	headers := map[int]http.Header{}
 	for _, c := range all {
 		resp := c.readResponse(t)
-		headers[resp.code] = resp.header
+		headers[resp.Status] = resp.Header
 	}
 	if headers[http.StatusForbidden] == nil || headers[http.StatusServiceUnavailable].Get("Retry-After") == "" {
 		t.Errorf("%v", headers)
@@ -156,7 +134,7 @@
 	_, all := startOverloaded(t, overloadSettings(retryAfter), 8, kit.Secret)
 	var rejected []testClient
 	for _, c := range all {
-		if c.readResponse(t).code == http.StatusServiceUnavailable {
+		if c.readResponse(t).Status == http.StatusServiceUnavailable {
 			rejected = append(rejected, c)
 		}
 	}
@@ -175,7 +153,7 @@
 		if i == 0 && time.Since(rejectedAt) < retryAfter/2-20*time.Millisecond {
 			t.Errorf("response after %v", time.Since(rejectedAt))
 		}
-		for resp.code == http.StatusServiceUnavailable { // it waited behind another that retried
+		for resp.Status == http.StatusServiceUnavailable { // it waited behind another that retried
 			c.sendRequest(t, kit.Secret)
 			resp = c.readResponse(t)
 		}
@@ -190,11 +168,11 @@
 	onEntry := gateway.WithAttribution(func(e attribution.Entry) { received <- e })
 	site, all := startOverloaded(t, overloadSettings(0), clients, kit.Secret, onEntry)
 	for _, c := range all {
-		if resp := c.readResponse(t); resp.code != http.StatusOK {
-			t.Error(resp.status)
+		if resp := c.readResponse(t); resp.Status != http.StatusOK {
+			t.Error(resp)
 		}
 	}
-	if err := site.G.Close(); err != nil { // flushes the entries
+	if err := site.Gateway.Close(); err != nil { // flushes the entries
 		t.Error(err)
 	}
 	close(received)
@@ -242,7 +220,7 @@
 	c := all[0]
 	c.readResponse(t)
 	before := len(site.Log())
-	release := site.G.Overload("photos")
+	release := site.Gateway.Overload("photos")
 	c.sendRequest(t, kit.Secret)
 	if err := c.Conn.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Error(err)
--- a/internal/testkit/http.go
+++ b/internal/testkit/http.go
@@ -18,9 +18,9 @@
 	Close  bool // the gateway closes the connection after it
 }
 
-// String returns the status and the body, for error messages.
+// String returns the status and the beginning of the body, for error messages.
 func (r Response) String() string {
-	return fmt.Sprintf("%d %s: %s", r.Status, http.StatusText(r.Status), r.Body)
+	return fmt.Sprintf("%d %s: %.1000s", r.Status, http.StatusText(r.Status), r.Body)
 }
 
 // Stream is an HTTP response whose body the test reads as it comes.
