--- a/gateway/volume.go
+++ b/gateway/volume.go
@@ -38,12 +38,12 @@
 	}
 	v := &volume{
 		name:        strings.Clone(bucket),
-		plan:        cfg.Plan(rule),
-		dispatchers: cfg.Hosts(rule),
+		plan:        cfg.PlanIndex(rule),
+		dispatchers: cfg.Dispatchers(rule),
 		placement:   w.gateway.shards.Volume(bucket, cfg.Buckets[rule].Spread),
 	}
 	v.rate = cfg.Plans[v.plan].Rate
-	v.flowConfig = cfg.Terms(rule)
+	v.flowConfig = cfg.FlowConfig(rule)
 	v.flow = w.loop.Flow(v.name, v.flowConfig, w.gateway.usage.shared(v.name, cfg))
 	v.overload = w.newOverloadController()
 	w.volumes[v.name] = v
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,65 +1,34 @@
-// Package settings reads the gateway's settings: JSON with comments, strict in
-// its fields. An error names file, line and field and says what is expected.
+// Package settings reads the gateway's settings file: JSON with comments, strict in its
+// fields. A [ConfigError] names file, line and field and says what is expected.
+//
+// The structs mirror the file and keep its published keys. Where a key differs from the
+// term that the code uses, the field's comment names the term; convert.go maps the
+// settings to the configurations of the packages that they are for.
 package settings
 
-import (
-	"bytes"
-	"encoding/json"
-	"errors"
-	"fmt"
-	"os"
-	"path"
-	"reflect"
-	"runtime"
-	"strings"
-	"time"
-
-	"github.com/tailscale/hujson"
-)
-
-// Duration is a time such as "300ms" or "1m30s".
-type Duration time.Duration
-
-// D returns the duration as the standard library has it.
-func (d Duration) D() time.Duration { return time.Duration(d) }
-
-// UnmarshalJSON reads "300ms".
-func (d *Duration) UnmarshalJSON(b []byte) error {
-	var s string
-	if json.Unmarshal(b, &s) != nil {
-		return fmt.Errorf("want a duration in quotes, such as %q", "300ms")
-	}
-	v, err := time.ParseDuration(s)
-	if err != nil {
-		return fmt.Errorf("%q is no duration: want such as %q", s, "300ms")
-	}
-	*d = Duration(v)
-	return nil
-}
-
 // Settings is the whole file.
 type Settings struct {
 	Name    string   `json:"name"`    // of this gateway, in logs and towards nodes
-	Listen  string   `json:"listen"`  // object API
-	Admin   string   `json:"admin"`   // metrics and health; "" for none
-	Region  string   `json:"region"`  // of signatures
-	Domains []string `json:"domains"` // hosts under these name a bucket
+	Listen  string   `json:"listen"`  // address of the object API
+	Admin   string   `json:"admin"`   // address of metrics and health; "" for none
+	Region  string   `json:"region"`  // region that clients sign for
+	Domains []string `json:"domains"` // parent domains of virtual-host style buckets
 	Loops   int      `json:"loops"`   // event loops; 0: one for each core
-	Me      int      `json:"me"`      // this gateway's number among its peers
-	Peers   int      `json:"peers"`   // gateways that send to the same nodes
+	Me      int      `json:"me"`      // dispatcher index
+	Peers   int      `json:"peers"`   // dispatcher count: gateways that send to the same nodes
 
 	Keys       []Key       `json:"keys"`
 	Shards     int         `json:"shards"`
 	Nodes      []Node      `json:"nodes"`
-	Embedded   *Embedded   `json:"embedded_nodes"`
+	Embedded   *Embedded   `json:"embedded_nodes"` // fake nodes inside the process; nil for none
 	Classes    []Class     `json:"classes"`
 	Plans      []Plan      `json:"plans"`
-	Buckets    []Bucket    `json:"buckets"`
-	Operations []Operation `json:"operations"`
+	Buckets    []Bucket    `json:"buckets"`    // the first pattern that matches decides
+	Operations []Operation `json:"operations"` // cost model; the first rule that matches decides
 	Rules      Rules       `json:"rules"`
 	Limits     Limits      `json:"limits"`
-	Share      Share       `json:"share"`
-	Accounts   Accounts    `json:"accounts"`
+	Share      Share       `json:"share"`    // fair sharing
+	Accounts   Accounts    `json:"accounts"` // latency attribution
 	Log        Log         `json:"log"`
 	Trace      string      `json:"trace"` // file that records the dispatcher's events; "" for none
 }
@@ -68,8 +37,8 @@
 type Key struct {
 	ID      string   `json:"id"`
 	Secret  string   `json:"secret"`
-	Buckets []string `json:"buckets"` // patterns, as in path.Match
-	Write   bool     `json:"write"`
+	Buckets []string `json:"buckets"` // patterns of path.Match
+	Write   bool     `json:"write"`   // whether the key permits operations that write
 }
 
 // Node is a storage node.
@@ -78,399 +47,158 @@
 	Addr  string `json:"addr"`
 	Shard int    `json:"shard"`
 	Zone  int    `json:"zone"`
-	Kind  int    `json:"kind"`
-	State string `json:"state"` // "", "serving" or "draining"
+	Kind  int    `json:"kind"`  // hardware kind, for the dispatcher's estimates
+	State string `json:"state"` // "" or "serving" (ready), "draining"
 }
 
-// Embedded runs stand-in nodes inside the process, one for each shard.
+// Embedded configures fake nodes that run inside the process, one for each shard.
 type Embedded struct {
-	Dir     string   `json:"dir"` // for blobs; "" keeps them in memory
+	Dir     string   `json:"dir"` // directory of the objects' data; "" keeps them in memory
 	Cores   int      `json:"cores"`
 	Queue   int      `json:"queue"`
-	PerUnit Duration `json:"per_unit"`
+	PerUnit Duration `json:"per_unit"` // service time of a cost unit
 }
 
-// Class is a kind of request; see dispatch.Class.
+// Class is a class of requests; see dispatch.Class.
 type Class struct {
 	Name     string   `json:"name"`
-	Aim      Duration `json:"aim"`
+	Aim      Duration `json:"aim"` // latency objective
 	Deadline Duration `json:"deadline"`
-	Worth    float64  `json:"worth"`
-	Effect   string   `json:"effect"` // safe, keyed, unsafe
-	Group    string   `json:"group"`  // of keyed: all, zone, shard
-	Window   Duration `json:"window"`
-	InTurn   bool     `json:"in_turn"`
+	Worth    float64  `json:"worth"`   // priority weight
+	Effect   string   `json:"effect"`  // idempotency: safe, keyed (deduplicated) or unsafe
+	Group    string   `json:"group"`   // deduplication scope: all, zone or shard
+	Window   Duration `json:"window"`  // deduplication window
+	InTurn   bool     `json:"in_turn"` // ordered: requests of one key run one at a time
 }
 
-// Plan is what a volume may have; see dispatch.Plan. Figures are units a second.
+// Plan is what a volume is entitled to; see dispatch.Plan. Rates are in units a second.
 type Plan struct {
 	Name    string  `json:"name"`
-	Rate    float64 `json:"rate"` // that the use of a volume is measured by
-	Reserve float64 `json:"reserve"`
+	Rate    float64 `json:"rate"`    // rate that the use of a volume is measured against
+	Reserve float64 `json:"reserve"` // reserved rate
 	Weight  float64 `json:"weight"`
 	Price   float64 `json:"price"`
-	Limit   float64 `json:"limit"`
-	Burst   float64 `json:"burst"`
-	Slack   float64 `json:"slack"`
+	Limit   float64 `json:"limit"` // rate limit; 0: none
+	Burst   float64 `json:"burst"` // units
+	Slack   float64 `json:"slack"` // units
 
-	// Bytes of bodies a second, of each volume and over all gateways; 0: no limit. A
-	// burst of 0 is a second's worth.
-	MiBPerSecond float64 `json:"mib_per_second"`
-	MiBBurst     float64 `json:"mib_burst"`
+	MiBPerSecond float64 `json:"mib_per_second"` // rate limit of bodies, a volume over all gateways; 0: none
+	MiBBurst     float64 `json:"mib_burst"`      // burst of bodies; 0: what one second may carry
 }
 
-// Bucket maps buckets to plans. The first pattern that fits holds.
+// Bucket maps buckets to a plan.
 type Bucket struct {
-	Pattern string `json:"pattern"`
+	Pattern string `json:"pattern"` // of path.Match
 	Plan    string `json:"plan"`
-	Hosts   int    `json:"hosts"`  // gateways through which its requests come
-	Spread  int    `json:"spread"` // shards it lies on; 0: all
+	Hosts   int    `json:"hosts"`  // dispatchers of a volume; 0: all
+	Spread  int    `json:"spread"` // shards of a volume; 0: all
 }
 
-// Operation is a line of the tariff.
+// Operation is a rule of the cost model; see costmodel.Rule.
 type Operation struct {
-	Operations []string `json:"operations"`
-	MaxBytes   int64    `json:"max_bytes"`
+	Operations []string `json:"operations"` // names, or "*" for all
+	MaxBytes   int64    `json:"max_bytes"`  // largest body that the rule applies to; 0: any
 	Class      string   `json:"class"`
-	Units      float64  `json:"units"`
-	PerMiB     float64  `json:"per_mib"`
-	Assume     int64    `json:"assume_bytes"`
+	Units      float64  `json:"units"`        // cost of a request
+	PerMiB     float64  `json:"per_mib"`      // cost of a MiB of its body, in units
+	Assume     int64    `json:"assume_bytes"` // size assumed where it is not known
 }
 
-// Rules are the figures of the rules that hold over requests and nodes.
+// Rules configures the dispatcher's decisions over requests and nodes; see dispatch.Config.
 type Rules struct {
-	MaxAttempts   int      `json:"max_attempts"`
+	MaxAttempts   int      `json:"max_attempts"` // for one request
 	MaxRetryAfter Duration `json:"max_retry_after"`
-	Settle        Duration `json:"settle"`
-	Round         Duration `json:"round"`
-	UsualUnits    float64  `json:"usual_units"`
-	LargestUnits  float64  `json:"largest_units"`
-	Budget        Budget   `json:"budget"`
-	Cold          Cold     `json:"cold"`
+	Settle        Duration `json:"settle"`        // quiescence of a key after an ambiguous attempt
+	Round         Duration `json:"round"`         // round-trip allowance
+	UsualUnits    float64  `json:"usual_units"`   // mean cost of a request
+	LargestUnits  float64  `json:"largest_units"` // highest cost of a request
+	Budget        Budget   `json:"budget"`        // retry budget
+	Cold          Cold     `json:"cold"`          // slow start
 }
 
-// Budget bounds further attempts; see dispatch.BudgetRule.
+// Budget is the retry budget; see dispatch.RetryBudget.
 type Budget struct {
-	Free  float64  `json:"free"`
-	Ratio float64  `json:"ratio"`
-	Span  Duration `json:"span"`
+	Free  float64  `json:"free"`  // retries that are always allowed in the window
+	Ratio float64  `json:"ratio"` // further retries for each request in the window
+	Span  Duration `json:"span"`  // window
 }
 
-// Cold bounds what a node just started is sent; see dispatch.ColdRule.
+// Cold configures the slow start of a node; see dispatch.SlowStart.
 type Cold struct {
-	From       float64  `json:"from"`
+	From       float64  `json:"from"` // initial capacity, of 1
 	WarmUp     Duration `json:"warm_up"`
-	Multiple   float64  `json:"multiple"`
-	Span       Duration `json:"span"`
-	YoungLimit float64  `json:"young_limit"`
+	Multiple   float64  `json:"multiple"`    // overload factor
+	Span       Duration `json:"span"`        // window
+	YoungLimit float64  `json:"young_limit"` // units in flight at first; 0: no slow start
 }
 
-// Limits bounds everything that waits or is held. Sizes are in bytes.
+// Limits bounds what the gateway queues, buffers and waits for. Sizes are in bytes.
 type Limits struct {
-	Line         int      `json:"line"`
-	Headers      int      `json:"headers"`
-	Head         int      `json:"head"`
-	Replay       int      `json:"replay"`    // a body up to this is held and can be sent again
-	Document     int      `json:"document"`  // request and list documents
-	Pipelined    int      `json:"pipelined"` // received ahead of their turn on one connection
-	FanOut       int      `json:"fan_out"`   // requests at a time of one operation on many shards
+	Line         int      `json:"line"`      // of a head
+	Headers      int      `json:"headers"`   // header fields of a head
+	Head         int      `json:"head"`      // request line and header fields together
+	Replay       int      `json:"replay"`    // largest body that is buffered and can be replayed
+	Document     int      `json:"document"`  // largest request or list document
+	Pipelined    int      `json:"pipelined"` // pipelined requests received ahead on a connection
+	FanOut       int      `json:"fan_out"`   // concurrent requests of one scatter-gather operation
 	Conns        int      `json:"conns"`     // client connections
-	Calls        int      `json:"calls"`     // requests held and out
+	Calls        int      `json:"calls"`     // requests queued and in flight
 	ConnsPerNode int      `json:"conns_per_node"`
-	Streams      int      `json:"streams_per_node"` // bodies that flow beside the dispatcher's depth
-	NodeIdle     Duration `json:"node_idle"`
-	NodeAge      Duration `json:"node_age"`
-	Connect      Duration `json:"connect"`
-	Margin       Duration `json:"margin"`      // kept before a deadline for the answer's way
-	ClientHead   Duration `json:"client_head"` // from a head's first byte to its last
-	ClientIdle   Duration `json:"client_idle"` // between requests
-	ClientBody   Duration `json:"client_body"` // without a byte of a body, either way
-	Skew         Duration `json:"skew"`        // between a client's clock and ours
-	DrainWait    Duration `json:"drain_wait"`  // for requests taken, at the end
-}
-
-// Share is how the gateway's own loops are divided among volumes, by the weights of
-// their plans.
+	Streams      int      `json:"streams_per_node"` // bodies that stream outside the concurrency limit
+	NodeIdle     Duration `json:"node_idle"`        // idle timeout of a node connection
+	NodeAge      Duration `json:"node_age"`         // maximum age of a node connection
+	Connect      Duration `json:"connect"`          // dial timeout
+	Margin       Duration `json:"margin"`           // kept before a deadline for the response's way
+	ClientHead   Duration `json:"client_head"`      // read timeout of a head, from its first byte
+	ClientIdle   Duration `json:"client_idle"`      // idle timeout of a client connection
+	ClientBody   Duration `json:"client_body"`      // timeout without a byte of a body, either way
+	Skew         Duration `json:"skew"`             // clock skew accepted of a client
+	DrainWait    Duration `json:"drain_wait"`       // graceful shutdown timeout of open requests
+}
+
+// Share configures the fair sharing of the gateway's event loops and node links among
+// volumes, by the weights of their plans.
 type Share struct {
-	Order     string   `json:"order"`     // fair, or arrival: as it comes, for comparison
-	Quantum   int      `json:"quantum"`   // bytes that one turn reads at most
-	Slice     Duration `json:"slice"`     // of turns before new events are looked for
-	Window    Duration `json:"window"`    // of loop time by which a volume can be behind
-	ByteTime  float64  `json:"byte_time"` // nanoseconds that a byte costs at least
-	Finishing float64  `json:"finishing"` // weight, within a volume, of what is under way beside new requests at 1
-	Flows     int      `json:"flows"`     // volumes that a loop tells apart
-	Newcomers float64  `json:"newcomers"` // weight of all connections that have not yet spoken for a volume
-	Depth     int      `json:"depth"`     // answers that stream from a node at a time, on each loop
-	Crowd     int      `json:"crowd"`     // one more for each so many that wait
-	Draw      int      `json:"draw"`      // bytes of such an answer before it gives way
-	Lease     Duration `json:"lease"`     // after which it gives way at the latest
-	Receive   int      `json:"receive"`   // bytes that the kernel may hold of what a node sends ahead
-	MaxWait   Duration `json:"max_wait"`  // of a body between two turns for its plan's mib_per_second; else it is refused
+	Order     string   `json:"order"`     // "fair", or "arrival": first come, first served, for comparison
+	Quantum   int      `json:"quantum"`   // bytes read in one time slice at most
+	Slice     Duration `json:"slice"`     // time slices run so long before new events are polled
+	Window    Duration `json:"window"`    // loop time by which a flow can lag behind
+	ByteTime  float64  `json:"byte_time"` // lowest cost of a byte, in nanoseconds
+	Finishing float64  `json:"finishing"` // weight of work in progress within a flow; new requests have 1
+	Flows     int      `json:"flows"`     // volumes with a flow of their own on a loop
+	Newcomers float64  `json:"newcomers"` // weight of all connections without a volume yet
+	Depth     int      `json:"depth"`     // responses that stream from a node at a time, on each loop
+	Crowd     int      `json:"crowd"`     // waiting responses for each one more that may stream
+	Draw      int      `json:"draw"`      // bytes of a response after which its grant ends
+	Lease     Duration `json:"lease"`     // time after which a grant ends at the latest
+	Receive   int      `json:"receive"`   // receive buffer of a node connection, in bytes
+	MaxWait   Duration `json:"max_wait"`  // longest pause of a body for mib_per_second before it is rejected
 	Overload  Overload `json:"overload"`
 }
 
-// Overload is when requests are refused before they cost what a request costs.
+// Overload configures overload control: when requests are rejected before they are parsed.
 type Overload struct {
-	Target   Duration `json:"target"`   // that a head may wait for its turn while its volume is overloaded; 0: nothing is refused
-	Interval Duration `json:"interval"` // of longer waits only, after which a volume counts as overloaded
-	Back     Duration `json:"back"`     // after which a refused client may come back, at first
-	MaxBack  Duration `json:"max_back"` // and when most is refused
+	Target   Duration `json:"target"`   // queue time accepted of an overloaded volume; 0: nothing is rejected
+	Interval Duration `json:"interval"` // of longer queue times only, after which a volume is overloaded
+	Back     Duration `json:"back"`     // lowest Retry-After of a rejection
+	MaxBack  Duration `json:"max_back"` // highest Retry-After, when most requests are rejected
 }
 
-// Accounts bounds the latency accounts.
+// Accounts bounds latency attribution.
 type Accounts struct {
 	On            bool   `json:"on"`
-	Volumes       int    `json:"volumes"`       // by name in each slot of time; the others are summed
-	Pairs         int    `json:"pairs"`         // of a volume and one that it waited behind, in each slot
-	Distributions int    `json:"distributions"` // volumes with percentiles, in each slot
-	Late          int    `json:"late"`          // ended requests that a late report can still reach
-	Batches       int    `json:"batches"`       // of 128 requests, on their way to the books
-	Log           string `json:"log"`           // file; "" for none
-	LogBytes      int64  `json:"log_bytes"`     // of one file
-	LogFiles      int    `json:"log_files"`     // kept, the present one included
+	Volumes       int    `json:"volumes"`       // with an entry of their own in a time slot; the others are summed
+	Pairs         int    `json:"pairs"`         // of a volume and one that it waited behind, in a time slot
+	Distributions int    `json:"distributions"` // volumes with percentiles, in a time slot
+	Late          int    `json:"late"`          // completed requests that a late report can still change
+	Batches       int    `json:"batches"`       // of 128 spans, on their way to the aggregator
+	Log           string `json:"log"`           // path of the attribution log; "" for none
+	LogBytes      int64  `json:"log_bytes"`     // size of one log file
+	LogFiles      int    `json:"log_files"`     // log files that are kept, the current one included
 }
 
-// Log is how much is logged.
+// Log configures the program's log.
 type Log struct {
-	Level  string `json:"level"`  // debug, info, warn, error
-	Access bool   `json:"access"` // a line for each request
-}
-
-// Default returns the defaults, which a file changes field by field.
-func Default() Settings {
-	ms := func(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
-	return Settings{
-		Name: "gateway", Listen: "127.0.0.1:9000", Region: "us-east-1", Peers: 1,
-		Rules: Rules{
-			MaxAttempts: 3, MaxRetryAfter: ms(2000), Settle: ms(200), Round: ms(5), UsualUnits: 1, LargestUnits: 64,
-			Budget: Budget{Free: 3, Ratio: 0.1, Span: ms(5000)},
-		},
-		Limits: Limits{
-			Line: 8 << 10, Headers: 100, Head: 32 << 10, Replay: 64 << 10, Document: 4 << 20, Pipelined: 32 << 10, FanOut: 16,
-			Conns: 8192, Calls: 8192, ConnsPerNode: 128, Streams: 64, NodeIdle: ms(30000), NodeAge: ms(600000), Connect: ms(1000), Margin: ms(20),
-			ClientHead: ms(10000), ClientIdle: ms(120000), ClientBody: ms(30000), Skew: ms(15 * 60000),
-			DrainWait: ms(30000),
-		},
-		Share: Share{
-			Order: "fair", Quantum: 64 << 10, Slice: Duration(50 * time.Microsecond), Window: ms(20), ByteTime: 1, Finishing: 4, Flows: 4096, Newcomers: 1, MaxWait: ms(2000),
-			Depth: 2, Crowd: 64, Draw: 256 << 10, Lease: ms(10), Receive: 512 << 10,
-			Overload: Overload{Target: ms(20), Interval: ms(100), Back: ms(100), MaxBack: ms(5000)},
-		},
-		Accounts: Accounts{On: true, Volumes: 64, Pairs: 128, Distributions: 16, Late: 8192, Batches: 64, LogBytes: 16 << 20, LogFiles: 4},
-		Log:      Log{Level: "info"},
-	}
-}
-
-// LoopCount is how many event loops there are.
-func (s *Settings) LoopCount() int {
-	if s.Loops > 0 {
-		return s.Loops
-	}
-	return runtime.GOMAXPROCS(0)
-}
-
-// Error is a setting that cannot be used.
-type Error struct {
-	File  string
-	Line  int
-	Field string // such as nodes[2].addr
-	Want  string
-}
-
-func (e *Error) Error() string {
-	if e.Field == "" {
-		return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Want)
-	}
-	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Field, e.Want)
-}
-
-// Load reads and checks a file.
-func Load(file string) (*Settings, error) {
-	text, err := os.ReadFile(file)
-	if err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
-	}
-	return Parse(file, text)
-}
-
-// Parse reads and checks a file's text.
-func Parse(file string, text []byte) (*Settings, error) {
-	at := func(off int) int { return 1 + bytes.Count(text[:min(max(off, 0), len(text))], []byte("\n")) }
-	root, err := hujson.Parse(text)
-	if err != nil {
-		line := 1
-		var pos int
-		if n, _ := fmt.Sscanf(err.Error(), "hujson: line %d, column %d", &line, &pos); n < 1 {
-			line = 1
-		}
-		return nil, &Error{File: file, Line: line, Want: strings.TrimPrefix(err.Error(), "hujson: ")}
-	}
-	if off, field := unknown(&root, reflect.TypeFor[Settings](), ""); field != "" {
-		return nil, &Error{File: file, Line: at(off), Field: field, Want: "there is no such setting"}
-	}
-	s := Default()
-	if err := decode(&root, &s); err != nil {
-		var e *Error
-		if errors.As(err, &e) {
-			e.File, e.Line = file, at(e.Line)
-			return nil, e
-		}
-		return nil, err
-	}
-	if field, want := s.check(); want != "" {
-		return nil, &Error{File: file, Line: at(offset(&root, field)), Field: field, Want: want}
-	}
-	return &s, nil
-}
-
-// decode fills v from the tree, so that an error knows its place: Line holds the
-// offset until the caller turns it into a line.
-func decode(v *hujson.Value, into any) error {
-	return decodeAt(v, reflect.ValueOf(into).Elem(), "")
-}
-
-func decodeAt(v *hujson.Value, to reflect.Value, field string) error {
-	fail := func(want string) error { return &Error{Line: v.StartOffset, Field: field, Want: want} }
-	_, custom := to.Addr().Interface().(json.Unmarshaler)
-	switch x := v.Value.(type) {
-	case *hujson.Object:
-		if to.Kind() == reflect.Pointer {
-			to.Set(reflect.New(to.Type().Elem()))
-			to = to.Elem()
-		}
-		if to.Kind() != reflect.Struct || custom {
-			return fail("want " + kindName(to, custom) + ", not an object")
-		}
-		for i := range x.Members {
-			m := &x.Members[i]
-			name := m.Name.Value.(hujson.Literal).String()
-			if err := decodeAt(&m.Value, fieldOf(to, name), join(field, name)); err != nil {
-				return err
-			}
-		}
-		return nil
-	case *hujson.Array:
-		if to.Kind() != reflect.Slice {
-			return fail("want " + kindName(to, custom) + ", not a list")
-		}
-		to.Set(reflect.MakeSlice(to.Type(), len(x.Elements), len(x.Elements)))
-		for i := range x.Elements {
-			if err := decodeAt(&x.Elements[i], to.Index(i), fmt.Sprintf("%s[%d]", field, i)); err != nil {
-				return err
-			}
-		}
-		return nil
-	}
-	lit := v.Value.(hujson.Literal)
-	if lit.Kind() == 'n' {
-		return fail("want " + kindName(to, custom) + ", not null")
-	}
-	if err := json.Unmarshal(lit, to.Addr().Interface()); err != nil {
-		if custom {
-			return fail(err.Error())
-		}
-		return fail("want " + kindName(to, custom) + ", not " + string(lit))
-	}
-	return nil
-}
-
-func kindName(v reflect.Value, custom bool) string {
-	if custom {
-		return `a duration in quotes, such as "300ms"`
-	}
-	switch v.Kind() {
-	case reflect.String:
-		return "text in quotes"
-	case reflect.Bool:
-		return "true or false"
-	case reflect.Int, reflect.Int64:
-		return "a whole number"
-	case reflect.Float64:
-		return "a number"
-	case reflect.Slice:
-		return "a list"
-	}
-	return "an object"
-}
-
-func join(field, name string) string {
-	if field == "" {
-		return name
-	}
-	return field + "." + name
-}
-
-func fieldOf(v reflect.Value, name string) reflect.Value {
-	t := v.Type()
-	for i := range t.NumField() {
-		if t.Field(i).Tag.Get("json") == name {
-			return v.Field(i)
-		}
-	}
-	panic("settings: field " + name) // unknown has looked
-}
-
-// unknown finds the first member of the tree that has no field, or comes twice.
-func unknown(v *hujson.Value, t reflect.Type, field string) (int, string) {
-	if t.Kind() == reflect.Pointer {
-		t = t.Elem()
-	}
-	switch x := v.Value.(type) {
-	case *hujson.Array:
-		if t.Kind() == reflect.Slice {
-			for i := range x.Elements {
-				if off, f := unknown(&x.Elements[i], t.Elem(), fmt.Sprintf("%s[%d]", field, i)); f != "" {
-					return off, f
-				}
-			}
-		}
-	case *hujson.Object:
-		if t.Kind() != reflect.Struct {
-			return 0, ""
-		}
-		for i := range x.Members {
-			m := &x.Members[i]
-			name := m.Name.Value.(hujson.Literal).String()
-			ft, ok := fieldType(t, name)
-			if !ok {
-				return m.Name.StartOffset, join(field, name)
-			}
-			if off, f := unknown(&m.Value, ft, join(field, name)); f != "" {
-				return off, f
-			}
-		}
-	}
-	return 0, ""
-}
-
-func fieldType(t reflect.Type, name string) (reflect.Type, bool) {
-	for i := range t.NumField() {
-		if t.Field(i).Tag.Get("json") == name {
-			return t.Field(i).Type, true
-		}
-	}
-	return nil, false
-}
-
-// offset finds where a field stands in the text, or the nearest thing around it.
-func offset(root *hujson.Value, field string) int {
-	ptr := "/" + strings.NewReplacer("[", "/", "]", "", ".", "/").Replace(field)
-	for ptr != "" && ptr != "/" {
-		if v := root.Find(ptr); v != nil {
-			return v.StartOffset
-		}
-		ptr = ptr[:strings.LastIndexByte(ptr, '/')]
-	}
-	return 0
-}
-
-// BucketRule returns the index of the first rule whose pattern a bucket fits, -1
-// for none.
-func (s *Settings) BucketRule(bucket string) int {
-	for i, b := range s.Buckets {
-		if ok, _ := path.Match(b.Pattern, bucket); ok {
-			return i
-		}
-	}
-	return -1
+	Level  string `json:"level"`  // debug, info, warn or error
+	Access bool   `json:"access"` // whether each request is logged
 }
