--- a/internal/attributionreport/plots.go
+++ b/internal/attributionreport/plots.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"chalkstand/attribution"
-	"cmp"
 	"errors"
 	"fmt"
 	"image/color"
@@ -12,7 +11,6 @@
 	"time"
 
 	"gonum.org/v1/plot"
-	"gonum.org/v1/plot/palette/moreland"
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 )
@@ -136,152 +134,6 @@
 	return poly, nil
 }
 
-// matrix is victims by culprits, in seconds.
-type matrix struct {
-	victims, culprits []string
-	seconds           [][]float64 // by victim, then culprit
-}
-
-// Dims implements plotter.GridXYZ, as the methods X, Y and Z do.
-func (m *matrix) Dims() (int, int) { return len(m.culprits), len(m.victims) }
-
-// X returns the coordinate of a culprit.
-func (m *matrix) X(c int) float64 { return float64(c) }
-
-// Y returns the coordinate of a victim.
-func (m *matrix) Y(r int) float64 { return float64(r) }
-
-// Z returns for how many seconds a victim waited behind a culprit.
-func (m *matrix) Z(c, r int) float64 { return m.seconds[r][c] }
-
-// max returns the largest Z.
-func (m *matrix) max() (z float64) {
-	for _, row := range m.seconds {
-		z = max(z, slices.Max(row))
-	}
-	return z
-}
-
-// contributionMatrix returns the pairs of the n volumes that waited most and the n that most was
-// waited behind.
-func contributionMatrix(w *attribution.Window, n int) *matrix {
-	weight := map[string]time.Duration{}
-	for _, p := range w.Pairs {
-		weight["v"+p.Key.Victim] += time.Duration(p.Count)
-		weight["c"+p.Key.Culprit] += time.Duration(p.Count)
-	}
-	pick := func(kind byte) []string {
-		var names []string
-		for k := range weight {
-			if k[0] == kind {
-				names = append(names, k[1:])
-			}
-		}
-		slices.SortFunc(names, func(a, b string) int {
-			return cmp.Or(cmp.Compare(weight[string(kind)+b], weight[string(kind)+a]), cmp.Compare(a, b))
-		})
-		return names[:min(n, len(names))]
-	}
-	m := &matrix{victims: pick('v'), culprits: pick('c')}
-	for range m.victims {
-		m.seconds = append(m.seconds, make([]float64, len(m.culprits)))
-	}
-	for _, p := range w.Pairs {
-		v, c := slices.Index(m.victims, p.Key.Victim), slices.Index(m.culprits, p.Key.Culprit)
-		if v >= 0 && c >= 0 {
-			m.seconds[v][c] = time.Duration(p.Count).Seconds()
-		}
-	}
-	slices.Reverse(m.victims) // the heaviest on top
-	slices.Reverse(m.seconds)
-	return m
-}
-
-// Matrix plots which volumes waited behind which, at most n of each. It returns nil if none did.
-func Matrix(w *attribution.Window, n int) (*plot.Plot, error) {
-	m := contributionMatrix(w, n)
-	if len(m.victims) == 0 {
-		return nil, nil
-	}
-	p := plot.New()
-	p.Title.Text = "Seconds that a volume (row) waited behind another (column)"
-	p.X.Label.Text = "culprit"
-	p.Y.Label.Text = "victim"
-	colors := moreland.ExtendedBlackBody().Palette(256).Colors()
-	slices.Reverse(colors) // dark is much
-	heat := plotter.NewHeatMap(m, fixedPalette(colors[:220]))
-	heat.Min = 0
-	heat.Max = math.Max(m.max(), 1e-9)
-	p.Add(heat)
-	labels, err := m.labels(heat.Max / 2)
-	if err != nil {
-		return nil, err
-	}
-	if labels != nil {
-		p.Add(labels)
-	}
-	p.X.Tick.Marker = nameTicks(m.culprits)
-	p.Y.Tick.Marker = nameTicks(m.victims)
-	p.X.Min = -0.5
-	p.X.Max = float64(len(m.culprits)) - 0.5
-	p.Y.Min = -0.5
-	p.Y.Max = float64(len(m.victims)) - 0.5
-	return p, nil
-}
-
-// labels returns the times in the cells, in white above dark seconds, nil if there are none.
-func (m *matrix) labels(dark float64) (*plotter.Labels, error) {
-	var cells plotter.XYLabels
-	for r := range m.victims {
-		for c := range m.culprits {
-			if s := m.seconds[r][c]; s > 0 {
-				cells.XYs = append(cells.XYs, plotter.XY{X: float64(c), Y: float64(r)})
-				cells.Labels = append(cells.Labels, round(time.Duration(s*float64(time.Second))))
-			}
-		}
-	}
-	if len(cells.XYs) == 0 {
-		return nil, nil
-	}
-	labels, err := plotter.NewLabels(cells)
-	if err != nil {
-		return nil, err
-	}
-	for i := range labels.TextStyle {
-		style := &labels.TextStyle[i]
-		style.XAlign = -0.5
-		style.YAlign = -0.5
-		if m.seconds[int(cells.XYs[i].Y)][int(cells.XYs[i].X)] > dark {
-			style.Color = color.White
-		}
-	}
-	return labels, nil
-}
-
-// fixedPalette is a palette of given colors.
-type fixedPalette []color.Color
-
-// Colors implements palette.Palette.
-func (f fixedPalette) Colors() []color.Color { return f }
-
-// maxTickLength is the length in bytes from which a name is cut short.
-const maxTickLength = 16
-
-// nameTicks are names at 0, 1, 2 and so on.
-type nameTicks []string
-
-// Ticks implements plot.Ticker.
-func (n nameTicks) Ticks(_, _ float64) []plot.Tick {
-	var ts []plot.Tick
-	for i, s := range n {
-		if len(s) > maxTickLength {
-			s = s[:maxTickLength-1] + "…"
-		}
-		ts = append(ts, plot.Tick{Value: float64(i), Label: s})
-	}
-	return ts
-}
-
 // percentileShares are the shares of requests that Percentiles plots.
 var percentileShares = []float64{
 	0.01, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 0.95, 0.98, 0.99, 0.995, 0.999,
