--- a/attribution/aggregator.go
+++ b/attribution/aggregator.go
@@ -113,9 +113,9 @@
 	return held, late
 }
 
-// Over returns the sum of the slots in the last span, by the finest resolution that reaches so
+// Window returns the sum of the slots in the last span, by the finest resolution that reaches so
 // far back. It returns false when none does.
-func (a *Aggregator) Over(now, span time.Duration) (Window, bool) {
+func (a *Aggregator) Window(now, span time.Duration) (Window, bool) {
 	level, ok := a.finestLevel(span)
 	if !ok {
 		return Window{}, false
@@ -136,9 +136,9 @@
 	return sum.window(from/r.Slot*r.Slot, now, r.Slot), true
 }
 
-// Pages returns the slots of the last span that have requests, one by one, by the finest
+// Slots returns the slots of the last span that have requests, one by one, by the finest
 // resolution that reaches so far back. It returns false when none does.
-func (a *Aggregator) Pages(now, span time.Duration) ([]Window, bool) {
+func (a *Aggregator) Slots(now, span time.Duration) ([]Window, bool) {
 	level, ok := a.finestLevel(span)
 	if !ok {
 		return nil, false
@@ -163,8 +163,8 @@
 	return out, true
 }
 
-// Reach returns the longest span that Over covers.
-func (a *Aggregator) Reach() time.Duration {
+// MaxSpan returns the longest span that Over covers.
+func (a *Aggregator) MaxSpan() time.Duration {
 	r := a.cfg.Resolutions[len(a.cfg.Resolutions)-1]
 	return r.Slot * time.Duration(r.Slots-1)
 }
--- a/attribution/aggregator_test.go
+++ b/attribution/aggregator_test.go
@@ -40,7 +40,7 @@
 				n++
 				a.Add(e)
 			}
-			w, ok := a.Over(now, 9*time.Second)
+			w, ok := a.Window(now, 9*time.Second)
 			if !ok {
 				t.Fatal("no window")
 			}
@@ -91,10 +91,10 @@
 	for i := range 400 {
 		now += 5 * ms
 		volume, units := request(i)
-		o.Sent(now, volume, units)
+		o.RequestSent(now, volume, units)
 		if i >= 8 {
 			volume, units = request(i - 8)
-			o.Ended(now, volume, units)
+			o.RequestEnded(now, volume, units)
 		}
 		if i%4 == 3 && i > 20 {
 			e := Entry{Volume: "review", Ended: now}
@@ -103,7 +103,7 @@
 			a.Add(e)
 		}
 	}
-	w, _ := a.Over(now, 5*time.Second)
+	w, _ := a.Window(now, 5*time.Second)
 	if len(w.Pairs) != 2 || w.PairError != 0 ||
 		w.Pairs[0].Key != (Pair{"review", "flood"}) || w.Pairs[0].Count < 15*w.Pairs[1].Count {
 		t.Fatalf("%+v", w.Pairs)
@@ -119,10 +119,10 @@
 	}
 	add(500*ms, "a", 10*ms)
 	add(8500*ms, "a", 20*ms)
-	if w, ok := a.Over(8600*ms, time.Second); !ok || w.All.Requests != 1 || w.Slot != time.Second {
+	if w, ok := a.Window(8600*ms, time.Second); !ok || w.All.Requests != 1 || w.Slot != time.Second {
 		t.Fatalf("%+v", w)
 	}
-	if w, _ := a.Over(8600*ms, 9*time.Second); w.All.Requests != 2 || w.Corrected {
+	if w, _ := a.Window(8600*ms, 9*time.Second); w.All.Requests != 2 || w.Corrected {
 		t.Fatalf("%+v", w)
 	}
 	correct := func(at time.Duration, from, to Component, d time.Duration) (int, bool) {
@@ -136,7 +136,7 @@
 	if n, late := correct(8500*ms, NodeUnknown, NodeQueue, 0); n != 1 || late {
 		t.Fatalf("an open slot: %d resolutions, late %v", n, late)
 	}
-	w, _ := a.Over(8600*ms, 9*time.Second)
+	w, _ := a.Window(8600*ms, 9*time.Second)
 	if !w.Corrected || w.All.Parts[NodeQueue] != 4*ms || w.All.Parts.Total() != 30*ms ||
 		w.Volumes[0].Parts[NodeUnknown] != 26*ms {
 		t.Fatalf("%+v", w)
@@ -148,13 +148,13 @@
 	if n, late := correct(500*ms, NodeService, NodeQueue, ms); n != 2 || !late {
 		t.Fatalf("held in %d resolutions, late %v", n, late)
 	}
-	if w, _ := a.Over(20*time.Second, 5*time.Second); w.All.Requests != 1 || w.Volumes[0].Volume != "b" {
+	if w, _ := a.Window(20*time.Second, 5*time.Second); w.All.Requests != 1 || w.Volumes[0].Volume != "b" {
 		t.Fatalf("%+v", w)
 	}
-	if w, ok := a.Over(20*time.Second, 50*time.Second); !ok || w.Slot != 10*time.Second || w.All.Requests != 3 {
+	if w, ok := a.Window(20*time.Second, 50*time.Second); !ok || w.Slot != 10*time.Second || w.All.Requests != 3 {
 		t.Fatalf("%+v %v", w, ok)
 	}
-	if _, ok := a.Over(20*time.Second, time.Hour); ok {
+	if _, ok := a.Window(20*time.Second, time.Hour); ok {
 		t.Fatal("a window longer than every resolution is returned")
 	}
 }
--- a/attribution/clientspan_test.go
+++ b/attribution/clientspan_test.go
@@ -21,7 +21,7 @@
 	if d := e.Parts[QueuedBehindOthers]; d > 0 {
 		e.Behind = []Contribution{{"a", d / 2}, {"b", d - d/2}}
 	}
-	e.Unreported = []Unreported{{Call: call, Unknown: e.Parts[NodeUnknown]}}
+	e.Unreported = []Unreported{{Request: call, Unknown: e.Parts[NodeUnknown]}}
 	return e
 }
 
--- a/attribution/collector.go
+++ b/attribution/collector.go
@@ -123,7 +123,7 @@
 	remaining := e.Parts[NodeUnknown]
 	for _, u := range pending {
 		c.counts.Unreported++
-		c.unreported.put(attemptKey{u.Call, u.Attempt}, pendingReport{
+		c.unreported.put(attemptKey{u.Request, u.Attempt}, pendingReport{
 			volume:    e.Volume,
 			ended:     e.Ended,
 			unknown:   u.Unknown,
@@ -137,7 +137,7 @@
 // attempts that are still without one.
 func (c *Collector) applyEarlyReports(e *Entry) (pending []Unreported) {
 	for _, u := range e.Unreported {
-		r, ok := c.earlyReports.take(attemptKey{u.Call, u.Attempt})
+		r, ok := c.earlyReports.take(attemptKey{u.Request, u.Attempt})
 		if !ok {
 			pending = append(pending, u)
 			continue
@@ -152,7 +152,7 @@
 
 // applyReport corrects a request's slot by a late report. A repeated report counts once.
 func (c *Collector) applyReport(r NodeReport) {
-	key := attemptKey{r.Call, r.Attempt}
+	key := attemptKey{r.Request, r.Attempt}
 	p, ok := c.unreported.take(key)
 	if !ok {
 		if _, evicted := c.earlyReports.put(key, r); evicted {
--- a/attribution/collector_test.go
+++ b/attribution/collector_test.go
@@ -30,7 +30,7 @@
 	e := Entry{Volume: volume, Started: ended - 30*ms, Ended: ended}
 	e.Parts[NodeUnknown] = 30 * ms
 	e.Unreported = []Unreported{{
-		Call:    call,
+		Request: call,
 		Unknown: 30 * ms,
 		Ahead:   []InFlightUnits{{Volume: "flood", Units: 3}, {Volume: volume, Units: 1}},
 	}}
@@ -38,12 +38,12 @@
 }
 
 // lateReport is a report for unreportedEntry("v", 7, ...).
-var lateReport = NodeReport{Call: 7, Queue: 20 * ms, Work: 8 * ms}
+var lateReport = NodeReport{Request: 7, Queue: 20 * ms, Service: 8 * ms}
 
 // checkReported checks that the one request of the last 20 seconds is divided as lateReport says.
 func checkReported(t *testing.T, c *Collector, corrected bool) {
 	t.Helper()
-	w, _ := c.Aggregator().Over(c.now, 20*time.Second)
+	w, _ := c.Aggregator().Window(c.now, 20*time.Second)
 	v, _ := w.Summary("v")
 	if v.Parts[NodeQueue] != 20*ms || v.Parts[NodeService] != 8*ms || v.Parts[NodeUnknown] != 2*ms ||
 		w.Corrected != corrected {
@@ -91,7 +91,7 @@
 		}
 		checkReported(t, c, true)
 		fixed := saved.Apply(acts[0].(SlotCorrected).Correction)
-		w, _ := c.Aggregator().Over(13*time.Second, 20*time.Second)
+		w, _ := c.Aggregator().Window(13*time.Second, 20*time.Second)
 		if fixed.All.Parts != w.All.Parts || fixed.Pairs[0] != w.Pairs[0] || !fixed.Corrected ||
 			!reflect.DeepEqual(fixed.Distributions, w.Distributions) {
 			t.Fatalf("the saved slot with its correction is %+v, the aggregator's %+v", fixed, w)
@@ -99,9 +99,9 @@
 	})
 	t.Run("of another attempt", func(t *testing.T) {
 		c := newTestCollector(t, nil)
-		other := NodeReport{Call: 7, Attempt: 1, Work: ms}
+		other := NodeReport{Request: 7, Attempt: 1, Service: ms}
 		c.Handle(600*ms, Batch{Entries: []Entry{unreportedEntry("v", 7, 550*ms)}, Reports: []NodeReport{other}})
-		if w, _ := c.Aggregator().Over(c.now, time.Second); w.All.Parts[NodeUnknown] != 30*ms {
+		if w, _ := c.Aggregator().Window(c.now, time.Second); w.All.Parts[NodeUnknown] != 30*ms {
 			t.Fatalf("another attempt's report was taken: %v", w.All.Parts)
 		}
 	})
@@ -110,13 +110,13 @@
 // What a report attributes is bounded by the time that the attempt took.
 func TestReportsAreBounded(t *testing.T) {
 	for name, r := range map[string]NodeReport{
-		"too long":              {Call: 7, Queue: time.Hour, Work: time.Hour},
-		"negative and too long": {Call: 7, Queue: -time.Hour, Work: math.MaxInt64},
+		"too long":              {Request: 7, Queue: time.Hour, Service: time.Hour},
+		"negative and too long": {Request: 7, Queue: -time.Hour, Service: math.MaxInt64},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newTestCollector(t, nil)
 			c.Handle(600*ms, Batch{Entries: []Entry{unreportedEntry("v", 7, 550*ms)}, Reports: []NodeReport{r}})
-			w, _ := c.Aggregator().Over(c.now, time.Second)
+			w, _ := c.Aggregator().Window(c.now, time.Second)
 			if p := w.All.Parts; p.Total() != 30*ms || p[NodeUnknown] != 0 || p[NodeQueue]+p[NodeService] != 30*ms {
 				t.Fatalf("%+v: %v", r, p)
 			}
@@ -135,7 +135,7 @@
 		c.Handle(600*ms, Batch{Entries: []Entry{unreportedEntry("v", i, 550*ms)}})
 	}
 	for i := range uint64(20) {
-		c.Handle(700*ms, Batch{Reports: []NodeReport{{Call: i, Work: 30 * ms}}})
+		c.Handle(700*ms, Batch{Reports: []NodeReport{{Request: i, Service: 30 * ms}}})
 	}
 	unreported, early := len(c.unreported.index), len(c.earlyReports.index)
 	if n := c.Counts(); n.ReportedLate != 4 || n.Unplaced != 12 || unreported != 0 || early != 4 {
@@ -169,7 +169,7 @@
 		e.Outcome = Outcome(rng.IntN(Outcomes))
 		b := Batch{Entries: []Entry{e}}
 		if rng.IntN(2) == 0 {
-			b.Reports = []NodeReport{{Call: uint64(max(0, i-rng.IntN(50))), Queue: 10 * ms, Work: 10 * ms}}
+			b.Reports = []NodeReport{{Request: uint64(max(0, i-rng.IntN(50))), Queue: 10 * ms, Service: 10 * ms}}
 		}
 		handle(now, b)
 	}
@@ -210,7 +210,7 @@
 func checkSums(t *testing.T, c *Collector, closed []Window) {
 	t.Helper()
 	sum := Sum(closed, 64, 400, 64)
-	w, ok := c.Aggregator().Over(c.now, 9*time.Minute)
+	w, ok := c.Aggregator().Window(c.now, 9*time.Minute)
 	if !ok || sum.All.Requests != 3000 || sum.All.Parts.Total() != w.All.Parts.Total() || sum.Behind > w.Behind {
 		t.Fatalf("%+v beside %+v", sum.All, w.All)
 	}
@@ -221,7 +221,7 @@
 	if total != sum.All.Parts.Total() {
 		t.Fatalf("volumes and others %v of %v", total, sum.All.Parts.Total())
 	}
-	slots, ok := c.Aggregator().Pages(c.now, 4*time.Minute)
+	slots, ok := c.Aggregator().Slots(c.now, 4*time.Minute)
 	if !ok || len(slots) < 2 || !reflect.DeepEqual(Sum(slots, 64, 400, 64).All, w.All) {
 		t.Fatalf("%d slots", len(slots))
 	}
@@ -235,7 +235,7 @@
 		e.Behind = []Contribution{{"flood", ms}, {"", ms}, {"v", ms}}
 		c.Handle(e.Ended, Batch{Entries: []Entry{e}})
 	}
-	ws, _ := c.Aggregator().Pages(40*time.Second, 4*time.Minute)
+	ws, _ := c.Aggregator().Slots(40*time.Second, 4*time.Minute)
 	sum := Sum(ws, 100, 100, 100)
 	want := Item[Pair]{Key: Pair{"v", "flood"}, Count: int64(40 * ms)}
 	if sum.PairError != 0 || len(sum.Pairs) != 1 || sum.Pairs[0] != want || sum.Volumes[0].Missing != 0 {
--- a/attribution/distribution_test.go
+++ b/attribution/distribution_test.go
@@ -25,7 +25,7 @@
 		others = append(others, e.Parts[QueuedBehindOthers])
 		c.Handle(e.Ended, Batch{Entries: []Entry{e}})
 	}
-	w, _ := c.Aggregator().Over(c.now, 4*time.Minute)
+	w, _ := c.Aggregator().Window(c.now, 4*time.Minute)
 	d, ok := w.Distribution("v")
 	if !ok {
 		t.Fatal("no distributions")
@@ -66,7 +66,7 @@
 			c.Handle(e.Ended, Batch{Entries: []Entry{e}})
 		}
 	}
-	w, _ := c.Aggregator().Over(c.now, 4*time.Minute)
+	w, _ := c.Aggregator().Window(c.now, 4*time.Minute)
 	d, ok := w.Distribution("heavy")
 	if len(w.Distributions) > 2 || !ok || d.Whole.Count() < 8 {
 		t.Fatalf("%d distributions, heavy %v: %+v", len(w.Distributions), ok, d.Whole)
--- a/attribution/entry.go
+++ b/attribution/entry.go
@@ -16,7 +16,7 @@
 // Unreported is an attempt whose node has not reported how its time there divides. A later
 // report still can.
 type Unreported struct {
-	Call    uint64 // number of the request to the node
+	Request uint64 // number of the request to the node
 	Attempt int
 	Unknown time.Duration   // share of Parts[NodeUnknown]
 	Ahead   []InFlightUnits // what was in flight at the node when the attempt was sent
--- a/attribution/events.go
+++ b/attribution/events.go
@@ -24,16 +24,16 @@
 
 // NodeReport is a node's report, after its response, of how an attempt's time there divides.
 type NodeReport struct {
-	Call    uint64 // number of the request to the node
+	Request uint64 // number of the request to the node
 	Attempt int
 	Queue   time.Duration
-	Work    time.Duration
+	Service time.Duration
 }
 
 // bounded returns the reported times, limited to the time that the attempt took.
 func (r NodeReport) bounded(unknown time.Duration) (queue, work time.Duration) {
 	queue = min(max(r.Queue, 0), unknown)
-	return queue, min(max(r.Work, 0), unknown-queue)
+	return queue, min(max(r.Service, 0), unknown-queue)
 }
 
 // Action is an output of a collector: SlotClosed or SlotCorrected.
--- a/attribution/occupancy.go
+++ b/attribution/occupancy.go
@@ -42,9 +42,9 @@
 // NewOccupancy returns the occupancy of an idle node.
 func NewOccupancy(quantum time.Duration) *Occupancy { return &Occupancy{quantum: quantum} }
 
-// Sent records that a request of a volume is in flight from now on. It returns what was in
+// RequestSent records that a request of a volume is in flight from now on. It returns what was in
 // flight before it.
-func (o *Occupancy) Sent(now time.Duration, volume string, units float64) []InFlightUnits {
+func (o *Occupancy) RequestSent(now time.Duration, volume string, units float64) []InFlightUnits {
 	o.advance(now)
 	ahead := slices.Clone(o.inFlight)
 	units = max(units, minUnits)
@@ -61,8 +61,8 @@
 	return ahead
 }
 
-// Ended records that a request is no longer in flight.
-func (o *Occupancy) Ended(now time.Duration, volume string, units float64) {
+// RequestEnded records that a request is no longer in flight.
+func (o *Occupancy) RequestEnded(now time.Duration, volume string, units float64) {
 	o.advance(now)
 	units = max(units, minUnits)
 	i, found := slices.BinarySearchFunc(o.inFlight, volume, compareVolume)
--- a/attribution/occupancy_test.go
+++ b/attribution/occupancy_test.go
@@ -20,12 +20,12 @@
 	for at := range end {
 		for _, r := range reqs {
 			if r.to == at {
-				o.Ended(time.Duration(at)*ms, r.volume, r.units)
+				o.RequestEnded(time.Duration(at)*ms, r.volume, r.units)
 			}
 		}
 		for _, r := range reqs {
 			if r.from == at {
-				o.Sent(time.Duration(at)*ms, r.volume, r.units)
+				o.RequestSent(time.Duration(at)*ms, r.volume, r.units)
 			}
 		}
 	}
@@ -103,8 +103,8 @@
 	const n = 200_000
 	for i := range n {
 		v := []string{"a", "b"}[i/(n/2)] // a in the first half, b in the second
-		o.Sent(time.Duration(2*i)*ms, v, 1)
-		o.Ended(time.Duration(2*i+1)*ms, v, 1)
+		o.RequestSent(time.Duration(2*i)*ms, v, 1)
+		o.RequestEnded(time.Duration(2*i+1)*ms, v, 1)
 	}
 	kept := 0
 	for _, h := range o.history {
@@ -141,14 +141,14 @@
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			o := NewOccupancy(8 * ms)
 			for i := range n {
-				o.Sent(0, fmt.Sprint("v", i), 1)
+				o.RequestSent(0, fmt.Sprint("v", i), 1)
 			}
 			b.ReportAllocs()
 			now := time.Duration(0)
 			for b.Loop() {
 				now += 50 * time.Microsecond
-				o.Sent(now, "v0", 1)
-				o.Ended(now+20*time.Microsecond, "v0", 1)
+				o.RequestSent(now, "v0", 1)
+				o.RequestEnded(now+20*time.Microsecond, "v0", 1)
 			}
 		})
 	}
--- a/forwarder/attribution.go
+++ b/forwarder/attribution.go
@@ -114,14 +114,14 @@
 	acct.span.Enter(f.now, attribution.NodeUnknown)
 	if f.cfg.Attribution {
 		acct.occupied = n
-		acct.ahead = n.occupancy().Sent(f.now, string(r.req.Volume), r.req.Units)
+		acct.ahead = n.occupancy().RequestSent(f.now, string(r.req.Volume), r.req.Units)
 	}
 }
 
 // leaveNode removes a request from its node's occupancy.
 func (f *Forwarder) leaveNode(r *request) {
 	if n := r.attribution.occupied; n != nil {
-		n.occupancy().Ended(f.now, string(r.req.Volume), r.req.Units)
+		n.occupancy().RequestEnded(f.now, string(r.req.Volume), r.req.Units)
 		r.attribution.occupied = nil
 	}
 }
@@ -151,7 +151,7 @@
 	acct.entry.Behind = acct.behind
 	if unknown := acct.entry.Parts[attribution.NodeUnknown]; unknown > 0 && !acct.timingKnown {
 		acct.unreported[0] = attribution.Unreported{
-			Call:    uint64(r.req.ID),
+			Request: uint64(r.req.ID),
 			Attempt: r.attempt,
 			Unknown: unknown,
 			Ahead:   acct.ahead,
--- a/gateway/attributionhandler.go
+++ b/gateway/attributionhandler.go
@@ -27,7 +27,7 @@
 		err = g.Attribution(func(now time.Duration, k *attribution.Collector) {
 			doc.Now = now
 			doc.Counts = k.Counts()
-			reach = k.Aggregator().Reach()
+			reach = k.Aggregator().MaxSpan()
 			doc.Windows, covered = attributionWindows(k, now, since, slots)
 		})
 		switch {
@@ -45,9 +45,9 @@
 // reaches beyond what is kept.
 func attributionWindows(k *attribution.Collector, now, since time.Duration, slots bool) ([]attribution.Window, bool) {
 	if slots {
-		return k.Aggregator().Pages(now, since)
+		return k.Aggregator().Slots(now, since)
 	}
-	sum, covered := k.Aggregator().Over(now, since)
+	sum, covered := k.Aggregator().Window(now, since)
 	if !covered {
 		return nil, false
 	}
--- a/gateway/nodetiming.go
+++ b/gateway/nodetiming.go
@@ -105,10 +105,10 @@
 				return
 			}
 			current = m.desc
-			report = attribution.NodeReport{Call: request, Attempt: attempt}
+			report = attribution.NodeReport{Request: request, Attempt: attempt}
 		}
 		if m.work {
-			report.Work = m.duration
+			report.Service = m.duration
 		} else {
 			report.Queue = m.duration
 		}
--- a/lab/attributiontest/attributiontest.go
+++ b/lab/attributiontest/attributiontest.go
@@ -319,7 +319,7 @@
 	p.g.FlushAttribution()
 	if err := p.g.Attribution(func(now time.Duration, k *attribution.Collector) {
 		from := (at + time.Second - 1) / time.Second * time.Second
-		w, _ = k.Aggregator().Over(now, max(now-from, time.Millisecond))
+		w, _ = k.Aggregator().Window(now, max(now-from, time.Millisecond))
 	}); err != nil {
 		p.fault("%v", err)
 	}
@@ -328,7 +328,7 @@
 
 // window reads the books.
 func (p *play) window(span time.Duration) (w attribution.Window) {
-	if err := p.g.Attribution(func(now time.Duration, k *attribution.Collector) { w, _ = k.Aggregator().Over(now, span) }); err != nil {
+	if err := p.g.Attribution(func(now time.Duration, k *attribution.Collector) { w, _ = k.Aggregator().Window(now, span) }); err != nil {
 		p.fault("%v", err)
 	}
 	return w
