--- a/cmd/chalkstand/accounts.go
+++ b/cmd/chalkstand/accounts.go
@@ -2,10 +2,8 @@
 
 import (
 	"chalkstand/attribution"
-	"chalkstand/gateway"
 	"chalkstand/internal/attributionlog"
 	"chalkstand/internal/attributionreport"
-	"chalkstand/internal/settings"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -17,68 +15,95 @@
 	"time"
 
 	"github.com/spf13/cobra"
-	"go.uber.org/zap"
 )
 
-// accountsFlags are what all the account commands take.
+// accountsFlags are the flags that all subcommands of accounts share.
 type accountsFlags struct {
-	admin, log string
-	since      time.Duration
-	json       bool
+	admin string // address of a running gateway
+	log   string // attribution log to read instead; empty: none
+	since time.Duration
+	json  bool
 }
 
+// printFunc prints attribution. The arguments are those of the command.
+type printFunc func(out io.Writer, d *attributionreport.Data, args []string) error
+
 func accountsCommand() *cobra.Command {
 	var f accountsFlags
 	c := &cobra.Command{
-		Use: "accounts", Short: "Tell where the time of requests went, and who waited behind whom",
-		Long: `Tell where the time of requests went, by volume and cause, and which volume waited behind
-which, over the last time that a running gateway (--admin) or a saved log (--log) knows of.
+		Use:   "accounts",
+		Short: "Show latency attribution: where requests spent their time, and behind which volumes they waited",
+		Long: `Show the latency of requests by volume and component, and which volume waited behind which,
+over the last time that a running gateway (--admin) or an attribution log (--log) covers.
 
   chalkstand accounts top
   chalkstand accounts volume photos --since 30m
   chalkstand accounts blame photos --log accounts.log --since 24h
   chalkstand accounts report --out report.html
 
-Over up to two minutes a gateway tells by seconds, over half an hour by ten seconds, over a
-day by five minutes. docs/operate/accounts.md names the causes.`,
+A gateway keeps seconds for two minutes, ten seconds for half an hour, and five minutes for a
+day. docs/operate/accounts.md describes the components.`,
 	}
 	p := c.PersistentFlags()
 	p.StringVar(&f.admin, "admin", "127.0.0.1:9001", "admin address of a running gateway")
-	p.StringVar(&f.log, "log", "", "read a saved log instead")
-	p.DurationVar(&f.since, "since", 5*time.Minute, "how far back from now, or from the end of the log")
+	p.StringVar(&f.log, "log", "", "attribution log to read instead")
+	p.DurationVar(&f.since, "since", 5*time.Minute, "time before now, or before the end of the log")
+	subcommands := []*cobra.Command{
+		accountsTopCommand(&f),
+		accountsVolumeCommand(&f),
+		accountsBlameCommand(&f),
+	}
+	for _, sub := range subcommands {
+		sub.Flags().BoolVar(&f.json, "json", false, "write JSON")
+		c.AddCommand(sub)
+	}
+	c.AddCommand(accountsReportCommand(&f))
+	return c
+}
+
+func accountsTopCommand(f *accountsFlags) *cobra.Command {
 	var n int
-	top := &cobra.Command{
-		Use: "top", Short: "The volumes that spent most time", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use:   "top",
+		Short: "Show the volumes whose requests took the most time",
+		Args:  cobra.NoArgs,
 		RunE: f.run(func(out io.Writer, d *attributionreport.Data, _ []string) error {
 			attributionreport.Top(out, d, n)
 			return nil
 		}),
 	}
-	top.Flags().IntVar(&n, "n", 20, "volumes")
-	volume := &cobra.Command{
-		Use: "volume VOLUME", Short: "One volume's time by cause, with percentiles", Args: cobra.ExactArgs(1),
+	c.Flags().IntVar(&n, "n", 20, "number of volumes")
+	return c
+}
+
+func accountsVolumeCommand(f *accountsFlags) *cobra.Command {
+	return &cobra.Command{
+		Use:   "volume VOLUME",
+		Short: "Show one volume's latency by component, with percentiles",
+		Args:  cobra.ExactArgs(1),
 		RunE: f.run(func(out io.Writer, d *attributionreport.Data, args []string) error {
 			return attributionreport.Volume(out, d, args[0])
 		}),
 	}
-	blame := &cobra.Command{
-		Use: "blame VOLUME", Short: "Whom a volume waited behind, and who waited behind it", Args: cobra.ExactArgs(1),
+}
+
+func accountsBlameCommand(f *accountsFlags) *cobra.Command {
+	return &cobra.Command{
+		Use:   "blame VOLUME",
+		Short: "Show behind which volumes a volume waited, and which waited behind it",
+		Args:  cobra.ExactArgs(1),
 		RunE: f.run(func(out io.Writer, d *attributionreport.Data, args []string) error {
 			return attributionreport.Contributions(out, d, args[0])
 		}),
 	}
-	for _, sub := range []*cobra.Command{top, volume, blame} {
-		sub.Flags().BoolVar(&f.json, "json", false, "write the account as JSON")
-		c.AddCommand(sub)
-	}
-	c.AddCommand(reportCommand(&f))
-	return c
 }
 
-func reportCommand(f *accountsFlags) *cobra.Command {
+func accountsReportCommand(f *accountsFlags) *cobra.Command {
 	var file, volume string
 	c := &cobra.Command{
-		Use: "report", Short: "One HTML file with pictures", Args: cobra.NoArgs,
+		Use:   "report",
+		Short: "Write an HTML report with charts",
+		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			d, err := f.load(cmd.Context())
 			if err != nil {
@@ -96,12 +121,12 @@
 		},
 	}
 	c.Flags().StringVar(&file, "out", "accounts.html", "file to write")
-	c.Flags().StringVar(&volume, "volume", "", "volume that comes first")
+	c.Flags().StringVar(&volume, "volume", "", "volume to show first")
 	return c
 }
 
-// run loads the accounts and shows them.
-func (f *accountsFlags) run(show func(io.Writer, *attributionreport.Data, []string) error) func(*cobra.Command, []string) error {
+// run returns a command's RunE, which loads the attribution and prints it, as JSON if asked.
+func (f *accountsFlags) run(show printFunc) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) error {
 		d, err := f.load(cmd.Context())
 		if err != nil {
@@ -121,6 +146,7 @@
 	}
 }
 
+// load reads the attribution from the log, or from a running gateway.
 func (f *accountsFlags) load(ctx context.Context) (*attributionreport.Data, error) {
 	if f.since <= 0 {
 		return nil, fmt.Errorf("--since %v: want a time above 0", f.since)
@@ -131,50 +157,35 @@
 	return f.loadAdmin(ctx)
 }
 
-// loadLog reads a saved log as far as it is whole.
+// loadLog reads an attribution log. Damaged parts are left out and noted.
 func (f *accountsFlags) loadLog() (*attributionreport.Data, error) {
-	recs, damage, err := attributionlog.Read(f.log)
+	records, damage, err := attributionlog.Read(f.log)
 	if err != nil {
 		return nil, err
 	}
-	t := attributionlog.NewTimeline(recs)
-	d := &attributionreport.Data{Slots: t.Since(f.since), Notes: t.Notes}
+	timeline := attributionlog.NewTimeline(records)
+	d := &attributionreport.Data{Slots: timeline.Since(f.since), Notes: timeline.Notes}
 	for _, x := range damage {
 		d.Notes = append(d.Notes, x.Error())
 	}
 	return d, nil
 }
 
-// adminWait bounds the asking of a gateway.
-const adminWait = 10 * time.Second
+// adminTimeout bounds a request to a gateway's admin address.
+const adminTimeout = 10 * time.Second
+
+// maxErrorBytes bounds how much of an error's body is shown.
+const maxErrorBytes = 4096
 
-// loadAdmin asks a running gateway.
+// loadAdmin reads the attribution of a running gateway.
 func (f *accountsFlags) loadAdmin(ctx context.Context) (*attributionreport.Data, error) {
-	if ctx == nil {
-		ctx = context.Background()
-	}
-	ctx, cancel := context.WithTimeout(ctx, adminWait)
-	defer cancel()
-	u := url.URL{Scheme: "http", Host: f.admin, Path: "/accounts", RawQuery: url.Values{"since": {f.since.String()}, "slots": {"1"}}.Encode()}
-	req, err := http.NewRequestWithContext(ctx, "GET", u.String(), nil)
-	if err != nil {
-		return nil, fmt.Errorf("--admin %s: %w", f.admin, err)
-	}
-	resp, err := http.DefaultClient.Do(req)
+	doc, err := f.fetchDocument(ctx)
 	if err != nil {
-		return nil, fmt.Errorf("no gateway answers at --admin %s: %w", f.admin, err)
-	}
-	defer resp.Body.Close()
-	if resp.StatusCode != 200 {
-		b, _ := io.ReadAll(io.LimitReader(resp.Body, 4096))
-		return nil, fmt.Errorf("gateway at %s: %s: %s", f.admin, resp.Status, strings.TrimSpace(string(b)))
-	}
-	var doc attribution.Document
-	if err := json.NewDecoder(resp.Body).Decode(&doc); err != nil {
-		return nil, fmt.Errorf("gateway at %s: %w", f.admin, err)
+		return nil, err
 	}
 	if doc.Version != attribution.Version {
-		return nil, fmt.Errorf("gateway at %s: version %d of accounts; this program reads %d", f.admin, doc.Version, attribution.Version)
+		return nil, fmt.Errorf("gateway at %s: version %d of accounts; this program reads %d",
+			f.admin, doc.Version, attribution.Version)
 	}
 	d := &attributionreport.Data{Counts: &doc.Counts}
 	for _, w := range doc.Windows {
@@ -183,35 +194,28 @@
 	return d, nil
 }
 
-// saveAccounts opens the log of a gateway's accounts where the settings name one.
-// Trouble with it is logged and ends the log, not the gateway.
-func saveAccounts(s *settings.Settings, log *zap.Logger) (opts []gateway.Option, bind func(*gateway.Gateway), stop func(), err error) {
-	none := func() {}
-	if s.Accounts.Log == "" || !s.Accounts.On {
-		return nil, func(*gateway.Gateway) {}, none, nil
+// fetchDocument asks a running gateway.
+func (f *accountsFlags) fetchDocument(ctx context.Context) (*attribution.Document, error) {
+	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
+	defer cancel()
+	query := url.Values{"since": {f.since.String()}, "slots": {"1"}}
+	u := url.URL{Scheme: "http", Host: f.admin, Path: "/accounts", RawQuery: query.Encode()}
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), nil)
+	if err != nil {
+		return nil, fmt.Errorf("--admin %s: %w", f.admin, err)
 	}
-	w, err := attributionlog.Open(s.Accounts.Log, s.Accounts.LogBytes, s.Accounts.LogFiles)
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, nil, nil, err
-	}
-	var g *gateway.Gateway
-	ready := make(chan struct{})
-	failed := false
-	save := func(a attribution.Action) {
-		<-ready
-		if failed {
-			return
-		}
-		if err := w.Append(attributionlog.NewRecord(g.Run(), time.Now(), g.Now(), a)); err != nil {
-			failed = true
-			log.Error("accounts are no longer saved", zap.Error(err))
-		}
+		return nil, fmt.Errorf("no gateway answers at --admin %s: %w", f.admin, err)
 	}
-	bind = func(x *gateway.Gateway) { g = x; close(ready) }
-	stop = func() {
-		if err := w.Close(); err != nil {
-			log.Warn("account log", zap.Error(err))
-		}
+	defer func() { _ = resp.Body.Close() }() // read completely
+	if resp.StatusCode != http.StatusOK {
+		b, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes)) // what can be read of it
+		return nil, fmt.Errorf("gateway at %s: %s: %s", f.admin, resp.Status, strings.TrimSpace(string(b)))
+	}
+	var doc attribution.Document
+	if err := json.NewDecoder(resp.Body).Decode(&doc); err != nil {
+		return nil, fmt.Errorf("gateway at %s: %w", f.admin, err)
 	}
-	return []gateway.Option{gateway.WithAttributionLog(save)}, bind, stop, nil
+	return &doc, nil
 }
--- a/cmd/chalkstand/main.go
+++ b/cmd/chalkstand/main.go
@@ -18,36 +18,60 @@
 	}
 }
 
+// root returns the command with all its subcommands.
 func root() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "chalkstand",
 		Short: "A storage gateway that schedules reads and writes across storage nodes",
-		Long: `chalkstand takes requests of an object API over HTTP and schedules them across
-storage nodes: which request leaves next, where to, and which is turned away.
+		Long: `chalkstand accepts requests of an object API over HTTP and schedules them across
+storage nodes: which request is sent next, to which node, and which is rejected.
 
 Start here:
   chalkstand serve --config configs/quickstart.jsonc
-runs a gateway on 127.0.0.1:9000 with stand-in nodes inside the process.`,
-		SilenceUsage: true, SilenceErrors: true,
+runs a gateway on 127.0.0.1:9000 with fake nodes inside the process.`,
+		SilenceUsage:  true,
+		SilenceErrors: true,
 	}
-	c.AddCommand(serveCommand(), nodeCommand(), checkCommand(), accountsCommand(), topCommand(), runCommand(), standinsCommand(), baddayCommand(), drillCommand(), exploreCommand(), replayCommand(), benchCommand(), versionCommand())
+	c.AddCommand(
+		serveCommand(),
+		nodeCommand(),
+		checkConfigCommand(),
+		accountsCommand(),
+		topCommand(),
+		runCommand(),
+		standinsCommand(),
+		faultInjectionCommand(),
+		attributionTestCommand(),
+		modelCheckCommand(),
+		replayCommand(),
+		benchCommand(),
+		versionCommand(),
+	)
 	return c
 }
 
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "version", Short: "Print the version and how it was built", Args: cobra.NoArgs,
+		Use:   "version",
+		Short: "Print the version and how it was built",
+		Args:  cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
-			v, rev := "devel", ""
-			if b, ok := debug.ReadBuildInfo(); ok {
-				for _, s := range b.Settings {
-					if s.Key == "vcs.revision" {
-						rev = " " + s.Value
-					}
-				}
-				v = b.GoVersion
-			}
-			fmt.Fprintf(cmd.OutOrStdout(), "chalkstand%s (%s)\n", rev, v)
+			version, revision := buildInfo()
+			fmt.Fprintf(cmd.OutOrStdout(), "chalkstand%s (%s)\n", revision, version)
 		},
 	}
 }
+
+// buildInfo returns the Go version, and the revision of the sources after a space if it is known.
+func buildInfo() (version, revision string) {
+	info, ok := debug.ReadBuildInfo()
+	if !ok {
+		return "devel", ""
+	}
+	for _, s := range info.Settings {
+		if s.Key == "vcs.revision" {
+			revision = " " + s.Value
+		}
+	}
+	return info.GoVersion, revision
+}
--- a/cmd/chalkstand/serve.go
+++ b/cmd/chalkstand/serve.go
@@ -2,8 +2,6 @@
 
 import (
 	"chalkstand/dispatch"
-	"chalkstand/fake/storagenode"
-	"chalkstand/forwarder"
 	"chalkstand/gateway"
 	"chalkstand/internal/settings"
 	"chalkstand/trace"
@@ -12,30 +10,29 @@
 	"fmt"
 	"math/rand/v2"
 	"net"
-	"net/http"
 	"os"
 	"os/signal"
-	"path/filepath"
 	"syscall"
-	"time"
 
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/collectors"
-	"github.com/prometheus/client_golang/prometheus/promhttp"
 	"github.com/spf13/cobra"
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 )
 
-func checkCommand() *cobra.Command {
+func checkConfigCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "check-config FILE", Short: "Check a settings file and say what is wrong with it", Args: cobra.ExactArgs(1),
+		Use:   "check-config FILE",
+		Short: "Check a settings file and report errors by line and field",
+		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := settings.Load(args[0])
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: in order: %d shards, %d nodes, %d classes, %d plans, %d bucket rules, %d keys\n",
+			fmt.Fprintf(cmd.OutOrStdout(),
+				"%s: in order: %d shards, %d nodes, %d classes, %d plans, %d bucket rules, %d keys\n",
 				args[0], s.Shards, len(s.Nodes), len(s.Classes), len(s.Plans), len(s.Buckets), len(s.Keys))
 			return nil
 		},
@@ -45,16 +42,21 @@
 func serveCommand() *cobra.Command {
 	var file string
 	c := &cobra.Command{
-		Use: "serve", Short: "Run a gateway", Args: cobra.NoArgs,
-		Long: `Run a gateway until SIGTERM or SIGINT, which let it finish what it has taken.
-SIGHUP reads the settings again and takes over nodes and keys; all else needs a restart.`,
+		Use:   "serve",
+		Short: "Run a gateway",
+		Args:  cobra.NoArgs,
+		Long: `Run a gateway until SIGTERM or SIGINT, which start a graceful shutdown.
+SIGHUP reloads the settings and replaces nodes and access keys; everything else needs a restart.`,
 		RunE: func(cmd *cobra.Command, _ []string) error { return serve(cmd.Context(), file) },
 	}
 	c.Flags().StringVar(&file, "config", "", "settings file (JSON with comments)")
-	c.MarkFlagRequired("config")
+	if err := c.MarkFlagRequired("config"); err != nil {
+		panic(err) // the flag is defined above
+	}
 	return c
 }
 
+// newLogger returns a logger that writes JSON lines of the level and above to standard error.
 func newLogger(level string) (*zap.Logger, error) {
 	cfg := zap.NewProductionConfig()
 	cfg.EncoderConfig.EncodeTime = zapcore.ISO8601TimeEncoder
@@ -66,11 +68,8 @@
 	return cfg.Build()
 }
 
-// serve runs the daemon.
+// serve runs a gateway until a signal ends it.
 func serve(ctx context.Context, file string) error {
-	if ctx == nil {
-		ctx = context.Background()
-	}
 	s, err := settings.Load(file)
 	if err != nil {
 		return err
@@ -79,172 +78,155 @@
 	if err != nil {
 		return err
 	}
-	defer log.Sync()
-	reg := prometheus.NewRegistry()
-	reg.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	opts := []gateway.Option{gateway.WithLogger(log), gateway.WithRegistry(reg)}
-	record, stopRecord, err := startTrace(s, log)
-	if err != nil {
+	defer func() { _ = log.Sync() }() // fails where standard error is a terminal
+	d := &daemon{file: file, settings: s, log: log}
+	defer d.close()
+	if err := d.start(); err != nil {
 		return err
 	}
-	defer stopRecord()
-	save, bind, stopSave, err := saveAccounts(s, log)
+	return d.run(ctx)
+}
+
+// daemon is a gateway process.
+type daemon struct {
+	file     string // of the settings
+	settings *settings.Settings
+	log      *zap.Logger
+	gateway  *gateway.Gateway
+	listener *net.TCPListener // of the object API; Serve closes it
+	closers  []func()         // in the order in which the parts were opened
+}
+
+// close closes all parts that were opened, the last one first.
+func (d *daemon) close() {
+	for i := len(d.closers) - 1; i >= 0; i-- {
+		d.closers[i]()
+	}
+}
+
+// onClose adds a function for close to call.
+func (d *daemon) onClose(f func()) { d.closers = append(d.closers, f) }
+
+// start opens the logs and creates the gateway, with embedded nodes if the settings ask for them.
+func (d *daemon) start() error {
+	registry := prometheus.NewRegistry()
+	registry.MustRegister(
+		collectors.NewGoCollector(),
+		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
+	)
+	opts := []gateway.Option{gateway.WithLogger(d.log), gateway.WithRegistry(registry)}
+	traceOpts, err := d.openTrace()
 	if err != nil {
 		return err
 	}
-	defer stopSave()
-	g, err := gateway.New(*s, append(append(opts, record...), save...)...)
+	opts = append(opts, traceOpts...)
+	attributionLog, err := openAttributionLog(d.settings, d.log)
 	if err != nil {
 		return err
 	}
-	bind(g)
-	defer g.Close()
-	if s.Embedded != nil {
-		stop, err := embed(s, g)
-		if err != nil {
-			return err
-		}
-		defer stop()
+	if attributionLog != nil {
+		d.onClose(attributionLog.close)
+		opts = append(opts, gateway.WithAttributionLog(attributionLog.append))
 	}
-	ln, err := gateway.Listen(s.Listen)
-	if err != nil {
+	if d.gateway, err = gateway.New(*d.settings, opts...); err != nil {
 		return err
 	}
-	if s.Admin != "" {
-		stop, err := admin(s.Admin, reg, g)
+	if attributionLog != nil {
+		attributionLog.bind(d.gateway)
+	}
+	d.onClose(d.closeGateway)
+	if d.settings.Embedded != nil {
+		nodes, err := startEmbeddedNodes(d.settings, d.gateway, d.log)
 		if err != nil {
 			return err
 		}
-		defer stop()
-	}
-	sig := make(chan os.Signal, 4)
-	signal.Notify(sig, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	defer signal.Stop(sig)
-	ctx, stop := context.WithCancel(ctx)
-	defer stop()
-	ended := make(chan error, 1)
-	go func() { ended <- g.Serve(ctx, ln) }()
-	log.Info("serving", zap.String("object_api", s.Listen), zap.String("admin", s.Admin), zap.Int("shards", s.Shards))
+		d.onClose(nodes.close)
+	}
+	return d.listen(registry)
+}
+
+func (d *daemon) closeGateway() {
+	if err := d.gateway.Close(); err != nil {
+		d.log.Warn("gateway not closed cleanly", zap.Error(err))
+	}
+}
+
+// run serves until the gateway fails, or a signal ends it.
+func (d *daemon) run(ctx context.Context) error {
+	signals := make(chan os.Signal, 4)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
+	defer signal.Stop(signals)
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	served := make(chan error, 1)
+	go func() { served <- d.gateway.Serve(ctx, d.listener) }()
+	d.log.Info("serving",
+		zap.String("object_api", d.settings.Listen),
+		zap.String("admin", d.settings.Admin),
+		zap.Int("shards", d.settings.Shards))
 	for {
 		select {
-		case err := <-ended:
+		case err := <-served:
 			return err
-		case got := <-sig:
-			if got == syscall.SIGHUP {
-				reload(file, g, s, log)
+		case received := <-signals:
+			if received == syscall.SIGHUP {
+				d.reload()
 				continue
 			}
-			log.Info("draining", zap.String("signal", got.String()))
-			wait, cancel := context.WithTimeout(context.Background(), s.Limits.DrainWait.D())
-			err := g.Drain(wait)
+			d.shutdown(received)
 			cancel()
-			if err != nil {
-				log.Warn("drained in part", zap.Error(err))
-			}
-			log.Info("stopped")
-			return nil
+			return <-served
 		}
 	}
 }
 
-// startTrace records the dispatcher's events where the settings name a file.
-func startTrace(s *settings.Settings, log *zap.Logger) ([]gateway.Option, func(), error) {
-	if s.Trace == "" {
-		return nil, func() {}, nil
-	}
-	f, err := os.Create(s.Trace)
-	if err != nil {
-		return nil, nil, fmt.Errorf("trace: %w", err)
-	}
-	seed := rand.Uint64()
-	w, err := trace.NewWriter(f, s.DispatchConfig(), seed, traceQueue)
-	if err != nil {
-		return nil, nil, err
-	}
-	stop := func() {
-		if err := errors.Join(w.Close(), f.Close()); err != nil {
-			log.Warn("trace ended early", zap.Error(err))
-		}
-	}
-	return []gateway.Option{gateway.WithSeed(seed), gateway.WithTrace(w.Record)}, stop, nil
+// shutdown answers the requests in flight, within the settings' limit.
+func (d *daemon) shutdown(received os.Signal) {
+	d.log.Info("graceful shutdown started", zap.Stringer("signal", received))
+	ctx, cancel := context.WithTimeout(context.Background(), d.settings.Limits.DrainWait.D())
+	defer cancel()
+	if err := d.gateway.Drain(ctx); err != nil {
+		d.log.Warn("graceful shutdown incomplete", zap.Error(err))
+	}
+	d.log.Info("graceful shutdown finished")
 }
 
-// traceQueue bounds the entries that wait to be written.
-const traceQueue = 1 << 16
-
-// reload takes over the nodes and keys of a changed file; a bad one changes nothing.
-func reload(file string, g *gateway.Gateway, old *settings.Settings, log *zap.Logger) {
-	s, err := settings.Load(file)
+// reload replaces the access keys and the nodes with those of the changed file. An invalid file changes
+// nothing.
+func (d *daemon) reload() {
+	s, err := settings.Load(d.file)
 	if err != nil {
-		log.Error("settings not taken over", zap.Error(err))
+		d.log.Error("configuration reload rejected", zap.Error(err))
 		return
 	}
-	g.SetKeys(s.Keys)
-	if old.Embedded == nil && s.Embedded == nil {
-		g.UpdateEndpoints(dispatch.Snapshot, gateway.EndpointsOf(s.Nodes))
+	d.gateway.SetKeys(s.Keys)
+	if d.settings.Embedded == nil && s.Embedded == nil {
+		d.gateway.UpdateEndpoints(dispatch.Snapshot, gateway.EndpointsOf(s.Nodes))
 	}
-	log.Info("settings taken over", zap.Int("keys", len(s.Keys)), zap.Int("nodes", len(s.Nodes)))
+	d.log.Info("configuration reloaded", zap.Int("keys", len(s.Keys)), zap.Int("nodes", len(s.Nodes)))
 }
 
-// embed runs a stand-in node for each shard.
-func embed(s *settings.Settings, g *gateway.Gateway) (stop func(), err error) {
-	e := s.Embedded
-	ledger := storagenode.NewLedger(time.Second, 300*time.Millisecond)
-	var nodes []*storagenode.Node
-	var sets []*storagenode.Dataset
-	var list []forwarder.Node
-	stop = func() {
-		for _, n := range nodes {
-			n.Stop()
-		}
-		for _, d := range sets {
-			d.Close()
-		}
+// traceQueue is how many events may wait to be written to the trace.
+const traceQueue = 1 << 16
+
+// openTrace opens the trace of the dispatcher's events, if the settings name a file.
+func (d *daemon) openTrace() ([]gateway.Option, error) {
+	if d.settings.Trace == "" {
+		return nil, nil
 	}
-	epoch := time.Now()
-	for i := range s.Shards {
-		cfg := storagenode.Config{
-			ID: fmt.Sprintf("embedded-%d", i), Shard: i, Cores: e.Cores, Queue: e.Queue, PerUnit: e.PerUnit.D(),
-			ReportEvery: 100 * time.Millisecond, DedupWindow: 30 * time.Second, DiscardLog: true, Timing: true,
-		}
-		data := storagenode.NewDataset("")
-		if e.Dir != "" {
-			var err error
-			if data, err = storagenode.OpenDataset(filepath.Join(e.Dir, fmt.Sprintf("shard-%d", i))); err != nil {
-				stop()
-				return nil, fmt.Errorf("embedded_nodes.dir: %w", err)
-			}
-		}
-		n, err := storagenode.Start("127.0.0.1:0", cfg, data, ledger, epoch)
-		if err != nil {
-			data.Close()
-			stop()
-			return nil, err
-		}
-		sets = append(sets, data)
-		nodes = append(nodes, n)
-		list = append(list, forwarder.Node{Addr: n.Addr(), Node: dispatch.Node{ID: dispatch.NodeID(n.ID()), Shard: dispatch.Shard(i)}})
+	f, err := os.Create(d.settings.Trace)
+	if err != nil {
+		return nil, fmt.Errorf("trace: %w", err)
 	}
-	g.UpdateEndpoints(dispatch.Snapshot, list)
-	return stop, nil
-}
-
-// admin serves metrics, health and accounts.
-func admin(addr string, reg *prometheus.Registry, g *gateway.Gateway) (stop func(), err error) {
-	ln, err := net.Listen("tcp", addr)
+	seed := rand.Uint64()
+	w, err := trace.NewWriter(f, d.settings.DispatchConfig(), seed, traceQueue)
 	if err != nil {
-		return nil, fmt.Errorf("admin: %w", err)
-	}
-	mux := http.NewServeMux()
-	mux.Handle("/metrics", promhttp.HandlerFor(reg, promhttp.HandlerOpts{}))
-	mux.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") })
-	mux.Handle("/accounts", g.AttributionHandler())
-	mux.Handle("/shares", g.VolumeUsageHandler())
-	srv := &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second}
-	go func() {
-		if err := srv.Serve(ln); err != nil && !errors.Is(err, http.ErrServerClosed) {
-			fmt.Fprintln(os.Stderr, "chalkstand: admin:", err)
+		return nil, errors.Join(err, f.Close())
+	}
+	d.onClose(func() {
+		if err := errors.Join(w.Close(), f.Close()); err != nil {
+			d.log.Warn("trace stopped early", zap.Error(err))
 		}
-	}()
-	return func() { srv.Close() }, nil
+	})
+	return []gateway.Option{gateway.WithSeed(seed), gateway.WithTrace(w.Record)}, nil
 }
--- a/cmd/chalkstand/top.go
+++ b/cmd/chalkstand/top.go
@@ -3,6 +3,7 @@
 import (
 	"chalkstand/gateway"
 	"cmp"
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -15,103 +16,130 @@
 	"github.com/spf13/cobra"
 )
 
-// sharesTold is what /shares answers.
-type sharesTold struct {
+// usageSnapshot is the usage of a gateway's event loops and links by volume, since the gateway's start.
+type usageSnapshot struct {
 	Shares []gateway.VolumeUsage `json:"shares"`
 	at     time.Time
 }
 
+// topOptions are the flags of the command.
+type topOptions struct {
+	admin    string
+	interval time.Duration
+	count    int // tables; 0: until interrupted
+	volumes  int // rows
+}
+
 func topCommand() *cobra.Command {
-	var admin string
-	var every time.Duration
-	var times, n int
+	var o topOptions
 	c := &cobra.Command{
-		Use: "top", Short: "Show who holds a running gateway's loops and links now",
-		Long: `Show, second by second, which volumes have the event loops of a running gateway, how many bytes
-they move, and what of them waits. Volumes are shared out by the weights of their plans:
-docs/operate/share.md. (newcomers) are connections that have not spoken for a volume yet, (gateway)
-is what belongs to none, others are volumes beyond share.flows.`,
+		Use:   "top",
+		Short: "Show which volumes use a running gateway's event loops and links",
+		Long: `Show, second by second, how much of the event loops of a running gateway each volume uses, how
+many bytes it moves, and how many of its connections wait. Volumes share by the weights of their plans:
+docs/operate/share.md. (newcomers) are connections whose volume is not known yet, (gateway) is
+the gateway's own work, others are volumes beyond share.flows.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if every <= 0 {
-				return fmt.Errorf("--every %v: want a time above 0", every)
-			}
-			stop := make(chan os.Signal, 1)
-			signal.Notify(stop, os.Interrupt)
-			defer signal.Stop(stop)
-			before, err := askShares(admin)
-			if err != nil {
-				return err
-			}
-			for i := 0; times == 0 || i < times; i++ {
-				select {
-				case <-stop:
-					return nil
-				case <-time.After(every):
-				}
-				now, err := askShares(admin)
-				if err != nil {
-					return err
-				}
-				showTop(cmd.OutOrStdout(), before, now, n)
-				before = now
-			}
-			return nil
+			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt)
+			defer stop()
+			return o.execute(ctx, cmd.OutOrStdout())
 		},
 	}
-	c.Flags().StringVar(&admin, "admin", "127.0.0.1:9001", "admin address of a running gateway")
-	c.Flags().DurationVar(&every, "every", time.Second, "time between two tables")
-	c.Flags().IntVar(&times, "times", 0, "tables; 0: until stopped")
-	c.Flags().IntVar(&n, "n", 20, "volumes")
+	c.Flags().StringVar(&o.admin, "admin", "127.0.0.1:9001", "admin address of a running gateway")
+	c.Flags().DurationVar(&o.interval, "every", time.Second, "time between two tables")
+	c.Flags().IntVar(&o.count, "times", 0, "number of tables; 0: until interrupted")
+	c.Flags().IntVar(&o.volumes, "n", 20, "number of volumes")
 	return c
 }
 
-func askShares(admin string) (*sharesTold, error) {
-	client := http.Client{Timeout: 10 * time.Second}
-	resp, err := client.Get("http://" + admin + "/shares")
+// execute prints tables until it is interrupted.
+func (o topOptions) execute(ctx context.Context, out io.Writer) error {
+	if o.interval <= 0 {
+		return fmt.Errorf("--every %v: want a time above 0", o.interval)
+	}
+	before, err := fetchUsage(context.WithoutCancel(ctx), o.admin)
+	if err != nil {
+		return err
+	}
+	for i := 0; o.count == 0 || i < o.count; i++ {
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-time.After(o.interval):
+		}
+		now, err := fetchUsage(context.WithoutCancel(ctx), o.admin)
+		if err != nil {
+			return err
+		}
+		printUsage(out, before, now, o.volumes)
+		before = now
+	}
+	return nil
+}
+
+// maxUsageBytes bounds a gateway's response.
+const maxUsageBytes = 64 << 20
+
+// fetchUsage asks a running gateway.
+func fetchUsage(ctx context.Context, admin string) (*usageSnapshot, error) {
+	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+admin+"/shares", nil)
 	if err != nil {
 		return nil, fmt.Errorf("asking the gateway at %s: %w", admin, err)
 	}
-	defer resp.Body.Close()
-	if resp.StatusCode != 200 {
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		return nil, fmt.Errorf("asking the gateway at %s: %w", admin, err)
+	}
+	defer func() { _ = resp.Body.Close() }() // read completely
+	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("asking the gateway at %s: %s: want a gateway of this version", admin, resp.Status)
 	}
-	s := &sharesTold{at: time.Now()}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, 64<<20)).Decode(s); err != nil {
+	s := &usageSnapshot{at: time.Now()}
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxUsageBytes)).Decode(s); err != nil {
 		return nil, fmt.Errorf("the answer of the gateway at %s: %w", admin, err)
 	}
 	return s, nil
 }
 
-// showTop writes a table of what was had between two moments.
-func showTop(out io.Writer, before, now *sharesTold, n int) {
-	then := map[string]gateway.VolumeUsage{}
-	for _, s := range before.Shares {
-		then[s.Volume] = s
+// usageBetween returns the usage between two snapshots, the largest first, and the sum of the loop time.
+func usageBetween(before, now *usageSnapshot) (rows []gateway.VolumeUsage, loopTime time.Duration) {
+	earlier := map[string]gateway.VolumeUsage{}
+	for _, u := range before.Shares {
+		earlier[u.Volume] = u
 	}
-	took := now.at.Sub(before.at)
-	rows := slices.Clone(now.Shares)
-	var sum time.Duration
+	rows = slices.Clone(now.Shares)
 	for i := range rows {
-		was := then[rows[i].Volume]
-		if was.LoopTime <= rows[i].LoopTime { // else it was forgotten meanwhile, and made anew
-			rows[i].LoopTime -= was.LoopTime
-			rows[i].Bytes -= was.Bytes
+		u := earlier[rows[i].Volume]
+		if u.LoopTime <= rows[i].LoopTime { // else the gateway dropped the volume and counts from 0 again
+			rows[i].LoopTime -= u.LoopTime
+			rows[i].Bytes -= u.Bytes
 		}
-		sum += rows[i].LoopTime
+		loopTime += rows[i].LoopTime
 	}
 	slices.SortStableFunc(rows, func(a, b gateway.VolumeUsage) int { return cmp.Compare(b.LoopTime, a.LoopTime) })
-	fmt.Fprintf(out, "%-30s %8s %8s %10s %7s %8s %s\n", now.at.Format(time.TimeOnly), "weight", "share %", "MiB/s", "waits", "streams", "")
-	for i, s := range rows {
-		if i == n || s.LoopTime == 0 && s.Waiting+s.Streams == 0 {
+	return rows, loopTime
+}
+
+// printUsage prints a table of the usage between two snapshots, with at most n volumes.
+func printUsage(out io.Writer, before, now *usageSnapshot, n int) {
+	rows, loopTime := usageBetween(before, now)
+	interval := now.at.Sub(before.at).Seconds()
+	fmt.Fprintf(out, "%-30s %8s %8s %10s %7s %8s %s\n",
+		now.at.Format(time.TimeOnly), "weight", "share %", "MiB/s", "waits", "streams", "")
+	for i, u := range rows {
+		if i == n || u.LoopTime == 0 && u.Waiting+u.Streams == 0 {
 			break
 		}
-		paced := ""
-		if s.RateLimited {
-			paced = "paced"
+		limited := ""
+		if u.RateLimited {
+			limited = "paced"
 		}
-		fmt.Fprintf(out, "%-30s %8g %8.1f %10.1f %7d %8d %s\n", s.Volume, s.Weight, 100*s.LoopTime.Seconds()/max(sum.Seconds(), 1e-9),
-			float64(s.Bytes)/(1<<20)/took.Seconds(), s.Waiting, s.Streams, paced)
+		share := 100 * u.LoopTime.Seconds() / max(loopTime.Seconds(), 1e-9)
+		fmt.Fprintf(out, "%-30s %8g %8.1f %10.1f %7d %8d %s\n",
+			u.Volume, u.Weight, share, float64(u.Bytes)/(1<<20)/interval, u.Waiting, u.Streams, limited)
 	}
 	fmt.Fprintln(out)
 }
--- a/cmd/chalkstand/top_test.go
+++ b/cmd/chalkstand/top_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"chalkstand/gateway"
+	"io"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -9,16 +10,16 @@
 	"time"
 )
 
-func TestTop(t *testing.T) {
+func TestPrintUsage(t *testing.T) {
 	at := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	before := &sharesTold{at: at, Shares: []gateway.VolumeUsage{{Volume: "loans", Weight: 1, LoopTime: time.Second, Bytes: 1 << 20}, {Volume: "quiet", Weight: 1, LoopTime: time.Second}}}
-	now := &sharesTold{at: at.Add(2 * time.Second), Shares: []gateway.VolumeUsage{
+	before := &usageSnapshot{at: at, Shares: []gateway.VolumeUsage{{Volume: "loans", Weight: 1, LoopTime: time.Second, Bytes: 1 << 20}, {Volume: "quiet", Weight: 1, LoopTime: time.Second}}}
+	now := &usageSnapshot{at: at.Add(2 * time.Second), Shares: []gateway.VolumeUsage{
 		{Volume: "loans", Weight: 1, LoopTime: 1200 * time.Millisecond, Bytes: 5 << 20, Waiting: 3, RateLimited: true},
 		{Volume: "photos", Weight: 4, LoopTime: 800 * time.Millisecond, Bytes: 64 << 20, Streams: 7},
 		{Volume: "quiet", Weight: 1, LoopTime: time.Second},
 	}}
 	var out strings.Builder
-	showTop(&out, before, now, 20)
+	printUsage(&out, before, now, 20)
 	want := `03:04:07                         weight  share %      MiB/s   waits  streams 
 photos                                4     80.0       32.0       0        7 
 loans                                 1     20.0        2.0       3        0 paced
@@ -29,15 +30,15 @@
 	}
 }
 
-func TestTopAsksAGateway(t *testing.T) {
+func TestFetchUsageErrors(t *testing.T) {
 	for text, want := range map[string]string{`{"shares": [`: "the answer of the gateway", "": "want a gateway of this version"} {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			if text == "" {
-				w.WriteHeader(404)
+				w.WriteHeader(http.StatusNotFound)
 			}
-			w.Write([]byte(text))
+			_, _ = io.WriteString(w, text) // a failure shows in what the client gets
 		}))
-		if _, err := askShares(s.Listener.Addr().String()); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := fetchUsage(t.Context(), s.Listener.Addr().String()); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %s", text, err, want)
 		}
 		s.Close()
--- a/lab/attributiontest/scenarios.go
+++ b/lab/attributiontest/scenarios.go
@@ -3,269 +3,260 @@
 import (
 	"chalkstand/attribution"
 	"chalkstand/fake/storagenode"
-	"chalkstand/internal/attributionlog"
-	"strings"
+	"context"
 	"time"
 )
 
-// Scenario is one small trouble, and what the accounts must tell of it.
+// Scenario is one fault with a known cause, and what attribution must say of it.
 type Scenario struct {
-	Name string
-	What string
+	Name        string
+	Description string
 
-	tolerance float64 // 0: Tolerance
-
-	node   func(*storagenode.Config)
-	play   func(*play)
-	expect func(*play, *verdict)
+	tolerance     float64                   // 0: Tolerance
+	configureNode func(*storagenode.Config) // nil: nothing is changed
+	play          func(context.Context, *testRun)
+	check         func(*verdict)
 }
 
-// Volumes are those of all scenarios. What one does is in its name, for people;
-// nothing reads it.
-var Volumes = []string{"review", "flood", "flood2", "busy", "capped"}
-
-// verdict is what is judged.
-type verdict struct {
-	p        *play
-	Window   attribution.Window
-	Counts   attribution.Counts
-	Timeline attributionlog.Timeline
+// Scenarios returns all scenarios.
+func Scenarios() []Scenario {
+	return []Scenario{
+		floodScenario(),
+		twoFloodsScenario(),
+		floodStopsScenario(),
+		slowNodeScenario(),
+		limitScenario(),
+		lostAnswersScenario(),
+		slowClientScenario(),
+		lateReportsScenario(),
+		restartScenario(),
+		clockStepScenario(),
+	}
 }
 
-// behind is how long a volume waited behind another.
-func behind(w *attribution.Window, victim, culprit string) time.Duration {
-	for _, p := range w.Pairs {
-		if p.Key == (attribution.Pair{Victim: victim, Culprit: culprit}) {
-			return time.Duration(p.Count)
-		}
+// Names returns the names of all scenarios.
+func Names() []string {
+	var names []string
+	for _, s := range Scenarios() {
+		names = append(names, s.Name)
 	}
-	return 0
+	return names
 }
 
-// part is a volume's time under one cause.
-func (v *verdict) part(volume string, c attribution.Component) time.Duration {
-	l, _ := v.Window.Summary(volume)
-	return l.Parts[c]
+func floodScenario() Scenario {
+	return Scenario{
+		Name:        "flood",
+		Description: "one volume floods a node that a review volume and a busy one share",
+		play: func(ctx context.Context, r *testRun) {
+			r.startClients(ctx, 32, floodVolume, 0, r.done)
+			r.startClients(ctx, 1, busyVolume, 30*time.Millisecond, r.done)
+			r.startClients(ctx, 2, reviewVolume, 5*time.Millisecond, r.done)
+			<-after(2 * time.Second)
+		},
+		check: func(v *verdict) { v.expectCulprit(floodVolume, busyVolume) },
+	}
 }
 
-// most wants a cause to have at least a share of a volume's time.
-func (v *verdict) most(volume string, share float64, cs ...attribution.Component) {
-	l, ok := v.Window.Summary(volume)
-	if !ok {
-		v.p.fault("%s has no account", volume)
-		return
-	}
-	var sum time.Duration
-	for _, c := range cs {
-		sum += l.Parts[c]
-	}
-	if got := sum.Seconds() / l.Parts.Total().Seconds(); got < share {
-		v.p.fault("%s: %v has %.0f %% of its time, want %.0f %%: %v", volume, cs, 100*got, 100*share, l.Parts)
+func twoFloodsScenario() Scenario {
+	return Scenario{
+		Name:        "two-floods",
+		Description: "two volumes flood at once",
+		play: func(ctx context.Context, r *testRun) {
+			r.startClients(ctx, 20, floodVolume, 0, r.done)
+			r.startClients(ctx, 20, flood2Volume, 0, r.done)
+			r.startClients(ctx, 1, busyVolume, 30*time.Millisecond, r.done)
+			r.startClients(ctx, 2, reviewVolume, 5*time.Millisecond, r.done)
+			<-after(2 * time.Second)
+		},
+		check: func(v *verdict) {
+			first, second := v.reviewBehind(floodVolume), v.reviewBehind(flood2Volume)
+			if first > 2*second || second > 2*first {
+				v.failf("two equal floods: review waited %v and %v behind them", first, second)
+			}
+			v.expectCulprit(floodVolume, busyVolume)
+			v.expectCulprit(flood2Volume, busyVolume)
+		},
 	}
 }
 
-// named wants a culprit to have made a victim wait by far the longest.
-func (v *verdict) named(victim, culprit string, others ...string) {
-	d := behind(&v.Window, victim, culprit)
-	l, _ := v.Window.Summary(victim)
-	if d < l.Parts.Total()/4 {
-		v.p.fault("%s waited %v behind %s, of %v", victim, d, culprit, l.Parts.Total())
-	}
-	for _, o := range others {
-		if b := behind(&v.Window, victim, o); 3*b > d {
-			v.p.fault("%s waited %v behind %s, which is merely busy, beside %v behind %s", victim, b, o, d, culprit)
-		}
+func floodStopsScenario() Scenario {
+	return Scenario{
+		Name:        "flood-stops",
+		Description: "a flood ends; later waits are not attributed to it",
+		play: func(ctx context.Context, r *testRun) {
+			r.startClients(ctx, 32, floodVolume, 0, after(1200*time.Millisecond))
+			r.startClients(ctx, 2, reviewVolume, 5*time.Millisecond, r.done)
+			<-after(3 * time.Second)
+			at := r.gateway.Now()
+			<-after(1500 * time.Millisecond)
+			r.afterFlood = r.aggregateSince(at)
+		},
+		check: func(v *verdict) {
+			v.expectCulprit(floodVolume)
+			requests := v.afterFlood.All.Requests
+			wait := waitedBehind(&v.afterFlood, reviewVolume, floodVolume)
+			if wait > 0 || requests == 0 {
+				v.failf("after the flood: %d requests, %v behind it", requests, wait)
+			}
+		},
 	}
 }
 
-func (p *play) during(d time.Duration) <-chan struct{} {
-	c := make(chan struct{})
-	time.AfterFunc(d, func() { close(c) })
-	return c
+func slowNodeScenario() Scenario {
+	return Scenario{
+		Name:        "slow-node",
+		Description: "a node slows down without a flood: the node is named, no volume",
+		play: func(ctx context.Context, r *testRun) {
+			r.node.Inject(storagenode.Fault{Kind: storagenode.Slow, Factor: 6, For: time.Minute})
+			r.startClients(ctx, 1, reviewVolume, 5*time.Millisecond, r.done)
+			r.startClients(ctx, 1, busyVolume, 40*time.Millisecond, r.done)
+			<-after(2 * time.Second)
+		},
+		check: func(v *verdict) {
+			v.expectShare(reviewVolume, 0.8, attribution.NodeService)
+			total := v.Window.All.Parts.Total()
+			if behind := v.Window.Behind; behind > total/20 {
+				v.failf("%v of %v behind volumes, where only the node was slow", behind, total)
+			}
+		},
+	}
 }
 
-// Scenarios returns all scenarios.
-func Scenarios() []Scenario {
-	return []Scenario{
-		{
-			Name: "flood", What: "one volume floods a node that a review volume and a busy one share",
-			play: func(p *play) {
-				p.clients(32, "flood", 0, p.over)
-				p.clients(1, "busy", 30*time.Millisecond, p.over)
-				p.clients(2, "review", 5*time.Millisecond, p.over)
-				<-p.during(2 * time.Second)
-			},
-			expect: func(p *play, v *verdict) { v.named("review", "flood", "busy") },
+func limitScenario() Scenario {
+	return Scenario{
+		Name:        "limit",
+		Description: "a volume exceeds its rate limit: its own limit is named",
+		play: func(ctx context.Context, r *testRun) {
+			r.startClients(ctx, 6, cappedVolume, 0, r.done)
+			r.startClients(ctx, 1, reviewVolume, 10*time.Millisecond, r.done)
+			<-after(2500 * time.Millisecond)
 		},
-		{
-			Name: "two-floods", What: "two volumes flood at once",
-			play: func(p *play) {
-				p.clients(20, "flood", 0, p.over)
-				p.clients(20, "flood2", 0, p.over)
-				p.clients(1, "busy", 30*time.Millisecond, p.over)
-				p.clients(2, "review", 5*time.Millisecond, p.over)
-				<-p.during(2 * time.Second)
-			},
-			expect: func(p *play, v *verdict) {
-				a, b := behind(&v.Window, "review", "flood"), behind(&v.Window, "review", "flood2")
-				if a > 2*b || b > 2*a {
-					p.fault("two like floods: review waited %v and %v behind them", a, b)
-				}
-				v.named("review", "flood", "busy")
-				v.named("review", "flood2", "busy")
-			},
+		check: func(v *verdict) {
+			v.expectShare(cappedVolume, 0.7, attribution.RateLimited)
+			if d := v.component(reviewVolume, attribution.RateLimited); d > 0 {
+				v.failf("review has no rate limit, and %v attributed to one", d)
+			}
+		},
+	}
+}
+
+func lostAnswersScenario() Scenario {
+	return Scenario{
+		Name:        "lost-answers",
+		Description: "responses are lost: retries are named",
+		play: func(ctx context.Context, r *testRun) {
+			r.node.Inject(storagenode.Fault{
+				Kind:  storagenode.LoseResponse,
+				Share: 0.15,
+				For:   time.Minute,
+				Hold:  150 * time.Millisecond,
+			})
+			r.startClients(ctx, 2, reviewVolume, 5*time.Millisecond, r.done)
+			<-after(2500 * time.Millisecond)
 		},
-		{
-			Name: "flood-stops", What: "a flood ends; what comes after it is not put down to it",
-			play: func(p *play) {
-				p.clients(32, "flood", 0, p.during(1200*time.Millisecond))
-				p.clients(2, "review", 5*time.Millisecond, p.over)
-				<-p.during(3 * time.Second)
-				at := p.g.Now()
-				<-p.during(1500 * time.Millisecond)
-				p.afterFlood = p.since(at)
-			},
-			expect: func(p *play, v *verdict) {
-				v.named("review", "flood")
-				late := p.afterFlood
-				if b := behind(&late, "review", "flood"); b > 0 || late.All.Requests == 0 {
-					p.fault("after the flood: %d requests, %v behind it", late.All.Requests, b)
-				}
-			},
+		check: func(v *verdict) {
+			v.expectShare(reviewVolume, 0.3, attribution.FailedAttempts, attribution.RetryBackoff)
 		},
-		{
-			Name: "slow-node", What: "a node slows with no flood: the node is named, no volume",
-			play: func(p *play) {
-				p.node.Inject(storagenode.Fault{Kind: storagenode.Slow, Factor: 6, For: time.Minute})
-				p.clients(1, "review", 5*time.Millisecond, p.over)
-				p.clients(1, "busy", 40*time.Millisecond, p.over)
-				<-p.during(2 * time.Second)
-			},
-			expect: func(p *play, v *verdict) {
-				v.most("review", 0.8, attribution.NodeService)
-				if b := v.Window.Behind; b > v.Window.All.Parts.Total()/20 {
-					p.fault("%v of %v behind volumes, where only the node was slow", b, v.Window.All.Parts.Total())
-				}
-			},
+	}
+}
+
+func slowClientScenario() Scenario {
+	return Scenario{
+		Name:        "slow-client",
+		Description: "a client reads its responses slowly",
+		play: func(ctx context.Context, r *testRun) {
+			r.startClients(ctx, 1, busyVolume, 20*time.Millisecond, r.done)
+			for range 3 {
+				r.read(ctx, reviewVolume, largeKey, 10*time.Millisecond)
+			}
 		},
-		{
-			Name: "limit", What: "a volume asks for more than its limit: it is named itself",
-			play: func(p *play) {
-				p.clients(6, "capped", 0, p.over)
-				p.clients(1, "review", 10*time.Millisecond, p.over)
-				<-p.during(2500 * time.Millisecond)
-			},
-			expect: func(p *play, v *verdict) {
-				v.most("capped", 0.7, attribution.RateLimited)
-				if d := v.part("review", attribution.RateLimited); d > 0 {
-					p.fault("review has no limit, and %v under it", d)
-				}
-			},
+		check: func(v *verdict) {
+			v.expectShare(reviewVolume, 0.6, attribution.SlowClient, attribution.ResponseBody)
 		},
-		{
-			Name: "lost-answers", What: "answers are lost: further attempts are named",
-			play: func(p *play) {
-				p.node.Inject(storagenode.Fault{Kind: storagenode.LoseResponse, Share: 0.15, For: time.Minute, Hold: 150 * time.Millisecond})
-				p.clients(2, "review", 5*time.Millisecond, p.over)
-				<-p.during(2500 * time.Millisecond)
-			},
-			expect: func(p *play, v *verdict) { v.most("review", 0.3, attribution.FailedAttempts, attribution.RetryBackoff) },
+	}
+}
+
+func lateReportsScenario() Scenario {
+	return Scenario{
+		Name:        "late-reports",
+		Description: "nodes report timings after the slot was closed, and not of every request",
+		configureNode: func(c *storagenode.Config) {
+			c.TimingDelay = 2300 * time.Millisecond
+			c.TimingLossRate = 0.3
 		},
-		{
-			Name: "slow-client", What: "a client takes its answers in small bites",
-			play: func(p *play) {
-				p.clients(1, "busy", 20*time.Millisecond, p.over)
-				for range 3 {
-					p.request("GET", "review", large, 10*time.Millisecond)
-				}
-			},
-			expect: func(p *play, v *verdict) { v.most("review", 0.6, attribution.SlowClient, attribution.ResponseBody) },
+		play: func(ctx context.Context, r *testRun) {
+			r.startClients(ctx, 12, floodVolume, 0, after(1500*time.Millisecond))
+			r.startClients(ctx, 2, reviewVolume, 5*time.Millisecond, r.done)
+			<-after(5 * time.Second)
 		},
-		{
-			Name: "late-reports", What: "nodes tell late, after the slot was closed, and not of every request",
-			node: func(c *storagenode.Config) { c.TimingDelay, c.TimingLossRate = 2300*time.Millisecond, 0.3 },
-			play: func(p *play) {
-				p.clients(12, "flood", 0, p.during(1500*time.Millisecond))
-				p.clients(2, "review", 5*time.Millisecond, p.over)
-				<-p.during(5 * time.Second)
-			},
-			expect: func(p *play, v *verdict) {
-				if v.Counts.ReportedLate == 0 || v.Counts.Corrected == 0 || !v.Window.Corrected {
-					p.fault("no slot was corrected: %+v", v.Counts)
-				}
-				unknown, told := v.part("flood", attribution.NodeUnknown), v.part("flood", attribution.NodeQueue)+v.part("flood", attribution.NodeService)
-				if told < unknown || unknown < told/20 {
-					p.fault("of three in ten nothing is told; %v is unknown beside %v told", unknown, told)
-				}
-				if behind(&v.Window, "review", "flood") == 0 {
-					p.fault("late reports name nobody")
-				}
-			},
+		check: func(v *verdict) {
+			if v.Counts.ReportedLate == 0 || v.Counts.Corrected == 0 || !v.Window.Corrected {
+				v.failf("no slot was corrected: %+v", v.Counts)
+			}
+			unknown := v.component(floodVolume, attribution.NodeUnknown)
+			reported := v.component(floodVolume, attribution.NodeQueue) + v.component(floodVolume, attribution.NodeService)
+			if reported < unknown || unknown < reported/20 {
+				v.failf("three of ten requests are not reported; %v is unknown beside %v reported", unknown, reported)
+			}
+			if v.reviewBehind(floodVolume) == 0 {
+				v.failf("late reports name no culprit")
+			}
 		},
-		{
-			Name: "restart", What: "the gateway ends and another takes its place; late reports of the first find nobody",
-			node: func(c *storagenode.Config) { c.TimingDelay = 300 * time.Millisecond },
-			play: func(p *play) {
-				first := p.during(time.Second)
-				p.clients(4, "review", 5*time.Millisecond, first)
-				<-first
-				p.work.Wait()
-				p.quiet()
-				p.end()
-				if err := p.start(); err != nil {
-					p.fault("%v", err)
-					return
-				}
-				p.clients(4, "review", 5*time.Millisecond, p.over)
-				<-p.during(1200 * time.Millisecond)
-			},
-			expect: func(p *play, v *verdict) {
-				runs := map[string]bool{}
-				var sum time.Duration
-				for _, s := range v.Timeline.Slots {
-					runs[s.Run.ID] = true
-					sum += s.All.Parts.Total()
-				}
-				if len(runs) != 2 || sum != p.told["review"] {
-					p.fault("the log has %d lives and %v, accounts told %v", len(runs), sum, p.told["review"])
-				}
-				if !strings.Contains(strings.Join(v.Timeline.Notes, "\n"), "started anew") {
-					p.fault("the restart is not told: %v", v.Timeline.Notes)
-				}
-				if v.Counts.Unplaced+v.Counts.ReportedLate == 0 {
-					p.fault("no late report came: %+v", v.Counts)
-				}
-			},
+	}
+}
+
+func restartScenario() Scenario {
+	return Scenario{
+		Name:          "restart",
+		Description:   "a gateway is replaced by another, which gets late reports for requests of the first",
+		configureNode: func(c *storagenode.Config) { c.TimingDelay = 300 * time.Millisecond },
+		play: func(ctx context.Context, r *testRun) {
+			first := after(time.Second)
+			r.startClients(ctx, 4, reviewVolume, 5*time.Millisecond, first)
+			<-first
+			r.clients.Wait()
+			r.waitIdle()
+			r.closeGateway()
+			if err := r.startGateway(ctx); err != nil {
+				r.failf("%v", err)
+				return
+			}
+			r.startClients(ctx, 4, reviewVolume, 5*time.Millisecond, r.done)
+			<-after(1200 * time.Millisecond)
 		},
-		{
-			Name: "clock-step", What: "the wall clock is set back by five minutes",
-			play: func(p *play) {
-				p.clients(4, "review", 5*time.Millisecond, p.over)
-				<-p.during(700 * time.Millisecond)
-				p.step.Store(int64(-5 * time.Minute))
-				<-p.during(700 * time.Millisecond)
-			},
-			expect: func(p *play, v *verdict) {
-				if !strings.Contains(strings.Join(v.Timeline.Notes, "\n"), "wall clock was set by -5m0") {
-					p.fault("the step is not told: %v", v.Timeline.Notes)
-				}
-				var sum time.Duration
-				for _, s := range v.Timeline.Slots {
-					sum += s.All.Parts.Total()
-				}
-				if sum != p.told["review"] {
-					p.fault("the log has %v, accounts told %v", sum, p.told["review"])
-				}
-			},
+		check: func(v *verdict) {
+			runs := map[string]bool{}
+			for _, s := range v.Timeline.Slots {
+				runs[s.Run.ID] = true
+			}
+			logged, attributed := v.loggedTotal(), v.attributed[reviewVolume]
+			if len(runs) != 2 || logged != attributed {
+				v.failf("the log has %d runs and %v, %v was attributed", len(runs), logged, attributed)
+			}
+			v.expectNote("started anew")
+			if v.Counts.Unplaced+v.Counts.ReportedLate == 0 {
+				v.failf("no late report arrived: %+v", v.Counts)
+			}
 		},
 	}
 }
 
-// Names returns the names of all scenarios.
-func Names() []string {
-	var names []string
-	for _, s := range Scenarios() {
-		names = append(names, s.Name)
+func clockStepScenario() Scenario {
+	return Scenario{
+		Name:        "clock-step",
+		Description: "the wall clock is set back by five minutes",
+		play: func(ctx context.Context, r *testRun) {
+			r.startClients(ctx, 4, reviewVolume, 5*time.Millisecond, r.done)
+			<-after(700 * time.Millisecond)
+			r.clockOffset.Store(int64(-5 * time.Minute))
+			<-after(700 * time.Millisecond)
+		},
+		check: func(v *verdict) {
+			v.expectNote("wall clock was set by -5m0")
+			logged, attributed := v.loggedTotal(), v.attributed[reviewVolume]
+			if logged != attributed {
+				v.failf("the log has %v, %v was attributed", logged, attributed)
+			}
+		},
 	}
-	return names
 }
--- a/lab/faultinjection/client.go
+++ b/lab/faultinjection/client.go
@@ -1,109 +1,42 @@
 package faultinjection
 
 import (
-	"bufio"
 	"bytes"
 	"chalkstand/lab/invariants"
 	"chalkstand/lab/sigv4client"
+	"context"
 	"errors"
-	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"os"
 	"strconv"
-	"sync"
 	"time"
 )
 
-// wish is what a client wants done.
-type wish struct {
-	tag    string
-	method string
-	path   string
-	rng    string // a range
-	body   []byte
-	class  int
-	key    string
-	leave  time.Duration // goes away after this; 0: stays
-	check  func(status int, body []byte) string
-}
-
-// pool keeps connections to one gateway's life.
-type pool struct {
-	addr string
-	mu   sync.Mutex
-	idle []*wire
-}
+// clientRequest is a request that a client sends.
+type clientRequest struct {
+	tag         string
+	method      string
+	path        string
+	byteRange   string // Range header; empty: none
+	body        []byte
+	class       int
+	key         string
+	cancelAfter time.Duration // the client closes the connection; 0: never
 
-type wire struct {
-	c  net.Conn
-	r  *bufio.Reader
-	of *invariants.Request // whose answer came last
+	// check returns what is wrong with a response's content, or "". nil: nothing is checked.
+	check func(status int, body []byte) string
 }
 
-const maxIdle = 64
-
-// take returns a connection, an unused one where that is quiet.
-func (p *pool) take(late func(*invariants.Request)) (*wire, error) {
-	for {
-		p.mu.Lock()
-		n := len(p.idle)
-		if n == 0 {
-			p.mu.Unlock()
-			break
-		}
-		w := p.idle[n-1]
-		p.idle = p.idle[:n-1]
-		p.mu.Unlock()
-		w.c.SetReadDeadline(time.Now().Add(time.Microsecond))
-		_, err := w.r.Peek(1)
-		if errors.Is(err, os.ErrDeadlineExceeded) {
-			w.c.SetReadDeadline(time.Time{})
-			return w, nil
-		}
-		if err == nil && w.of != nil { // a word that nobody asked for
-			late(w.of)
-		}
-		w.c.Close()
-	}
-	c, err := net.DialTimeout("tcp", p.addr, time.Second)
+// encode returns the signed request as it is sent.
+func (q clientRequest) encode(ctx context.Context, addr string) ([]byte, error) {
+	r, err := http.NewRequestWithContext(ctx, q.method, "http://"+addr+q.path, bytes.NewReader(q.body))
 	if err != nil {
 		return nil, err
 	}
-	return &wire{c: c, r: bufio.NewReader(c)}, nil
-}
-
-func (p *pool) give(w *wire) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if len(p.idle) >= maxIdle {
-		w.c.Close()
-		return
-	}
-	p.idle = append(p.idle, w)
-}
-
-func (p *pool) close() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, w := range p.idle {
-		w.c.Close()
-	}
-	p.idle = nil
-}
-
-const keyID, secret = "BADDAY", "bad-day-secret"
-
-// request writes a signed request.
-func (w wish) request(addr string) ([]byte, error) {
-	r, err := http.NewRequest(w.method, "http://"+addr+w.path, bytes.NewReader(w.body))
-	if err != nil {
-		return nil, err
-	}
-	r.Header.Set("x-amz-meta-tag", w.tag)
-	if w.rng != "" {
-		r.Header.Set("Range", w.rng)
+	r.Header.Set("x-amz-meta-tag", q.tag)
+	if q.byteRange != "" {
+		r.Header.Set("Range", q.byteRange)
 	}
 	sigv4client.Request(r, keyID, secret, time.Now())
 	var b bytes.Buffer
@@ -113,93 +46,82 @@
 	return b.Bytes(), nil
 }
 
-// ask sends a wish once and logs what came of it. It returns the time to come back
-// after a refusal.
-func (w wish) ask(p *pool, log *invariants.Request, since func() time.Duration, patience time.Duration, late func(*invariants.Request)) (again time.Duration) {
-	defer func() { log.Ended = since() }()
-	text, err := w.request(p.addr)
+// client sends requests to one gateway instance.
+type client struct {
+	pool    *connPool
+	now     func() time.Duration
+	timeout time.Duration
+	onExtra func(*invariants.Request) // called when bytes arrive after the response to a request
+}
+
+// send sends a request once and records what came of it. It returns the Retry-After of a rejection, or 0.
+func (c client) send(ctx context.Context, q clientRequest, record *invariants.Request) (retryAfter time.Duration) {
+	defer func() { record.Ended = c.now() }()
+	text, err := q.encode(ctx, c.pool.addr)
 	if err != nil {
-		log.Wrong = err.Error()
+		record.ContentError = err.Error()
 		return 0
 	}
-	c, err := p.take(late)
+	conn, err := c.pool.get(ctx, c.onExtra)
 	if err != nil {
-		log.Left = true // never taken: nobody listened
+		record.ClientCanceled = true // never accepted: nothing listens
 		return 0
 	}
-	log.Sent = since()
-	wait := patience
-	if w.leave > 0 {
-		wait = min(wait, w.leave)
+	record.Sent = c.now()
+	timeout := c.timeout
+	if q.cancelAfter > 0 {
+		timeout = min(timeout, q.cancelAfter)
 	}
-	c.c.SetDeadline(time.Now().Add(wait))
-	if _, err := c.c.Write(text); err != nil {
-		log.Left = errors.Is(err, os.ErrDeadlineExceeded) && w.leave > 0
-		if !log.Left { // an early answer may be there all the same
-			return w.read(c, p, log)
-		}
-		c.c.Close()
+	conn.setDeadline(time.Now().Add(timeout))
+	if _, err := conn.Write(text); err != nil && canceledByClient(err, q) {
+		record.ClientCanceled = true
+		conn.close()
 		return 0
 	}
-	return w.read(c, p, log)
+	return c.receive(conn, q, record) // also after a failed write: an early response may be there
 }
 
-func (w wish) read(c *wire, p *pool, log *invariants.Request) time.Duration {
-	resp, err := http.ReadResponse(c.r, &http.Request{Method: w.method})
+// canceledByClient reports whether an error is the client's own cancellation.
+func canceledByClient(err error, q clientRequest) bool {
+	return errors.Is(err, os.ErrDeadlineExceeded) && q.cancelAfter > 0
+}
+
+// receive reads the response. The connection goes back to the pool, or is closed.
+func (c client) receive(conn *clientConn, q clientRequest, record *invariants.Request) time.Duration {
+	resp, err := http.ReadResponse(conn.reader, &http.Request{Method: q.method})
 	if err != nil {
-		log.Left = errors.Is(err, os.ErrDeadlineExceeded) && w.leave > 0
-		c.c.Close()
+		record.ClientCanceled = canceledByClient(err, q)
+		conn.close()
 		return 0
 	}
 	body, err := io.ReadAll(resp.Body)
-	log.Answers, log.Status = 1, resp.StatusCode
+	_ = resp.Body.Close() // read to its end; the connection is kept or closed below
+	record.Responses, record.Status = 1, resp.StatusCode
 	if err != nil {
-		log.Cut = true
-		log.Left = errors.Is(err, os.ErrDeadlineExceeded)
-		c.c.Close()
+		record.Aborted = true
+		record.ClientCanceled = errors.Is(err, os.ErrDeadlineExceeded)
+		conn.close()
 		return 0
 	}
-	ms, _ := strconv.Atoi(resp.Header.Get("x-chalkstand-retry-after-ms"))
-	log.After = resp.Header.Get("Retry-After") != ""
-	if w.check != nil {
-		log.Wrong = w.check(resp.StatusCode, body)
+	record.HasRetryAfter = resp.Header.Get("Retry-After") != ""
+	if q.check != nil {
+		record.ContentError = q.check(resp.StatusCode, body)
 	}
-	if c.r.Buffered() > 0 {
-		log.Answers++
-		c.c.Close()
+	if conn.reader.Buffered() > 0 {
+		record.Responses++
+		conn.close()
 		return 0
 	}
-	c.c.SetDeadline(time.Time{})
-	c.of = log
+	conn.setDeadline(time.Time{})
+	conn.last = record
 	if resp.Close {
-		c.c.Close()
+		conn.close()
 	} else {
-		p.give(c)
-	}
-	if resp.StatusCode == 503 {
-		return time.Duration(max(ms, 1)) * time.Millisecond
+		c.pool.put(conn)
 	}
-	return 0
-}
-
-// content makes an object's bytes out of the tag of the write that made it.
-func content(tag string, n int) []byte {
-	b := make([]byte, 0, n+len(tag)+1)
-	b = append(append(b, tag...), '\n')
-	for i := 0; len(b) < n; i++ {
-		b = strconv.AppendInt(append(b, tag[i%len(tag)]), int64(i*7919%1000), 10)
-	}
-	return b[:max(n, len(tag)+1)]
-}
-
-// wholeContent tells what is wrong with an object that must be one write's.
-func wholeContent(status int, body []byte) string {
-	if status != 200 {
-		return ""
-	}
-	tag, _, ok := bytes.Cut(body, []byte("\n"))
-	if !ok || !bytes.Equal(body, content(string(tag), len(body))) {
-		return fmt.Sprintf("%d bytes that no write has made", len(body))
+	if resp.StatusCode != http.StatusServiceUnavailable {
+		return 0
 	}
-	return ""
+	ms, _ := strconv.Atoi(resp.Header.Get("x-chalkstand-retry-after-ms")) // 0 if absent
+	return time.Duration(max(ms, 1)) * time.Millisecond
 }
--- a/lab/faultinjection/faultinjection_test.go
+++ b/lab/faultinjection/faultinjection_test.go
@@ -14,18 +14,18 @@
 )
 
 func TestScriptsReadAndWrite(t *testing.T) {
-	s := Generate(7, 20*time.Second)
-	again, err := Parse([]byte("// a day\n" + s.Text()))
+	s := GenerateScript(7, 20*time.Second)
+	again, err := ParseScript([]byte("// a day\n" + s.Text()))
 	if err != nil || !slices.Equal(s, again) {
 		t.Fatalf("%v\n%v\n%v", err, s, again)
 	}
-	for _, k := range Kinds {
+	for _, k := range FaultKinds {
 		if !strings.Contains(s.Text(), `"`+k+`"`) {
 			t.Errorf("no %s in a generated day", k)
 		}
 	}
 	for _, bad := range []string{`[{"kind": "rain"}]`, `[{"kind": "surge", "times": -1}]`, `{`} {
-		if _, err := Parse([]byte(bad)); err == nil {
+		if _, err := ParseScript([]byte(bad)); err == nil {
 			t.Errorf("%s is taken", bad)
 		}
 	}
@@ -42,9 +42,9 @@
 
 // A bad day with every kind of trouble: all rules are kept, and what the
 // dispatchers heard plays again to the same actions.
-func TestBadDayKeepsTheRules(t *testing.T) {
-	o := Defaults(1)
-	o.Day = 12 * time.Second
+func TestRunKeepsInvariants(t *testing.T) {
+	o := DefaultOptions(1)
+	o.Duration = 12 * time.Second
 	var mu sync.Mutex
 	var records []*bytes.Buffer
 	var writers []*trace.Writer
@@ -64,7 +64,7 @@
 	var text strings.Builder
 	r.Write(&text)
 	t.Log("\n" + text.String())
-	if len(r.Breaches) > 0 || r.Attempts < 500 || r.Classes[classRead].Served < 300 {
+	if len(r.Violations) > 0 || r.Attempts < 500 || r.Classes[classRead].Served < 300 {
 		t.Fail()
 	}
 	if len(records) != o.Gateways+1 { // one came back after its crash
@@ -82,17 +82,17 @@
 }
 
 // With a guard taken away its rule breaks, and the checker says so.
-func TestCheckerMissesEachGuard(t *testing.T) {
+func TestCheckerDetectsDisabledGuards(t *testing.T) {
 	everyNode := func(kind string, times float64) (s Script) {
 		for i := range 8 {
-			s = append(s, Trouble{At: 300, For: 9000, Kind: kind, Which: i, Times: times})
+			s = append(s, Fault{At: 300, For: 9000, Kind: kind, Which: i, Times: times})
 		}
 		return s
 	}
 	for guard, x := range map[string]struct {
-		script   Script
-		gateways int
-		frail    float64
+		script          Script
+		gateways        int
+		capacityDivisor float64
 	}{
 		"budget":  {everyNode(Resets, 0.5), 3, 1},
 		"limits":  {Script{{At: 300, For: 9000, Kind: Flood, Which: 0, Times: 12}}, 3, 1},
@@ -107,18 +107,18 @@
 		"time":   {everyNode(Silent, 0), 3, 1},
 	} {
 		t.Run(guard, func(t *testing.T) {
-			o := Defaults(2)
-			o.Day, o.Script, o.Withhold, o.Gateways = 4500*time.Millisecond, x.script, guard, x.gateways
-			o.Frail = x.frail
+			o := DefaultOptions(2)
+			o.Duration, o.Script, o.DisabledGuard, o.Gateways = 4500*time.Millisecond, x.script, guard, x.gateways
+			o.CapacityDivisor = x.capacityDivisor
 			broken := func() bool {
-				return slices.ContainsFunc(play(t, o).Breaches, func(b invariants.Violation) bool { return b.Rule == Guards[guard] })
+				return slices.ContainsFunc(play(t, o).Violations, func(b invariants.Violation) bool { return b.Invariant == GuardInvariants[guard] })
 			}
 			if !broken() {
-				t.Errorf("without the guard of %q the rule %q is still kept", guard, Guards[guard])
+				t.Errorf("without the guard of %q the rule %q is still kept", guard, GuardInvariants[guard])
 			}
-			o.Withhold = ""
-			if guard == "cold" && broken() { // the frail nodes are for a wide margin on both sides
-				t.Errorf("with the guard of %q the rule %q is broken", guard, Guards[guard])
+			o.DisabledGuard = ""
+			if guard == "cold" && broken() { // the capacityDivisor nodes are for a wide margin on both sides
+				t.Errorf("with the guard of %q the rule %q is broken", guard, GuardInvariants[guard])
 			}
 		})
 	}
--- /dev/null
+++ b/lab/faultinjection/load.go
@@ -0,0 +1,166 @@
+package faultinjection
+
+import (
+	"chalkstand/lab/invariants"
+	"context"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"net/http"
+	"time"
+)
+
+const (
+	objectsPerVolume      = 40 // small ones, overwritten again and again
+	largeObjectsPerVolume = 4  // read in ranges, never overwritten
+
+	smallObjectBytes = 2_000
+	largeObjectBytes = 200_000
+
+	// maxReadBytes is the longest range of class read; longer ones are of class scan.
+	maxReadBytes = 65_536
+)
+
+// requestGrace is how long a client waits beyond the time within which a response is due.
+const requestGrace = time.Second
+
+// storeObjects stores the objects that are read, directly at the nodes' data.
+func (r *run) storeObjects() {
+	g := r.gateways[0].gateway
+	for _, volume := range r.volumes {
+		for i := range largeObjectsPerVolume {
+			key := fmt.Sprintf("large-%d", i)
+			body := objectContent(fmt.Sprintf("seed-%s-%d", volume, i), largeObjectBytes)
+			r.largeObjects["/"+volume+"/"+key] = body
+			r.datasets[g.Shard(volume, key)].Store(volume, key, body)
+		}
+		for i := range objectsPerVolume {
+			key := fmt.Sprintf("o-%d", i)
+			body := objectContent("seed-"+volume+key, smallObjectBytes)
+			r.datasets[g.Shard(volume, key)].Store(volume, key, body)
+		}
+	}
+}
+
+// generateLoad sends requests with exponential intervals whether or not earlier ones were answered
+// (open loop).
+func (r *run) generateLoad(ctx context.Context, base time.Duration) {
+	rng := rand.New(rand.NewPCG(r.options.Seed, 2))
+	next := base
+	for n := 0; ctx.Err() == nil; n++ {
+		r.mu.Lock()
+		load := r.load
+		r.mu.Unlock()
+		rate := r.options.Rate * load.surge
+		extra := r.options.Rate / float64(len(r.volumes)) * (load.flood - 1)
+		next += time.Duration(-math.Log(1-rng.Float64()) / (rate + extra) * float64(time.Second))
+		if !sleep(ctx, next-r.now()) {
+			return
+		}
+		volume := rng.IntN(len(r.volumes))
+		if rng.Float64()*(rate+extra) < extra {
+			volume = load.volume
+		}
+		request := r.newRequest(rng, n, r.volumes[volume])
+		if rng.Float64() < load.impatient {
+			request.cancelAfter = time.Duration(20+rng.IntN(200)) * time.Millisecond
+		}
+		if rng.Float64() < load.hotKey && request.class == classWrite {
+			volume = load.volume
+			request.key = r.volumes[volume] + "/o-0"
+			request.path = "/" + request.key
+		}
+		r.startClient(ctx, request, (volume+rng.IntN(2))%r.options.Gateways)
+	}
+}
+
+// startClient sends a request on a goroutine of its own. It drops the request if too many are in progress.
+func (r *run) startClient(ctx context.Context, request clientRequest, gatewayIndex int) {
+	select {
+	case r.clients <- struct{}{}:
+	default:
+		return
+	}
+	r.wg.Go(func() {
+		defer func() { <-r.clients }()
+		r.runClient(ctx, request, gatewayIndex)
+	})
+}
+
+// newRequest draws the nth request: mostly reads and writes of small objects, some of large ones.
+func (r *run) newRequest(rng *rand.Rand, n int, volume string) clientRequest {
+	key := fmt.Sprintf("%s/o-%d", volume, rng.IntN(objectsPerVolume))
+	request := clientRequest{
+		tag:    fmt.Sprintf("t%d", n),
+		method: http.MethodGet,
+		key:    key,
+		path:   "/" + key,
+		check:  checkWholeContent,
+	}
+	switch percent := rng.IntN(100); {
+	case percent < 50:
+	case percent < 60:
+		r.readRange(&request, rng, volume)
+	case percent < 88:
+		request.method, request.class, request.check = http.MethodPut, classWrite, nil
+		request.body = objectContent(request.tag, 500+rng.IntN(8000))
+	case percent < 94:
+		request.method, request.class, request.check = http.MethodPut, classBulk, nil
+		request.path += "-bulk"
+		request.key += "-bulk"
+		request.body = objectContent(request.tag, 70_000+rng.IntN(150_000))
+	default:
+		request.method, request.class, request.check = http.MethodDelete, classRemove, nil
+	}
+	return request
+}
+
+// readRange makes a request read a range of a large object.
+func (r *run) readRange(request *clientRequest, rng *rand.Rand, volume string) {
+	request.path = fmt.Sprintf("/%s/large-%d", volume, rng.IntN(largeObjectsPerVolume))
+	first := rng.IntN(largeObjectBytes - 1000)
+	last := min(first+1000+rng.IntN(150_000), largeObjectBytes) - 1
+	length := last - first + 1
+	request.byteRange = fmt.Sprintf("bytes=%d-%d", first, last)
+	if length > maxReadBytes {
+		request.class = classScan
+	}
+	want := string(r.largeObjects[request.path][first : last+1])
+	request.check = func(status int, body []byte) string {
+		if status == http.StatusPartialContent && string(body) != want {
+			return fmt.Sprintf("%d bytes of a range of %d, not as stored", len(body), length)
+		}
+		return ""
+	}
+}
+
+// runClient sends a request, and once more after a rejection when its Retry-After is over.
+func (r *run) runClient(ctx context.Context, request clientRequest, gatewayIndex int) {
+	for try := range 2 {
+		r.mu.Lock()
+		g := r.gateways[gatewayIndex]
+		record := &invariants.Request{
+			Tag:     request.tag,
+			Gateway: g.name,
+			Class:   request.class,
+			Key:     request.key,
+			Sent:    r.now(),
+		}
+		r.requests = append(r.requests, record)
+		r.mu.Unlock()
+		c := client{
+			pool:    g.pool,
+			now:     r.now,
+			timeout: r.params.Classes[request.class].Deadline + r.params.ResponseTolerance + requestGrace,
+			onExtra: func(of *invariants.Request) { r.locked(func() { of.Responses++ }) },
+		}
+		retryAfter := c.send(context.WithoutCancel(ctx), request, record)
+		if retryAfter == 0 || try > 0 || !sleep(ctx, retryAfter) {
+			return
+		}
+		request.tag += "r"
+		if request.method == http.MethodPut {
+			request.body = objectContent(request.tag, len(request.body))
+		}
+	}
+}
--- a/lab/faultinjection/report.go
+++ b/lab/faultinjection/report.go
@@ -4,100 +4,142 @@
 	"chalkstand/lab/invariants"
 	"fmt"
 	"io"
+	"net/http"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report is how a day went.
+// Report is the outcome of a run.
 type Report struct {
-	Seed     uint64
-	Day      time.Duration
-	Script   Script
-	Classes  []ClassReport
-	Attempts int // at nodes
-	Further  int
-	Repeats  int // dropped by nodes
-	Late     int // answers at nodes that came after their attempt's end
-	Breaches []invariants.Violation
+	Seed          uint64
+	Duration      time.Duration
+	Script        Script
+	Classes       []ClassReport
+	Attempts      int // at nodes
+	Retries       int // attempts after the first
+	Repeats       int // dropped by nodes' deduplication
+	LateResponses int // of nodes, to attempts that were canceled before
+	Violations    []invariants.Violation
 }
 
-// ClassReport is how one class fared.
+// ClassReport counts the outcomes of one class's requests.
 type ClassReport struct {
-	Name                                  string
-	Asked, Served, InAim, Refused, Failed int
-	Cut, Left, Unanswered                 int
-	Latency                               *hdrhistogram.Histogram // of served ones, microseconds
+	Name       string
+	Requests   int
+	Served     int
+	InTime     int // served within the latency objective
+	Rejected   int
+	Failed     int
+	Aborted    int // responses that broke off
+	Canceled   int // by their clients
+	Unanswered int
+	Latency    *hdrhistogram.Histogram // of served ones, microseconds
 }
 
-func report(d *day) *Report {
-	s := site(d.o, 0)
-	r := &Report{Seed: d.o.Seed, Day: d.o.Day, Script: d.o.Script, Breaches: invariants.Check(d.f, &d.log)}
-	for _, c := range s.Classes {
-		r.Classes = append(r.Classes, ClassReport{Name: c.Name, Latency: hdrhistogram.New(1, 60_000_000, 3)})
+// Range of the latency histograms.
+const (
+	minLatencyMicros   = 1
+	maxLatencyMicros   = 60_000_000
+	latencySignificant = 3 // decimal digits
+)
+
+// newReport checks the invariants and counts the outcomes in the run's logs.
+func newReport(r *run) *Report {
+	report := &Report{
+		Seed:       r.options.Seed,
+		Duration:   r.options.Duration,
+		Script:     r.options.Script,
+		Violations: invariants.Check(r.params, &r.log),
 	}
-	for _, q := range d.log.Requests {
-		c := &r.Classes[q.Class]
-		c.Asked++
-		switch {
-		case q.Cut:
-			c.Cut++
-		case q.Left:
-			c.Left++
-		case q.Answers == 0:
-			c.Unanswered++
-		case q.Status == 503:
-			c.Refused++
-		case q.Status >= 500:
-			c.Failed++
-		default:
-			c.Served++
-			c.Latency.RecordValue((q.Ended - q.Sent).Microseconds())
-			if q.Ended-q.Sent <= s.Classes[q.Class].Aim.D() {
-				c.InAim++
-			}
-		}
+	site := siteSettings(r.options, 0)
+	for _, c := range site.Classes {
+		latency := hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencySignificant)
+		report.Classes = append(report.Classes, ClassReport{Name: c.Name, Latency: latency})
+	}
+	for _, q := range r.log.Requests {
+		report.Classes[q.Class].add(q, site.Classes[q.Class].Aim.D())
 	}
-	for _, e := range d.log.Entries {
-		r.Attempts++
+	for _, e := range r.log.Entries {
+		report.Attempts++
 		if e.Attempt > 0 {
-			r.Further++
+			report.Retries++
 		}
 		if e.Repeat {
-			r.Repeats++
+			report.Repeats++
 		}
 		if e.Left > 0 && e.Ended > e.Left {
-			r.Late++
+			report.LateResponses++
+		}
+	}
+	return report
+}
+
+// add counts a request.
+func (c *ClassReport) add(q invariants.Request, latencyObjective time.Duration) {
+	c.Requests++
+	switch {
+	case q.Aborted:
+		c.Aborted++
+	case q.ClientCanceled:
+		c.Canceled++
+	case q.Responses == 0:
+		c.Unanswered++
+	case q.Status == http.StatusServiceUnavailable:
+		c.Rejected++
+	case q.Status >= http.StatusInternalServerError:
+		c.Failed++
+	default:
+		c.Served++
+		latency := q.Ended - q.Sent
+		_ = c.Latency.RecordValue(latency.Microseconds()) // in range: no client waits for a minute
+		if latency <= latencyObjective {
+			c.InTime++
 		}
 	}
-	return r
 }
 
+// quantile returns a percentile of the latency.
+func (c *ClassReport) quantile(percent float64) time.Duration {
+	latency := time.Duration(c.Latency.ValueAtQuantile(percent)) * time.Microsecond
+	return latency.Round(100 * time.Microsecond)
+}
+
+// maxPrintedViolations bounds the violations of each invariant that are printed.
+const maxPrintedViolations = 5
+
 // Write prints the report.
 func (r *Report) Write(w io.Writer) {
-	fmt.Fprintf(w, "bad day: seed %d, %v\n\n", r.Seed, r.Day)
-	fmt.Fprintf(w, "%-8s %6s %6s %6s %7s %6s %4s %5s %10s %9s %9s\n", "class", "asked", "served", "in aim", "refused", "failed", "cut", "left", "unanswered", "median", "99 %")
+	fmt.Fprintf(w, "fault injection: seed %d, %v\n\n", r.Seed, r.Duration)
+	fmt.Fprintf(w, "%-8s %8s %6s %7s %8s %6s %7s %8s %10s %9s %9s\n",
+		"class", "requests", "served", "in time", "rejected", "failed", "aborted", "canceled", "unanswered", "median", "99 %")
 	for _, c := range r.Classes {
-		q := func(p float64) time.Duration {
-			return (time.Duration(c.Latency.ValueAtQuantile(p)) * time.Microsecond).Round(100 * time.Microsecond)
-		}
-		fmt.Fprintf(w, "%-8s %6d %6d %6d %7d %6d %4d %5d %10d %9v %9v\n", c.Name, c.Asked, c.Served, c.InAim, c.Refused, c.Failed, c.Cut, c.Left,
-			c.Unanswered, q(50), q(99))
+		fmt.Fprintf(w, "%-8s %8d %6d %7d %8d %6d %7d %8d %10d %9v %9v\n",
+			c.Name, c.Requests, c.Served, c.InTime, c.Rejected, c.Failed, c.Aborted, c.Canceled, c.Unanswered,
+			c.quantile(50), c.quantile(99))
 	}
-	fmt.Fprintf(w, "\nat nodes: %d attempts, %d of them further ones, %d repeats dropped, %d that ran on after their attempt's end\n\n", r.Attempts, r.Further, r.Repeats, r.Late)
-	for _, rule := range invariants.All {
-		n := 0
-		for _, b := range r.Breaches {
-			if b.Rule == rule {
-				if n++; n <= 5 {
-					fmt.Fprintf(w, "BROKEN %s: %8.3fs %s\n", rule, b.At.Seconds(), b.What)
-				}
-			}
+	fmt.Fprintf(w, "\nat nodes: %d attempts, %d of them retries, %d repeats dropped, %d completed after they were canceled\n\n",
+		r.Attempts, r.Retries, r.Repeats, r.LateResponses)
+	for _, name := range invariants.All {
+		r.writeInvariant(w, name)
+	}
+}
+
+// writeInvariant prints the violations of one invariant.
+func (r *Report) writeInvariant(w io.Writer, name string) {
+	count := 0
+	for _, v := range r.Violations {
+		if v.Invariant != name {
+			continue
 		}
-		if n == 0 {
-			fmt.Fprintf(w, "kept   %s\n", rule)
-		} else {
-			fmt.Fprintf(w, "       %d in all\n", n)
+		count++
+		if count <= maxPrintedViolations {
+			fmt.Fprintf(w, "BROKEN %s: %8.3fs %s\n", name, v.At.Seconds(), v.Detail)
 		}
 	}
+	if count == 0 {
+		fmt.Fprintf(w, "kept   %s\n", name)
+	} else {
+		fmt.Fprintf(w, "       %d in all\n", count)
+	}
 }
--- a/lab/faultinjection/script.go
+++ b/lab/faultinjection/script.go
@@ -1,116 +1,156 @@
-// Package faultinjection plays a scripted bad day through real gateways on loopback
-// sockets: several gateways before many stand-in nodes, clients with deadlines,
-// and the kinds of trouble that operators meet. The rules are checked from the
-// clients' and the nodes' logs.
 package faultinjection
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"slices"
+	"strings"
 	"time"
 
 	"github.com/tailscale/hujson"
 )
 
-// The kinds of trouble.
+// The kinds of faults, as scripts name them.
 const (
-	Surge      = "surge"       // all volumes ask for more
-	Flood      = "flood"       // one volume asks for many times its rate
-	DrainWave  = "drain_wave"  // nodes drain one after the other; cold successors take over
-	Crash      = "crash"       // a gateway dies and comes back with an old list
-	LateReport = "late_report" // nodes' load reports stay the same
-	Silent     = "silent"      // a node takes requests and answers none
-	SlowNode   = "slow"        // a node needs many times as long
-	Die        = "die"         // a node dies; a cold successor comes after a while
-	LoseAnswer = "lose"        // a share of the answers is lost, the work done
-	HalfAnswer = "half"        // a share of the answers breaks off
-	Impatient  = "impatient"   // clients leave soon, and ask again
+	Surge      = "surge"       // the load of all volumes grows
+	Flood      = "flood"       // one volume sends many times its rate
+	DrainWave  = "drain_wave"  // nodes drain one after the other; successors in slow start replace them
+	Crash      = "crash"       // a gateway crashes and restarts with a stale endpoint list
+	LateReport = "late_report" // the nodes' load reports are frozen
+	Silent     = "silent"      // a node accepts requests and never responds
+	SlowNode   = "slow"        // a node is slower by a factor
+	Die        = "die"         // a node dies; a successor in slow start replaces it later
+	LoseAnswer = "lose"        // a share of the responses is lost after the work was done
+	HalfAnswer = "half"        // a share of the responses is truncated
+	Impatient  = "impatient"   // a share of the clients cancels early
 	Resets     = "resets"      // a node resets a share of its connections
 	HotKey     = "hot_key"     // a share of all writes goes to one key
 )
 
-// Kinds lists the kinds of trouble.
-var Kinds = []string{Surge, Flood, DrainWave, Crash, LateReport, Silent, SlowNode, Die, LoseAnswer, HalfAnswer, Impatient, Resets, HotKey}
+// FaultKinds lists the kinds of faults.
+var FaultKinds = []string{
+	Surge, Flood, DrainWave, Crash, LateReport, Silent, SlowNode,
+	Die, LoseAnswer, HalfAnswer, Impatient, Resets, HotKey,
+}
 
-// Trouble is one line of a script.
-type Trouble struct {
+// Fault is one line of a script.
+type Fault struct {
 	At    Millis  `json:"at_ms"`
 	For   Millis  `json:"for_ms"`
 	Kind  string  `json:"kind"`
-	Which int     `json:"which"` // of the nodes, gateways or volumes
-	Count int     `json:"count"` // of nodes in a wave
-	Times float64 `json:"times"` // as much, as long, or the share
+	Which int     `json:"which"` // index of the node, gateway or volume, modulo their number
+	Count int     `json:"count"` // nodes of a wave
+	Times float64 `json:"times"` // factor, or share from 0 to 1, by kind
 }
 
 // Millis is a time in milliseconds.
 type Millis int
 
-// D returns it as a duration.
-func (m Millis) D() time.Duration { return time.Duration(m) * time.Millisecond }
+// Duration returns it as a duration.
+func (m Millis) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
+
+// Script lists the faults of a run in the order of their start.
+type Script []Fault
+
+// ErrNegative is returned for a script with a negative number.
+var ErrNegative = errors.New("no number may be negative")
+
+// UnknownKindError is returned for a script with a fault of an unknown kind.
+type UnknownKindError struct {
+	Kind string
+}
 
-// Script is a day's troubles in the order of their start.
-type Script []Trouble
+// Error names the kind and the known ones.
+func (e *UnknownKindError) Error() string {
+	return fmt.Sprintf("unknown kind of fault %q; expected one of %v", e.Kind, FaultKinds)
+}
 
-// Generate makes a script of every kind of trouble for a day, by the seed.
-func Generate(seed uint64, day time.Duration) Script {
+// GenerateScript returns a script with a fault of every kind for a run of the duration. The same seed gives
+// the same script.
+func GenerateScript(seed uint64, duration time.Duration) Script {
 	rng := rand.New(rand.NewPCG(seed, 0xbad))
-	kinds := slices.Clone(Kinds)
+	kinds := slices.Clone(FaultKinds)
 	rng.Shuffle(len(kinds), func(i, j int) { kinds[i], kinds[j] = kinds[j], kinds[i] })
-	ms := int(day.Milliseconds())
-	var s Script
-	for i, k := range kinds {
+	ms := int(duration.Milliseconds())
+	var script Script
+	for i, kind := range kinds {
 		at := ms/12 + (ms*9/12)*i/len(kinds) + rng.IntN(ms/24)
-		t := Trouble{At: Millis(at), For: Millis(ms/10 + rng.IntN(ms/10)), Kind: k, Which: rng.IntN(64)}
-		switch k {
-		case Surge:
-			t.Times = 2 + rng.Float64()
-		case Flood:
-			t.Times = 8 + 8*rng.Float64()
-		case DrainWave:
-			t.Count = 2 + rng.IntN(3)
-		case SlowNode:
-			t.Times = 4 + 8*rng.Float64()
-		case LoseAnswer, HalfAnswer, Resets:
-			t.Times = 0.05 + 0.15*rng.Float64()
-		case Impatient, HotKey:
-			t.Times = 0.3 + 0.4*rng.Float64()
+		f := Fault{
+			At:    Millis(at),
+			For:   Millis(ms/10 + rng.IntN(ms/10)),
+			Kind:  kind,
+			Which: rng.IntN(64),
 		}
-		s = append(s, t)
+		f.setMagnitude(rng)
+		script = append(script, f)
+	}
+	script.sort()
+	return script
+}
+
+// setMagnitude draws Times or Count, by kind.
+func (f *Fault) setMagnitude(rng *rand.Rand) {
+	switch f.Kind {
+	case Surge:
+		f.Times = 2 + rng.Float64()
+	case Flood:
+		f.Times = 8 + 8*rng.Float64()
+	case DrainWave:
+		f.Count = 2 + rng.IntN(3)
+	case SlowNode:
+		f.Times = 4 + 8*rng.Float64()
+	case LoseAnswer, HalfAnswer, Resets:
+		f.Times = 0.05 + 0.15*rng.Float64()
+	case Impatient, HotKey:
+		f.Times = 0.3 + 0.4*rng.Float64()
 	}
-	slices.SortStableFunc(s, func(a, b Trouble) int { return int(a.At - b.At) })
-	return s
 }
 
-// Parse reads a script: a JSON list, comments allowed.
-func Parse(text []byte) (Script, error) {
+func (s Script) sort() {
+	slices.SortStableFunc(s, func(a, b Fault) int { return int(a.At - b.At) })
+}
+
+// ParseScript reads a script: a JSON list, comments allowed.
+func ParseScript(text []byte) (Script, error) {
 	plain, err := hujson.Standardize(text)
 	if err != nil {
 		return nil, fmt.Errorf("script: %w", err)
 	}
-	var s Script
-	if err := json.Unmarshal(plain, &s); err != nil {
+	var script Script
+	if err := json.Unmarshal(plain, &script); err != nil {
 		return nil, fmt.Errorf("script: %w", err)
 	}
-	for i, t := range s {
-		if !slices.Contains(Kinds, t.Kind) {
-			return nil, fmt.Errorf("script: line %d: no trouble is called %q; there are %v", i+1, t.Kind, Kinds)
-		}
-		if t.At < 0 || t.For < 0 || t.Times < 0 || t.Count < 0 || t.Which < 0 {
-			return nil, fmt.Errorf("script: line %d: no figure may be negative", i+1)
+	for i, f := range script {
+		if err := f.validate(); err != nil {
+			return nil, fmt.Errorf("script: line %d: %w", i+1, err)
 		}
 	}
-	slices.SortStableFunc(s, func(a, b Trouble) int { return int(a.At - b.At) })
-	return s, nil
+	script.sort()
+	return script, nil
+}
+
+func (f Fault) validate() error {
+	if !slices.Contains(FaultKinds, f.Kind) {
+		return &UnknownKindError{Kind: f.Kind}
+	}
+	if f.At < 0 || f.For < 0 || f.Times < 0 || f.Count < 0 || f.Which < 0 {
+		return ErrNegative
+	}
+	return nil
 }
 
-// Text writes a script as Parse reads it.
+// Text returns a script in the form that ParseScript reads.
 func (s Script) Text() string {
-	out := "[\n"
-	for _, t := range s {
-		b, _ := json.Marshal(t)
-		out += "\t" + string(b) + ",\n"
+	var b strings.Builder
+	b.WriteString("[\n")
+	for _, f := range s {
+		line, _ := json.Marshal(f) // cannot fail: the fields are plain numbers and strings
+		b.WriteString("\t")
+		b.Write(line)
+		b.WriteString(",\n")
 	}
-	return out + "]\n"
+	b.WriteString("]\n")
+	return b.String()
 }
--- /dev/null
+++ b/lab/faultinjection/site.go
@@ -0,0 +1,170 @@
+package faultinjection
+
+import (
+	"chalkstand/internal/settings"
+	"chalkstand/lab/invariants"
+	"fmt"
+	"strings"
+	"time"
+)
+
+// Parameters of the nodes.
+const (
+	nodeCores       = 2
+	workPerUnit     = 25 * time.Millisecond
+	initialSpeed    = 0.12 // of a node in slow start, as a share of its full speed
+	warmUp          = 6 * time.Second
+	overloadFactor  = 1.5 // times its capacity, above which a node in slow start is overloaded
+	overloadWindow  = time.Second
+	slowStartUnits  = 8.0 // that a node in slow start accepts beyond its capacity
+	drainGrace      = 250 * time.Millisecond
+	nodeDedupWindow = 6 * time.Second
+)
+
+// The rate limit of the basic volumes, units a second and units.
+const (
+	limitRate  = 40.0
+	limitBurst = 20.0
+	limitSlack = 12.0
+)
+
+// Tolerances of the checker: delays of the machine itself.
+const (
+	logTolerance      = 60 * time.Millisecond
+	responseTolerance = 150 * time.Millisecond
+)
+
+// The classes, in the order of the settings.
+const (
+	classRead = iota
+	classScan
+	classWrite
+	classBulk
+	classRemove
+)
+
+// The access key of the clients, as in siteText.
+const (
+	keyID  = "BADDAY"
+	secret = "bad-day-secret"
+)
+
+const siteText = `{
+	"name": "gw", "listen": "127.0.0.1:0", "loops": 1, "peers": %d, "me": %d, "shards": %d,
+	"keys": [{"id": "BADDAY", "secret": "bad-day-secret", "buckets": ["*"], "write": true}],
+	"classes": [
+		{"name": "read", "aim": "300ms", "deadline": "1s", "worth": 3, "effect": "safe"},
+		{"name": "scan", "aim": "1s", "deadline": "3s", "worth": 1, "effect": "safe"},
+		{"name": "write", "aim": "400ms", "deadline": "1500ms", "worth": 2,
+			"effect": "keyed", "group": "shard", "window": "3s", "in_turn": true},
+		{"name": "bulk", "aim": "1s", "deadline": "3s", "worth": 1, "effect": "keyed", "group": "shard", "window": "3s"},
+		{"name": "remove", "aim": "400ms", "deadline": "1500ms", "worth": 1, "effect": "unsafe"},
+	],
+	"plans": [
+		{"name": "basic", "rate": 15, "reserve": 7, "weight": 1, "price": 1, "limit": %g, "burst": %g, "slack": %g},
+		{"name": "standard", "rate": 20, "reserve": 20, "weight": 2, "price": 1.2},
+		{"name": "priority", "rate": 30, "reserve": 30, "weight": 3, "price": 1.5},
+	],
+	"buckets": [
+		{"pattern": "basic-*", "plan": "basic"},
+		{"pattern": "standard-*", "plan": "standard"},
+		{"pattern": "*", "plan": "priority"},
+	],
+	"operations": [
+		{"operations": ["GetObject"], "max_bytes": 65536, "class": "read", "units": 1, "per_mib": 8, "assume_bytes": 4096},
+		{"operations": ["GetObject"], "class": "scan", "units": 1, "per_mib": 8},
+		{"operations": ["PutObject"], "max_bytes": 65536, "class": "write", "units": 1, "per_mib": 8},
+		{"operations": ["PutObject"], "class": "bulk", "units": 1, "per_mib": 8},
+		{"operations": ["DeleteObject"], "class": "remove", "units": 1},
+		{"operations": ["*"], "class": "scan", "units": 1},
+	],
+	"rules": {
+		"max_attempts": 3, "max_retry_after": "1s", "settle": "150ms", "round": "10ms",
+		"usual_units": 1.3, "largest_units": 6,
+		"budget": {"free": 3, "ratio": 0.1, "span": "5s"},
+		"cold": {"from": %g, "warm_up": "%v", "multiple": %g, "span": "%v", "young_limit": %g},
+	},
+	"limits": {"margin": "30ms", "client_body": "2s", "connect": "300ms"},
+}`
+
+// siteSettings returns the settings of the gateway with the index. It panics where siteText is
+// invalid.
+func siteSettings(o Options, index int) settings.Settings {
+	divisor := o.capacityDivisor()
+	text := fmt.Sprintf(siteText, o.Gateways, index, o.Shards, limitRate, limitBurst, limitSlack,
+		initialSpeed, warmUp, overloadFactor/divisor, overloadWindow, slowStartUnits/divisor)
+	s, err := settings.Parse("fault-injection", []byte(text))
+	if err != nil {
+		panic(err)
+	}
+	return *s
+}
+
+// disableGuard takes a guard out of a gateway's settings. The guard of drains is disabled where a
+// gateway is notified.
+func disableGuard(s *settings.Settings, guard string) {
+	switch guard {
+	case guardBudget:
+		s.Rules.Budget.Span = 0
+		s.Rules.MaxAttempts = 20
+	case guardLimits:
+		s.Plans[0].Limit = 0
+	case guardOrder:
+		s.Classes[classWrite].InTurn = false
+	case guardEffects:
+		for i := range s.Classes {
+			s.Classes[i].Effect = "safe"
+		}
+	case guardCold:
+		s.Rules.Cold = settings.Cold{}
+	case guardTime:
+		for i := range s.Classes {
+			s.Classes[i].Deadline *= 4
+		}
+	}
+}
+
+// idempotencies maps the settings' names.
+var idempotencies = map[string]invariants.Idempotency{
+	"safe":   invariants.Idempotent,
+	"keyed":  invariants.Deduplicated,
+	"unsafe": invariants.NonIdempotent,
+}
+
+// invariantParameters returns the bounds of the invariants with all guards in place.
+func invariantParameters(o Options) invariants.Parameters {
+	s := siteSettings(o, 0)
+	params := invariants.Parameters{
+		DrainGrace:        drainGrace,
+		Quiescence:        s.Rules.Settle.D(),
+		BudgetFree:        s.Rules.Budget.Free,
+		BudgetRatio:       s.Rules.Budget.Ratio,
+		BudgetWindow:      s.Rules.Budget.Span.D(),
+		Limits:            map[string]invariants.RateLimit{},
+		LogTolerance:      logTolerance,
+		ResponseTolerance: responseTolerance,
+	}
+	for _, c := range s.Classes {
+		params.Classes = append(params.Classes, invariants.Class{
+			Deadline:    c.Deadline.D(),
+			Idempotency: idempotencies[c.Effect],
+			Ordered:     c.InTurn,
+		})
+	}
+	for _, volume := range volumeNames(o) {
+		if strings.HasPrefix(volume, "basic-") {
+			params.Limits[volume] = invariants.RateLimit{Rate: limitRate, Capacity: limitBurst + limitSlack}
+		}
+	}
+	return params
+}
+
+// volumeNames returns the volumes' names, which name their plans.
+func volumeNames(o Options) []string {
+	plans := []string{"basic", "standard", "priority"}
+	var names []string
+	for i := range o.Volumes {
+		names = append(names, fmt.Sprintf("%s-%02d", plans[i%len(plans)], i))
+	}
+	return names
+}
--- a/lab/faultinjection/stored_test.go
+++ b/lab/faultinjection/stored_test.go
@@ -13,14 +13,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := Parse(text)
-	if err != nil || len(s) != len(Kinds) {
-		t.Fatalf("%d troubles, want %d: %v", len(s), len(Kinds), err)
+	s, err := ParseScript(text)
+	if err != nil || len(s) != len(FaultKinds) {
+		t.Fatalf("%d faults, want %d: %v", len(s), len(FaultKinds), err)
 	}
 	if have := s.Text(); have != string(text) {
 		t.Errorf("written again:\n%s", have)
 	}
-	if have := Generate(11, 20*time.Second).Text(); have != string(text) {
+	if have := GenerateScript(11, 20*time.Second).Text(); have != string(text) {
 		t.Errorf("generated again:\n%s", have)
 	}
 }
--- a/lab/invariants/invariants_test.go
+++ b/lab/invariants/invariants_test.go
@@ -10,113 +10,211 @@
 
 const ms = time.Millisecond
 
-func figures() Parameters {
+func testParameters() Parameters {
 	return Parameters{
-		Grace: 250 * ms, Settle: 100 * ms, BudgetFree: 1, BudgetRatio: 0.5, BudgetSpan: time.Second,
-		Limits: map[string]Limit{"v": {Rate: 10, Store: 2}}, Slop: 10 * ms, Late: 20 * ms,
-		Classes: []Class{{Deadline: time.Second}, {Deadline: time.Second, Effect: Keyed, InTurn: true}, {Deadline: time.Second, Effect: Unsafe}},
+		DrainGrace:        250 * ms,
+		Quiescence:        100 * ms,
+		BudgetFree:        1,
+		BudgetRatio:       0.5,
+		BudgetWindow:      time.Second,
+		Limits:            map[string]RateLimit{"v": {Rate: 10, Capacity: 2}},
+		LogTolerance:      10 * ms,
+		ResponseTolerance: 20 * ms,
+		Classes: []Class{
+			{Deadline: time.Second},
+			{Deadline: time.Second, Idempotency: Deduplicated, Ordered: true},
+			{Deadline: time.Second, Idempotency: NonIdempotent},
+		},
 	}
 }
 
-func ok(tag string, class int, sent, ended time.Duration) Request {
-	return Request{Tag: tag, Gateway: "g", Class: class, Sent: sent, Ended: ended, Status: 200, Answers: 1}
+// okRequest returns a request that was sent at 0 and answered with 200.
+func okRequest(tag string, class int, ended time.Duration) Request {
+	return Request{Tag: tag, Gateway: "g", Class: class, Ended: ended, Status: 200, Responses: 1}
+}
+
+func unanswered(tag string, ended time.Duration) Request {
+	return Request{Tag: tag, Gateway: "g", Ended: ended}
+}
+
+func rejected(tag string, class int, ended time.Duration) Request {
+	r := okRequest(tag, class, ended)
+	r.Status, r.HasRetryAfter = 503, true
+	return r
+}
+
+func changed(r Request, change func(*Request)) Request {
+	change(&r)
+	return r
 }
 
 func entry(tag string, id uint64, attempt int, at, end time.Duration) storagenode.LogEntry {
-	return storagenode.LogEntry{Node: "n", Gateway: "g", Request: id, Attempt: attempt, Tag: tag, Arrived: at, Ended: end, Status: 200, Ran: true, Units: 1}
+	return storagenode.LogEntry{
+		Node: "n", Gateway: "g", Request: id, Attempt: attempt, Tag: tag,
+		Arrived: at, Ended: end, Status: 200, Ran: true, Units: 1,
+	}
 }
 
-// Each log breaks the rule that it is named for; its twin, a hair away, does not.
-func TestEachRuleBreaksAndHolds(t *testing.T) {
-	left := func(e storagenode.LogEntry, at time.Duration) storagenode.LogEntry { e.Left = at; return e }
-	of := func(e storagenode.LogEntry, vol string) storagenode.LogEntry { e.Volume = vol; return e }
-	idle := func(e storagenode.LogEntry) storagenode.LogEntry { e.Ran, e.Status = false, 503; return e }
-	req := func(r Request, change func(*Request)) Request { change(&r); return r }
-	for name, x := range map[string]struct {
-		rule      string
-		bad, good Log
-	}{
-		"no answer": {
-			Lost,
-			Log{Requests: []Request{req(ok("a", 0, 0, 2000*ms), func(r *Request) { r.Answers, r.Status = 0, 0 })}},
-			Log{Requests: []Request{req(ok("a", 0, 0, 2000*ms), func(r *Request) { r.Answers, r.Status = 0, 0 })}, Killed: []Killed{{"g", 1900 * ms}}},
-		},
-		"two answers": {
-			Lost,
-			Log{Requests: []Request{req(ok("a", 0, 0, ms), func(r *Request) { r.Answers = 2 })}},
-			Log{Requests: []Request{ok("a", 0, 0, ms)}},
-		},
-		"late answer": {
-			Lost,
-			Log{Requests: []Request{ok("a", 0, 0, 1021*ms)}},
-			Log{Requests: []Request{ok("a", 0, 0, 1019*ms)}},
-		},
-		"refusal without a time": {
-			Lost,
-			Log{Requests: []Request{req(ok("a", 0, 0, ms), func(r *Request) { r.Status = 503 })}},
-			Log{Requests: []Request{req(ok("a", 0, 0, ms), func(r *Request) { r.Status, r.After = 503, true })}},
-		},
-		"sent after the answer": {
-			Lost,
-			Log{Requests: []Request{ok("a", 0, 0, 20*ms)}, Entries: []storagenode.LogEntry{entry("a", 1, 0, 31*ms, 40*ms)}},
-			Log{Requests: []Request{ok("a", 0, 0, 20*ms)}, Entries: []storagenode.LogEntry{entry("a", 1, 0, 10*ms, 19*ms)}},
-		},
-		"two attempts out": {
-			TwoOut,
-			Log{Entries: []storagenode.LogEntry{entry("a", 1, 0, 0, 100*ms), entry("a", 1, 1, 50*ms, 60*ms)}},
-			Log{Entries: []storagenode.LogEntry{left(entry("a", 1, 0, 0, 100*ms), 50*ms), entry("a", 1, 1, 50*ms, 60*ms)}},
-		},
-		"keyed twice": {
-			Effects,
-			Log{Requests: []Request{ok("a", 1, 0, 90*ms)}, Entries: []storagenode.LogEntry{entry("a", 1, 0, 0, 10*ms), entry("a", 1, 1, 50*ms, 60*ms)}},
-			Log{Requests: []Request{ok("a", 0, 0, 90*ms)}, Entries: []storagenode.LogEntry{entry("a", 1, 0, 0, 10*ms), entry("a", 1, 1, 50*ms, 60*ms)}},
+func canceledAt(e storagenode.LogEntry, at time.Duration) storagenode.LogEntry {
+	e.Left = at
+	return e
+}
+
+func rateLimited(e storagenode.LogEntry) storagenode.LogEntry {
+	e.Volume = "v"
+	return e
+}
+
+func notExecuted(e storagenode.LogEntry) storagenode.LogEntry {
+	e.Ran, e.Status = false, 503
+	return e
+}
+
+func requests(rs ...Request) []Request { return rs }
+
+func entries(es ...storagenode.LogEntry) []storagenode.LogEntry { return es }
+
+// invariantCase has a log that violates the invariant, and a nearly equal one that does not.
+type invariantCase struct {
+	invariant string
+	bad, good Log
+}
+
+var responseCases = map[string]invariantCase{
+	"no response": {
+		NoRequestLost,
+		Log{Requests: requests(unanswered("a", 2000*ms))},
+		Log{Requests: requests(unanswered("a", 2000*ms)), Crashes: []Crash{{"g", 1900 * ms}}},
+	},
+	"two responses": {
+		NoRequestLost,
+		Log{Requests: requests(changed(okRequest("a", 0, ms), func(r *Request) { r.Responses = 2 }))},
+		Log{Requests: requests(okRequest("a", 0, ms))},
+	},
+	"late response": {
+		NoRequestLost,
+		Log{Requests: requests(okRequest("a", 0, 1021*ms))},
+		Log{Requests: requests(okRequest("a", 0, 1019*ms))},
+	},
+	"rejection without a Retry-After": {
+		NoRequestLost,
+		Log{Requests: requests(changed(okRequest("a", 0, ms), func(r *Request) { r.Status = 503 }))},
+		Log{Requests: requests(rejected("a", 0, ms))},
+	},
+	"sent after the response": {
+		NoRequestLost,
+		Log{Requests: requests(okRequest("a", 0, 20*ms)), Entries: entries(entry("a", 1, 0, 31*ms, 40*ms))},
+		Log{Requests: requests(okRequest("a", 0, 20*ms)), Entries: entries(entry("a", 1, 0, 10*ms, 19*ms))},
+	},
+	"not as stored": {
+		ContentIntact,
+		Log{Requests: requests(changed(okRequest("a", 0, ms), func(r *Request) { r.ContentError = "short" }))},
+		Log{Requests: requests(okRequest("a", 0, ms))},
+	},
+}
+
+var attemptCases = map[string]invariantCase{
+	"two attempts in flight": {
+		OneAttemptAtATime,
+		Log{Entries: entries(entry("a", 1, 0, 0, 100*ms), entry("a", 1, 1, 50*ms, 60*ms))},
+		Log{Entries: entries(canceledAt(entry("a", 1, 0, 0, 100*ms), 50*ms), entry("a", 1, 1, 50*ms, 60*ms))},
+	},
+	"deduplicated executed twice": {
+		ExecutedOnce,
+		Log{
+			Requests: requests(okRequest("a", 1, 90*ms)),
+			Entries:  entries(entry("a", 1, 0, 0, 10*ms), entry("a", 1, 1, 50*ms, 60*ms)),
 		},
-		"refused after it ran": {
-			Effects,
-			Log{Requests: []Request{req(ok("a", 2, 0, 90*ms), func(r *Request) { r.Status, r.After = 503, true })}, Entries: []storagenode.LogEntry{entry("a", 1, 0, 0, 10*ms)}},
-			Log{Requests: []Request{req(ok("a", 2, 0, 90*ms), func(r *Request) { r.Status, r.After = 503, true })}, Entries: []storagenode.LogEntry{idle(entry("a", 1, 0, 0, 10*ms))}},
+		Log{
+			Requests: requests(okRequest("a", 0, 90*ms)),
+			Entries:  entries(entry("a", 1, 0, 0, 10*ms), entry("a", 1, 1, 50*ms, 60*ms)),
 		},
-		"after a drain": {
-			Drains,
-			Log{Told: []Told{{"g", "n", 0}}, Entries: []storagenode.LogEntry{entry("a", 1, 0, 261*ms, 270*ms)}},
-			Log{Told: []Told{{"h", "n", 0}}, Entries: []storagenode.LogEntry{entry("a", 1, 0, 261*ms, 270*ms)}},
+	},
+	"rejected after it was executed": {
+		ExecutedOnce,
+		Log{Requests: requests(rejected("a", 2, 90*ms)), Entries: entries(entry("a", 1, 0, 0, 10*ms))},
+		Log{Requests: requests(rejected("a", 2, 90*ms)), Entries: entries(notExecuted(entry("a", 1, 0, 0, 10*ms)))},
+	},
+	"beyond the retry budget": {
+		RetryBudget,
+		Log{
+			Requests: requests(okRequest("a", 0, 50*ms)),
+			Entries:  entries(entry("a", 1, 1, 10*ms, 20*ms), entry("a", 1, 2, 30*ms, 40*ms)),
 		},
-		"fallen": {Cold, Log{Fallen: []string{"n"}}, Log{}},
-		"out of turn": {
-			Order,
-			Log{Requests: []Request{ok("a", 1, 0, 100*ms), ok("b", 1, 0, 100*ms)}, Entries: []storagenode.LogEntry{entry("a", 1, 0, 0, 50*ms), entry("b", 2, 0, 30*ms, 60*ms)}},
-			Log{Requests: []Request{ok("a", 1, 0, 100*ms), ok("b", 1, 0, 100*ms)}, Entries: []storagenode.LogEntry{entry("a", 1, 0, 0, 50*ms), entry("b", 2, 0, 50*ms, 60*ms)}},
+		Log{
+			Requests: requests(okRequest("a", 0, 50*ms), okRequest("b", 0, 50*ms)),
+			Entries:  entries(entry("a", 1, 1, 10*ms, 20*ms), entry("a", 1, 2, 30*ms, 40*ms)),
 		},
-		"no rest": {
-			Order,
-			Log{Requests: []Request{ok("a", 1, 0, 30*ms), ok("b", 1, 0, 200*ms)}, Entries: []storagenode.LogEntry{left(entry("a", 1, 0, 0, 50*ms), 30*ms), entry("b", 2, 0, 60*ms, 70*ms)}},
-			Log{Requests: []Request{ok("a", 1, 0, 30*ms), ok("b", 1, 0, 200*ms)}, Entries: []storagenode.LogEntry{left(entry("a", 1, 0, 0, 50*ms), 30*ms), entry("b", 2, 0, 131*ms, 140*ms)}},
+	},
+}
+
+var nodeCases = map[string]invariantCase{
+	"after a drain": {
+		DrainsRespected,
+		Log{DrainNotices: []DrainNotice{{"g", "n", 0}}, Entries: entries(entry("a", 1, 0, 261*ms, 270*ms))},
+		Log{DrainNotices: []DrainNotice{{"h", "n", 0}}, Entries: entries(entry("a", 1, 0, 261*ms, 270*ms))},
+	},
+	"overloaded": {SlowStartRespected, Log{OverloadedNodes: []string{"n"}}, Log{}},
+	"out of order": {
+		KeyOrder,
+		Log{
+			Requests: requests(okRequest("a", 1, 100*ms), okRequest("b", 1, 100*ms)),
+			Entries:  entries(entry("a", 1, 0, 0, 50*ms), entry("b", 2, 0, 30*ms, 60*ms)),
 		},
-		"beyond the budget": {
-			Budget,
-			Log{Requests: []Request{ok("a", 0, 0, 50*ms)}, Entries: []storagenode.LogEntry{entry("a", 1, 1, 10*ms, 20*ms), entry("a", 1, 2, 30*ms, 40*ms)}},
-			Log{Requests: []Request{ok("a", 0, 0, 50*ms), ok("b", 0, 0, 50*ms)}, Entries: []storagenode.LogEntry{entry("a", 1, 1, 10*ms, 20*ms), entry("a", 1, 2, 30*ms, 40*ms)}},
+		Log{
+			Requests: requests(okRequest("a", 1, 100*ms), okRequest("b", 1, 100*ms)),
+			Entries:  entries(entry("a", 1, 0, 0, 50*ms), entry("b", 2, 0, 50*ms, 60*ms)),
 		},
-		"beyond the limit": {
-			Limits,
-			Log{Entries: []storagenode.LogEntry{of(entry("a", 1, 0, 0, ms), "v"), of(entry("b", 2, 0, 0, ms), "v"), of(entry("c", 3, 0, 80*ms, 90*ms), "v")}},
-			Log{Entries: []storagenode.LogEntry{of(entry("a", 1, 0, 0, ms), "v"), of(entry("b", 2, 0, 0, ms), "v"), of(entry("b", 2, 1, 20*ms, 30*ms), "v"), of(entry("c", 3, 0, 95*ms, 99*ms), "v")}},
+	},
+	"no quiescence": {
+		KeyOrder,
+		Log{
+			Requests: requests(okRequest("a", 1, 30*ms), okRequest("b", 1, 200*ms)),
+			Entries:  entries(canceledAt(entry("a", 1, 0, 0, 50*ms), 30*ms), entry("b", 2, 0, 60*ms, 70*ms)),
 		},
-		"not as stored": {
-			Content,
-			Log{Requests: []Request{req(ok("a", 0, 0, ms), func(r *Request) { r.Wrong = "short" })}},
-			Log{Requests: []Request{ok("a", 0, 0, ms)}},
+		Log{
+			Requests: requests(okRequest("a", 1, 30*ms), okRequest("b", 1, 200*ms)),
+			Entries:  entries(canceledAt(entry("a", 1, 0, 0, 50*ms), 30*ms), entry("b", 2, 0, 131*ms, 140*ms)),
 		},
-	} {
-		for what, l := range map[string]*Log{"bad": &x.bad, "good": &x.good} {
-			l.End = 5 * time.Second
-			var got []string
-			for _, b := range Check(figures(), l) {
-				got = append(got, b.Rule)
-			}
-			if has := strings.Contains(fmt.Sprint(got), x.rule); has != (what == "bad") || what == "good" && len(got) > 0 {
-				t.Errorf("%s, %s: breaches %v", name, what, got)
-			}
+	},
+	"beyond the rate limit": {
+		RateLimits,
+		Log{Entries: entries(
+			rateLimited(entry("a", 1, 0, 0, ms)),
+			rateLimited(entry("b", 2, 0, 0, ms)),
+			rateLimited(entry("c", 3, 0, 80*ms, 90*ms)),
+		)},
+		Log{Entries: entries(
+			rateLimited(entry("a", 1, 0, 0, ms)),
+			rateLimited(entry("b", 2, 0, 0, ms)),
+			rateLimited(entry("b", 2, 1, 20*ms, 30*ms)),
+			rateLimited(entry("c", 3, 0, 95*ms, 99*ms)),
+		)},
+	},
+}
+
+// Each bad log violates the invariant that it is named for; its good twin violates none.
+func TestEachInvariantIsChecked(t *testing.T) {
+	for _, cases := range []map[string]invariantCase{responseCases, attemptCases, nodeCases} {
+		for name, test := range cases {
+			t.Run(name, func(t *testing.T) {
+				if got := violated(&test.bad); !strings.Contains(fmt.Sprint(got), test.invariant) {
+					t.Errorf("bad log: violations %v", got)
+				}
+				if got := violated(&test.good); len(got) > 0 {
+					t.Errorf("good log: violations %v", got)
+				}
+			})
 		}
 	}
 }
+
+// violated returns the names of the invariants that a log violates.
+func violated(log *Log) []string {
+	log.End = 5 * time.Second
+	var names []string
+	for _, v := range Check(testParameters(), log) {
+		names = append(names, v.Invariant)
+	}
+	return names
+}
--- /dev/null
+++ b/lab/invariants/requests.go
@@ -0,0 +1,90 @@
+package invariants
+
+import (
+	"chalkstand/fake/storagenode"
+	"net/http"
+)
+
+// checkResponses checks that each request gets exactly one final response, in time and whole,
+// and that a rejection says when to retry. Requests that a crashed gateway held and
+// requests canceled by their client are exempt.
+func (c *checker) checkResponses() {
+	for i := range c.log.Requests {
+		r := &c.log.Requests[i]
+		due := r.Sent + c.params.Classes[r.Class].Deadline + c.params.ResponseTolerance
+		crashedAt, crashed := c.crashTime(r.Gateway)
+		lostInCrash := crashed && r.Ended >= crashedAt-c.params.LogTolerance
+		switch {
+		case r.Responses > 1:
+			c.report(NoRequestLost, r.Ended, "%s got %d responses", r.Tag, r.Responses)
+		case r.Responses == 0 && !r.ClientCanceled && !lostInCrash && c.log.End > due:
+			c.report(NoRequestLost, r.Ended, "%s got no response from %s", r.Tag, r.Gateway)
+		case r.Responses == 1 && r.Ended > due:
+			late := r.Ended - due + c.params.ResponseTolerance
+			c.report(NoRequestLost, r.Ended, "%s was answered %v after its deadline", r.Tag, late)
+		case r.Status == http.StatusServiceUnavailable && !r.HasRetryAfter:
+			c.report(NoRequestLost, r.Ended, "%s was rejected without a Retry-After", r.Tag)
+		}
+		if r.ContentError != "" {
+			c.report(ContentIntact, r.Ended, "%s: %s", r.Tag, r.ContentError)
+		}
+	}
+}
+
+// checkAttempts checks that a request has at most one attempt in flight, none after its final
+// response, and as many executions as its class allows.
+func (c *checker) checkAttempts() {
+	for tag, entries := range c.entriesByTag {
+		r := c.requests[tag]
+		for i, e := range entries {
+			if i > 0 {
+				c.checkConsecutive(entries[i-1], e)
+			}
+			if r != nil && r.Responses > 0 && !r.Aborted && e.Arrived > r.Ended+c.params.LogTolerance {
+				c.report(NoRequestLost, e.Arrived, "%s reached %s after its final response", tag, e.Node)
+			}
+		}
+		if r != nil {
+			c.checkExecutions(r, entries)
+		}
+	}
+}
+
+// checkConsecutive checks two consecutive attempts of one request.
+func (c *checker) checkConsecutive(previous, e storagenode.LogEntry) {
+	if e.Arrived < c.endOf(previous)-c.params.LogTolerance {
+		c.report(OneAttemptAtATime, e.Arrived, "%s: attempt %d reached %s while attempt %d was at %s",
+			e.Tag, e.Attempt, e.Node, previous.Attempt, previous.Node)
+	}
+	if e.Gateway == previous.Gateway && e.Request == previous.Request && e.Attempt == previous.Attempt {
+		c.report(OneAttemptAtATime, e.Arrived, "%s: attempt %d arrived twice", e.Tag, e.Attempt)
+	}
+}
+
+// checkExecutions checks how often a request that is not idempotent was executed.
+func (c *checker) checkExecutions(r *Request, entries []storagenode.LogEntry) {
+	idempotency := c.params.Classes[r.Class].Idempotency
+	if idempotency == Idempotent {
+		return
+	}
+	executions := 0
+	for _, e := range entries {
+		if e.Ran {
+			executions++
+		}
+	}
+	if executions > 1 {
+		c.report(ExecutedOnce, entries[len(entries)-1].Arrived, "%s was executed %d times", r.Tag, executions)
+	}
+	if executions > 0 && r.Status == http.StatusServiceUnavailable && r.Responses == 1 {
+		c.report(ExecutedOnce, r.Ended, "%s was rejected, which promises that it was not executed, but it was", r.Tag)
+	}
+	if idempotency != NonIdempotent {
+		return
+	}
+	for i, e := range entries[1:] {
+		if entries[i].Ran || entries[i].Status == 0 {
+			c.report(ExecutedOnce, e.Arrived, "%s was retried after an ambiguous attempt", r.Tag)
+		}
+	}
+}
