--- a/cmd/chalkstand/accounts_test.go
+++ b/cmd/chalkstand/accounts_test.go
@@ -5,6 +5,8 @@
 	"chalkstand/fake/storagenode"
 	"chalkstand/internal/attributionreport"
 	"encoding/json"
+	"io"
+	"net/http"
 	"net/http/httptest"
 	"os"
 	"path/filepath"
@@ -15,82 +17,114 @@
 	kit "chalkstand/internal/testkit"
 )
 
-// run runs a command and returns what it wrote.
-func run(args ...string) (string, error) {
-	c := root()
-	var out bytes.Buffer
-	c.SetOut(&out)
-	c.SetErr(&out)
-	c.SetArgs(args)
-	err := c.Execute()
-	return out.String(), err
-}
-
-// The account commands against a gateway: what they show, and how they fail.
-func TestAccountCommands(t *testing.T) {
-	s := kit.Start(t, kit.Settings(1), func(_ int, c *storagenode.Config) { c.Timing, c.Cores, c.PerUnit = true, 2, time.Millisecond })
-	s.Signed("PUT", "/photos", nil, nil).Body.Close()
+// attributionServer serves the attribution of a gateway that has answered 41 requests of the volume photos.
+// It returns the handler and the --admin flag.
+func attributionServer(t *testing.T) (http.Handler, string) {
+	t.Helper()
+	s := kit.Start(t, kit.Settings(1), func(_ int, c *storagenode.Config) {
+		c.Timing, c.Cores, c.PerUnit = true, 2, time.Millisecond
+	})
+	send := func(method, path string, body io.Reader) {
+		resp := s.Signed(method, path, nil, body)
+		defer resp.Body.Close()
+		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
+			t.Error(err)
+		}
+	}
+	send("PUT", "/photos", nil)
 	for range 20 {
-		s.Signed("PUT", "/photos/a", nil, strings.NewReader("x")).Body.Close()
-		kit.ReadAll(t, s.Signed("GET", "/photos/a", nil, nil).Body)
+		send("PUT", "/photos/a", strings.NewReader("x"))
+		send("GET", "/photos/a", nil)
 	}
 	s.G.FlushAttribution()
-	srv := httptest.NewServer(s.G.AttributionHandler())
-	defer srv.Close()
-	admin := "--admin=" + strings.TrimPrefix(srv.URL, "http://")
+	handler := s.G.AttributionHandler()
+	server := httptest.NewServer(handler)
+	t.Cleanup(server.Close)
+	return handler, "--admin=" + strings.TrimPrefix(server.URL, "http://")
+}
 
-	for _, x := range []struct {
+func TestAccountsCommands(t *testing.T) {
+	_, admin := attributionServer(t)
+	for _, test := range []struct {
 		args []string
 		want []string
 	}{
 		{[]string{"accounts", "top", admin}, []string{"photos", "(all)", "41", "node_work"}},
-		{[]string{"accounts", "volume", "photos", admin, "--since", "1m"}, []string{"41 requests, 41 answered", "node_work", "99 %", "percentiles are of 41"}},
+		{
+			[]string{"accounts", "volume", "photos", admin, "--since", "1m"},
+			[]string{"41 requests, 41 answered", "node_work", "99 %", "percentiles are of 41"},
+		},
 		{[]string{"accounts", "blame", "photos", admin}, []string{"it waited behind", "behind it waited"}},
 	} {
-		out, err := run(x.args...)
-		for _, w := range x.want {
-			if err != nil || !strings.Contains(out, w) {
-				t.Errorf("%v: %v, %q is not in\n%s", x.args, err, w, out)
+		out, err := runCommandLine(test.args...)
+		for _, want := range test.want {
+			if err != nil || !strings.Contains(out, want) {
+				t.Errorf("%v: %v, %q is not in\n%s", test.args, err, want, out)
 			}
 		}
 	}
-	out, err := run("accounts", "volume", "photos", admin, "--json")
+	out, err := runCommandLine("accounts", "volume", "photos", admin, "--json")
 	var a attributionreport.Summary
-	if err != nil || json.Unmarshal([]byte(out), &a) != nil || a.Window.All.Requests != 41 || len(a.Window.Volumes) != 1 {
+	if err != nil || json.Unmarshal([]byte(out), &a) != nil ||
+		a.Window.All.Requests != 41 || len(a.Window.Volumes) != 1 {
 		t.Errorf("as JSON: %v\n%s", err, out)
 	}
+}
+
+func TestAccountsReport(t *testing.T) {
+	_, admin := attributionServer(t)
 	file := filepath.Join(t.TempDir(), "r.html")
-	if _, err := run("accounts", "report", admin, "--volume", "photos", "--out", file); err != nil {
+	if _, err := runCommandLine("accounts", "report", admin, "--volume", "photos", "--out", file); err != nil {
 		t.Error(err)
 	}
-	if b, _ := os.ReadFile(file); !bytes.Contains(b, []byte("<h2>Volume photos</h2>")) || !bytes.Contains(b, []byte("data:image/png;base64,")) {
-		t.Error("the report lacks its pictures")
+	b, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
 	}
+	for _, want := range []string{"<h2>Volume photos</h2>", "data:image/png;base64,"} {
+		if !bytes.Contains(b, []byte(want)) {
+			t.Errorf("the report lacks %q", want)
+		}
+	}
+}
 
-	old := filepath.Join(t.TempDir(), "old.log")
-	os.WriteFile(old, []byte("chalkstand accounts log 9\n"), 0o600)
-	for _, x := range []struct {
+func TestAccountsErrors(t *testing.T) {
+	_, admin := attributionServer(t)
+	oldLog := filepath.Join(t.TempDir(), "old.log")
+	if err := os.WriteFile(oldLog, []byte("chalkstand accounts log 9\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for _, test := range []struct {
 		want string
 		args []string
 	}{
-		{`volume "nope" has no line of its own in that time; the heaviest that have: photos`, []string{"accounts", "volume", "nope", admin}},
+		{
+			`volume "nope" has no line of its own in that time; the heaviest that have: photos`,
+			[]string{"accounts", "volume", "nope", admin},
+		},
 		{`volume "nope"`, []string{"accounts", "blame", "nope", admin}},
 		{`volume "nope"`, []string{"accounts", "report", "--volume", "nope", admin}},
 		{"since: at most 23h55m0s is kept", []string{"accounts", "top", admin, "--since", "48h"}},
 		{"want a time above 0", []string{"accounts", "top", admin, "--since", "-1s"}},
 		{"no gateway answers at --admin", []string{"accounts", "top", "--admin", "127.0.0.1:1"}},
-		{`version "9"; this program reads version 1`, []string{"accounts", "top", "--log", old}},
-		{"no such file", []string{"accounts", "top", "--log", old + "x"}},
+		{`version "9"; this program reads version 1`, []string{"accounts", "top", "--log", oldLog}},
+		{"no such file", []string{"accounts", "top", "--log", oldLog + "x"}},
 	} {
-		if _, err := run(x.args...); err == nil || !strings.Contains(err.Error(), x.want) {
-			t.Errorf("%v: %v, want %s", x.args, err, x.want)
+		_, err := runCommandLine(test.args...)
+		if err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%v: %v, want %s", test.args, err, test.want)
 		}
 	}
-	for _, q := range []string{"?since=x", "?since=-1s", "?slots=maybe", "?span=1m"} {
-		r := httptest.NewRecorder()
-		s.G.AttributionHandler().ServeHTTP(r, httptest.NewRequest("GET", "/accounts"+q, nil))
-		if r.Code != 400 {
-			t.Errorf("%s: %d %s", q, r.Code, r.Body)
+}
+
+func TestAttributionHandlerRejectsInvalidQueries(t *testing.T) {
+	handler, _ := attributionServer(t)
+	for _, query := range []string{"?since=x", "?since=-1s", "?slots=maybe", "?span=1m"} {
+		r := httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/accounts"+query, nil)
+		w := httptest.NewRecorder()
+		handler.ServeHTTP(w, r)
+		if w.Code != http.StatusBadRequest {
+			t.Errorf("%s: %d %s", query, w.Code, w.Body)
 		}
 	}
 }
--- a/cmd/chalkstand/benchoverload.go
+++ b/cmd/chalkstand/benchoverload.go
@@ -3,7 +3,10 @@
 import (
 	"chalkstand/internal/settings"
 	"chalkstand/lab/bench"
+	"context"
+	"errors"
 	"fmt"
+	"net/http"
 	"os"
 	"time"
 
@@ -13,90 +16,129 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Users of the overload part: each asks again a pause after the last answer, and has no use for
-// one that comes later than the aim.
+// The users of the overload part.
 const (
-	userPause = 50 * time.Millisecond
-	userAim   = 250 * time.Millisecond
-	crowdWarm = 3 * time.Second
+	userThinkTime = 50 * time.Millisecond
+	userObjective = 250 * time.Millisecond // a later response counts as late
+	userWarmUp    = 3 * time.Second
 )
 
-var offered = []float64{0.5, 1, 2, 3, 5, 10}
+// The measurement of the highest rate.
+const (
+	peakRuns  = 3
+	peakConns = 256
+)
 
-// overload measures what is done in time of what is offered, from less than the gateway
-// can do to ten times as much.
-func (b *shareBench) overload() error {
-	var peak float64
-	err := b.with(b.loops[0], "fair", 1, func(p bench.Peer) error {
-		for range 3 {
-			f, err := bench.Together([]*bench.Load{load(p, "peak", "GET", "/heavy/small", nil, 256)}, b.each/4, b.each)
-			if err != nil {
-				return err
-			}
-			peak = max(peak, f[0].PerSecond())
-		}
-		return nil
-	})
+// offeredLoads are the offered loads, as multiples of the highest rate.
+var offeredLoads = []float64{0.5, 1, 2, 3, 5, 10}
+
+// overloadCase is a combination of overload control and users.
+type overloadCase struct {
+	name            string
+	queueTimeTarget time.Duration // 0: no overload control
+	honorRetryAfter bool
+}
+
+func overloadCases() []overloadCase {
+	target := settings.Default().Share.Overload.Target.D()
+	return []overloadCase{
+		{"default, users heed them", target, true},
+		{"default, users do not", target, false},
+		{"none", 0, false},
+	}
+}
+
+// overloadGateway returns the configuration of the overload part's gateways.
+func (b *shareBench) overloadGateway() shareGateway {
+	return shareGateway{loops: b.loops[0], order: orderFair, weight: 1}
+}
+
+// measureOverload measures the requests answered in time, for offered loads from half of the highest rate to
+// ten times as much.
+func (b *shareBench) measureOverload(ctx context.Context) error {
+	peak, err := b.peakRate(ctx)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(b.out, "\n4 KiB reads by crowds of users, to be answered within %v, %v between an answer and the next; 256 connections can have %.0f a second\n", userAim, userPause, peak)
-	fmt.Fprintf(b.out, "%-26s %7s %7s %9s %9s %9s %9s %7s %7s\n", "refusals and users", "times", "users", "in time", "refused", "late", "broken", "cores", "of peak")
-	var lines []any
-	for _, x := range []struct {
-		name   string
-		target time.Duration
-		heeds  bool
-	}{{"default, users heed them", settings.Default().Share.Overload.Target.D(), true}, {"default, users do not", settings.Default().Share.Overload.Target.D(), false}, {"none", 0, false}} {
+	fmt.Fprintf(b.out, "\n4 KiB reads by users who want responses within %v and pause for %v; "+
+		"%d connections reach %.0f a second\n", userObjective, userThinkTime, peakConns, peak)
+	fmt.Fprintf(b.out, "%-26s %7s %7s %9s %9s %9s %9s %7s %7s\n",
+		"rejections and users", "times", "users", "in time", "rejected", "late", "failed", "cores", "of peak")
+	var lines []any // name and points of each line, as plotutil takes them
+	for _, c := range overloadCases() {
 		var points plotter.XYs
-		for _, times := range offered {
-			users := int(peak * times * userPause.Seconds())
-			good, err := b.crowd(x.name, x.target, x.heeds, users, times, peak)
+		for _, offered := range offeredLoads {
+			inTime, err := b.overload(ctx, c, offered, peak)
 			if err != nil {
 				return err
 			}
-			points = append(points, plotter.XY{X: times, Y: good / peak})
+			points = append(points, plotter.XY{X: offered, Y: inTime / peak})
 		}
-		lines = append(lines, x.name, points)
+		lines = append(lines, c.name, points)
 	}
-	return b.draw(lines)
+	return b.drawOverload(lines)
 }
 
-func (b *shareBench) crowd(name string, target time.Duration, heeds bool, users int, times, peak float64) (good float64, err error) {
-	b.target, b.aim = target, userAim
-	defer func() { b.target, b.aim = 0, 0 }()
-	err = b.with(b.loops[0], "fair", 1, func(p bench.Peer) error {
-		c := bench.Crowd{Target: load(p, "", "GET", "/heavy/small", nil, 0).Target, Users: users, Pause: userPause, Aim: userAim, Heeds: heeds}
-		f := c.Press(crowdWarm, b.each)
-		good = f.Good
-		fmt.Fprintf(b.out, "%-26s %7.1f %7d %9.0f %9.0f %9.0f %9.0f %7.2f %7.2f\n", name, times, users, f.Good, f.Refused, f.Late, f.Broken, f.CPU, good/peak)
+// peakRate returns the highest of some measured rates, requests a second.
+func (b *shareBench) peakRate(ctx context.Context) (peak float64, err error) {
+	err = b.withGateway(ctx, b.overloadGateway(), func(server bench.Server) error {
+		for range peakRuns {
+			m, err := b.runLoads(ctx, newLoad(server, "peak", http.MethodGet, "/heavy/small", nil, peakConns))
+			if err != nil {
+				return err
+			}
+			peak = max(peak, m[0].PerSecond())
+		}
 		return nil
 	})
-	return good, err
+	return peak, err
 }
 
-func (b *shareBench) draw(lines []any) error {
+// overload measures one offered load, a multiple of the peak rate. It returns the rate of responses in time.
+func (b *shareBench) overload(ctx context.Context, c overloadCase, offered, peak float64) (inTime float64, err error) {
+	g := b.overloadGateway()
+	g.queueTimeTarget = c.queueTimeTarget
+	g.latencyObjective = userObjective
+	err = b.withGateway(ctx, g, func(server bench.Server) error {
+		users := bench.Users{
+			Target:           newTarget(server, http.MethodGet, "/heavy/small", nil),
+			Count:            int(peak * offered * userThinkTime.Seconds()),
+			ThinkTime:        userThinkTime,
+			LatencyObjective: userObjective,
+			HonorRetryAfter:  c.honorRetryAfter,
+		}
+		rates := users.Run(ctx, userWarmUp, b.duration)
+		inTime = rates.InTime
+		fmt.Fprintf(b.out, "%-26s %7.1f %7d %9.0f %9.0f %9.0f %9.0f %7.2f %7.2f\n",
+			c.name, offered, users.Count,
+			rates.InTime, rates.Rejected, rates.Late, rates.Failed, rates.CPU, inTime/peak)
+		return nil
+	})
+	return inTime, err
+}
+
+// drawOverload writes the plot, if one is asked for.
+func (b *shareBench) drawOverload(lines []any) (err error) {
 	if b.plot == "" {
 		return nil
 	}
 	p := plot.New()
 	p.X.Label.Text = "offered, times what the gateway can do"
 	p.Y.Label.Text = "done in time, of what 256 connections have"
-	p.Y.Min, p.Legend.Top = 0, true
+	p.Y.Min = 0
+	p.Legend.Top = true
 	if err := plotutil.AddLinePoints(p, lines...); err != nil {
 		return err
 	}
-	f, err := os.Create(b.plot)
-	if err != nil {
-		return err
-	}
-	defer f.Close()
 	w, err := p.WriterTo(16*vg.Centimeter, 9*vg.Centimeter, "svg")
 	if err != nil {
 		return err
 	}
-	if _, err := w.WriteTo(f); err != nil {
+	f, err := os.Create(b.plot)
+	if err != nil {
 		return err
 	}
-	return f.Close()
+	defer func() { err = errors.Join(err, f.Close()) }()
+	_, err = w.WriteTo(f)
+	return err
 }
--- a/cmd/chalkstand/modelcheck.go
+++ b/cmd/chalkstand/modelcheck.go
@@ -44,7 +44,7 @@
 	c.AddCommand(playCommand(), mutationCommand(), walkCommand())
 	f := c.Flags()
 	f.StringSliceVar(&run.scenarios, "scenario", nil, "check these scenarios only")
-	f.BoolVar(&run.full, "full", false, "also visit orderings that differ in independent events only (no partial-order reduction)")
+	f.BoolVar(&run.full, "full", false, "visit all orderings of independent events (no partial-order reduction)")
 	f.BoolVar(&run.options.Exact, "exact", false, "distinguish states by the exact values of estimates")
 	f.IntVar(&run.options.MaxStates, "states", 0, "maximum number of states; 0: unlimited")
 	f.IntVar(&run.options.Workers, "workers", 0, "number of workers; 0: one for each core")
@@ -105,7 +105,7 @@
 
 // printViolation prints a violation as a sequence of events, as a replay and as a test.
 func printViolation(out io.Writer, scenario modelcheck.Scenario, r *modelcheck.Result) error {
-	modelcheck.Explain(scenario, r.Path, linePrinter(out, "  "))
+	_ = modelcheck.Explain(scenario, r.Path, linePrinter(out, "  ")) // the violation is known
 	fmt.Fprintln(out, "\nas a replay:")
 	if err := modelcheck.WriteReplay(out, scenario, r.Path); err != nil {
 		return err
@@ -194,7 +194,7 @@
 		path, violation := modelcheck.Walk(scenario, seed, w.maxMoves, coverage)
 		moves += len(path)
 		if violation != nil {
-			modelcheck.Explain(scenario, path, linePrinter(out, "  "))
+			_ = modelcheck.Explain(scenario, path, linePrinter(out, "  ")) // the violation is known
 			return fmt.Errorf("seed %d, after %d moves: %v", seed, len(path), violation)
 		}
 	}
--- a/cmd/chalkstand/node.go
+++ b/cmd/chalkstand/node.go
@@ -3,7 +3,9 @@
 import (
 	"chalkstand/fake/storagenode"
 	"context"
+	"errors"
 	"fmt"
+	"io"
 	"os"
 	"os/signal"
 	"syscall"
@@ -12,74 +14,97 @@
 	"github.com/spf13/cobra"
 )
 
+// nodeOptions are the flags of the node command.
+type nodeOptions struct {
+	config    storagenode.Config
+	addr      string
+	dir       string  // of the objects; empty: memory
+	faultFile string  // script of faults; empty: none
+	linkMiB   float64 // a second; 0: unlimited
+}
+
 func nodeCommand() *cobra.Command {
-	var addr, dir, faults string
-	var linkMiB float64
-	cfg := storagenode.Config{DiscardLog: true}
+	o := &nodeOptions{config: storagenode.Config{DiscardLog: true}}
 	c := &cobra.Command{
-		Use: "node", Short: "Run a stand-in storage node",
-		Long: `Run a stand-in storage node until SIGTERM or SIGINT. It speaks the object API without
-signatures, so it belongs on loopback. It keeps a shard's objects in memory, or in a directory, which
-a successor takes over after it. It fails as a script says: a JSON list, comments allowed, such as
+		Use:   "node",
+		Short: "Run a fake storage node",
+		Long: `Run a fake storage node until SIGTERM or SIGINT. It serves the object API without
+checking signatures, so it belongs on loopback. It keeps a shard's objects in memory, or in a directory that
+a successor can take over. It injects faults from a script: a JSON list, comments allowed, such as
   [{"at_ms": 2000, "for_ms": 1000, "kind": "stall", "share": 0.5, "method": "GET", "path": "/photos/"}]
 with the kinds stall, within, refuse, broken, reset, lose, half, slow (factor), pause and die.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			cfg.Link = linkMiB * (1 << 20)
-			data := storagenode.NewDataset("")
-			var orders []storagenode.ScriptedFault
-			var err error
-			if dir != "" {
-				if data, err = storagenode.OpenDataset(dir); err != nil {
-					return err
-				}
-				defer data.Close()
-			}
-			if faults != "" {
-				text, err := os.ReadFile(faults)
-				if err != nil {
-					return err
-				}
-				if orders, err = storagenode.ParseScript(text); err != nil {
-					return err
-				}
-			}
-			n, err := storagenode.Start(addr, cfg, data, nil, time.Now())
-			if err != nil {
-				return err
-			}
-			defer n.Stop()
-			n.RunScript(orders)
-			fmt.Fprintln(cmd.OutOrStdout(), n.Addr())
-			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-			defer stop()
-			select {
-			case <-ctx.Done():
-			case <-n.Done():
-			}
-			return nil
+			return o.run(cmd.Context(), cmd.OutOrStdout())
 		},
 	}
-	f := c.Flags()
-	f.StringVar(&addr, "listen", "127.0.0.1:0", "address; port 0 takes any, which is printed")
-	f.StringVar(&cfg.ID, "id", "node", "name in load reports")
-	f.IntVar(&cfg.Shard, "shard", 0, "shard that it holds")
-	f.StringVar(&dir, "dir", "", "directory that holds the objects; empty: memory")
-	f.StringVar(&faults, "faults", "", "file with a script of faults")
-	f.IntVar(&cfg.Cores, "cores", 0, "requests worked on at a time; 0: no bound")
-	f.IntVar(&cfg.Queue, "queue", 256, "requests that may wait; more are turned away")
-	f.DurationVar(&cfg.PerUnit, "per-unit", 0, "work of one unit, such as 5ms")
-	f.Float64Var(&cfg.Speed, "speed", 1, "of a core")
-	f.Float64Var(&cfg.InitialSpeed, "cold-from", 0, "share of its speed right after the start; 0: born warm")
-	f.DurationVar(&cfg.WarmUp, "warm-up", 0, "until it has its full speed")
-	f.DurationVar(&cfg.ReportEvery, "report-every", 100*time.Millisecond, "how long a load report stays the same")
-	f.DurationVar(&cfg.ReportDelay, "report-late", 0, "until a load report is told")
-	f.Float64Var(&cfg.ReportNoise, "report-noise", 0, "share by which a load report may be off")
-	f.BoolVar(&cfg.Timing, "timing", false, "tell with each answer how the request's time here divides (Server-Timing)")
-	f.DurationVar(&cfg.TimingDelay, "timing-late", 0, "tell it so much later, with another answer; 0: with its own")
-	f.Float64Var(&cfg.TimingLossRate, "timing-lose", 0, "share of requests of which it is never told")
-	f.DurationVar(&cfg.DedupWindow, "remember", 30*time.Second, "how long repeats of a keyed write are dropped")
-	f.Float64Var(&linkMiB, "link", 0, "MiB a second that all its answers together send; 0: no bound")
-	f.IntVar(&cfg.SendBuffer, "send-buffer", 0, "bytes that the kernel holds of each connection's answers; 0: as it likes")
+	o.addServerFlags(c)
+	o.addReportFlags(c)
 	return c
 }
+
+// addServerFlags adds the flags for addresses, storage and capacity.
+func (o *nodeOptions) addServerFlags(c *cobra.Command) {
+	f, cfg := c.Flags(), &o.config
+	f.StringVar(&o.addr, "listen", "127.0.0.1:0", "address; with port 0 any free port, which is printed")
+	f.StringVar(&cfg.ID, "id", "node", "name in load reports")
+	f.IntVar(&cfg.Shard, "shard", 0, "shard that it stores")
+	f.StringVar(&o.dir, "dir", "", "directory for the objects; empty: memory")
+	f.StringVar(&o.faultFile, "faults", "", "file with a script of faults")
+	f.IntVar(&cfg.Cores, "cores", 0, "requests processed concurrently; 0: unlimited")
+	f.IntVar(&cfg.Queue, "queue", 256, "requests that may wait; more are rejected")
+	f.DurationVar(&cfg.PerUnit, "per-unit", 0, "service time of one unit, such as 5ms")
+	f.Float64Var(&cfg.Speed, "speed", 1, "speed of a core")
+	f.Float64Var(&cfg.InitialSpeed, "cold-from", 0, "slow start: initial share of the full speed; 0: no slow start")
+	f.DurationVar(&cfg.WarmUp, "warm-up", 0, "duration of the slow start")
+	f.DurationVar(&cfg.DedupWindow, "remember", 30*time.Second, "how long repeats of a deduplicated write are dropped")
+	f.Float64Var(&o.linkMiB, "link", 0, "bandwidth of all responses together, MiB a second; 0: unlimited")
+	f.IntVar(&cfg.SendBuffer, "send-buffer", 0, "send buffer of each connection, bytes; 0: the system's default")
+}
+
+// addReportFlags adds the flags for load reports and timings.
+func (o *nodeOptions) addReportFlags(c *cobra.Command) {
+	f, cfg := c.Flags(), &o.config
+	f.DurationVar(&cfg.ReportEvery, "report-every", 100*time.Millisecond, "interval at which the load report changes")
+	f.DurationVar(&cfg.ReportDelay, "report-late", 0, "delay of load reports")
+	f.Float64Var(&cfg.ReportNoise, "report-noise", 0, "largest random error of load reports, as a share")
+	f.BoolVar(&cfg.Timing, "timing", false, "report each request's queue and service time (Server-Timing)")
+	f.DurationVar(&cfg.TimingDelay, "timing-late", 0, "delay of timings, carried by a later response; 0: no delay")
+	f.Float64Var(&cfg.TimingLossRate, "timing-lose", 0, "share of requests without timings")
+}
+
+// run serves until a signal, or until the script stops the node.
+func (o *nodeOptions) run(ctx context.Context, out io.Writer) (err error) {
+	o.config.Link = o.linkMiB * (1 << 20)
+	data := storagenode.NewDataset("")
+	if o.dir != "" {
+		if data, err = storagenode.OpenDataset(o.dir); err != nil {
+			return err
+		}
+		defer func() { err = errors.Join(err, data.Close()) }()
+	}
+	var script []storagenode.ScriptedFault
+	if o.faultFile != "" {
+		text, err := os.ReadFile(o.faultFile)
+		if err != nil {
+			return err
+		}
+		if script, err = storagenode.ParseScript(text); err != nil {
+			return err
+		}
+	}
+	n, err := storagenode.Start(o.addr, o.config, data, nil, time.Now())
+	if err != nil {
+		return err
+	}
+	defer n.Stop()
+	n.RunScript(script)
+	fmt.Fprintln(out, n.Addr())
+	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
+	select {
+	case <-ctx.Done():
+	case <-n.Done():
+	}
+	return nil
+}
--- a/cmd/chalkstand/serve_test.go
+++ b/cmd/chalkstand/serve_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"bytes"
 	"chalkstand/internal/testkit"
 	"context"
 	"fmt"
@@ -16,125 +15,158 @@
 	"time"
 )
 
-func freeAddr(t *testing.T) string {
-	a, err := freePort()
+const quickstartSecret = "quickstart-secret"
+
+// testDaemon is a gateway that runs serve in the test's process.
+type testDaemon struct {
+	file   string // its settings
+	listen string
+	admin  string
+	trace  string
+	done   chan error // what serve returned
+}
+
+// freeTestAddress returns a loopback address with a free port.
+func freeTestAddress(t *testing.T) string {
+	t.Helper()
+	addr, err := freeAddress(t.Context())
+	if err != nil {
+		t.Fatal(err)
+	}
+	return addr
+}
+
+// quickstartSettings returns the quick start's settings with the daemon's addresses and trace.
+func (d *testDaemon) quickstartSettings(t *testing.T) string {
+	t.Helper()
+	text, err := os.ReadFile("../../configs/quickstart.jsonc")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return a
+	return strings.NewReplacer(
+		"127.0.0.1:9000", d.listen,
+		"127.0.0.1:9001", d.admin,
+		`"region"`, fmt.Sprintf(`"trace": %q, "region"`, d.trace),
+	).Replace(string(text))
+}
+
+func (d *testDaemon) writeSettings(t *testing.T, text string) {
+	t.Helper()
+	if err := os.WriteFile(d.file, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
 }
 
-func get(t *testing.T, addr, id, secret string) int {
+// listBuckets lists the buckets with an access key and returns the status, or 0 without a response.
+func (d *testDaemon) listBuckets(t *testing.T, keyID string) int {
 	t.Helper()
-	r, _ := http.NewRequest("GET", "http://"+addr+"/", nil)
-	testkit.SignRequest(r, id, secret, time.Now())
+	r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+d.listen+"/", nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	testkit.SignRequest(r, keyID, quickstartSecret, time.Now())
 	resp, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
 		return 0
 	}
 	defer resp.Body.Close()
-	io.Copy(io.Discard, resp.Body)
+	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
+		t.Error(err)
+	}
 	return resp.StatusCode
 }
 
-// The quick start's settings, on other ports: it serves, SIGHUP brings a new key and
-// a bad file changes nothing, SIGTERM ends it, and its record replays.
-func TestServeReloadsAndDrains(t *testing.T) {
-	text, err := os.ReadFile("../../configs/quickstart.jsonc")
+// metrics returns the admin server's metrics.
+func (d *testDaemon) metrics(t *testing.T) string {
+	t.Helper()
+	r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+d.admin+"/metrics", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	listen, admin := freeAddr(t), freeAddr(t)
-	dir := t.TempDir()
-	file, record := filepath.Join(dir, "c.jsonc"), filepath.Join(dir, "trace")
-	s := strings.NewReplacer("127.0.0.1:9000", listen, "127.0.0.1:9001", admin, `"region"`, fmt.Sprintf(`"trace": %q, "region"`, record)).Replace(string(text))
-	write := func(s string) {
-		if err := os.WriteFile(file, []byte(s), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	write(s)
-	done := make(chan error, 1)
-	go func() { done <- serve(context.Background(), file) }()
-	until := func(what string, ok func() bool) {
-		t.Helper()
-		for end := time.Now().Add(10 * time.Second); !ok(); time.Sleep(2 * time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatal(what)
-			}
-		}
-	}
-	until("it does not serve", func() bool { return get(t, listen, "QUICKSTART", "quickstart-secret") == 200 })
-	resp, err := http.Get("http://" + admin + "/metrics")
+	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, _ := io.ReadAll(resp.Body)
-	resp.Body.Close()
-	if !bytes.Contains(b, []byte(`chalkstand_requests_total{op="ListBuckets",status="2xx"}`)) {
-		t.Error("no count of the request in the metrics")
+	defer resp.Body.Close()
+	b, err := io.ReadAll(resp.Body)
+	if err != nil {
+		t.Error(err)
 	}
-	write(strings.Replace(s, "QUICKSTART", "NEWKEY", 1))
-	syscall.Kill(os.Getpid(), syscall.SIGHUP)
-	until("the new key is not taken over", func() bool { return get(t, listen, "NEWKEY", "quickstart-secret") == 200 })
-	if c := get(t, listen, "QUICKSTART", "quickstart-secret"); c != 403 {
-		t.Errorf("the old key: %d", c)
+	return string(b)
+}
+
+// sendSignal sends a signal to the test's own process.
+func sendSignal(t *testing.T, s syscall.Signal) {
+	t.Helper()
+	if err := syscall.Kill(os.Getpid(), s); err != nil {
+		t.Fatal(err)
 	}
-	write("{")
-	syscall.Kill(os.Getpid(), syscall.SIGHUP)
-	if c := get(t, listen, "NEWKEY", "quickstart-secret"); c != 200 {
-		t.Errorf("after a bad file: %d", c)
+}
+
+// waitFor waits until a condition holds.
+func waitFor(t *testing.T, failure string, condition func() bool) {
+	t.Helper()
+	for end := time.Now().Add(10 * time.Second); !condition(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal(failure)
+		}
 	}
-	syscall.Kill(os.Getpid(), syscall.SIGTERM)
+}
+
+// stop ends the daemon with SIGTERM and checks that it ended without an error and listens no more.
+func (d *testDaemon) stop(t *testing.T) {
+	t.Helper()
+	sendSignal(t, syscall.SIGTERM)
 	select {
-	case err := <-done:
+	case err := <-d.done:
 		if err != nil {
 			t.Fatal(err)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("it does not end")
+		t.Fatal("serve does not end")
 	}
-	if c, err := net.Dial("tcp", listen); err == nil {
+	var dialer net.Dialer
+	if c, err := dialer.DialContext(t.Context(), "tcp", d.listen); err == nil {
 		c.Close()
 		t.Error("still listening")
 	}
-	var out bytes.Buffer
-	cmd := root()
-	cmd.SetOut(&out)
-	cmd.SetArgs([]string{"replay", record})
-	if err := cmd.Execute(); err != nil || !strings.Contains(out.String(), "events") {
-		t.Fatalf("%v\n%s", err, out.String())
-	}
 }
 
-func TestCommandsExplainThemselves(t *testing.T) {
-	for _, args := range [][]string{
-		{"--help"},
-		{"serve", "--help"},
-		{"node", "--help"},
-		{"badday", "--help"},
-		{"bench", "--help"},
-		{"replay", "--help"},
-		{"check-config", "--help"},
-		{"version"},
-		{"check-config", "../../configs/quickstart.jsonc"},
-		{"badday", "--print-script"},
-	} {
-		var out bytes.Buffer
-		cmd := root()
-		cmd.SetOut(&out)
-		cmd.SetArgs(args)
-		if err := cmd.Execute(); err != nil || out.Len() < 20 {
-			t.Errorf("%v: %v\n%s", args, err, out.String())
-		}
+// The quick start's settings on other ports: serve answers requests, SIGHUP brings a new key and an
+// invalid file changes nothing, SIGTERM ends it, and its trace replays.
+func TestServeReloadsAndDrains(t *testing.T) {
+	dir := t.TempDir()
+	d := &testDaemon{
+		file:   filepath.Join(dir, "c.jsonc"),
+		listen: freeTestAddress(t),
+		admin:  freeTestAddress(t),
+		trace:  filepath.Join(dir, "trace"),
+		done:   make(chan error, 1),
 	}
-	for _, args := range [][]string{{"serve"}, {"serve", "--config", "none"}, {"check-config", "../../README.md"}, {"replay", "../../README.md"}, {"frobnicate"}} {
-		cmd := root()
-		cmd.SetOut(io.Discard)
-		cmd.SetErr(io.Discard)
-		cmd.SetArgs(args)
-		if cmd.Execute() == nil {
-			t.Errorf("%v is taken", args)
-		}
+	text := d.quickstartSettings(t)
+	d.writeSettings(t, text)
+	go func() { d.done <- serve(context.Background(), d.file) }()
+	waitFor(t, "it does not serve", func() bool { return d.listBuckets(t, "QUICKSTART") == 200 })
+	if !strings.Contains(d.metrics(t), `chalkstand_requests_total{op="ListBuckets",status="2xx"}`) {
+		t.Error("no count of the request in the metrics")
+	}
+
+	d.writeSettings(t, strings.Replace(text, "QUICKSTART", "NEWKEY", 1))
+	sendSignal(t, syscall.SIGHUP)
+	waitFor(t, "the new key is not loaded", func() bool { return d.listBuckets(t, "NEWKEY") == 200 })
+	if status := d.listBuckets(t, "QUICKSTART"); status != 403 {
+		t.Errorf("the old key: %d", status)
+	}
+
+	d.writeSettings(t, "{")
+	sendSignal(t, syscall.SIGHUP)
+	if status := d.listBuckets(t, "NEWKEY"); status != 200 {
+		t.Errorf("after an invalid file: %d", status)
+	}
+
+	d.stop(t)
+	out, err := runCommandLine("replay", d.trace)
+	if err != nil || !strings.Contains(out, "events") {
+		t.Fatalf("%v\n%s", err, out)
 	}
 }
--- a/cmd/chalkstand/stored_test.go
+++ b/cmd/chalkstand/stored_test.go
@@ -3,6 +3,7 @@
 import (
 	"os"
 	"path/filepath"
+	"slices"
 	"testing"
 )
 
@@ -23,7 +24,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			have, err := run(append(c.args, "--log", filepath.Join("testdata", "accounts.log"), "--since", "24h")...)
+			log := filepath.Join("testdata", "accounts.log")
+			args := slices.Concat(c.args, []string{"--log", log, "--since", "24h"})
+			have, err := runCommandLine(args...)
 			if err != nil || have != string(want) {
 				t.Errorf("%v\n%s\nwant\n%s", err, have, want)
 			}
--- a/cmd/chalkstand/top_test.go
+++ b/cmd/chalkstand/top_test.go
@@ -12,7 +12,10 @@
 
 func TestPrintUsage(t *testing.T) {
 	at := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	before := &usageSnapshot{at: at, Shares: []gateway.VolumeUsage{{Volume: "loans", Weight: 1, LoopTime: time.Second, Bytes: 1 << 20}, {Volume: "quiet", Weight: 1, LoopTime: time.Second}}}
+	before := &usageSnapshot{at: at, Shares: []gateway.VolumeUsage{
+		{Volume: "loans", Weight: 1, LoopTime: time.Second, Bytes: 1 << 20},
+		{Volume: "quiet", Weight: 1, LoopTime: time.Second},
+	}}
 	now := &usageSnapshot{at: at.Add(2 * time.Second), Shares: []gateway.VolumeUsage{
 		{Volume: "loans", Weight: 1, LoopTime: 1200 * time.Millisecond, Bytes: 5 << 20, Waiting: 3, RateLimited: true},
 		{Volume: "photos", Weight: 4, LoopTime: 800 * time.Millisecond, Bytes: 64 << 20, Streams: 7},
@@ -31,16 +34,25 @@
 }
 
 func TestFetchUsageErrors(t *testing.T) {
-	for text, want := range map[string]string{`{"shares": [`: "the answer of the gateway", "": "want a gateway of this version"} {
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			if text == "" {
-				w.WriteHeader(http.StatusNotFound)
+	for _, test := range []struct {
+		name   string
+		status int
+		body   string
+		want   string
+	}{
+		{"body breaks off", http.StatusOK, `{"shares": [`, "the answer of the gateway"},
+		{"unknown path", http.StatusNotFound, "", "want a gateway of this version"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+				w.WriteHeader(test.status)
+				_, _ = io.WriteString(w, test.body) // a failure shows in what the client gets
+			}))
+			defer s.Close()
+			_, err := fetchUsage(t.Context(), s.Listener.Addr().String())
+			if err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("%v, want %s", err, test.want)
 			}
-			_, _ = io.WriteString(w, text) // a failure shows in what the client gets
-		}))
-		if _, err := fetchUsage(t.Context(), s.Listener.Addr().String()); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %s", text, err, want)
-		}
-		s.Close()
+		})
 	}
 }
--- a/lab/attributiontest/scenarios.go
+++ b/lab/attributiontest/scenarios.go
@@ -194,7 +194,8 @@
 				v.failf("no slot was corrected: %+v", v.Counts)
 			}
 			unknown := v.component(floodVolume, attribution.NodeUnknown)
-			reported := v.component(floodVolume, attribution.NodeQueue) + v.component(floodVolume, attribution.NodeService)
+			reported := v.component(floodVolume, attribution.NodeQueue) +
+				v.component(floodVolume, attribution.NodeService)
 			if reported < unknown || unknown < reported/20 {
 				v.failf("three of ten requests are not reported; %v is unknown beside %v reported", unknown, reported)
 			}
--- /dev/null
+++ b/lab/bench/load.go
@@ -0,0 +1,216 @@
+package bench
+
+import (
+	"bufio"
+	"chalkstand/internal/http1"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+	"golang.org/x/sys/unix"
+)
+
+// Load is one of several loads that run at the same time: a target's request, repeatedly on a number of
+// connections.
+type Load struct {
+	Target
+	Name  string
+	Conns int
+
+	bytes    atomic.Int64 // of bodies, counted as they arrive
+	requests atomic.Int64
+	non2xx   atomic.Int64
+	mu       sync.Mutex
+	latency  *hdrhistogram.Histogram
+}
+
+// RunTogether runs loads at the same time. After the warm-up it measures for d: the bytes of bodies as they
+// arrive, also of unfinished ones, and the latency of requests that begin and end within.
+func RunTogether(ctx context.Context, loads []*Load, warmUp, d time.Duration) ([]Measurement, error) {
+	var wg sync.WaitGroup
+	var failed error
+	var mu sync.Mutex
+	start := time.Now().Add(warmUp)
+	end := start.Add(d)
+	for _, l := range loads {
+		l.latency = newHistogram()
+		for range l.Conns {
+			wg.Go(func() {
+				if err := l.runConn(ctx, start, end); err != nil {
+					mu.Lock()
+					failed = errors.Join(failed, fmt.Errorf("%s: %w", l.Name, err))
+					mu.Unlock()
+				}
+			})
+		}
+	}
+	measurements := measureTraffic(loads, start, end)
+	wg.Wait()
+	for i, l := range loads {
+		m := &measurements[i]
+		m.Requests = int(l.requests.Load())
+		m.Non2xx = int(l.non2xx.Load())
+		m.Latency = l.latency
+	}
+	return measurements, failed
+}
+
+// measureTraffic returns the loads' bytes and processor time between start and end, for which it waits.
+func measureTraffic(loads []*Load, start, end time.Time) []Measurement {
+	time.Sleep(time.Until(start))
+	bytes := make([]int64, len(loads))
+	cpu := make([]time.Duration, len(loads))
+	for i, l := range loads {
+		bytes[i] = l.bytes.Load()
+		cpu[i] = cpuTime(l.Server.PID)
+	}
+	time.Sleep(time.Until(end))
+	elapsed := time.Since(start)
+	var out []Measurement
+	for i, l := range loads {
+		out = append(out, Measurement{
+			Name:    l.Name,
+			Elapsed: elapsed,
+			Bytes:   l.bytes.Load() - bytes[i],
+			CPU:     cpuTime(l.Server.PID) - cpu[i],
+		})
+	}
+	return out
+}
+
+// rejectedPause is the pause after a response with another status than 2xx.
+const rejectedPause = 10 * time.Millisecond
+
+// runConn is the closed loop of one connection. The request in progress at the end is abandoned.
+func (l *Load) runConn(ctx context.Context, start, end time.Time) error {
+	var dialer net.Dialer
+	c, err := dialer.DialContext(ctx, "tcp", l.Server.Addr)
+	if err != nil {
+		return err
+	}
+	defer closeConn(c)
+	if err := c.SetDeadline(end); err != nil {
+		return err
+	}
+	h := newHistogram()
+	defer func() {
+		l.mu.Lock()
+		l.latency.Merge(h)
+		l.mu.Unlock()
+	}()
+	raw, err := c.(*net.TCPConn).SyscallConn()
+	if err != nil {
+		return err
+	}
+	r := bufio.NewReaderSize(c, 16<<10)
+	var scan http1.Head
+	var resp http1.Response
+	for time.Now().Before(end) {
+		sent := time.Now()
+		err := l.exchange(c, r, raw, &scan, &resp)
+		if errors.Is(err, os.ErrDeadlineExceeded) {
+			return nil
+		}
+		if err != nil {
+			return err
+		}
+		if resp.Status/100 != 2 {
+			l.non2xx.Add(1)
+			time.Sleep(rejectedPause)
+		} else if sent.After(start) {
+			l.requests.Add(1)
+			recordLatency(h, sent)
+		}
+		if resp.Close {
+			return errClosed
+		}
+	}
+	return nil
+}
+
+// exchange sends one request and reads its response.
+func (l *Load) exchange(
+	c net.Conn, r *bufio.Reader, raw syscall.RawConn, scan *http1.Head, resp *http1.Response,
+) error {
+	if _, err := c.Write(l.Head); err != nil {
+		return err
+	}
+	if err := l.upload(c); err != nil {
+		return err
+	}
+	return l.receive(r, raw, scan, resp)
+}
+
+// uploadChunk is how many bytes are written, and counted, at a time.
+const uploadChunk = 64 << 10
+
+// upload sends the body.
+func (l *Load) upload(c net.Conn) error {
+	for b := l.Body; len(b) > 0; {
+		n, err := c.Write(b[:min(len(b), uploadChunk)])
+		l.bytes.Add(int64(n))
+		if err != nil {
+			return err
+		}
+		b = b[n:]
+	}
+	return nil
+}
+
+// receive reads a response and discards its body.
+func (l *Load) receive(r *bufio.Reader, raw syscall.RawConn, scan *http1.Head, resp *http1.Response) error {
+	if err := readHead(r, l.Method, scan, resp); err != nil {
+		return err
+	}
+	buffered, err := r.Discard(int(min(resp.Length, int64(r.Buffered()))))
+	if err != nil {
+		return err
+	}
+	l.countDownload(buffered)
+	return l.discard(raw, resp.Length-int64(buffered))
+}
+
+// countDownload counts the bytes of a body. Those of responses to uploads are not of interest.
+func (l *Load) countDownload(n int) {
+	if l.Method == http.MethodGet {
+		l.bytes.Add(int64(n))
+	}
+}
+
+// discardBuffer takes bytes that nobody reads.
+var discardBuffer [1 << 20]byte
+
+// discard drops bytes in the kernel without copying them, so that the load costs less than the server
+// under load.
+func (l *Load) discard(raw syscall.RawConn, remaining int64) error {
+	for remaining > 0 {
+		var n int
+		var err error
+		receive := func(fd uintptr) bool {
+			buffer := discardBuffer[:min(remaining, int64(len(discardBuffer)))]
+			n, _, err = unix.Recvfrom(int(fd), buffer, unix.MSG_TRUNC|unix.MSG_DONTWAIT)
+			return !errors.Is(err, unix.EAGAIN)
+		}
+		if readErr := raw.Read(receive); readErr != nil {
+			return readErr
+		}
+		if err != nil {
+			return os.NewSyscallError("recv", err)
+		}
+		if n == 0 {
+			return io.ErrUnexpectedEOF
+		}
+		remaining -= int64(n)
+		l.countDownload(n)
+	}
+	return nil
+}
--- a/lab/faultinjection/faultinjection_test.go
+++ b/lab/faultinjection/faultinjection_test.go
@@ -5,7 +5,6 @@
 	"chalkstand/dispatch"
 	"chalkstand/lab/invariants"
 	"chalkstand/trace"
-	"context"
 	"slices"
 	"strings"
 	"sync"
@@ -15,39 +14,39 @@
 
 func TestScriptsReadAndWrite(t *testing.T) {
 	s := GenerateScript(7, 20*time.Second)
-	again, err := ParseScript([]byte("// a day\n" + s.Text()))
+	again, err := ParseScript([]byte("// a script\n" + s.Text()))
 	if err != nil || !slices.Equal(s, again) {
 		t.Fatalf("%v\n%v\n%v", err, s, again)
 	}
 	for _, k := range FaultKinds {
 		if !strings.Contains(s.Text(), `"`+k+`"`) {
-			t.Errorf("no %s in a generated day", k)
+			t.Errorf("no %s in a generated script", k)
 		}
 	}
 	for _, bad := range []string{`[{"kind": "rain"}]`, `[{"kind": "surge", "times": -1}]`, `{`} {
 		if _, err := ParseScript([]byte(bad)); err == nil {
-			t.Errorf("%s is taken", bad)
+			t.Errorf("%s is accepted", bad)
 		}
 	}
 }
 
-func play(t *testing.T, o Options) *Report {
+func runScript(t *testing.T, o Options) *Report {
 	t.Helper()
-	r, err := Run(context.Background(), o)
+	r, err := Run(t.Context(), o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-// A bad day with every kind of trouble: all rules are kept, and what the
-// dispatchers heard plays again to the same actions.
+// A run with every kind of fault: all invariants hold, and the traces of the dispatchers
+// replay to the same actions.
 func TestRunKeepsInvariants(t *testing.T) {
 	o := DefaultOptions(1)
 	o.Duration = 12 * time.Second
 	var mu sync.Mutex
-	var records []*bytes.Buffer
-	var writers []*trace.Writer
+	var records []*bytes.Buffer // by gateway instance
+	var writers []*trace.Writer // by gateway instance
 	o.Trace = func(_ string, cfg dispatch.Config, seed uint64) func(time.Duration, dispatch.Event, []dispatch.Action) {
 		b := new(bytes.Buffer)
 		w, err := trace.NewWriter(b, cfg, seed, 1<<17)
@@ -60,7 +59,7 @@
 		records, writers = append(records, b), append(writers, w)
 		return w.Record
 	}
-	r := play(t, o)
+	r := runScript(t, o)
 	var text strings.Builder
 	r.Write(&text)
 	t.Log("\n" + text.String())
@@ -68,7 +67,7 @@
 		t.Fail()
 	}
 	if len(records) != o.Gateways+1 { // one came back after its crash
-		t.Errorf("%d lives of gateways", len(records))
+		t.Errorf("%d gateway instances", len(records))
 	}
 	for i, w := range writers {
 		if err := w.Close(); err != nil {
@@ -76,20 +75,22 @@
 		}
 		res, err := trace.Replay(records[i])
 		if err != nil || res.Divergence != nil || res.Truncated || res.Events < 100 {
-			t.Errorf("replay of life %d: %+v, %v", i, res, err)
+			t.Errorf("replay of instance %d: %+v, %v", i, res, err)
 		}
 	}
 }
 
-// With a guard taken away its rule breaks, and the checker says so.
-func TestCheckerDetectsDisabledGuards(t *testing.T) {
-	everyNode := func(kind string, times float64) (s Script) {
-		for i := range 8 {
-			s = append(s, Fault{At: 300, For: 9000, Kind: kind, Which: i, Times: times})
-		}
-		return s
+// everyNode returns a fault of the kind at each node.
+func everyNode(kind string, times float64) (s Script) {
+	for i := range 8 {
+		s = append(s, Fault{At: 300, For: 9000, Kind: kind, Which: i, Times: times})
 	}
-	for guard, x := range map[string]struct {
+	return s
+}
+
+// Without a guard its invariant is violated, and the checker reports it.
+func TestCheckerDetectsDisabledGuards(t *testing.T) {
+	for guard, test := range map[string]struct {
 		script          Script
 		gateways        int
 		capacityDivisor float64
@@ -103,22 +104,30 @@
 			{At: 1000, For: 1500, Kind: DrainWave, Count: 4},
 			{At: 1000, For: 1500, Kind: DrainWave, Which: 4, Count: 4},
 		}, 6, 3},
-		"drains": {Script{{At: 100, For: 9000, Kind: Surge, Times: 2}, {At: 500, For: 4000, Kind: DrainWave, Count: 4}}, 3, 1},
-		"time":   {everyNode(Silent, 0), 3, 1},
+		"drains": {Script{
+			{At: 100, For: 9000, Kind: Surge, Times: 2},
+			{At: 500, For: 4000, Kind: DrainWave, Count: 4},
+		}, 3, 1},
+		"time": {everyNode(Silent, 0), 3, 1},
 	} {
 		t.Run(guard, func(t *testing.T) {
 			o := DefaultOptions(2)
-			o.Duration, o.Script, o.DisabledGuard, o.Gateways = 4500*time.Millisecond, x.script, guard, x.gateways
-			o.CapacityDivisor = x.capacityDivisor
-			broken := func() bool {
-				return slices.ContainsFunc(play(t, o).Violations, func(b invariants.Violation) bool { return b.Invariant == GuardInvariants[guard] })
+			o.Duration = 4500 * time.Millisecond
+			o.Script = test.script
+			o.DisabledGuard = guard
+			o.Gateways = test.gateways
+			o.CapacityDivisor = test.capacityDivisor
+			violated := func() bool {
+				return slices.ContainsFunc(runScript(t, o).Violations, func(v invariants.Violation) bool {
+					return v.Invariant == GuardInvariants[guard]
+				})
 			}
-			if !broken() {
-				t.Errorf("without the guard of %q the rule %q is still kept", guard, GuardInvariants[guard])
+			if !violated() {
+				t.Errorf("without the guard of %q the invariant %q still holds", guard, GuardInvariants[guard])
 			}
 			o.DisabledGuard = ""
-			if guard == "cold" && broken() { // the capacityDivisor nodes are for a wide margin on both sides
-				t.Errorf("with the guard of %q the rule %q is broken", guard, GuardInvariants[guard])
+			if guard == "cold" && violated() { // the divisor makes a wide margin on both sides
+				t.Errorf("with the guard of %q the invariant %q is violated", guard, GuardInvariants[guard])
 			}
 		})
 	}
--- a/lab/faultinjection/report.go
+++ b/lab/faultinjection/report.go
@@ -112,13 +112,15 @@
 func (r *Report) Write(w io.Writer) {
 	fmt.Fprintf(w, "fault injection: seed %d, %v\n\n", r.Seed, r.Duration)
 	fmt.Fprintf(w, "%-8s %8s %6s %7s %8s %6s %7s %8s %10s %9s %9s\n",
-		"class", "requests", "served", "in time", "rejected", "failed", "aborted", "canceled", "unanswered", "median", "99 %")
+		"class", "requests", "served", "in time", "rejected", "failed",
+		"aborted", "canceled", "unanswered", "median", "99 %")
 	for _, c := range r.Classes {
 		fmt.Fprintf(w, "%-8s %8d %6d %7d %8d %6d %7d %8d %10d %9v %9v\n",
 			c.Name, c.Requests, c.Served, c.InTime, c.Rejected, c.Failed, c.Aborted, c.Canceled, c.Unanswered,
 			c.quantile(50), c.quantile(99))
 	}
-	fmt.Fprintf(w, "\nat nodes: %d attempts, %d of them retries, %d repeats dropped, %d completed after they were canceled\n\n",
+	fmt.Fprintf(w, "\nat nodes: %d attempts, %d of them retries, %d repeats dropped, "+
+		"%d completed after they were canceled\n\n",
 		r.Attempts, r.Retries, r.Repeats, r.LateResponses)
 	for _, name := range invariants.All {
 		r.writeInvariant(w, name)
--- a/lab/faultinjection/site.go
+++ b/lab/faultinjection/site.go
@@ -57,7 +57,8 @@
 		{"name": "scan", "aim": "1s", "deadline": "3s", "worth": 1, "effect": "safe"},
 		{"name": "write", "aim": "400ms", "deadline": "1500ms", "worth": 2,
 			"effect": "keyed", "group": "shard", "window": "3s", "in_turn": true},
-		{"name": "bulk", "aim": "1s", "deadline": "3s", "worth": 1, "effect": "keyed", "group": "shard", "window": "3s"},
+		{"name": "bulk", "aim": "1s", "deadline": "3s", "worth": 1,
+			"effect": "keyed", "group": "shard", "window": "3s"},
 		{"name": "remove", "aim": "400ms", "deadline": "1500ms", "worth": 1, "effect": "unsafe"},
 	],
 	"plans": [
@@ -71,7 +72,8 @@
 		{"pattern": "*", "plan": "priority"},
 	],
 	"operations": [
-		{"operations": ["GetObject"], "max_bytes": 65536, "class": "read", "units": 1, "per_mib": 8, "assume_bytes": 4096},
+		{"operations": ["GetObject"], "max_bytes": 65536,
+			"class": "read", "units": 1, "per_mib": 8, "assume_bytes": 4096},
 		{"operations": ["GetObject"], "class": "scan", "units": 1, "per_mib": 8},
 		{"operations": ["PutObject"], "max_bytes": 65536, "class": "write", "units": 1, "per_mib": 8},
 		{"operations": ["PutObject"], "class": "bulk", "units": 1, "per_mib": 8},
--- /dev/null
+++ b/lab/schedulereplay/clients.go
@@ -0,0 +1,134 @@
+package schedulereplay
+
+import (
+	"bufio"
+	"chalkstand/lab/sigv4client"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// The outcomes of requests, as the model checker names them.
+const (
+	outcomeDelivered = "deliver"
+	outcomeRejected  = "refuse"
+	outcomeFailed    = "fail"
+	outcomeAborted   = "cut"
+	outcomeCanceled  = "left"
+	outcomeNone      = "none" // the connection ended without a response; the model checker has no such outcome
+)
+
+// sendRequest sends a client's request and awaits that the gateway has accepted it.
+func (p *player) sendRequest(ctx context.Context, i int) error {
+	req, err := p.newRequest(ctx, i)
+	if err != nil {
+		return err
+	}
+	var dialer net.Dialer
+	c, err := dialer.DialContext(ctx, "tcp", p.addr)
+	if err != nil {
+		return err
+	}
+	p.mu.Lock()
+	p.clients[i] = c
+	p.mu.Unlock()
+	if err := req.Write(c); err != nil {
+		return err
+	}
+	p.work.Go(func() { p.receiveResponse(i, c, req) })
+	return p.awaitGateway(func() bool { return p.gateway.InFlight() == p.unanswered() || p.ended(i) })
+}
+
+// newRequest returns a signed request with the class and key of the scenario's.
+func (p *player) newRequest(ctx context.Context, i int) (*http.Request, error) {
+	r := p.requests[i-1]
+	method := methods[r.Class]
+	if method == "" || r.NotReplayable || r.Shard != 0 {
+		return nil, fmt.Errorf("a request of this kind %w", ErrUnsupported)
+	}
+	key := r.Key
+	if key == "" {
+		key = "object-" + strconv.Itoa(i)
+	}
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.addr+"/photos/"+key, nil)
+	if err != nil {
+		return nil, err
+	}
+	req.Header.Set("x-amz-meta-tag", strconv.Itoa(i))
+	if method == http.MethodPut {
+		body := "x"
+		req.Body = io.NopCloser(strings.NewReader(body))
+		req.ContentLength = int64(len(body))
+	}
+	sigv4client.Request(req, keyID, secret, time.Now())
+	return req, nil
+}
+
+// cancelRequest closes a client's connection and awaits that the gateway has noticed it.
+func (p *player) cancelRequest(i int) error {
+	p.mu.Lock()
+	c := p.clients[i]
+	p.outcomes[i] = outcomeCanceled
+	p.mu.Unlock()
+	if err := c.Close(); err != nil {
+		return err
+	}
+	return p.awaitGateway(func() bool { return p.gateway.InFlight() == p.unanswered() })
+}
+
+// unanswered returns how many requests have no outcome.
+func (p *player) unanswered() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	n := 0
+	for i := range p.clients {
+		if p.outcomes[i] == "" {
+			n++
+		}
+	}
+	return n
+}
+
+// ended reports whether a request has an outcome.
+func (p *player) ended(i int) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.outcomes[i] != ""
+}
+
+// receiveResponse reads a client's response and records the request's outcome.
+func (p *player) receiveResponse(i int, c net.Conn, req *http.Request) {
+	outcome := readOutcome(c, req)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.outcomes[i] == "" && !p.closed {
+		p.outcomes[i] = outcome
+	}
+	p.changed.Broadcast()
+}
+
+// readOutcome reads a response.
+func readOutcome(c net.Conn, req *http.Request) string {
+	resp, err := http.ReadResponse(bufio.NewReader(c), req)
+	if err != nil {
+		return outcomeNone
+	}
+	_, err = io.Copy(io.Discard, resp.Body)
+	_ = resp.Body.Close() // read to its end; the connection is closed at the end of the play
+	switch {
+	case err != nil:
+		return outcomeAborted
+	case resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get("Retry-After") != "":
+		return outcomeRejected
+	case resp.StatusCode >= http.StatusInternalServerError:
+		return outcomeFailed
+	case resp.StatusCode != http.StatusOK:
+		return resp.Status
+	}
+	return outcomeDelivered
+}
--- a/lab/schedulereplay/schedulereplay.go
+++ b/lab/schedulereplay/schedulereplay.go
@@ -1,416 +1,297 @@
-// Package schedulereplay plays the explorer's replays through a real gateway on loopback
-// sockets, with clients and nodes that do what the replay says when it says it. The
-// replay is played in the explorer beside, which tells what each move is about and
-// how each request must end. Nothing waits for a length of time: what the gateway
-// does by itself (connections that open, its timers) is waited for where a later
-// move needs it. What cannot be forced on sockets is refused.
+// Package schedulereplay plays the model checker's replays over sockets: a real gateway on loopback, with
+// clients and nodes that do what the replay says in its order. The model checker plays the replay,
+// too, and says what each move refers to and how each request must end. No step waits for a fixed
+// time: what the gateway does by itself (connections that open, its timers) is awaited where a later
+// move needs it. A replay with moves that sockets cannot make is rejected.
 package schedulereplay
 
 import (
-	"bufio"
 	"chalkstand/dispatch"
 	"chalkstand/forwarder"
 	"chalkstand/gateway"
 	"chalkstand/internal/modelcheck"
 	"chalkstand/internal/settings"
-	"chalkstand/lab/sigv4client"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
-	"net/http"
 	"strconv"
-	"strings"
 	"sync"
 	"time"
 )
 
-// patience bounds each wait.
-const patience = 5 * time.Second
+// stepTimeout bounds each wait.
+const stepTimeout = 5 * time.Second
 
-const (
-	keyID  = "FORCED"
-	secret = "forced-secret"
-)
+var (
+	// ErrUnsupported is returned for a replay that cannot be played over sockets.
+	ErrUnsupported = errors.New("cannot be forced on sockets")
 
-const config = `{
-	"name": "forced", "listen": "127.0.0.1:0", "loops": 1, "shards": 1,
-	"keys": [{"id": "FORCED", "secret": "forced-secret", "buckets": ["*"], "write": true}],
-	"classes": [
-		{"name": "safe", "aim": "8s", "deadline": "10s", "worth": 1, "effect": "safe"},
-		{"name": "keyed", "aim": "8s", "deadline": "10s", "worth": 1, "effect": "keyed", "group": "shard", "window": "30s"},
-		{"name": "in turn", "aim": "8s", "deadline": "10s", "worth": 1, "effect": "keyed", "group": "shard", "window": "30s", "in_turn": true},
-	],
-	"plans": [{"name": "p", "rate": 1000, "reserve": 1000, "weight": 1, "price": 1}],
-	"buckets": [{"pattern": "*", "plan": "p"}],
-	"operations": [{"operations": ["GetObject"], "class": "safe", "units": 1}, {"operations": ["DeleteObject"], "class": "keyed", "units": 1},
-		{"operations": ["*"], "class": "in turn", "units": 1}],
-	"rules": {"usual_units": 1, "largest_units": 8, "settle": "60ms"},
-	"log": {"level": "error"},
-}`
+	// ErrTimeout is returned when the gateway does not do in time what the replay needs.
+	ErrTimeout = fmt.Errorf("timed out after %v", stepTimeout)
+)
 
-var methods = map[string]string{"safe": "GET", "keyed": "DELETE", "in turn": "PUT"}
+// StepError is an error at one line of a replay.
+type StepError struct {
+	Line int
+	Text string
+	Err  error
+}
 
-// large is the body of an answer that streams through.
-var large = strings.Repeat("x", 256<<10)
+// Error names the line.
+func (e *StepError) Error() string { return fmt.Sprintf("line %d: %s: %v", e.Line, e.Text, e.Err) }
 
-// answers are what nodes send, by the names of the moves.
-var answers = map[modelcheck.Kind]string{
-	modelcheck.RespondOK:       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
-	modelcheck.RespondAndClose: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok",
-	modelcheck.RespondError:    "HTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\nno",
-	modelcheck.RespondReject:   "HTTP/1.1 503 Full\r\nContent-Length: 2\r\n\r\nno",
-	modelcheck.RespondStart:    fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(large), large[:len(large)/2]),
-	modelcheck.RespondRest:     large[len(large)/2:],
-	modelcheck.RespondInvalid:  "what?\r\n\r\n",
-	modelcheck.RespondTwice:    "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad",
-}
+// Unwrap returns the cause.
+func (e *StepError) Unwrap() error { return e.Err }
 
-// Report is what a play showed.
+// Report is the outcome of a play. Outcomes are in the order of the requests; "" is one without an end.
 type Report struct {
-	Ends   []string // by request, as the clients saw it
-	Want   []string // as the explorer has it
-	Faults []string
+	Outcomes []string // as the clients observed them
+	Expected []string // as the model checker has them
+	Failures []string
 }
 
-// player is one play.
+// player plays one replay.
 type player struct {
-	g    *gateway.Gateway
-	addr string
-	asks []modelcheck.ScenarioRequest
+	gateway  *gateway.Gateway
+	addr     string // of the gateway
+	requests []modelcheck.ScenarioRequest
+	nodes    map[string]*node
+	conns    map[uint32]net.Conn // connections at nodes, by the model checker's number
+	work     sync.WaitGroup
 
-	mu      sync.Mutex
-	changed *sync.Cond
-	got     map[attempt]net.Conn // requests that are at nodes
-	seen    map[attempt]bool     // that were, at any time
-	out     map[string]int       // attempts of a request that have not ended
-	ends    map[int]string
-	faults  []string
-	nodes   map[string]*node
-	clients map[int]net.Conn
-	conns   map[uint32]net.Conn // by the explorer's number
-	closed  bool
-	work    sync.WaitGroup
+	mu       sync.Mutex
+	changed  *sync.Cond           // on a change of the fields below
+	atNode   map[attempt]net.Conn // attempts that nodes have received and not ended
+	received map[attempt]bool     // attempts that nodes have received
+	inFlight map[string]int       // attempts that have not ended, by tag
+	outcomes map[int]string       // by request, from 1 on
+	failures []string
+	clients  map[int]net.Conn // by request
+	closed   bool
 }
 
+// attempt is an attempt of the request with the tag, from 0 on.
 type attempt struct {
-	tag string
-	n   int
-}
-
-type node struct {
-	name string
-	ln   net.Listener
+	tag    string
+	number int
 }
 
 // Play plays a replay.
-func Play(in io.Reader) (*Report, error) {
+func Play(ctx context.Context, in io.Reader) (_ *Report, err error) {
 	script, err := modelcheck.ReadScript(in)
 	if err != nil {
 		return nil, err
 	}
 	if script.Scenario.HasHistory() {
-		return nil, fmt.Errorf("scenario %s begins with a history that a replay has not in it: it cannot be forced on sockets", script.Scenario.Name)
+		return nil, fmt.Errorf("scenario %s begins with a history, which is not part of the replay: it %w",
+			script.Scenario.Name, ErrUnsupported)
 	}
-	p := &player{
-		asks: script.Scenario.Requests(), got: map[attempt]net.Conn{}, seen: map[attempt]bool{}, out: map[string]int{}, ends: map[int]string{}, nodes: map[string]*node{},
-		clients: map[int]net.Conn{}, conns: map[uint32]net.Conn{},
-	}
-	p.changed = sync.NewCond(&p.mu)
-	if err := p.start(script.Scenario.Nodes()); err != nil {
+	p := newPlayer(script.Scenario.Requests())
+	defer func() { err = errors.Join(err, p.stop()) }()
+	if err := p.start(ctx, script.Scenario.Nodes()); err != nil {
 		return nil, err
 	}
-	defer p.stop()
 	for _, s := range script.Steps {
-		if err := p.step(s); err != nil {
-			return nil, fmt.Errorf("line %d: %s: %w", s.Line, s.Text, err)
-		}
-		for i, n := range s.AttemptsSent { // what was sent there must be at a node here
-			if n > 0 {
-				a := attempt{strconv.Itoa(i + 1), n - 1}
-				if err := p.wait(func() bool { return p.seen[a] }); err != nil {
-					return nil, fmt.Errorf("line %d: %s: attempt %d of request %d came to no node: %w", s.Line, s.Text, n-1, i+1, err)
-				}
-			}
+		if err := p.playStep(ctx, s); err != nil {
+			return nil, &StepError{Line: s.Line, Text: s.Text, Err: err}
 		}
 	}
-	r := &Report{Want: script.Outcomes}
-	for i, want := range script.Outcomes {
-		if want == "" {
-			r.Ends = append(r.Ends, "")
-			continue
-		}
-		end := "" // read under the lock: other requests' ends may still come
-		if err := p.wait(func() bool { end = p.ends[i+1]; return end != "" }); err != nil {
-			return nil, fmt.Errorf("request %d has no end: %w", i+1, err)
-		}
-		r.Ends = append(r.Ends, end)
+	return p.report(script.Outcomes)
+}
+
+func newPlayer(requests []modelcheck.ScenarioRequest) *player {
+	p := &player{
+		requests: requests,
+		nodes:    map[string]*node{},
+		conns:    map[uint32]net.Conn{},
+		atNode:   map[attempt]net.Conn{},
+		received: map[attempt]bool{},
+		inFlight: map[string]int{},
+		outcomes: map[int]string{},
+		clients:  map[int]net.Conn{},
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	r.Faults = p.faults
-	return r, nil
+	p.changed = sync.NewCond(&p.mu)
+	return p
 }
 
-func (p *player) start(places map[string]bool) error {
-	cfg, err := settings.Parse("forced", []byte(config))
+// start starts the nodes and the gateway. listed says which nodes are in the first endpoint list.
+func (p *player) start(ctx context.Context, listed map[string]bool) error {
+	cfg, err := settings.Parse("schedulereplay", []byte(siteText))
 	if err != nil {
 		return err
 	}
-	if p.g, err = gateway.New(*cfg, gateway.WithSeed(1)); err != nil {
+	if p.gateway, err = gateway.New(*cfg, gateway.WithSeed(1)); err != nil {
 		return err
 	}
-	var list []forwarder.Node
-	for name, first := range places {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
+	var endpoints []forwarder.Node
+	for name, inList := range listed {
+		if err := p.startNode(ctx, name); err != nil {
 			return err
 		}
-		n := &node{name, ln}
-		p.nodes[name] = n
-		p.work.Go(func() { p.accept(n) })
-		if first {
-			list = append(list, p.entry(name, dispatch.Ready))
+		if inList {
+			endpoints = append(endpoints, p.endpoint(name, dispatch.Ready))
 		}
 	}
-	p.g.UpdateEndpoints(dispatch.Snapshot, list)
+	p.gateway.UpdateEndpoints(dispatch.Snapshot, endpoints)
 	ln, err := gateway.Listen("127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	p.addr = ln.Addr().String()
-	p.work.Go(func() { p.g.Serve(context.Background(), ln) })
+	p.work.Go(func() {
+		if err := p.gateway.Serve(ctx, ln); err != nil {
+			p.failf("%v", err)
+		}
+	})
 	return nil
 }
 
-func (p *player) entry(name string, s dispatch.NodeState) forwarder.Node {
-	return forwarder.Node{Addr: p.nodes[name].ln.Addr().String(), Node: dispatch.Node{ID: dispatch.NodeID(name), State: s}}
+// endpoint returns a node as the endpoint list has it.
+func (p *player) endpoint(name string, state dispatch.NodeState) forwarder.Node {
+	return forwarder.Node{
+		Addr: p.nodes[name].listener.Addr().String(),
+		Node: dispatch.Node{ID: dispatch.NodeID(name), State: state},
+	}
 }
 
-func (p *player) stop() {
+// stop closes everything and waits for the goroutines.
+func (p *player) stop() error {
 	p.mu.Lock()
 	p.closed = true
 	for _, c := range p.clients {
-		c.Close()
+		closeConn(c)
 	}
-	for _, c := range p.got {
-		c.Close()
+	for _, c := range p.atNode {
+		closeConn(c)
 	}
 	p.mu.Unlock()
+	var errs []error
 	for _, n := range p.nodes {
-		n.ln.Close()
+		errs = append(errs, n.listener.Close())
+	}
+	if p.gateway != nil {
+		errs = append(errs, p.gateway.Close())
 	}
-	p.g.Close()
 	p.work.Wait()
+	return errors.Join(errs...)
 }
 
-// accept takes the gateway's connections at a node.
-func (p *player) accept(n *node) {
-	for {
-		c, err := n.ln.Accept()
-		if err != nil {
-			return
-		}
-		p.work.Go(func() { p.serve(c) })
-	}
+// closeConn closes a connection that may be closed already.
+func closeConn(c net.Conn) { _ = c.Close() }
+
+// failf adds a failure.
+func (p *player) failf(format string, args ...any) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.failures = append(p.failures, fmt.Sprintf(format, args...))
 }
 
-// serve notes the requests that come on a connection; the replay answers them.
-func (p *player) serve(c net.Conn) {
-	defer c.Close()
-	r := bufio.NewReader(c)
-	var last attempt
-	for {
-		req, err := http.ReadRequest(r)
-		p.mu.Lock()
-		if last.tag != "" && p.got[last] == c { // what it carried has ended
-			p.out[last.tag]--
-			delete(p.got, last)
-		}
-		if err != nil {
-			p.changed.Broadcast()
-			p.mu.Unlock()
-			return
-		}
-		parts := strings.Split(req.Header.Get("x-chalkstand-request"), "/")
-		n, _ := strconv.Atoi(parts[len(parts)-1])
-		last = attempt{req.Header.Get("x-amz-meta-tag"), n}
-		p.got[last], p.seen[last] = c, true
-		if p.out[last.tag]++; p.out[last.tag] > 1 {
-			p.faults = append(p.faults, fmt.Sprintf("request %s has two attempts out", last.tag))
+// report waits for the outcomes that the model checker has.
+func (p *player) report(expected []string) (*Report, error) {
+	r := &Report{Expected: expected}
+	for i, want := range expected {
+		outcome := ""
+		if want != "" {
+			ended := func() bool { // reads under the lock: other requests may still end
+				outcome = p.outcomes[i+1]
+				return outcome != ""
+			}
+			if err := p.await(ended); err != nil {
+				return nil, fmt.Errorf("request %d has no end: %w", i+1, err)
+			}
 		}
-		p.changed.Broadcast()
-		p.mu.Unlock()
-		io.Copy(io.Discard, req.Body)
+		r.Outcomes = append(r.Outcomes, outcome)
 	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	r.Failures = p.failures
+	return r, nil
 }
 
-// wait waits until something is so.
-func (p *player) wait(is func() bool) error {
-	late := false
-	t := time.AfterFunc(patience, func() {
+// await waits until a condition on the fields under the lock holds. The condition is called with the lock held.
+func (p *player) await(condition func() bool) error {
+	timedOut := false
+	timer := time.AfterFunc(stepTimeout, func() {
 		p.mu.Lock()
-		late = true
+		defer p.mu.Unlock()
+		timedOut = true
 		p.changed.Broadcast()
-		p.mu.Unlock()
 	})
-	defer t.Stop()
+	defer timer.Stop()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for !is() {
-		if late {
-			return fmt.Errorf("waited %v in vain", patience)
+	for !condition() {
+		if timedOut {
+			return ErrTimeout
 		}
 		p.changed.Wait()
 	}
 	return nil
 }
 
-// step does a move.
-func (p *player) step(s modelcheck.Step) error {
-	switch s.Move.Kind {
-	case modelcheck.StartRequest:
-		return p.ask(s.Request)
-	case modelcheck.CancelRequest:
-		p.mu.Lock()
-		c := p.clients[s.Request]
-		p.ends[s.Request] = "left"
-		p.mu.Unlock()
-		c.Close()
-		return p.until(func() bool { return p.g.InFlight() == p.inHand() })
-	case modelcheck.CompleteDial, modelcheck.RunLoop0, modelcheck.RunLoop1, modelcheck.FireTimer, modelcheck.AdvanceBefore, modelcheck.AdvanceTo:
-		return nil // by itself; waited for where it matters
-	case modelcheck.DrainNode:
-		p.g.UpdateEndpoints(dispatch.Delta, []forwarder.Node{p.entry(s.Node, dispatch.Draining)})
-		return nil
-	case modelcheck.RemoveNode:
-		p.g.UpdateEndpoints(dispatch.Delta, []forwarder.Node{p.entry(s.Node, dispatch.Removed)})
-		return nil
-	case modelcheck.AddNode:
-		p.g.UpdateEndpoints(dispatch.Delta, []forwarder.Node{p.entry(s.Node, dispatch.Ready)})
-		return nil
-	}
-	text, isAnswer := answers[s.Move.Kind]
-	if !isAnswer && s.Move.Kind != modelcheck.ResetConn {
-		return fmt.Errorf("cannot be forced on sockets")
-	}
-	c, err := p.conn(s)
-	if err != nil {
-		return err
-	}
-	if s.Move.Kind == modelcheck.ResetConn {
-		if t, ok := c.(*net.TCPConn); ok {
-			t.SetLinger(0)
+// awaitGateway waits until a condition on the gateway holds. The condition is called without the lock.
+func (p *player) awaitGateway(condition func() bool) error {
+	for end := time.Now().Add(stepTimeout); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			return ErrTimeout
 		}
-		return c.Close()
 	}
-	_, err = io.WriteString(c, text)
-	return err
+	return nil
 }
 
-// conn finds the connection that a move is about: by the request that it carries,
-// or as the one that was found for its number before.
-func (p *player) conn(s modelcheck.Step) (net.Conn, error) {
-	if s.Request > 0 {
-		a := attempt{strconv.Itoa(s.Request), s.Attempt}
-		if err := p.wait(func() bool { return p.got[a] != nil }); err != nil {
-			return nil, fmt.Errorf("attempt %d of request %d is at no node: %w", s.Attempt, s.Request, err)
-		}
-		p.mu.Lock()
-		p.conns[s.Move.Target] = p.got[a]
-		p.mu.Unlock()
-	}
-	if c := p.conns[s.Move.Target]; c != nil {
-		return c, nil
+// playStep makes a move, and waits until nodes have received the attempts that the model checker's nodes have.
+func (p *player) playStep(ctx context.Context, s modelcheck.Step) error {
+	if err := p.move(ctx, s); err != nil {
+		return err
 	}
-	return nil, fmt.Errorf("the connection has carried nothing: it cannot be told from others")
-}
-
-func (p *player) inHand() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	n := 0
-	for i := range p.clients {
-		if p.ends[i] == "" {
-			n++
+	for i, sent := range s.AttemptsSent {
+		if sent == 0 {
+			continue
 		}
-	}
-	return n
-}
-
-// until looks at the gateway until something is so.
-func (p *player) until(is func() bool) error {
-	for end := time.Now().Add(patience); !is(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			return fmt.Errorf("waited %v in vain", patience)
+		last := attempt{tag: strconv.Itoa(i + 1), number: sent - 1}
+		if err := p.await(func() bool { return p.received[last] }); err != nil {
+			return fmt.Errorf("no node received attempt %d of request %d: %w", last.number, i+1, err)
 		}
 	}
 	return nil
 }
 
-// ask sends a client's request, and sees to its end.
-func (p *player) ask(i int) error {
-	a := p.asks[i-1]
-	method := methods[a.Class]
-	if method == "" || a.NotReplayable || a.Shard != 0 {
-		return fmt.Errorf("a request of this kind cannot be forced on sockets")
-	}
-	key := a.Key
-	if key == "" {
-		key = "object-" + strconv.Itoa(i)
-	}
-	req, err := http.NewRequest(method, "http://"+p.addr+"/photos/"+key, nil)
-	if err != nil {
-		return err
+// move makes a move.
+func (p *player) move(ctx context.Context, s modelcheck.Step) error {
+	switch s.Move.Kind {
+	case modelcheck.StartRequest:
+		return p.sendRequest(ctx, s.Request)
+	case modelcheck.CancelRequest:
+		return p.cancelRequest(s.Request)
+	case modelcheck.CompleteDial, modelcheck.RunLoop0, modelcheck.RunLoop1,
+		modelcheck.FireTimer, modelcheck.AdvanceBefore, modelcheck.AdvanceTo:
+		return nil // the gateway does it by itself
+	case modelcheck.DrainNode:
+		p.updateNode(s.Node, dispatch.Draining)
+		return nil
+	case modelcheck.RemoveNode:
+		p.updateNode(s.Node, dispatch.Removed)
+		return nil
+	case modelcheck.AddNode:
+		p.updateNode(s.Node, dispatch.Ready)
+		return nil
+	case modelcheck.ResetConn:
+		return p.resetConn(s)
 	}
-	req.Header.Set("x-amz-meta-tag", strconv.Itoa(i))
-	if method == "PUT" {
-		req.Body, req.ContentLength = io.NopCloser(strings.NewReader("x")), 1
+	text, ok := responses[s.Move.Kind]
+	if !ok {
+		return ErrUnsupported
 	}
-	sigv4client.Request(req, keyID, secret, time.Now())
-	c, err := net.Dial("tcp", p.addr)
+	c, err := p.connOf(s)
 	if err != nil {
 		return err
 	}
-	if err := req.Write(c); err != nil {
-		return err
-	}
-	p.mu.Lock()
-	p.clients[i] = c
-	p.mu.Unlock()
-	p.work.Go(func() { p.end(i, c, req) })
-	return p.until(func() bool { return p.g.InFlight() == p.inHand() || p.ended(i) })
-}
-
-func (p *player) ended(i int) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.ends[i] != ""
+	_, err = io.WriteString(c, text)
+	return err
 }
 
-// end reads a client's answer.
-func (p *player) end(i int, c net.Conn, req *http.Request) {
-	end := "deliver"
-	resp, err := http.ReadResponse(bufio.NewReader(c), req)
-	if err != nil {
-		end = "none"
-	} else {
-		_, err := io.Copy(io.Discard, resp.Body)
-		switch {
-		case err != nil:
-			end = "cut"
-		case resp.StatusCode == 503 && resp.Header.Get("Retry-After") != "":
-			end = "refuse"
-		case resp.StatusCode >= 500:
-			end = "fail"
-		case resp.StatusCode != 200:
-			end = resp.Status
-		}
-	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.ends[i] == "" && !p.closed {
-		p.ends[i] = end
-	}
-	p.changed.Broadcast()
+func (p *player) updateNode(name string, state dispatch.NodeState) {
+	p.gateway.UpdateEndpoints(dispatch.Delta, []forwarder.Node{p.endpoint(name, state)})
 }
--- a/lab/schedulereplay/schedulereplay_test.go
+++ b/lab/schedulereplay/schedulereplay_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Replays of the explorer end on sockets as they end there.
+// Requests have the same outcomes over sockets as in the model checker.
 func TestReplaysOnSockets(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.replay")
 	if err != nil || len(files) < 5 {
@@ -21,28 +21,27 @@
 				t.Fatal(err)
 			}
 			defer in.Close()
-			r, err := Play(in)
+			r, err := Play(t.Context(), in)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !slices.Equal(r.Ends, r.Want) || len(r.Faults) > 0 {
-				t.Fatalf("ended as %v, in the explorer as %v; %v", r.Ends, r.Want, r.Faults)
+			if !slices.Equal(r.Outcomes, r.Expected) || len(r.Failures) > 0 {
+				t.Fatalf("outcomes %v, in the model checker %v; %v", r.Outcomes, r.Expected, r.Failures)
 			}
 		})
 	}
 }
 
-// What cannot be forced is refused by line.
-func TestWhatCannotBeForced(t *testing.T) {
-	_, err := Play(strings.NewReader("chalkstand-explore 1\nscenario leave\narrive 1\ndial-fail 1\n"))
+func TestUnsupportedMoveIsRejectedWithItsLine(t *testing.T) {
+	_, err := Play(t.Context(), strings.NewReader("chalkstand-explore 1\nscenario leave\narrive 1\ndial-fail 1\n"))
 	if err == nil || !strings.Contains(err.Error(), "line 4: dial-fail 1: cannot be forced") {
 		t.Fatal(err)
 	}
 }
 
-// A world that begins with what a gateway has learned cannot be had on sockets.
-func TestPreparedWorldsAreRefused(t *testing.T) {
-	_, err := Play(strings.NewReader("chalkstand-explore 1\nscenario lossy\narrive 4\n"))
+// A scenario that begins with a history cannot be played over sockets.
+func TestScenarioWithHistoryIsRejected(t *testing.T) {
+	_, err := Play(t.Context(), strings.NewReader("chalkstand-explore 1\nscenario lossy\narrive 4\n"))
 	if err == nil || !strings.Contains(err.Error(), "history") {
 		t.Error(err)
 	}
--- a/lab/sigv4client/sigv4client.go
+++ b/lab/sigv4client/sigv4client.go
@@ -1,5 +1,5 @@
-// Package sigv4client signs requests of the object API with the SDK's own signer, for
-// drills, benchmarks and tests.
+// Package sigv4client signs requests of the object API with the AWS SDK's signer, for the tools in lab and
+// for tests.
 package sigv4client
 
 import (
@@ -13,49 +13,54 @@
 	v4 "github.com/aws/aws-sdk-go-v2/aws/signer/v4"
 )
 
-const region = "us-east-1"
+const (
+	region          = "us-east-1"
+	service         = "s3"
+	unsignedPayload = "UNSIGNED-PAYLOAD"
+)
 
-// signers has one signer for each pair of key and secret. It is kept, because a load
-// that derives its keys anew with each request is a lighter load; one for each secret,
-// because the SDK's signer looks up the keys it derived without the secret.
-var signers sync.Map // aws.Credentials to *v4.Signer
+// signers caches one signer for each pair of key ID and secret, of type *v4.Signer by aws.Credentials. A
+// signer caches the keys that it derives, by key ID alone, so each secret needs a signer of its own.
+var signers sync.Map
 
-func signer(c aws.Credentials) *v4.Signer {
+func signerFor(c aws.Credentials) *v4.Signer {
 	s, ok := signers.Load(c)
 	if !ok {
-		s, _ = signers.LoadOrStore(c, v4.NewSigner(func(o *v4.SignerOptions) { o.DisableURIPathEscaping = true }))
+		newSigner := v4.NewSigner(func(o *v4.SignerOptions) { o.DisableURIPathEscaping = true })
+		s, _ = signers.LoadOrStore(c, newSigner)
 	}
 	return s.(*v4.Signer)
 }
 
-// Request signs a request, its payload unsigned.
+// Request signs a request without signing its payload. It panics as Payload does.
 func Request(r *http.Request, id, secret string, at time.Time) {
-	Payload(r, id, secret, at, "UNSIGNED-PAYLOAD")
+	Payload(r, id, secret, at, unsignedPayload)
 }
 
-// Payload signs a request whose payload has the hash, or the form, given. It panics
-// where the request cannot be signed, which only its making can cause.
+// Payload signs a request whose payload has the hash, a hexadecimal SHA-256 or one of the protocol's constants
+// such as UNSIGNED-PAYLOAD. It panics if the request cannot be signed, which is an error of the caller.
 func Payload(r *http.Request, id, secret string, at time.Time, hash string) {
 	r.Header.Set("x-amz-content-sha256", hash)
 	cred := aws.Credentials{AccessKeyID: id, SecretAccessKey: secret}
-	if err := signer(cred).SignHTTP(context.Background(), cred, r, hash, "s3", region, at); err != nil {
+	if err := signerFor(cred).SignHTTP(r.Context(), cred, r, hash, service, region, at); err != nil {
 		panic(err)
 	}
 }
 
-// URL returns a URL that is valid for so many seconds ("3600") from at on. It panics
-// as Payload does.
-func URL(method, url, id, secret string, at time.Time, life string) string {
-	sep := "?"
+// URL returns a presigned URL that is valid from the time at on for a number of seconds, given in decimal
+// ("3600"). It panics as Payload does.
+func URL(method, url, id, secret string, at time.Time, seconds string) string {
+	separator := "?"
 	if strings.Contains(url, "?") {
-		sep = "&"
+		separator = "&"
 	}
-	r, err := http.NewRequest(method, url+sep+"X-Amz-Expires="+life, nil)
+	ctx := context.Background() // nothing is sent
+	r, err := http.NewRequestWithContext(ctx, method, url+separator+"X-Amz-Expires="+seconds, nil)
 	if err != nil {
 		panic(err)
 	}
 	cred := aws.Credentials{AccessKeyID: id, SecretAccessKey: secret}
-	u, _, err := signer(cred).PresignHTTP(context.Background(), cred, r, "UNSIGNED-PAYLOAD", "s3", region, at)
+	u, _, err := signerFor(cred).PresignHTTP(ctx, cred, r, unsignedPayload, service, region, at)
 	if err != nil {
 		panic(err)
 	}
