--- a/lab/attributiontest/attributiontest.go
+++ b/lab/attributiontest/attributiontest.go
@@ -38,8 +38,8 @@
 	Attributed time.Duration
 }
 
-// Error returns the difference as a share of what the clients measured.
-func (c Comparison) Error() float64 {
+// RelativeError returns the difference as a share of what the clients measured.
+func (c Comparison) RelativeError() float64 {
 	if c.Measured <= 0 {
 		return 0
 	}
@@ -127,7 +127,7 @@
 	for volume, measured := range r.measured {
 		c := Comparison{Volume: volume, Measured: measured, Attributed: r.attributed[volume]}
 		result.Volumes = append(result.Volumes, c)
-		difference := c.Error()
+		difference := c.RelativeError()
 		result.MaxError = max(result.MaxError, difference, -difference)
 		if difference > tolerance || difference < -tolerance {
 			r.failures = append(r.failures, fmt.Sprintf("%s: clients measured %v, %v is attributed (%.1f %%)",
--- a/lab/faultinjection/faultinjection_test.go
+++ b/lab/faultinjection/faultinjection_test.go
@@ -95,10 +95,10 @@
 		gateways        int
 		capacityDivisor float64
 	}{
-		"budget":  {everyNode(Resets, 0.5), 3, 1},
+		"budget":  {everyNode(ConnectionResets, 0.5), 3, 1},
 		"limits":  {Script{{At: 300, For: 9000, Kind: Flood, Which: 0, Times: 12}}, 3, 1},
 		"order":   {Script{{At: 300, For: 9000, Kind: HotKey, Which: 2, Times: 0.9}}, 3, 1},
-		"effects": {everyNode(LoseAnswer, 0.3), 3, 1},
+		"effects": {everyNode(LoseResponses, 0.3), 3, 1},
 		"cold": {Script{
 			{At: 100, For: 9000, Kind: Surge, Times: 5},
 			{At: 1000, For: 1500, Kind: DrainWave, Count: 4},
@@ -108,7 +108,7 @@
 			{At: 100, For: 9000, Kind: Surge, Times: 2},
 			{At: 500, For: 4000, Kind: DrainWave, Count: 4},
 		}, 3, 1},
-		"time": {everyNode(Silent, 0), 3, 1},
+		"time": {everyNode(Unresponsive, 0), 3, 1},
 	} {
 		t.Run(guard, func(t *testing.T) {
 			o := DefaultOptions(2)
--- a/lab/faultinjection/faults.go
+++ b/lab/faultinjection/faults.go
@@ -36,15 +36,15 @@
 func (r *run) inject(ctx context.Context, f Fault) {
 	r.printProgress("%s for %v (which %d, times %.2f)", f.Kind, f.For.Duration(), f.Which, f.Times)
 	switch f.Kind {
-	case Surge, Flood, Impatient, HotKey:
+	case Surge, Flood, EarlyCancel, HotKey:
 		r.injectLoadFault(ctx, f)
 	case DrainWave:
 		r.drainWave(ctx, f)
-	case Die:
+	case NodeDeath:
 		r.killNode(ctx, f.Which%r.options.Shards, f.For.Duration()/2)
-	case Crash:
+	case GatewayCrash:
 		r.crashGateway(ctx, f.Which%r.options.Gateways, f.For.Duration()/3)
-	case LateReport:
+	case FrozenReports:
 		for _, n := range r.currentNodes() {
 			n.FreezeReport(f.For.Duration())
 		}
@@ -65,7 +65,7 @@
 	case Flood:
 		begin = func() { r.load.volume, r.load.flood = volume, f.Times }
 		end = func() { r.load.flood = 1 }
-	case Impatient:
+	case EarlyCancel:
 		begin = func() { r.load.impatient = f.Times }
 		end = func() { r.load.impatient = 0 }
 	case HotKey:
@@ -95,18 +95,18 @@
 func injectNodeFault(n *storagenode.Node, f Fault) {
 	fault := storagenode.Fault{For: f.For.Duration()}
 	switch f.Kind {
-	case Silent:
+	case Unresponsive:
 		fault.Kind = storagenode.Stall
 	case SlowNode:
 		fault.Kind = storagenode.Slow
 		fault.Factor = f.Times
-	case LoseAnswer:
+	case LoseResponses:
 		fault.Kind = storagenode.LoseResponse
 		fault.Share = f.Times
-	case HalfAnswer:
+	case TruncateResponses:
 		fault.Kind = storagenode.TruncateResponse
 		fault.Share = f.Times
-	case Resets:
+	case ConnectionResets:
 		fault.Kind = storagenode.ResetConnection
 		fault.Share = f.Times
 	default: // ParseScript accepts no other kind
--- a/lab/faultinjection/script.go
+++ b/lab/faultinjection/script.go
@@ -14,25 +14,25 @@
 
 // The kinds of faults, as scripts name them.
 const (
-	Surge      = "surge"       // the load of all volumes grows
-	Flood      = "flood"       // one volume sends many times its rate
-	DrainWave  = "drain_wave"  // nodes drain one after the other; successors in slow start replace them
-	Crash      = "crash"       // a gateway crashes and restarts with a stale endpoint list
-	LateReport = "late_report" // the nodes' load reports are frozen
-	Silent     = "silent"      // a node accepts requests and never responds
-	SlowNode   = "slow"        // a node is slower by a factor
-	Die        = "die"         // a node dies; a successor in slow start replaces it later
-	LoseAnswer = "lose"        // a share of the responses is lost after the work was done
-	HalfAnswer = "half"        // a share of the responses is truncated
-	Impatient  = "impatient"   // a share of the clients cancels early
-	Resets     = "resets"      // a node resets a share of its connections
-	HotKey     = "hot_key"     // a share of all writes goes to one key
+	Surge             = "surge"       // the load of all volumes grows
+	Flood             = "flood"       // one volume sends many times its rate
+	DrainWave         = "drain_wave"  // nodes drain one after the other; successors in slow start replace them
+	GatewayCrash      = "crash"       // a gateway crashes and restarts with a stale endpoint list
+	FrozenReports     = "late_report" // the nodes' load reports are frozen
+	Unresponsive      = "silent"      // a node accepts requests and never responds
+	SlowNode          = "slow"        // a node is slower by a factor
+	NodeDeath         = "die"         // a node dies; a successor in slow start replaces it later
+	LoseResponses     = "lose"        // a share of the responses is lost after the work was done
+	TruncateResponses = "half"        // a share of the responses is truncated
+	EarlyCancel       = "impatient"   // a share of the clients cancels early
+	ConnectionResets  = "resets"      // a node resets a share of its connections
+	HotKey            = "hot_key"     // a share of all writes goes to one key
 )
 
 // FaultKinds lists the kinds of faults.
 var FaultKinds = []string{
-	Surge, Flood, DrainWave, Crash, LateReport, Silent, SlowNode,
-	Die, LoseAnswer, HalfAnswer, Impatient, Resets, HotKey,
+	Surge, Flood, DrainWave, GatewayCrash, FrozenReports, Unresponsive, SlowNode,
+	NodeDeath, LoseResponses, TruncateResponses, EarlyCancel, ConnectionResets, HotKey,
 }
 
 // Fault is one line of a script.
@@ -101,9 +101,9 @@
 		f.Count = 2 + rng.IntN(3)
 	case SlowNode:
 		f.Times = 4 + 8*rng.Float64()
-	case LoseAnswer, HalfAnswer, Resets:
+	case LoseResponses, TruncateResponses, ConnectionResets:
 		f.Times = 0.05 + 0.15*rng.Float64()
-	case Impatient, HotKey:
+	case EarlyCancel, HotKey:
 		f.Times = 0.3 + 0.4*rng.Float64()
 	}
 }
