--- a/lab/faultinjection/faultinjection_test.go
+++ b/lab/faultinjection/faultinjection_test.go
@@ -5,6 +5,7 @@
 	"chalkstand/dispatch"
 	"chalkstand/lab/invariants"
 	"chalkstand/trace"
+	"errors"
 	"slices"
 	"strings"
 	"sync"
@@ -23,10 +24,19 @@
 			t.Errorf("no %s in a generated script", k)
 		}
 	}
-	for _, bad := range []string{`[{"kind": "rain"}]`, `[{"kind": "surge", "times": -1}]`, `{`} {
-		if _, err := ParseScript([]byte(bad)); err == nil {
-			t.Errorf("%s is accepted", bad)
-		}
+}
+
+func TestInvalidScriptsAreRejected(t *testing.T) {
+	if _, err := ParseScript([]byte("{")); err == nil {
+		t.Error("no JSON: no error")
+	}
+	_, err := ParseScript([]byte(`[{"kind": "rain"}]`))
+	var unknown *UnknownKindError
+	if !errors.As(err, &unknown) || unknown.Kind != "rain" {
+		t.Errorf("unknown kind: %v", err)
+	}
+	if _, err := ParseScript([]byte(`[{"kind": "surge", "times": -1}]`)); !errors.Is(err, ErrNegative) {
+		t.Errorf("negative number: %v", err)
 	}
 }
 
--- a/lab/schedulereplay/schedulereplay_test.go
+++ b/lab/schedulereplay/schedulereplay_test.go
@@ -1,6 +1,7 @@
 package schedulereplay
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"slices"
@@ -33,16 +34,21 @@
 }
 
 func TestUnsupportedMoveIsRejectedWithItsLine(t *testing.T) {
-	_, err := Play(t.Context(), strings.NewReader("chalkstand-explore 1\nscenario leave\narrive 1\ndial-fail 1\n"))
+	replay := "chalkstand-explore 1\nscenario leave\narrive 1\ndial-fail 1\n"
+	_, err := Play(t.Context(), strings.NewReader(replay))
 	if err == nil || !strings.Contains(err.Error(), "line 4: dial-fail 1: cannot be forced") {
 		t.Fatal(err)
 	}
+	var step *StepError
+	if !errors.As(err, &step) || step.Line != 4 || !errors.Is(err, ErrUnsupported) {
+		t.Errorf("%#v", err)
+	}
 }
 
 // A scenario that begins with a history cannot be played over sockets.
 func TestScenarioWithHistoryIsRejected(t *testing.T) {
 	_, err := Play(t.Context(), strings.NewReader("chalkstand-explore 1\nscenario lossy\narrive 4\n"))
-	if err == nil || !strings.Contains(err.Error(), "history") {
+	if !errors.Is(err, ErrUnsupported) || !strings.Contains(err.Error(), "history") {
 		t.Error(err)
 	}
 }
