--- a/lab/faultinjection/faultinjection_test.go
+++ b/lab/faultinjection/faultinjection_test.go
@@ -5,7 +5,7 @@
 	"chalkstand/dispatch"
 	"chalkstand/lab/invariants"
 	"chalkstand/trace"
-	"context"
+	"errors"
 	"slices"
 	"strings"
 	"sync"
@@ -14,40 +14,49 @@
 )
 
 func TestScriptsReadAndWrite(t *testing.T) {
-	s := Generate(7, 20*time.Second)
-	again, err := Parse([]byte("// a day\n" + s.Text()))
+	s := GenerateScript(7, 20*time.Second)
+	again, err := ParseScript([]byte("// a script\n" + s.Text()))
 	if err != nil || !slices.Equal(s, again) {
 		t.Fatalf("%v\n%v\n%v", err, s, again)
 	}
-	for _, k := range Kinds {
+	for _, k := range FaultKinds {
 		if !strings.Contains(s.Text(), `"`+k+`"`) {
-			t.Errorf("no %s in a generated day", k)
+			t.Errorf("no %s in a generated script", k)
 		}
 	}
-	for _, bad := range []string{`[{"kind": "rain"}]`, `[{"kind": "surge", "times": -1}]`, `{`} {
-		if _, err := Parse([]byte(bad)); err == nil {
-			t.Errorf("%s is taken", bad)
-		}
+}
+
+func TestInvalidScriptsAreRejected(t *testing.T) {
+	if _, err := ParseScript([]byte("{")); err == nil {
+		t.Error("no JSON: no error")
+	}
+	_, err := ParseScript([]byte(`[{"kind": "rain"}]`))
+	var unknown *UnknownKindError
+	if !errors.As(err, &unknown) || unknown.Kind != "rain" {
+		t.Errorf("unknown kind: %v", err)
+	}
+	if _, err := ParseScript([]byte(`[{"kind": "surge", "times": -1}]`)); !errors.Is(err, ErrNegative) {
+		t.Errorf("negative number: %v", err)
 	}
 }
 
-func play(t *testing.T, o Options) *Report {
+func runScript(t *testing.T, o Options) *Report {
 	t.Helper()
-	r, err := Run(context.Background(), o)
+	r, err := Run(t.Context(), o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-// A bad day with every kind of trouble: all rules are kept, and what the
-// dispatchers heard plays again to the same actions.
-func TestBadDayKeepsTheRules(t *testing.T) {
-	o := Defaults(1)
-	o.Day = 12 * time.Second
+// A run with every kind of fault: all invariants hold, and the traces of the dispatchers
+// replay to the same actions.
+func TestRunKeepsInvariants(t *testing.T) {
+	o := DefaultOptions(1)
+	o.Duration = 12 * time.Second
 	var mu sync.Mutex
-	var records []*bytes.Buffer
-	var writers []*trace.Writer
+	var records []*bytes.Buffer // by gateway instance
+	var writers []*trace.Writer // by gateway instance
 	o.Trace = func(_ string, cfg dispatch.Config, seed uint64) func(time.Duration, dispatch.Event, []dispatch.Action) {
 		b := new(bytes.Buffer)
 		w, err := trace.NewWriter(b, cfg, seed, 1<<17)
@@ -60,15 +69,15 @@
 		records, writers = append(records, b), append(writers, w)
 		return w.Record
 	}
-	r := play(t, o)
+	r := runScript(t, o)
 	var text strings.Builder
 	r.Write(&text)
 	t.Log("\n" + text.String())
-	if len(r.Breaches) > 0 || r.Attempts < 500 || r.Classes[classRead].Served < 300 {
+	if len(r.Violations) > 0 || r.Attempts < 500 || r.Classes[classRead].Served < 300 {
 		t.Fail()
 	}
 	if len(records) != o.Gateways+1 { // one came back after its crash
-		t.Errorf("%d lives of gateways", len(records))
+		t.Errorf("%d gateway instances", len(records))
 	}
 	for i, w := range writers {
 		if err := w.Close(); err != nil {
@@ -76,49 +85,59 @@
 		}
 		res, err := trace.Replay(records[i])
 		if err != nil || res.Divergence != nil || res.Truncated || res.Events < 100 {
-			t.Errorf("replay of life %d: %+v, %v", i, res, err)
+			t.Errorf("replay of instance %d: %+v, %v", i, res, err)
 		}
 	}
 }
 
-// With a guard taken away its rule breaks, and the checker says so.
-func TestCheckerMissesEachGuard(t *testing.T) {
-	everyNode := func(kind string, times float64) (s Script) {
-		for i := range 8 {
-			s = append(s, Trouble{At: 300, For: 9000, Kind: kind, Which: i, Times: times})
-		}
-		return s
+// everyNode returns a fault of the kind at each node.
+func everyNode(kind string, times float64) (s Script) {
+	for i := range 8 {
+		s = append(s, Fault{At: 300, For: 9000, Kind: kind, Which: i, Times: times})
 	}
-	for guard, x := range map[string]struct {
-		script   Script
-		gateways int
-		frail    float64
+	return s
+}
+
+// Without a guard its invariant is violated, and the checker reports it.
+func TestCheckerDetectsDisabledGuards(t *testing.T) {
+	for guard, test := range map[string]struct {
+		script          Script
+		gateways        int
+		capacityDivisor float64
 	}{
-		"budget":  {everyNode(Resets, 0.5), 3, 1},
+		"budget":  {everyNode(ConnectionResets, 0.5), 3, 1},
 		"limits":  {Script{{At: 300, For: 9000, Kind: Flood, Which: 0, Times: 12}}, 3, 1},
 		"order":   {Script{{At: 300, For: 9000, Kind: HotKey, Which: 2, Times: 0.9}}, 3, 1},
-		"effects": {everyNode(LoseAnswer, 0.3), 3, 1},
+		"effects": {everyNode(LoseResponses, 0.3), 3, 1},
 		"cold": {Script{
 			{At: 100, For: 9000, Kind: Surge, Times: 5},
 			{At: 1000, For: 1500, Kind: DrainWave, Count: 4},
 			{At: 1000, For: 1500, Kind: DrainWave, Which: 4, Count: 4},
 		}, 6, 3},
-		"drains": {Script{{At: 100, For: 9000, Kind: Surge, Times: 2}, {At: 500, For: 4000, Kind: DrainWave, Count: 4}}, 3, 1},
-		"time":   {everyNode(Silent, 0), 3, 1},
+		"drains": {Script{
+			{At: 100, For: 9000, Kind: Surge, Times: 2},
+			{At: 500, For: 4000, Kind: DrainWave, Count: 4},
+		}, 3, 1},
+		"time": {everyNode(Unresponsive, 0), 3, 1},
 	} {
 		t.Run(guard, func(t *testing.T) {
-			o := Defaults(2)
-			o.Day, o.Script, o.Withhold, o.Gateways = 4500*time.Millisecond, x.script, guard, x.gateways
-			o.Frail = x.frail
-			broken := func() bool {
-				return slices.ContainsFunc(play(t, o).Breaches, func(b invariants.Violation) bool { return b.Rule == Guards[guard] })
+			o := DefaultOptions(2)
+			o.Duration = 4500 * time.Millisecond
+			o.Script = test.script
+			o.DisabledGuard = guard
+			o.Gateways = test.gateways
+			o.CapacityDivisor = test.capacityDivisor
+			violated := func() bool {
+				return slices.ContainsFunc(runScript(t, o).Violations, func(v invariants.Violation) bool {
+					return v.Invariant == GuardInvariants[guard]
+				})
 			}
-			if !broken() {
-				t.Errorf("without the guard of %q the rule %q is still kept", guard, Guards[guard])
+			if !violated() {
+				t.Errorf("without the guard of %q the invariant %q still holds", guard, GuardInvariants[guard])
 			}
-			o.Withhold = ""
-			if guard == "cold" && broken() { // the frail nodes are for a wide margin on both sides
-				t.Errorf("with the guard of %q the rule %q is broken", guard, Guards[guard])
+			o.DisabledGuard = ""
+			if guard == "cold" && violated() { // the divisor makes a wide margin on both sides
+				t.Errorf("with the guard of %q the invariant %q is violated", guard, GuardInvariants[guard])
 			}
 		})
 	}
