--- a/internal/sigv4/claim.go
+++ b/internal/sigv4/claim.go
@@ -47,32 +47,39 @@
 	return nil
 }
 
+// signatureParameter is the query parameter with the signature of a presigned URL. It is not
+// signed itself.
+const signatureParameter = "X-Amz-Signature"
+
 // presignedClaim is the claim of a presigned URL.
 type presignedClaim struct {
 	claim
-	algorithm   string
-	lifetime    string        // value of X-Amz-Expires
-	expires     time.Duration // after the date
-	signedQuery string        // the query string without the signature
+	algorithm string
+	lifetime  string        // value of X-Amz-Expires
+	expires   time.Duration // after the date
 }
 
 // parsePresigned parses the query string of a presigned URL.
 func parsePresigned(query string) (presignedClaim, *Error) {
 	p := presignedClaim{claim: claim{payload: unsignedPayload, presigned: true}}
-	signed := make([]string, 0, 8)
 	for parameter := range strings.SplitSeq(query, "&") {
 		name, raw, _ := strings.Cut(parameter, "=")
 		value, _ := Unescape(raw, true)
 		p.set(name, value)
-		if name != "X-Amz-Signature" {
-			signed = append(signed, parameter)
-		}
 	}
-	if err := p.check(); err != nil {
-		return p, err
+	err := p.check()
+	return p, err
+}
+
+// withoutSignature returns the query string of a presigned URL without its signature.
+func withoutSignature(query string) string {
+	kept := make([]string, 0, 8)
+	for parameter := range strings.SplitSeq(query, "&") {
+		if name, _, _ := strings.Cut(parameter, "="); name != signatureParameter {
+			kept = append(kept, parameter)
+		}
 	}
-	p.signedQuery = strings.Join(signed, "&")
-	return p, nil
+	return strings.Join(kept, "&")
 }
 
 func (p *presignedClaim) set(name, value string) {
@@ -89,7 +96,7 @@
 		p.signedHeaders = value
 	case "X-Amz-Content-Sha256":
 		p.payload = value
-	case "X-Amz-Signature":
+	case signatureParameter:
 		p.signature = value
 	}
 }
--- a/internal/sigv4/sigv4.go
+++ b/internal/sigv4/sigv4.go
@@ -59,7 +59,7 @@
 	if h := r.Headers.Get("authorization"); h != nil {
 		return v.verifyHeader(now, r, string(h), string(path), string(query))
 	}
-	if bytes.Contains(query, []byte("X-Amz-Signature=")) {
+	if bytes.Contains(query, []byte(signatureParameter+"=")) {
 		return v.verifyPresigned(now, r, string(path), string(query))
 	}
 	return nil, denied(codeAccessDenied, "The request is not signed.")
@@ -111,11 +111,11 @@
 	if h := r.Headers.Get("x-amz-content-sha256"); h != nil {
 		p.payload = string(h)
 	}
-	return v.verifyClaim(r, path, p.signedQuery, p.claim)
+	return v.verifyClaim(r, path, withoutSignature(query), p.claim)
 }
 
 // verifyClaim verifies the signature of a request whose date has been checked. query is the
-// part of the query string that is signed.
+// query string as it is signed.
 func (v *Verifier) verifyClaim(r *http1.Request, path, query string, c claim) (*Auth, *Error) {
 	keyID, scope, ok := strings.Cut(c.credential, "/")
 	day, rest, _ := strings.Cut(scope, "/")
