--- a/gateway/list.go
+++ b/gateway/list.go
@@ -73,7 +73,7 @@
 			if err != nil {
 				return nil
 			}
-			return t.listDocument(objectapi.Merge(pages, after, limit), limit, v2)
+			return t.listDocument(objectapi.MergePages(pages, after, limit), limit, v2)
 		})
 	})
 }
@@ -218,7 +218,7 @@
 			t.respondFailure(false)
 			return
 		}
-		if doc, ok := objectapi.MarshalAtLength(v, wanted); ok {
+		if doc, ok := objectapi.MarshalWithPauses(v, wanted); ok {
 			t.respond(http.StatusOK, []byte(xmlHeader), doc)
 		}
 	})
--- /dev/null
+++ b/internal/objectapi/deleteobjects.go
@@ -0,0 +1,53 @@
+package objectapi
+
+import "encoding/xml"
+
+// DeleteRequest is the body of DeleteObjects.
+type DeleteRequest struct {
+	XMLName xml.Name           `xml:"Delete"`
+	Quiet   bool               `xml:",omitempty"`
+	Objects []ObjectIdentifier `xml:"Object"`
+}
+
+// ObjectIdentifier names an object to delete.
+type ObjectIdentifier struct {
+	Key       string
+	VersionID string `xml:"VersionId,omitempty"`
+}
+
+// Deleted is an object that was deleted or did not exist.
+type Deleted struct{ Key string }
+
+// DeleteError is an object that was not deleted.
+type DeleteError struct {
+	Key     string
+	Code    string
+	Message string
+}
+
+// DeleteResult is the response of DeleteObjects.
+type DeleteResult struct {
+	XMLName xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ DeleteResult"`
+	Deleted []Deleted
+	Error   []DeleteError
+}
+
+// maxDeleteKeys is the highest number of keys in one DeleteObjects, by the specification.
+const maxDeleteKeys = 1000
+
+// ParseDelete parses and checks the body of DeleteObjects.
+func ParseDelete(doc []byte) (*DeleteRequest, *Error) {
+	var d DeleteRequest
+	if xml.Unmarshal(doc, &d) != nil || len(d.Objects) == 0 || len(d.Objects) > maxDeleteKeys {
+		return nil, Errorf(CodeMalformedXML, "The XML must be a Delete of 1 to 1000 objects.")
+	}
+	for _, o := range d.Objects {
+		if o.Key == "" || len(o.Key) > maxKeyLength {
+			return nil, Errorf(CodeMalformedXML, "An Object must have a Key of at most 1024 bytes.")
+		}
+		if o.VersionID != "" && o.VersionID != nullVersion {
+			return nil, versionsNotOffered()
+		}
+	}
+	return &d, nil
+}
--- a/internal/objectapi/errors.go
+++ b/internal/objectapi/errors.go
@@ -1,39 +1,113 @@
 package objectapi
 
-import (
-	"encoding/xml"
+import "encoding/xml"
+
+// Error codes, by the specification. The code of an error decides its status.
+const (
+	CodeAccessDenied               = "AccessDenied"
+	CodeBadDigest                  = "BadDigest"
+	CodeBucketAlreadyExists        = "BucketAlreadyExists"
+	CodeBucketAlreadyOwnedByYou    = "BucketAlreadyOwnedByYou"
+	CodeBucketNotEmpty             = "BucketNotEmpty"
+	CodeConditionalRequestConflict = "ConditionalRequestConflict"
+	CodeEntityTooLarge             = "EntityTooLarge"
+	CodeEntityTooSmall             = "EntityTooSmall"
+	CodeGatewayTimeout             = "GatewayTimeout"
+	CodeIncompleteBody             = "IncompleteBody"
+	CodeInternalError              = "InternalError"
+	CodeInvalidAccessKeyID         = "InvalidAccessKeyId"
+	CodeInvalidArgument            = "InvalidArgument"
+	CodeInvalidBucketName          = "InvalidBucketName"
+	CodeInvalidDigest              = "InvalidDigest"
+	CodeInvalidPart                = "InvalidPart"
+	CodeInvalidPartOrder           = "InvalidPartOrder"
+	CodeInvalidRange               = "InvalidRange"
+	CodeInvalidRequest             = "InvalidRequest"
+	CodeInvalidStorageClass        = "InvalidStorageClass"
+	CodeInvalidURI                 = "InvalidURI"
+	CodeKeyTooLongError            = "KeyTooLongError"
+	CodeMalformedXML               = "MalformedXML"
+	CodeMethodNotAllowed           = "MethodNotAllowed"
+	CodeMissingContentLength       = "MissingContentLength"
+	CodeNoSuchBucket               = "NoSuchBucket"
+	CodeNoSuchKey                  = "NoSuchKey"
+	CodeNoSuchUpload               = "NoSuchUpload"
+	CodeNotImplemented             = "NotImplemented"
+	CodeNotModified                = "NotModified"
+	CodePreconditionFailed         = "PreconditionFailed"
+	CodeRequestTimeTooSkewed       = "RequestTimeTooSkewed"
+	CodeRequestTimeout             = "RequestTimeout"
+	CodeServiceUnavailable         = "ServiceUnavailable"
+	CodeSignatureDoesNotMatch      = "SignatureDoesNotMatch"
+	CodeSlowDown                   = "SlowDown"
+	CodeContentSHA256Mismatch      = "XAmzContentSHA256Mismatch"
 )
 
-// Error is an error of the object API: its code decides the status.
-type Error struct {
-	Code, Message string
+// Status codes of HTTP.
+const (
+	statusNotModified           = 304
+	statusBadRequest            = 400
+	statusForbidden             = 403
+	statusNotFound              = 404
+	statusMethodNotAllowed      = 405
+	statusConflict              = 409
+	statusLengthRequired        = 411
+	statusPreconditionFailed    = 412
+	statusRequestEntityTooLarge = 413
+	statusRangeNotSatisfiable   = 416
+	statusInternalServerError   = 500
+	statusNotImplemented        = 501
+	statusServiceUnavailable    = 503
+	statusGatewayTimeout        = 504
+)
+
+// statuses holds the status of each code that has another one than 400.
+var statuses = map[string]int{
+	CodeAccessDenied:               statusForbidden,
+	CodeBucketAlreadyExists:        statusConflict,
+	CodeBucketAlreadyOwnedByYou:    statusConflict,
+	CodeBucketNotEmpty:             statusConflict,
+	CodeConditionalRequestConflict: statusConflict,
+	CodeEntityTooLarge:             statusRequestEntityTooLarge,
+	CodeGatewayTimeout:             statusGatewayTimeout,
+	CodeInternalError:              statusInternalServerError,
+	CodeInvalidAccessKeyID:         statusForbidden,
+	CodeInvalidRange:               statusRangeNotSatisfiable,
+	CodeMethodNotAllowed:           statusMethodNotAllowed,
+	CodeMissingContentLength:       statusLengthRequired,
+	CodeNoSuchBucket:               statusNotFound,
+	CodeNoSuchKey:                  statusNotFound,
+	CodeNoSuchUpload:               statusNotFound,
+	CodeNotImplemented:             statusNotImplemented,
+	CodeNotModified:                statusNotModified,
+	CodePreconditionFailed:         statusPreconditionFailed,
+	CodeRequestTimeTooSkewed:       statusForbidden,
+	CodeServiceUnavailable:         statusServiceUnavailable,
+	CodeSignatureDoesNotMatch:      statusForbidden,
+	CodeSlowDown:                   statusServiceUnavailable,
 }
 
-func (e *Error) Error() string { return e.Code + ": " + e.Message }
+// Error is an error response of the object API.
+type Error struct {
+	Code    string // by the specification
+	Message string // for the client
+}
 
-// Errorf makes an error of a code.
+// Errorf returns an error. The message is used as it is.
 func Errorf(code, message string) *Error { return &Error{code, message} }
 
-// Status returns the HTTP status that belongs to the code.
+// Error returns code and message.
+func (e *Error) Error() string { return e.Code + ": " + e.Message }
+
+// Status returns the HTTP status of the error's code.
 func (e *Error) Status() int {
 	if s, ok := statuses[e.Code]; ok {
 		return s
 	}
-	return 400
-}
-
-var statuses = map[string]int{
-	"AccessDenied": 403, "InvalidAccessKeyId": 403, "SignatureDoesNotMatch": 403, "RequestTimeTooSkewed": 403,
-	"BadDigest": 400, "BucketAlreadyExists": 409, "BucketAlreadyOwnedByYou": 409, "BucketNotEmpty": 409,
-	"EntityTooLarge": 413, "EntityTooSmall": 400, "IncompleteBody": 400, "InternalError": 500, "InvalidArgument": 400,
-	"InvalidBucketName": 400, "InvalidDigest": 400, "InvalidPart": 400, "InvalidPartOrder": 400, "InvalidRange": 416,
-	"InvalidRequest": 400, "InvalidURI": 400, "KeyTooLongError": 400, "MalformedXML": 400, "MethodNotAllowed": 405,
-	"MissingContentLength": 411, "NoSuchBucket": 404, "NoSuchKey": 404, "NoSuchUpload": 404, "NotImplemented": 501,
-	"PreconditionFailed": 412, "RequestTimeout": 400, "ServiceUnavailable": 503, "SlowDown": 503,
-	"GatewayTimeout": 504, "NotModified": 304, "XAmzContentSHA256Mismatch": 400, "InvalidStorageClass": 400,
-	"ConditionalRequestConflict": 409,
+	return statusBadRequest
 }
 
+// errorDocument is an error as XML.
 type errorDocument struct {
 	XMLName   xml.Name `xml:"Error"`
 	Code      string
@@ -42,36 +116,20 @@
 	RequestID string `xml:"RequestId"`
 }
 
-// Document returns the error as the specified XML.
+// Document returns the error as an XML document.
 func (e *Error) Document(resource, requestID string) []byte {
-	return Marshal(errorDocument{Code: e.Code, Message: e.Message, Resource: resource, RequestID: requestID})
-}
-
-// Marshal writes a document with the XML declaration.
-func Marshal(v any) []byte {
-	b, _ := MarshalAtLength(v, nil)
-	return b
-}
-
-// MarshalAtLength writes a document as Marshal does, with pauses; ok is false when one
-// of them ended it.
-func MarshalAtLength(v any, p Pause) (doc []byte, ok bool) {
-	w := pausingWriter{pause: p}
-	w.WriteString(xml.Header)
-	err := xml.NewEncoder(&w).Encode(v)
-	if err == errEnded {
-		return nil, false
-	}
-	if err != nil {
-		panic("objectapi: a document that cannot be written: " + err.Error()) // types of ours only
-	}
-	return w.Bytes(), true
+	return Marshal(errorDocument{
+		Code:      e.Code,
+		Message:   e.Message,
+		Resource:  resource,
+		RequestID: requestID,
+	})
 }
 
-// ParseError reads an error document; ok is false when it is none.
-func ParseError(b []byte) (*Error, bool) {
+// ParseError parses an error document, and returns false if doc is none.
+func ParseError(doc []byte) (*Error, bool) {
 	var d errorDocument
-	if xml.Unmarshal(b, &d) != nil || d.Code == "" {
+	if xml.Unmarshal(doc, &d) != nil || d.Code == "" {
 		return nil, false
 	}
 	return &Error{d.Code, d.Message}, true
--- a/internal/objectapi/merge.go
+++ b/internal/objectapi/merge.go
@@ -7,138 +7,169 @@
 	"strings"
 )
 
-// EncodeName writes a name under encoding-type=url.
+// EncodeName encodes a name for encoding-type=url.
 func EncodeName(s string) string { return strings.ReplaceAll(url.QueryEscape(s), "%2F", "/") }
 
-// decodeName undoes EncodeName.
-func decodeName(s string) (string, error) { return url.QueryUnescape(s) }
+// decodeName decodes a name of encoding-type=url in place.
+func decodeName(s *string) error {
+	name, err := url.QueryUnescape(*s)
+	if err != nil {
+		return err
+	}
+	*s = name
+	return nil
+}
 
-// Page is a part of a list of objects, its names not encoded.
+// Page is a part of a list of objects. Its names are not encoded.
 type Page struct {
 	Contents  []Content
 	Prefixes  []string
 	Truncated bool
-	Next      string // the last name, when it is truncated
+	Next      string // the last name, if the page is truncated
 }
 
-// ParseList reads a ListBucketResult that was asked for with encoding-type=url.
+// ParseList parses a ListBucketResult with encoding-type=url.
 func ParseList(doc []byte, pause Pause) (Page, error) {
 	var r ListBucketResult
 	if err := unmarshal(doc, &r, pause); err != nil {
 		return Page{}, err
 	}
 	p := Page{Contents: r.Contents, Truncated: r.IsTruncated}
-	var err error
 	for i := range p.Contents {
-		if p.Contents[i].Key, err = decodeName(p.Contents[i].Key); err != nil {
+		if err := decodeName(&p.Contents[i].Key); err != nil {
 			return Page{}, err
 		}
 	}
 	for _, c := range r.CommonPrefixes {
-		name, err := decodeName(c.Prefix)
-		if err != nil {
+		if err := decodeName(&c.Prefix); err != nil {
 			return Page{}, err
 		}
-		p.Prefixes = append(p.Prefixes, name)
+		p.Prefixes = append(p.Prefixes, c.Prefix)
 	}
 	return p, nil
 }
 
-// Merge makes one page of up to most names out of the pages of several shards,
-// each of which holds its first most names after the same one, in order. A prefix
-// that several shards have counts once. What is not on the page comes again with
-// the next: a shard that was cut short has given most names, so none of its later
-// ones can belong before the page's end.
-func Merge(pages []Page, after string, most int) Page {
-	type entry struct {
-		name    string
-		content *Content
-	}
-	var all []entry
-	more := false
+// listEntry is an object of a list, or a common prefix if content is nil.
+type listEntry struct {
+	name    string
+	content *Content
+}
+
+// MergePages merges the pages of several shards into one page of at most limit names. Each of
+// pages holds the first names of its shard after the name after, in order, and at most limit
+// of them. A prefix of several shards counts once. Names that do not fit come with the
+// next page: a shard whose page is truncated has given limit names, so the names it left out
+// are behind the merged page.
+func MergePages(pages []Page, after string, limit int) Page {
+	var entries []listEntry
+	truncated := false
 	for i := range pages {
-		more = more || pages[i].Truncated
+		truncated = truncated || pages[i].Truncated
 		for j := range pages[i].Contents {
 			c := &pages[i].Contents[j]
-			all = append(all, entry{c.Key, c})
+			entries = append(entries, listEntry{c.Key, c})
 		}
-		for _, p := range pages[i].Prefixes {
-			all = append(all, entry{p, nil})
+		for _, prefix := range pages[i].Prefixes {
+			entries = append(entries, listEntry{prefix, nil})
 		}
 	}
-	slices.SortFunc(all, func(a, b entry) int { return strings.Compare(a.name, b.name) })
-	all = slices.CompactFunc(all, func(a, b entry) bool { return a.name == b.name && a.content == nil && b.content == nil })
-	if after != "" {
-		all = slices.DeleteFunc(all, func(e entry) bool { return e.name == after && e.content == nil })
-	}
-	out := Page{}
-	if len(all) > most {
-		all, more = all[:most], true
+	entries = sortListEntries(entries, after)
+	if len(entries) > limit {
+		entries = entries[:limit]
+		truncated = true
 	}
-	for _, e := range all {
+	var merged Page
+	for _, e := range entries {
 		if e.content != nil {
-			out.Contents = append(out.Contents, *e.content)
+			merged.Contents = append(merged.Contents, *e.content)
 		} else {
-			out.Prefixes = append(out.Prefixes, e.name)
+			merged.Prefixes = append(merged.Prefixes, e.name)
 		}
 	}
-	if more && len(all) > 0 {
-		out.Truncated, out.Next = true, all[len(all)-1].name
+	if truncated && len(entries) > 0 {
+		merged.Truncated = true
+		merged.Next = entries[len(entries)-1].name
+	}
+	return merged
+}
+
+// sortListEntries sorts entries, and drops repeated prefixes and the prefix that the last page
+// ended with.
+func sortListEntries(entries []listEntry, after string) []listEntry {
+	slices.SortFunc(entries, func(a, b listEntry) int { return strings.Compare(a.name, b.name) })
+	entries = slices.CompactFunc(entries, func(a, b listEntry) bool {
+		return a.name == b.name && a.content == nil && b.content == nil
+	})
+	if after != "" {
+		entries = slices.DeleteFunc(entries, func(e listEntry) bool { return e.name == after && e.content == nil })
 	}
-	return out
+	return entries
 }
 
-// ParseUploads reads a ListMultipartUploadsResult asked for with encoding-type=url.
+// ParseUploads parses a ListMultipartUploadsResult with encoding-type=url.
 func ParseUploads(doc []byte, pause Pause) (ListMultipartUploadsResult, error) {
 	var r ListMultipartUploadsResult
 	if err := unmarshal(doc, &r, pause); err != nil {
 		return r, err
 	}
-	var err error
 	for i := range r.Upload {
-		if r.Upload[i].Key, err = decodeName(r.Upload[i].Key); err != nil {
+		if err := decodeName(&r.Upload[i].Key); err != nil {
 			return r, err
 		}
 	}
 	for i := range r.CommonPrefixes {
-		if r.CommonPrefixes[i].Prefix, err = decodeName(r.CommonPrefixes[i].Prefix); err != nil {
+		if err := decodeName(&r.CommonPrefixes[i].Prefix); err != nil {
 			return r, err
 		}
 	}
 	return r, nil
 }
 
-// MergeUploads puts the lists of several shards into one of up to most entries, in
-// the order of key and upload.
-func MergeUploads(lists []ListMultipartUploadsResult, most int) (uploads []Upload, prefixes []string, truncated bool) {
-	type entry struct {
-		name, id string
-		u        *Upload
-	}
-	var all []entry
+// uploadEntry is an upload of a list, or a common prefix if upload is nil.
+type uploadEntry struct {
+	name   string
+	id     string
+	upload *Upload
+}
+
+// MergeUploads merges the lists of several shards into one of at most limit entries, in the
+// order of key and upload ID.
+func MergeUploads(
+	lists []ListMultipartUploadsResult,
+	limit int,
+) (uploads []Upload, prefixes []string, truncated bool) {
+	var entries []uploadEntry
 	for i := range lists {
 		truncated = truncated || lists[i].IsTruncated
 		for j := range lists[i].Upload {
 			u := &lists[i].Upload[j]
-			all = append(all, entry{u.Key, u.UploadId, u})
+			entries = append(entries, uploadEntry{u.Key, u.UploadId, u})
 		}
 		for _, p := range lists[i].CommonPrefixes {
-			all = append(all, entry{p.Prefix, "", nil})
+			entries = append(entries, uploadEntry{name: p.Prefix})
 		}
 	}
-	slices.SortFunc(all, func(a, b entry) int {
-		return cmp.Or(strings.Compare(a.name, b.name), strings.Compare(a.id, b.id))
-	})
-	all = slices.CompactFunc(all, func(a, b entry) bool { return a.name == b.name && a.u == nil && b.u == nil })
-	if len(all) > most {
-		all, truncated = all[:most], true
+	entries = sortUploadEntries(entries)
+	if len(entries) > limit {
+		entries = entries[:limit]
+		truncated = true
 	}
-	for _, e := range all {
-		if e.u != nil {
-			uploads = append(uploads, *e.u)
+	for _, e := range entries {
+		if e.upload != nil {
+			uploads = append(uploads, *e.upload)
 		} else {
 			prefixes = append(prefixes, e.name)
 		}
 	}
 	return uploads, prefixes, truncated
 }
+
+// sortUploadEntries sorts entries and drops repeated prefixes.
+func sortUploadEntries(entries []uploadEntry) []uploadEntry {
+	slices.SortFunc(entries, func(a, b uploadEntry) int {
+		return cmp.Or(strings.Compare(a.name, b.name), strings.Compare(a.id, b.id))
+	})
+	return slices.CompactFunc(entries, func(a, b uploadEntry) bool {
+		return a.name == b.name && a.upload == nil && b.upload == nil
+	})
+}
--- /dev/null
+++ b/internal/objectapi/multipart.go
@@ -0,0 +1,100 @@
+package objectapi
+
+import "encoding/xml"
+
+// InitiateMultipartUploadResult is the response of CreateMultipartUpload.
+type InitiateMultipartUploadResult struct {
+	XMLName  xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ InitiateMultipartUploadResult"`
+	Bucket   string
+	Key      string
+	UploadId string `xml:"UploadId"`
+}
+
+// CompletedPart is a part named in CompleteMultipartUpload.
+type CompletedPart struct {
+	PartNumber int
+	ETag       string
+}
+
+// CompleteMultipartUploadRequest is the body of CompleteMultipartUpload.
+type CompleteMultipartUploadRequest struct {
+	XMLName xml.Name        `xml:"CompleteMultipartUpload"`
+	Parts   []CompletedPart `xml:"Part"`
+}
+
+// CompleteMultipartUploadResult is the response of CompleteMultipartUpload.
+type CompleteMultipartUploadResult struct {
+	XMLName  xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ CompleteMultipartUploadResult"`
+	Location string
+	Bucket   string
+	Key      string
+	ETag     string
+}
+
+// Part is an entry of ListPartsResult.
+type Part struct {
+	PartNumber   int
+	LastModified string
+	ETag         string
+	Size         int64
+}
+
+// ListPartsResult is the response of ListParts.
+type ListPartsResult struct {
+	XMLName              xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ ListPartsResult"`
+	Bucket               string
+	Key                  string
+	UploadId             string `xml:"UploadId"`
+	Initiator            Owner
+	Owner                Owner
+	StorageClass         string
+	PartNumberMarker     int
+	NextPartNumberMarker int
+	MaxParts             int
+	IsTruncated          bool
+	Part                 []Part
+}
+
+// Upload is a multipart upload in progress.
+type Upload struct {
+	Key          string
+	UploadId     string `xml:"UploadId"`
+	Initiator    Owner
+	Owner        Owner
+	StorageClass string
+	Initiated    string
+}
+
+// ListMultipartUploadsResult is the response of ListMultipartUploads.
+type ListMultipartUploadsResult struct {
+	XMLName            xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ ListMultipartUploadsResult"`
+	Bucket             string
+	KeyMarker          string
+	UploadIdMarker     string `xml:"UploadIdMarker"`
+	NextKeyMarker      string `xml:",omitempty"`
+	NextUploadIdMarker string `xml:"NextUploadIdMarker,omitempty"`
+	Prefix             string `xml:",omitempty"`
+	Delimiter          string `xml:",omitempty"`
+	EncodingType       string `xml:",omitempty"`
+	MaxUploads         int
+	IsTruncated        bool
+	Upload             []Upload
+	CommonPrefixes     []CommonPrefix
+}
+
+// ParseComplete parses and checks the body of CompleteMultipartUpload, and returns its parts.
+func ParseComplete(doc []byte) ([]CompletedPart, *Error) {
+	var d CompleteMultipartUploadRequest
+	if xml.Unmarshal(doc, &d) != nil || len(d.Parts) == 0 || len(d.Parts) > MaxPart {
+		return nil, Errorf(CodeMalformedXML, "The XML must be a CompleteMultipartUpload of 1 to 10000 parts.")
+	}
+	for i, p := range d.Parts {
+		if p.PartNumber < 1 || p.PartNumber > MaxPart || p.ETag == "" {
+			return nil, Errorf(CodeMalformedXML, "A Part must have a PartNumber from 1 to 10000 and an ETag.")
+		}
+		if i > 0 && d.Parts[i-1].PartNumber >= p.PartNumber {
+			return nil, Errorf(CodeInvalidPartOrder, "The list of parts was not in ascending order.")
+		}
+	}
+	return d.Parts, nil
+}
--- /dev/null
+++ b/internal/objectapi/query.go
@@ -0,0 +1,58 @@
+package objectapi
+
+import (
+	"chalkstand/internal/sigv4"
+	"strings"
+)
+
+const maxParams = 64 // query parameters of a request
+
+// Param is one query parameter, unescaped.
+type Param struct{ Name, Value string }
+
+// Query holds a request's query parameters in order.
+type Query []Param
+
+// Get returns the first value of a parameter, or "".
+func (q Query) Get(name string) string {
+	for i := range q {
+		if q[i].Name == name {
+			return q[i].Value
+		}
+	}
+	return ""
+}
+
+// Has reports whether a parameter is present.
+func (q Query) Has(name string) bool {
+	for i := range q {
+		if q[i].Name == name {
+			return true
+		}
+	}
+	return false
+}
+
+// ParseQuery parses a query string without its question mark.
+func ParseQuery(s string) (Query, *Error) {
+	if s == "" {
+		return nil, nil
+	}
+	q := make(Query, 0, 4)
+	for p := range strings.SplitSeq(s, "&") {
+		if p == "" {
+			continue
+		}
+		rawName, rawValue, _ := strings.Cut(p, "=")
+		name, nameOK := sigv4.Unescape(rawName, true)
+		value, valueOK := sigv4.Unescape(rawValue, true)
+		if !nameOK || !valueOK {
+			return nil, Errorf(CodeInvalidURI, "The query is not validly escaped.")
+		}
+		if len(q) == maxParams {
+			return nil, Errorf(CodeInvalidRequest, "Too many query parameters.")
+		}
+		q = append(q, Param{name, value})
+	}
+	return q, nil
+}
