--- a/internal/objectapi/query.go
+++ b/internal/objectapi/query.go
@@ -1,8 +1,9 @@
 package objectapi
 
 import (
-	"chalkstand/internal/sigv4"
 	"strings"
+
+	"chalkstand/internal/sigv4"
 )
 
 const maxParams = 64 // query parameters of a request
--- a/internal/payload/decode.go
+++ b/internal/payload/decode.go
@@ -1,11 +1,12 @@
 package payload
 
 import (
+	"hash"
+	"strings"
+
 	"chalkstand/internal/http1"
 	"chalkstand/internal/objectapi"
 	"chalkstand/internal/sigv4"
-	"hash"
-	"strings"
 )
 
 // signatureLength is the length of a signature in hexadecimal digits.
--- a/internal/payload/verify.go
+++ b/internal/payload/verify.go
@@ -1,11 +1,12 @@
 package payload
 
 import (
-	"chalkstand/internal/objectapi"
-	"chalkstand/internal/sigv4"
 	"crypto/sha256"
 	"crypto/subtle"
 	"encoding/base64"
+
+	"chalkstand/internal/objectapi"
+	"chalkstand/internal/sigv4"
 )
 
 // verifyChunk verifies the signature of the current chunk, if chunks are signed.
--- a/internal/sigv4/canonical.go
+++ b/internal/sigv4/canonical.go
@@ -1,9 +1,10 @@
 package sigv4
 
 import (
-	"chalkstand/internal/http1"
 	"slices"
 	"strings"
+
+	"chalkstand/internal/http1"
 )
 
 const (
--- a/internal/sigv4/claim.go
+++ b/internal/sigv4/claim.go
@@ -1,10 +1,11 @@
 package sigv4
 
 import (
-	"chalkstand/internal/http1"
 	"strconv"
 	"strings"
 	"time"
+
+	"chalkstand/internal/http1"
 )
 
 // parseAuthorization parses the value of an Authorization header.
