--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -47,7 +47,7 @@
 	Addr  string `json:"addr"`
 	Shard int    `json:"shard"`
 	Zone  int    `json:"zone"`
-	Kind  int    `json:"kind"`  // hardware kind, for the dispatcher's estimates
+	Kind  int    `json:"kind"`  // hardware kind
 	State string `json:"state"` // "" or "serving" (ready), "draining"
 }
 
@@ -76,11 +76,11 @@
 	Name    string  `json:"name"`
 	Rate    float64 `json:"rate"`    // rate that the use of a volume is measured against
 	Reserve float64 `json:"reserve"` // reserved rate
-	Weight  float64 `json:"weight"`
-	Price   float64 `json:"price"`
-	Limit   float64 `json:"limit"` // rate limit; 0: none
-	Burst   float64 `json:"burst"` // units
-	Slack   float64 `json:"slack"` // units
+	Weight  float64 `json:"weight"`  // of fair queuing
+	Price   float64 `json:"price"`   // value factor of the plan's requests
+	Limit   float64 `json:"limit"`   // rate limit; 0: none
+	Burst   float64 `json:"burst"`   // units that the limit lets through at once
+	Slack   float64 `json:"slack"`   // units by which the limit may be overdrawn
 
 	MiBPerSecond float64 `json:"mib_per_second"` // rate limit of bodies, a volume over all gateways; 0: none
 	MiBBurst     float64 `json:"mib_burst"`      // burst of bodies; 0: what one second may carry
@@ -119,17 +119,17 @@
 // Budget is the retry budget; see dispatch.RetryBudget.
 type Budget struct {
 	Free  float64  `json:"free"`  // retries that are always allowed in the window
-	Ratio float64  `json:"ratio"` // further retries for each request in the window
-	Span  Duration `json:"span"`  // window
+	Ratio float64  `json:"ratio"` // further retries allowed for each request in the window
+	Span  Duration `json:"span"`  // window; 0: no budget
 }
 
 // Cold configures the slow start of a node; see dispatch.SlowStart.
 type Cold struct {
-	From       float64  `json:"from"` // initial capacity, of 1
-	WarmUp     Duration `json:"warm_up"`
-	Multiple   float64  `json:"multiple"`    // overload factor
-	Span       Duration `json:"span"`        // window
-	YoungLimit float64  `json:"young_limit"` // units in flight at first; 0: no slow start
+	From       float64  `json:"from"`        // initial capacity: share of its full capacity that a node starts with
+	WarmUp     Duration `json:"warm_up"`     // time to full capacity
+	Multiple   float64  `json:"multiple"`    // overload factor: multiple of its present capacity that a node tolerates
+	Span       Duration `json:"span"`        // window over which load is compared with capacity
+	YoungLimit float64  `json:"young_limit"` // units in a window that every starting node tolerates; 0: no slow start
 }
 
 // Limits bounds what the gateway queues, buffers and waits for. Sizes are in bytes.
@@ -165,7 +165,7 @@
 	Window    Duration `json:"window"`    // loop time by which a flow can lag behind
 	ByteTime  float64  `json:"byte_time"` // lowest cost of a byte, in nanoseconds
 	Finishing float64  `json:"finishing"` // weight of work in progress within a flow; new requests have 1
-	Flows     int      `json:"flows"`     // volumes with a flow of their own on a loop
+	Flows     int      `json:"flows"`     // volumes with a flow of their own on a loop and at a node
 	Newcomers float64  `json:"newcomers"` // weight of all connections without a volume yet
 	Depth     int      `json:"depth"`     // responses that stream from a node at a time, on each loop
 	Crowd     int      `json:"crowd"`     // waiting responses for each one more that may stream
@@ -176,11 +176,12 @@
 	Overload  Overload `json:"overload"`
 }
 
-// Overload configures overload control: when requests are rejected before they are parsed.
+// Overload configures overload control: when requests are rejected as soon as
+// their head has been read.
 type Overload struct {
 	Target   Duration `json:"target"`   // queue time accepted of an overloaded volume; 0: nothing is rejected
 	Interval Duration `json:"interval"` // of longer queue times only, after which a volume is overloaded
-	Back     Duration `json:"back"`     // lowest Retry-After of a rejection
+	Back     Duration `json:"back"`     // Retry-After of a rejection, at first
 	MaxBack  Duration `json:"max_back"` // highest Retry-After, when most requests are rejected
 }
 
