--- a/fake/storagenode/dataset.go
+++ b/fake/storagenode/dataset.go
@@ -74,7 +74,7 @@
 }
 
 func errNoSuchKey() *objectapi.Error {
-	return objectapi.Errorf("NoSuchKey", "The specified key does not exist.")
+	return objectapi.NewError("NoSuchKey", "The specified key does not exist.")
 }
 
 func (d *Dataset) get(bucketName, key string) (*object, *objectapi.Error) {
--- a/fake/storagenode/multipart.go
+++ b/fake/storagenode/multipart.go
@@ -25,7 +25,7 @@
 }
 
 func errNoSuchUpload() *objectapi.Error {
-	return objectapi.Errorf("NoSuchUpload",
+	return objectapi.NewError("NoSuchUpload",
 		"The specified upload does not exist. It may have been aborted or completed.")
 }
 
@@ -79,7 +79,7 @@
 	}
 	d.uploads[id] = u
 	d.appendJournal(journalEntry{What: entryUpload, Bucket: o.Bucket, Key: o.Key, ID: id, At: now, Header: u.header})
-	return xmlResponse(objectapi.InitiateMultipartUploadResult{Bucket: o.Bucket, Key: o.Key, UploadId: id}), nil
+	return xmlResponse(objectapi.InitiateMultipartUploadResult{Bucket: o.Bucket, Key: o.Key, UploadID: id}), nil
 }
 
 func (d *Dataset) abortUpload(o objectapi.Operation, _ *http.Request) (response, *objectapi.Error) {
@@ -114,18 +114,18 @@
 	if v := r.Header.Get(headerCopySourceRange); v != "" {
 		var result rangeResult
 		if br, result = parseRange(v, src.blob.size); result != rangeValid {
-			return response{}, objectapi.Errorf("InvalidArgument",
+			return response{}, objectapi.NewError("InvalidArgument",
 				"The x-amz-copy-source-range value must be of the form bytes=first-last")
 		}
 	}
 	body, openErr := src.blob.open(br.offset, br.length)
 	if openErr != nil {
-		return response{}, objectapi.Errorf("InternalError", openErr.Error())
+		return response{}, objectapi.NewError("InternalError", openErr.Error())
 	}
 	defer func() { _ = body.Close() }() // it was only read
 	got, receiveErr := d.receive(body, br.length, "")
 	if receiveErr != nil {
-		return response{}, objectapi.Errorf("InternalError", receiveErr.Error())
+		return response{}, objectapi.NewError("InternalError", receiveErr.Error())
 	}
 	part := &object{blob: got.blob, etag: got.md5, modified: modified, header: src.header, parts: src.parts}
 	res := objectapi.CopyPartResult{LastModified: objectapi.FormatTime(modified), ETag: quoted(part.etag)}
@@ -173,10 +173,10 @@
 	for i, l := range listed {
 		p := u.parts[l.PartNumber]
 		if p == nil || p.etag != strings.Trim(l.ETag, `"`) {
-			return nil, objectapi.Errorf("InvalidPart", "One or more of the specified parts could not be found.")
+			return nil, objectapi.NewError("InvalidPart", "One or more of the specified parts could not be found.")
 		}
 		if i < len(listed)-1 && p.blob.size < minPart {
-			return nil, objectapi.Errorf("EntityTooSmall",
+			return nil, objectapi.NewError("EntityTooSmall",
 				"Your proposed upload is smaller than the minimum allowed object size.")
 		}
 		parts = append(parts, p)
--- a/fake/storagenode/uploadlists.go
+++ b/fake/storagenode/uploadlists.go
@@ -24,7 +24,7 @@
 	res := objectapi.ListPartsResult{
 		Bucket:           o.Bucket,
 		Key:              o.Key,
-		UploadId:         o.Query.Get("uploadId"),
+		UploadID:         o.Query.Get("uploadId"),
 		Initiator:        objectapi.TheOwner,
 		Owner:            objectapi.TheOwner,
 		StorageClass:     "STANDARD",
@@ -91,7 +91,7 @@
 	res := objectapi.ListMultipartUploadsResult{
 		Bucket:         o.Bucket,
 		KeyMarker:      encode(q.Get("key-marker")),
-		UploadIdMarker: q.Get("upload-id-marker"),
+		UploadIDMarker: q.Get("upload-id-marker"),
 		Prefix:         encode(q.Get("prefix")),
 		Delimiter:      encode(q.Get("delimiter")),
 		EncodingType:   q.Get("encoding-type"),
@@ -108,14 +108,14 @@
 		}
 		res.NextKeyMarker = encode(name)
 		if isPrefix {
-			res.NextUploadIdMarker = ""
+			res.NextUploadIDMarker = ""
 			res.CommonPrefixes = append(res.CommonPrefixes, objectapi.CommonPrefix{Prefix: encode(name)})
 			continue
 		}
-		res.NextUploadIdMarker = u.id
+		res.NextUploadIDMarker = u.id
 		res.Upload = append(res.Upload, objectapi.Upload{
 			Key:          encode(u.key),
-			UploadId:     u.id,
+			UploadID:     u.id,
 			Initiator:    objectapi.TheOwner,
 			Owner:        objectapi.TheOwner,
 			StorageClass: "STANDARD",
@@ -124,7 +124,7 @@
 	}
 	if !res.IsTruncated {
 		res.NextKeyMarker = ""
-		res.NextUploadIdMarker = ""
+		res.NextUploadIDMarker = ""
 	}
 	return xmlResponse(res), nil
 }
--- a/gateway/clientconn.go
+++ b/gateway/clientconn.go
@@ -125,7 +125,7 @@
 	if err != nil {
 		t := c.newTransaction()
 		t.closeConn = true
-		apiErr := objectapi.Errorf(parseErrorCode(err.Status), "The request is not valid HTTP: "+err.Reason)
+		apiErr := objectapi.NewError(parseErrorCode(err.Status), "The request is not valid HTTP: "+err.Reason)
 		t.respondError(apiErr, err.Status)
 		return len(b)
 	}
@@ -180,7 +180,7 @@
 	case stateBufferingBody:
 		if waited > limits.ClientBody.D() {
 			c.current.closeConn = true
-			c.current.rejectBody(objectapi.Errorf("RequestTimeout", "The body of the request did not come in time."))
+			c.current.rejectBody(objectapi.NewError("RequestTimeout", "The body of the request did not come in time."))
 		}
 	case stateUploading:
 		c.current.upload.checkTimeout(waited)
@@ -204,7 +204,7 @@
 	case c.conn.Buffered() > 0 && waited > limits.ClientHead.D():
 		t := c.newTransaction()
 		t.closeConn = true
-		apiErr := objectapi.Errorf("RequestTimeout", "The head of the request did not come in time.")
+		apiErr := objectapi.NewError("RequestTimeout", "The head of the request did not come in time.")
 		t.respondError(apiErr, http.StatusRequestTimeout)
 	case c.conn.Buffered() == 0 && waited > limits.ClientIdle.D():
 		c.conn.Close()
--- a/gateway/copy.go
+++ b/gateway/copy.go
@@ -27,13 +27,13 @@
 
 // copyObject copies an object. Within a shard the node does it.
 func (t *transaction) copyObject(r *http1.Request) {
-	source := t.conn.worker.volumeOf(t.op.FromBucket)
+	source := t.conn.worker.volumeOf(t.op.SourceBucket)
 	if source == nil {
-		t.respondErrorCode(objectapi.Errorf("NoSuchBucket",
+		t.respondErrorCode(objectapi.NewError("NoSuchBucket",
 			"No rule of this gateway's settings fits the source's bucket."))
 		return
 	}
-	from, to := source.placement.Shard(t.op.FromKey), t.shard()
+	from, to := source.placement.Shard(t.op.SourceKey), t.shard()
 	if from == to {
 		t.copyWithinShard(r, to)
 		return
@@ -47,7 +47,7 @@
 	b := make([]byte, 0, putHeadCapacity)
 	b = t.appendNodeHead(b, http.MethodPut, t.op.Bucket, t.op.Key, t.op.Query, d, true, "")
 	b = appendForwardedHeaders(b, r.Headers)
-	b = http1.AppendHeader(b, "x-amz-copy-source", objectapi.EncodeName(t.op.FromBucket+"/"+t.op.FromKey))
+	b = http1.AppendHeader(b, "x-amz-copy-source", objectapi.EncodeName(t.op.SourceBucket+"/"+t.op.SourceKey))
 	b = http1.AppendLength(b, 0)
 	t.startNodeRequest(&nodeRequest{
 		method:      http.MethodPut,
@@ -62,9 +62,9 @@
 	t := c.transaction
 	headers := c.request.Headers
 	byteRange := headers.Get("x-amz-copy-source-range")
-	d := t.newDispatchRequest(objectapi.GetObject, source, shard, t.op.FromKey, rangeSize(byteRange))
+	d := t.newDispatchRequest(objectapi.GetObject, source, shard, t.op.SourceKey, rangeSize(byteRange))
 	b := make([]byte, 0, headCapacity)
-	b = t.appendNodeHead(b, http.MethodGet, t.op.FromBucket, t.op.FromKey, nil, d, false, "")
+	b = t.appendNodeHead(b, http.MethodGet, t.op.SourceBucket, t.op.SourceKey, nil, d, false, "")
 	for _, n := range [...]string{"if-match", "if-none-match", "if-modified-since", "if-unmodified-since"} {
 		if v := headers.Get("x-amz-copy-source-" + n); v != nil {
 			b = http1.AppendHeader(b, n, v)
@@ -113,7 +113,7 @@
 	case http.StatusOK, http.StatusPartialContent:
 		c.startWrite(r.resp, append([]byte(nil), r.body...), int64(len(r.body)), false)
 	case http.StatusNotModified, http.StatusPreconditionFailed:
-		t.respondErrorCode(objectapi.Errorf("PreconditionFailed",
+		t.respondErrorCode(objectapi.NewError("PreconditionFailed",
 			"At least one of the pre-conditions you specified did not hold"))
 	default:
 		t.respondResult(r)
--- a/gateway/httpserver.go
+++ b/gateway/httpserver.go
@@ -25,7 +25,7 @@
 	t.op = op
 	auth, authErr := g.verifier.Verify(g.wall(), r)
 	if authErr != nil {
-		t.respondError(objectapi.Errorf(authErr.Code, authErr.Message), authErr.Status)
+		t.respondError(objectapi.NewError(authErr.Code, authErr.Message), authErr.Status)
 		return
 	}
 	t.key = (*g.keys.Load())[auth.KeyID]
@@ -49,14 +49,14 @@
 
 // authorize checks the permissions of the key.
 func (t *transaction) authorize() *objectapi.Error {
-	denied := objectapi.Errorf("AccessDenied", "Access Denied")
+	denied := objectapi.NewError("AccessDenied", "Access Denied")
 	if t.key == nil || t.op.Kind.Writes() && !t.key.Write {
 		return denied
 	}
 	if t.op.Bucket != "" && !t.key.mayAccess(t.op.Bucket) {
 		return denied
 	}
-	if t.op.FromBucket != "" && !t.key.mayAccess(t.op.FromBucket) {
+	if t.op.SourceBucket != "" && !t.key.mayAccess(t.op.SourceBucket) {
 		return denied
 	}
 	return nil
@@ -75,11 +75,11 @@
 		}
 		name := strings.ToLower(string(h.Name))
 		if isUnsupported(name, h.Value) {
-			return objectapi.Errorf("NotImplemented",
+			return objectapi.NewError("NotImplemented",
 				"The header "+name+" asks for something that is not offered here.")
 		}
 		if name == "x-amz-storage-class" && string(h.Value) != "STANDARD" {
-			return objectapi.Errorf("InvalidStorageClass", "The storage class you specified is not valid.")
+			return objectapi.NewError("InvalidStorageClass", "The storage class you specified is not valid.")
 		}
 	}
 	return nil
@@ -105,7 +105,7 @@
 func (t *transaction) enterVolume() bool {
 	w := t.conn.worker
 	if t.volume = w.volumeOf(t.op.Bucket); t.volume == nil {
-		t.respondErrorCode(objectapi.Errorf("NoSuchBucket", "No rule of this gateway's settings fits the bucket."))
+		t.respondErrorCode(objectapi.NewError("NoSuchBucket", "No rule of this gateway's settings fits the bucket."))
 		return false
 	}
 	t.conn.assignVolume(t.volume)
--- a/gateway/list.go
+++ b/gateway/list.go
@@ -41,7 +41,7 @@
 	}
 	b, err := base64.URLEncoding.DecodeString(token)
 	if err != nil {
-		return "", objectapi.Errorf("InvalidArgument", "The continuation token provided is incorrect")
+		return "", objectapi.NewError("InvalidArgument", "The continuation token provided is incorrect")
 	}
 	return string(b), nil
 }
@@ -162,7 +162,7 @@
 	result := objectapi.ListMultipartUploadsResult{
 		Bucket:         t.op.Bucket,
 		KeyMarker:      encode(in.Get("key-marker")),
-		UploadIdMarker: in.Get("upload-id-marker"),
+		UploadIDMarker: in.Get("upload-id-marker"),
 		Prefix:         encode(in.Get("prefix")),
 		Delimiter:      encode(in.Get("delimiter")),
 		EncodingType:   in.Get("encoding-type"),
@@ -172,7 +172,7 @@
 	for _, u := range uploads {
 		if result.IsTruncated {
 			result.NextKeyMarker = encode(u.Key)
-			result.NextUploadIdMarker = u.UploadId
+			result.NextUploadIDMarker = u.UploadID
 		}
 		u.Key = encode(u.Key)
 		result.Upload = append(result.Upload, u)
@@ -182,7 +182,7 @@
 		result.CommonPrefixes = append(result.CommonPrefixes, objectapi.CommonPrefix{Prefix: prefix})
 		if result.IsTruncated && prefix > result.NextKeyMarker {
 			result.NextKeyMarker = prefix
-			result.NextUploadIdMarker = ""
+			result.NextUploadIDMarker = ""
 		}
 	}
 	return result
--- a/internal/objectapi/deleteobjects.go
+++ b/internal/objectapi/deleteobjects.go
@@ -39,11 +39,11 @@
 func ParseDelete(doc []byte) (*DeleteRequest, *Error) {
 	var d DeleteRequest
 	if xml.Unmarshal(doc, &d) != nil || len(d.Objects) == 0 || len(d.Objects) > maxDeleteKeys {
-		return nil, Errorf(CodeMalformedXML, "The XML must be a Delete of 1 to 1000 objects.")
+		return nil, NewError(CodeMalformedXML, "The XML must be a Delete of 1 to 1000 objects.")
 	}
 	for _, o := range d.Objects {
 		if o.Key == "" || len(o.Key) > maxKeyLength {
-			return nil, Errorf(CodeMalformedXML, "An Object must have a Key of at most 1024 bytes.")
+			return nil, NewError(CodeMalformedXML, "An Object must have a Key of at most 1024 bytes.")
 		}
 		if o.VersionID != "" && o.VersionID != nullVersion {
 			return nil, versionsNotOffered()
--- a/internal/objectapi/errors.go
+++ b/internal/objectapi/errors.go
@@ -93,8 +93,8 @@
 	Message string // for the client
 }
 
-// Errorf returns an error. The message is used as it is.
-func Errorf(code, message string) *Error { return &Error{code, message} }
+// NewError returns an error. The message is used as it is.
+func NewError(code, message string) *Error { return &Error{code, message} }
 
 // Error returns code and message.
 func (e *Error) Error() string { return e.Code + ": " + e.Message }
--- a/internal/objectapi/merge.go
+++ b/internal/objectapi/merge.go
@@ -143,7 +143,7 @@
 		truncated = truncated || lists[i].IsTruncated
 		for j := range lists[i].Upload {
 			u := &lists[i].Upload[j]
-			entries = append(entries, uploadEntry{u.Key, u.UploadId, u})
+			entries = append(entries, uploadEntry{u.Key, u.UploadID, u})
 		}
 		for _, p := range lists[i].CommonPrefixes {
 			entries = append(entries, uploadEntry{name: p.Prefix})
--- a/internal/objectapi/multipart.go
+++ b/internal/objectapi/multipart.go
@@ -7,7 +7,7 @@
 	XMLName  xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ InitiateMultipartUploadResult"`
 	Bucket   string
 	Key      string
-	UploadId string `xml:"UploadId"`
+	UploadID string `xml:"UploadId"`
 }
 
 // CompletedPart is a part named in CompleteMultipartUpload.
@@ -44,7 +44,7 @@
 	XMLName              xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ ListPartsResult"`
 	Bucket               string
 	Key                  string
-	UploadId             string `xml:"UploadId"`
+	UploadID             string `xml:"UploadId"`
 	Initiator            Owner
 	Owner                Owner
 	StorageClass         string
@@ -58,7 +58,7 @@
 // Upload is a multipart upload in progress.
 type Upload struct {
 	Key          string
-	UploadId     string `xml:"UploadId"`
+	UploadID     string `xml:"UploadId"`
 	Initiator    Owner
 	Owner        Owner
 	StorageClass string
@@ -70,9 +70,9 @@
 	XMLName            xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ ListMultipartUploadsResult"`
 	Bucket             string
 	KeyMarker          string
-	UploadIdMarker     string `xml:"UploadIdMarker"`
+	UploadIDMarker     string `xml:"UploadIdMarker"`
 	NextKeyMarker      string `xml:",omitempty"`
-	NextUploadIdMarker string `xml:"NextUploadIdMarker,omitempty"`
+	NextUploadIDMarker string `xml:"NextUploadIdMarker,omitempty"`
 	Prefix             string `xml:",omitempty"`
 	Delimiter          string `xml:",omitempty"`
 	EncodingType       string `xml:",omitempty"`
@@ -86,14 +86,14 @@
 func ParseComplete(doc []byte) ([]CompletedPart, *Error) {
 	var d CompleteMultipartUploadRequest
 	if xml.Unmarshal(doc, &d) != nil || len(d.Parts) == 0 || len(d.Parts) > MaxPart {
-		return nil, Errorf(CodeMalformedXML, "The XML must be a CompleteMultipartUpload of 1 to 10000 parts.")
+		return nil, NewError(CodeMalformedXML, "The XML must be a CompleteMultipartUpload of 1 to 10000 parts.")
 	}
 	for i, p := range d.Parts {
 		if p.PartNumber < 1 || p.PartNumber > MaxPart || p.ETag == "" {
-			return nil, Errorf(CodeMalformedXML, "A Part must have a PartNumber from 1 to 10000 and an ETag.")
+			return nil, NewError(CodeMalformedXML, "A Part must have a PartNumber from 1 to 10000 and an ETag.")
 		}
 		if i > 0 && d.Parts[i-1].PartNumber >= p.PartNumber {
-			return nil, Errorf(CodeInvalidPartOrder, "The list of parts was not in ascending order.")
+			return nil, NewError(CodeInvalidPartOrder, "The list of parts was not in ascending order.")
 		}
 	}
 	return d.Parts, nil
--- a/internal/objectapi/objectapi_test.go
+++ b/internal/objectapi/objectapi_test.go
@@ -63,7 +63,7 @@
 
 func TestCopySource(t *testing.T) {
 	o, err := Parse(request("PUT", "/photos/k", "h", copySourceHeader, "/other/a%20b?versionId=null"), nil)
-	if err != nil || o.Kind != CopyObject || o.FromBucket != "other" || o.FromKey != "a b" {
+	if err != nil || o.Kind != CopyObject || o.SourceBucket != "other" || o.SourceKey != "a b" {
 		t.Errorf("%+v %v", o, err)
 	}
 	for _, invalid := range []string{"", "x", "other", "/other/", "Other/k", "other/%zz", "other/k?versionId=7"} {
--- a/internal/objectapi/operation.go
+++ b/internal/objectapi/operation.go
@@ -38,8 +38,8 @@
 	Key    string
 	Query  Query
 
-	FromBucket string // source of a copy
-	FromKey    string // source of a copy
+	SourceBucket string // source of a copy
+	SourceKey    string // source of a copy
 }
 
 // Parse parses a request head. A host under one of the domains names the bucket in its first
@@ -48,11 +48,11 @@
 	var o Operation
 	rawPath, rawQuery, _ := bytes.Cut(r.Target, []byte("?"))
 	if len(rawPath) == 0 || rawPath[0] != '/' {
-		return o, Errorf(CodeInvalidURI, "The target must be a path that begins with a slash.")
+		return o, NewError(CodeInvalidURI, "The target must be a path that begins with a slash.")
 	}
 	path, ok := sigv4.Unescape(string(rawPath[1:]), false)
 	if !ok || !utf8.ValidString(path) || strings.IndexByte(path, 0) >= 0 {
-		return o, Errorf(CodeInvalidURI, "The path is not validly escaped UTF-8.")
+		return o, NewError(CodeInvalidURI, "The path is not validly escaped UTF-8.")
 	}
 	var err *Error
 	if o.Query, err = ParseQuery(string(rawQuery)); err != nil {
@@ -90,11 +90,11 @@
 func (o *Operation) checkNames() *Error {
 	switch {
 	case o.Bucket == "" && o.Key != "":
-		return Errorf(CodeInvalidBucketName, "The path names no bucket.")
+		return NewError(CodeInvalidBucketName, "The path names no bucket.")
 	case o.Bucket != "" && !ValidBucket(o.Bucket):
-		return Errorf(CodeInvalidBucketName, "The specified bucket is not valid.")
+		return NewError(CodeInvalidBucketName, "The specified bucket is not valid.")
 	case len(o.Key) > maxKeyLength:
-		return Errorf(CodeKeyTooLongError, "Your key is too long.")
+		return NewError(CodeKeyTooLongError, "Your key is too long.")
 	}
 	return nil
 }
@@ -129,7 +129,7 @@
 	for i := range o.Query {
 		for _, s := range unsupportedSubresources {
 			if o.Query[i].Name == s {
-				return Errorf(CodeNotImplemented, "The subresource "+s+" is not offered here.")
+				return NewError(CodeNotImplemented, "The subresource "+s+" is not offered here.")
 			}
 		}
 	}
@@ -153,7 +153,7 @@
 // classifyMethod sets the kind of a resource that has one method.
 func (o *Operation) classifyMethod(method, want string, k Kind) *Error {
 	if method != want {
-		return Errorf(CodeMethodNotAllowed, "The specified method is not allowed against this resource.")
+		return NewError(CodeMethodNotAllowed, "The specified method is not allowed against this resource.")
 	}
 	o.Kind = k
 	return nil
@@ -185,7 +185,7 @@
 	case methodPut:
 		o.Kind = CreateBucket
 	case methodPost:
-		return Errorf(CodeNotImplemented, "Uploads by HTML form are not offered here.")
+		return NewError(CodeNotImplemented, "Uploads by HTML form are not offered here.")
 	default:
 		return o.classifyMethod(method, methodDelete, DeleteBucket)
 	}
@@ -241,10 +241,10 @@
 func (o *Operation) parseCopySource(value []byte) *Error {
 	path, query, _ := strings.Cut(string(value), "?")
 	path, ok := sigv4.Unescape(strings.TrimPrefix(path, "/"), false)
-	o.FromBucket, o.FromKey, _ = strings.Cut(path, "/")
-	validKey := o.FromKey != "" && len(o.FromKey) <= maxKeyLength && utf8.ValidString(o.FromKey)
-	if !ok || !ValidBucket(o.FromBucket) || !validKey {
-		return Errorf(CodeInvalidArgument, "x-amz-copy-source must be BUCKET/KEY, URL-encoded.")
+	o.SourceBucket, o.SourceKey, _ = strings.Cut(path, "/")
+	validKey := o.SourceKey != "" && len(o.SourceKey) <= maxKeyLength && utf8.ValidString(o.SourceKey)
+	if !ok || !ValidBucket(o.SourceBucket) || !validKey {
+		return NewError(CodeInvalidArgument, "x-amz-copy-source must be BUCKET/KEY, URL-encoded.")
 	}
 	if query != "" && query != "versionId="+nullVersion {
 		return versionsNotOffered()
@@ -256,7 +256,7 @@
 func (o *Operation) checkParams() *Error {
 	if o.Kind == UploadPart || o.Kind == UploadPartCopy {
 		if n, err := strconv.Atoi(o.Query.Get("partNumber")); err != nil || n < 1 || n > MaxPart {
-			return Errorf(CodeInvalidArgument, "Part number must be an integer between 1 and 10000, inclusive")
+			return NewError(CodeInvalidArgument, "Part number must be an integer between 1 and 10000, inclusive")
 		}
 	}
 	for _, name := range [...]string{"max-keys", "max-uploads", "max-parts"} {
@@ -265,15 +265,15 @@
 			continue
 		}
 		if n, err := strconv.Atoi(v); err != nil || n < 0 {
-			return Errorf(CodeInvalidArgument, "Argument "+name+" must be an integer between 0 and 2147483647")
+			return NewError(CodeInvalidArgument, "Argument "+name+" must be an integer between 0 and 2147483647")
 		}
 	}
 	if e := o.Query.Get("encoding-type"); e != "" && e != "url" {
-		return Errorf(CodeInvalidArgument, "Invalid Encoding Method specified in Request")
+		return NewError(CodeInvalidArgument, "Invalid Encoding Method specified in Request")
 	}
 	return nil
 }
 
 func versionsNotOffered() *Error {
-	return Errorf(CodeNotImplemented, "Versions are not offered here.")
+	return NewError(CodeNotImplemented, "Versions are not offered here.")
 }
--- a/internal/objectapi/query.go
+++ b/internal/objectapi/query.go
@@ -48,10 +48,10 @@
 		name, nameOK := sigv4.Unescape(rawName, true)
 		value, valueOK := sigv4.Unescape(rawValue, true)
 		if !nameOK || !valueOK {
-			return nil, Errorf(CodeInvalidURI, "The query is not validly escaped.")
+			return nil, NewError(CodeInvalidURI, "The query is not validly escaped.")
 		}
 		if len(q) == maxParams {
-			return nil, Errorf(CodeInvalidRequest, "Too many query parameters.")
+			return nil, NewError(CodeInvalidRequest, "Too many query parameters.")
 		}
 		q = append(q, Param{name, value})
 	}
--- a/internal/payload/decode.go
+++ b/internal/payload/decode.go
@@ -74,11 +74,11 @@
 	}
 	for len(piece) > 0 {
 		if b.ended {
-			return 0, objectapi.Errorf(objectapi.CodeIncompleteBody, "Bytes follow the end of the aws-chunked body.")
+			return 0, objectapi.NewError(objectapi.CodeIncompleteBody, "Bytes follow the end of the aws-chunked body.")
 		}
 		step, data, n, chunkErr := b.inner.Next(piece)
 		if chunkErr != nil {
-			return 0, objectapi.Errorf(objectapi.CodeInvalidRequest,
+			return 0, objectapi.NewError(objectapi.CodeInvalidRequest,
 				"The aws-chunked body is malformed: "+chunkErr.Reason)
 		}
 		if err := b.handleStep(step, data, sink); err != nil {
@@ -125,7 +125,7 @@
 	b.chunkHash.Reset()
 	signature, ok := strings.CutPrefix(string(b.inner.Ext), "chunk-signature=")
 	if !ok || len(signature) != signatureLength {
-		return objectapi.Errorf(objectapi.CodeSignatureDoesNotMatch, "A chunk has no signature.")
+		return objectapi.NewError(objectapi.CodeSignatureDoesNotMatch, "A chunk has no signature.")
 	}
 	b.signedText = append(b.signedText[:0], signature...)
 	if b.inner.Size == 0 {
@@ -140,13 +140,13 @@
 	case "x-amz-trailer-signature":
 		isSigned := b.auth.Payload == sigv4.SignedChunksTrailer
 		if !isSigned || !b.auth.VerifyTrailer(b.signedText, string(h.Value)) {
-			return objectapi.Errorf(objectapi.CodeSignatureDoesNotMatch,
+			return objectapi.NewError(objectapi.CodeSignatureDoesNotMatch,
 				"The signature of the trailer does not match.")
 		}
 		b.trailerChecked = true
 	case b.trailer:
 		if b.Checksum.Name != nil {
-			return objectapi.Errorf(objectapi.CodeInvalidRequest, "The trailer gives its checksum twice.")
+			return objectapi.NewError(objectapi.CodeInvalidRequest, "The trailer gives its checksum twice.")
 		}
 		b.Checksum = copyHeader(name, h.Value)
 		b.signedText = append(b.signedText, name...)
@@ -154,7 +154,7 @@
 		b.signedText = append(b.signedText, h.Value...)
 		b.signedText = append(b.signedText, '\n')
 	default:
-		return objectapi.Errorf(objectapi.CodeInvalidRequest,
+		return objectapi.NewError(objectapi.CodeInvalidRequest,
 			"The trailer holds a line that x-amz-trailer does not name.")
 	}
 	return nil
@@ -164,7 +164,7 @@
 func (b *Body) write(p []byte, sink func([]byte)) error {
 	b.Received += int64(len(p))
 	if b.Length >= 0 && b.Received > b.Length {
-		return objectapi.Errorf(objectapi.CodeIncompleteBody, "The body is longer than it says.")
+		return objectapi.NewError(objectapi.CodeIncompleteBody, "The body is longer than it says.")
 	}
 	for _, h := range [...]hash.Hash{b.md5, b.sha256, b.checksum} {
 		if h != nil {
--- a/internal/payload/payload.go
+++ b/internal/payload/payload.go
@@ -72,12 +72,12 @@
 	b.inner = &http1.Chunked{}
 	value := hs.Get("x-amz-decoded-content-length")
 	if value == nil {
-		return objectapi.Errorf(objectapi.CodeMissingContentLength,
+		return objectapi.NewError(objectapi.CodeMissingContentLength,
 			"You must provide the x-amz-decoded-content-length HTTP header.")
 	}
 	length, ok := http1.ParseLength(value)
 	if !ok {
-		return objectapi.Errorf(objectapi.CodeInvalidArgument, "x-amz-decoded-content-length is not a number.")
+		return objectapi.NewError(objectapi.CodeInvalidArgument, "x-amz-decoded-content-length is not a number.")
 	}
 	b.Length = length
 	if b.auth.Payload != sigv4.UnsignedChunksTrailer {
@@ -95,12 +95,12 @@
 	name := strings.ToLower(string(value))
 	hasTrailer := b.isChunked() && b.auth.Payload != sigv4.SignedChunks
 	if !hasTrailer || b.checksum != nil || !strings.HasPrefix(name, checksumPrefix) {
-		return objectapi.Errorf(objectapi.CodeInvalidRequest,
+		return objectapi.NewError(objectapi.CodeInvalidRequest,
 			"x-amz-trailer must name one checksum of a body with a trailer.")
 	}
 	b.checksum = NewChecksum(name[len(checksumPrefix):])
 	if b.checksum == nil {
-		return objectapi.Errorf(objectapi.CodeInvalidRequest, "The checksum that x-amz-trailer names is not known.")
+		return objectapi.NewError(objectapi.CodeInvalidRequest, "The checksum that x-amz-trailer names is not known.")
 	}
 	b.trailer = name
 	return nil
@@ -131,7 +131,7 @@
 func (b *Body) parseMD5(h http1.Header) *objectapi.Error {
 	sum, err := base64.StdEncoding.DecodeString(string(h.Value))
 	if err != nil || len(sum) != md5.Size {
-		return objectapi.Errorf(objectapi.CodeInvalidDigest, "The Content-MD5 you specified was invalid.")
+		return objectapi.NewError(objectapi.CodeInvalidDigest, "The Content-MD5 you specified was invalid.")
 	}
 	b.expectedMD5 = sum
 	b.md5 = md5.New()
@@ -146,15 +146,15 @@
 		return nil
 	}
 	if b.checksum != nil {
-		return objectapi.Errorf(objectapi.CodeInvalidRequest, "Expecting a single x-amz-checksum- header.")
+		return objectapi.NewError(objectapi.CodeInvalidRequest, "Expecting a single x-amz-checksum- header.")
 	}
 	b.checksum = NewChecksum(algorithm)
 	if b.checksum == nil {
-		return objectapi.Errorf(objectapi.CodeInvalidRequest, "The checksum "+name+" is not known.")
+		return objectapi.NewError(objectapi.CodeInvalidRequest, "The checksum "+name+" is not known.")
 	}
 	sum, err := base64.StdEncoding.DecodeString(string(h.Value))
 	if err != nil || len(sum) != b.checksum.Size() {
-		return objectapi.Errorf(objectapi.CodeInvalidRequest, "Value for "+name+" header is invalid.")
+		return objectapi.NewError(objectapi.CodeInvalidRequest, "Value for "+name+" header is invalid.")
 	}
 	b.Checksum = copyHeader(name, h.Value)
 	return nil
--- a/internal/payload/verify.go
+++ b/internal/payload/verify.go
@@ -19,7 +19,7 @@
 	ok := b.auth.VerifyChunk(sum, string(b.signedText))
 	b.signedText = b.signedText[:0]
 	if !ok {
-		return objectapi.Errorf(objectapi.CodeSignatureDoesNotMatch, "The signature of a chunk does not match.")
+		return objectapi.NewError(objectapi.CodeSignatureDoesNotMatch, "The signature of a chunk does not match.")
 	}
 	return nil
 }
@@ -27,7 +27,7 @@
 // verify verifies a body that has ended: its length, its trailer and its checksums.
 func (b *Body) verify() error {
 	if b.inner != nil && !b.ended || b.Length >= 0 && b.Received != b.Length {
-		return objectapi.Errorf(objectapi.CodeIncompleteBody,
+		return objectapi.NewError(objectapi.CodeIncompleteBody,
 			"You did not provide the number of bytes specified by the length headers.")
 	}
 	if err := b.verifyTrailer(); err != nil {
@@ -41,25 +41,25 @@
 	case b.trailer == "":
 		return nil
 	case b.Checksum.Name == nil:
-		return objectapi.Errorf(objectapi.CodeInvalidRequest,
+		return objectapi.NewError(objectapi.CodeInvalidRequest,
 			"The trailer did not bring the checksum that x-amz-trailer names.")
 	case b.auth.Payload == sigv4.SignedChunksTrailer && !b.trailerChecked:
-		return objectapi.Errorf(objectapi.CodeSignatureDoesNotMatch, "The trailer is not signed.")
+		return objectapi.NewError(objectapi.CodeSignatureDoesNotMatch, "The trailer is not signed.")
 	}
 	return nil
 }
 
 func (b *Body) verifyChecksums() error {
 	if b.md5 != nil && subtle.ConstantTimeCompare(b.md5.Sum(nil), b.expectedMD5) != 1 {
-		return objectapi.Errorf(objectapi.CodeBadDigest,
+		return objectapi.NewError(objectapi.CodeBadDigest,
 			"The Content-MD5 you specified did not match what we received.")
 	}
 	if b.sha256 != nil && subtle.ConstantTimeCompare(b.sha256.Sum(nil), b.auth.PayloadHash[:]) != 1 {
-		return objectapi.Errorf(objectapi.CodeContentSHA256Mismatch,
+		return objectapi.NewError(objectapi.CodeContentSHA256Mismatch,
 			"The provided x-amz-content-sha256 header does not match what was computed.")
 	}
 	if b.checksum != nil && base64.StdEncoding.EncodeToString(b.checksum.Sum(nil)) != string(b.Checksum.Value) {
-		return objectapi.Errorf(objectapi.CodeBadDigest,
+		return objectapi.NewError(objectapi.CodeBadDigest,
 			"The checksum you specified did not match the calculated one.")
 	}
 	return nil
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -136,3 +136,15 @@
 		}
 	})
 }
+
+// A key that is empty is an unknown member, not a panic. See KNOWN-RED.txt.
+func TestEmptyKeyIsRejected(t *testing.T) {
+	defer func() {
+		if r := recover(); r != nil {
+			t.Errorf("panic: %v", r)
+		}
+	}()
+	if _, err := Parse("test", []byte(`{"": {}}`)); err == nil {
+		t.Error("accepted")
+	}
+}
