--- /dev/null
+++ b/internal/modelcheck/checksend.go
@@ -0,0 +1,150 @@
+package modelcheck
+
+// Checks of what the forwarder sends: drains, attempts, repeats, retry budget and order.
+
+import (
+	"slices"
+	"time"
+
+	"chalkstand/dispatch"
+	"chalkstand/forwarder"
+)
+
+// checkDecision checks that a decision sends no request to a node that must not be used.
+func (w *World) checkDecision(a forwarder.Action) {
+	send, ok := a.(forwarder.SendRequest)
+	if !ok {
+		return
+	}
+	if since, unusable := w.unusableSince[send.Node]; unusable {
+		w.violate(ruleDrain, "request %d is sent to %s, which has been draining or removed for %v",
+			send.ID, send.Node, w.now-since)
+	}
+}
+
+// checkSend checks a request that is sent.
+func (w *World) checkSend(c *conn, r *request, a forwarder.SendRequest) {
+	switch {
+	case r.responses > 0 || r.canceled:
+		w.violate(ruleAnswer, "request %d is sent after its end", r.id)
+	case r.conn != nil:
+		w.violate(ruleAttempts, "request %d is sent on connection %d while in flight on %d", r.id, c.id, r.conn.id)
+	default:
+		w.checkSendConn(c, r, a)
+		w.checkRepeat(r)
+	}
+	if a.Attempt < r.attempts {
+		w.violate(ruleAttempts, "request %d: attempt %d is sent after %d others", r.id, a.Attempt, r.attempts)
+	}
+	if bound := w.cfg.Dispatch.MaxAttempts; bound > 0 && r.attempts >= bound {
+		w.violate(ruleBounds, "request %d is sent for the %dth time, bound %d", r.id, r.attempts+1, bound)
+	}
+	w.checkOrder(r)
+	r.attempts++
+	if r.attempts > 1 {
+		w.checkBudget()
+	}
+	if !r.ambiguous {
+		r.ambiguousSince = w.now
+	}
+}
+
+// checkSendConn checks that a request is sent on a connection that can carry it, to its node.
+func (w *World) checkSendConn(c *conn, r *request, a forwarder.SendRequest) {
+	switch busy := c.request != nil || c.atNode; {
+	case !c.open || busy || c.unusable:
+		w.violate(ruleConnection, "request %d is sent on connection %d: open %v, busy %v, unusable %v",
+			r.id, c.id, c.open, busy, c.unusable)
+	case a.Loop != c.loop || a.Loop != r.loop:
+		w.violate(ruleConnection, "request %d of loop %d is sent on connection %d of loop %d", r.id, r.loop, c.id, c.loop)
+	case a.Node != c.node:
+		w.violate(ruleConnection, "request %d for %s is sent on connection %d to %s", r.id, a.Node, c.id, c.node)
+	case w.shardOf(c.node) != r.shard:
+		w.violate(ruleEffects, "request %d of shard %d is sent to %s", r.id, r.shard, c.node)
+	}
+}
+
+// checkRepeat checks that a request which may have been executed may be executed again.
+func (w *World) checkRepeat(r *request) {
+	class := w.class(r)
+	switch {
+	case r.notReplayable && r.attempts > 0:
+		w.violate(ruleEffects, "request %d is not replayable and is sent again", r.id)
+	case !r.ambiguous:
+	case class.Idempotency == dispatch.NonIdempotent:
+		w.violate(ruleEffects, "request %d is not idempotent and is sent again though it may have been executed", r.id)
+	case class.Idempotency == dispatch.Deduplicated && w.now-r.ambiguousSince >= class.DedupWindow:
+		w.violate(ruleEffects, "request %d is sent again %v after it may have been executed, beyond its window",
+			r.id, w.now-r.ambiguousSince)
+	}
+}
+
+// checkBudget counts a retry against the retry budget.
+func (w *World) checkBudget() {
+	k, budget := &w.checker, w.cfg.Dispatch.RetryBudget
+	k.retryTimes = append(k.retryTimes, w.now)
+	inWindow := func(times []time.Duration) int {
+		count := 0
+		for _, t := range times {
+			if w.now-budget.Window < t && t <= w.now {
+				count++
+			}
+		}
+		return count
+	}
+	retries, requests := inWindow(k.retryTimes), inWindow(k.requestTimes)
+	if budget.Window > 0 && float64(retries) > budget.MinRetries+budget.Ratio*float64(requests) {
+		w.violate(ruleBudget, "%d retries within %v", retries, budget.Window)
+	}
+}
+
+func (w *World) shardOf(id dispatch.NodeID) dispatch.Shard {
+	i := slices.IndexFunc(w.nodes, func(n node) bool { return n.id == id })
+	return w.nodes[i].shard
+}
+
+// checkOrder checks that the earlier requests of a request's key are over and quiescent.
+func (w *World) checkOrder(r *request) {
+	if !w.class(r).Ordered || r.key == "" {
+		return
+	}
+	for _, earlier := range w.checker.byKey[r.key] {
+		switch {
+		case earlier == r:
+			return
+		case (!earlier.finished() || earlier.conn != nil) && !w.responsePending(earlier):
+			w.violate(ruleOrder, "request %d is sent before %d of its key is over", r.id, earlier.id)
+		case w.now < earlier.quiescentAt:
+			w.violate(ruleOrder, "request %d is sent %v before the quiescence of its key ends",
+				r.id, earlier.quiescentAt-w.now)
+		}
+	}
+}
+
+// responsePending reports whether a request's final response was decided and waits for its
+// loop: another loop may first act on what follows from the decision.
+func (w *World) responsePending(r *request) bool {
+	return slices.ContainsFunc(w.loopQueues[r.loop], func(a forwarder.Action) bool {
+		switch a := a.(type) {
+		case forwarder.ForwardResponse:
+			return a.ID == r.id
+		case forwarder.Reject:
+			return a.ID == r.id
+		case forwarder.Fail:
+			return a.ID == r.id
+		case forwarder.AbortResponse:
+			return a.ID == r.id
+		}
+		return false
+	})
+}
+
+// noteInterrupted notes that a connection ends while the node may execute its request.
+func (w *World) noteInterrupted(c *conn) {
+	r := c.request
+	if r == nil || !c.atNode {
+		return
+	}
+	r.ambiguous = true
+	w.noteQuiescence(r)
+}
