--- a/lab/mutation/reader.go
+++ b/lab/mutation/reader.go
@@ -15,7 +15,7 @@
 		Name: "a response without a request is accepted",
 		File: nodeReader,
 		From: `	return r.fail("a response without a request")`,
-		To:   "\treturn Step{Kind: NeedMore, Used: len(b)}",
+		To:   "\treturn Step{Kind: NeedMore, Consumed: len(b)}",
 	},
 	{
 		Name: "bytes after the response do not end the connection",
