--- a/forwarder/actions.go
+++ b/forwarder/actions.go
@@ -1,4 +1,5 @@
-// The actions that a Forwarder returns, to be performed in their order.
+// This file declares the actions that Forwarder.Handle returns. The caller performs them
+// in the order in which they are returned.
 
 package forwarder
 
@@ -11,11 +12,12 @@
 
 // Action is an operation that Handle asks its caller to perform.
 type Action interface {
-	// OnLoop returns the event loop that performs the action; false where any may.
+	// OnLoop returns the event loop that must perform the action. It returns false if any
+	// loop may perform it.
 	OnLoop() (LoopID, bool)
 }
 
-// Dial opens a connection. DialCompleted reports its result.
+// Dial opens a connection to a node. The caller reports the result with DialCompleted.
 type Dial struct {
 	Conn    ConnID
 	Loop    LoopID
@@ -30,97 +32,100 @@
 	Loop     LoopID
 	ID       dispatch.RequestID
 	Node     dispatch.NodeID
-	Attempt  int           // from 0
-	Deadline time.Duration // at which the attempt times out
+	Attempt  int           // number of the attempt, starting at 0
+	Deadline time.Duration // time at which the attempt times out
 }
 
-// CloseConn closes a connection. Input that still arrives on it is discarded.
+// CloseConn closes a connection. The caller discards input that still arrives on it.
 type CloseConn struct {
 	Conn ConnID
 	Loop LoopID
 }
 
-// ForwardResponse is a final response: the node's own, which the caller has buffered or
-// has passed on.
+// ForwardResponse is a final response. It gives the client the node's response, which the
+// caller has either buffered or already passed on.
 type ForwardResponse struct {
 	ID   dispatch.RequestID
 	Loop LoopID
 	Conn ConnID
 }
 
-// DiscardResponse drops a node's response: the client gets another one.
+// DiscardResponse drops a node's response. The client receives a different response
+// later.
 type DiscardResponse struct {
 	ID   dispatch.RequestID
 	Loop LoopID
 	Conn ConnID
 }
 
-// Reject is a final response: the request was not executed, or may be executed again, and
-// can be retried after RetryAfter.
+// Reject is a final response. It tells the client to retry the request after RetryAfter.
+// Either no node executed the request, or it is safe to execute it again.
 type Reject struct {
 	ID         dispatch.RequestID
 	Loop       LoopID
 	RetryAfter time.Duration
 }
 
-// Fail is a final response: the request may or may not have been executed.
+// Fail is a final response. It tells the client that the request failed and that a node
+// may or may not have executed it.
 type Fail struct {
 	ID       dispatch.RequestID
 	Loop     LoopID
 	TimedOut bool
 }
 
-// AbortResponse is a final response: it breaks off a response whose headers were passed on,
-// in a way that the client can detect.
+// AbortResponse is a final response. It cuts off a response whose headers the client has
+// already received, in a way that the client can detect.
 type AbortResponse struct {
 	ID   dispatch.RequestID
 	Loop LoopID
 }
 
-// RequestAttributed reports how the time of a request is attributed and behind which volumes it
-// queued. With Config.Attribution there is one for each StartRequest, before the final
-// response. It has no influence on decisions.
+// RequestAttributed reports how a request's time is divided among components, and which
+// volumes the request queued behind. If Config.Attribution is set, the forwarder emits one
+// for each StartRequest, before the final response. It has no influence on decisions.
 type RequestAttributed struct {
 	ID    dispatch.RequestID
 	Loop  LoopID
-	Entry *attribution.Entry // owned by the caller from now on
+	Entry *attribution.Entry // the caller owns the entry
 }
 
-// SetTimer requests a TimerFired event at a time. It replaces an earlier SetTimer.
+// SetTimer requests a TimerFired event at time At. It replaces any earlier SetTimer.
 type SetTimer struct{ At time.Duration }
 
-// PollDiscovery requests the endpoint list and its further changes from discovery.
+// PollDiscovery asks the caller to fetch the endpoint list from discovery and to report
+// later changes to it.
 type PollDiscovery struct{}
 
-// OnLoop returns the loop that dials.
+// OnLoop returns the loop that will own the connection.
 func (a Dial) OnLoop() (LoopID, bool) { return a.Loop, true }
 
-// OnLoop returns the loop of the connection and the request.
+// OnLoop returns the loop that owns the request and its connection.
 func (a SendRequest) OnLoop() (LoopID, bool) { return a.Loop, true }
 
-// OnLoop returns the connection's loop.
+// OnLoop returns the loop that owns the connection.
 func (a CloseConn) OnLoop() (LoopID, bool) { return a.Loop, true }
 
-// OnLoop returns the request's loop.
+// OnLoop returns the loop that owns the request.
 func (a ForwardResponse) OnLoop() (LoopID, bool) { return a.Loop, true }
 
-// OnLoop returns the request's loop.
+// OnLoop returns the loop that owns the request.
 func (a DiscardResponse) OnLoop() (LoopID, bool) { return a.Loop, true }
 
-// OnLoop returns the request's loop.
+// OnLoop returns the loop that owns the request.
 func (a Reject) OnLoop() (LoopID, bool) { return a.Loop, true }
 
-// OnLoop returns the request's loop.
+// OnLoop returns the loop that owns the request.
 func (a Fail) OnLoop() (LoopID, bool) { return a.Loop, true }
 
-// OnLoop returns the request's loop.
+// OnLoop returns the loop that owns the request.
 func (a AbortResponse) OnLoop() (LoopID, bool) { return a.Loop, true }
 
-// OnLoop returns the request's loop.
+// OnLoop returns the loop that owns the request.
 func (a RequestAttributed) OnLoop() (LoopID, bool) { return a.Loop, true }
 
-// OnLoop returns false: a timer belongs to no loop.
+// OnLoop returns false, because any loop may set the timer.
 func (SetTimer) OnLoop() (LoopID, bool) { return 0, false }
 
-// OnLoop returns false: discovery belongs to no loop.
+// OnLoop returns false, because any loop may poll discovery.
 func (PollDiscovery) OnLoop() (LoopID, bool) { return 0, false }
--- a/forwarder/attempts.go
+++ b/forwarder/attempts.go
@@ -1,5 +1,5 @@
-// Attempts: each goes from the dispatcher's decision over a connection to its result,
-// which is reported to the dispatcher once.
+// This file handles attempts. The dispatcher decides on an attempt, the forwarder sends it
+// on a connection, and the result is reported to the dispatcher once.
 
 package forwarder
 
@@ -7,12 +7,12 @@
 	"chalkstand/dispatch"
 )
 
-// startAttempt starts an attempt that the dispatcher decided on. The dispatcher chooses no
-// node that it knows to be draining; a node that starts draining while the connection is
-// being dialed is noticed in onDialCompleted.
+// startAttempt starts an attempt that the dispatcher decided on. The dispatcher does not
+// choose nodes that it knows to be draining. If the node starts draining while the
+// connection is being dialed, onDialCompleted ends the attempt.
 func (f *Forwarder) startAttempt(a dispatch.SendAttempt) {
 	r := f.requests[a.ID]
-	if r == nil { // cannot happen; reported so that the dispatcher does not wait for a result
+	if r == nil { // cannot happen; the result is reported so that the dispatcher does not wait for it
 		f.notify(dispatch.AttemptCompleted{ID: a.ID, Node: a.Node, Result: dispatch.NotSent})
 		return
 	}
@@ -39,14 +39,15 @@
 	f.assignConn(r, n)
 }
 
-// assignConn sends a request's attempt on an idle connection, or dials one for it.
+// assignConn sends a request's attempt on an idle connection of the node. If there is none,
+// it dials a new connection, and the attempt is sent when the dial completes.
 func (f *Forwarder) assignConn(r *request, n *node) {
 	if c := f.takeIdle(n, r.loop); c != nil {
 		f.send(c, r)
 		return
 	}
 	c := f.dial(n, r.loop)
-	if c == nil { // the gateway's own limit, not a fault of the node
+	if c == nil { // a connection limit of the gateway is reached, which is not a fault of the node
 		f.failAttempt(r, dispatch.NotSent, ResponseInfo{})
 		return
 	}
@@ -54,7 +55,8 @@
 	c.request = r
 }
 
-// send sends a request's attempt on a connection. No other function sends a request.
+// send sends a request's attempt on a connection. It is the only function that emits
+// SendRequest.
 func (f *Forwarder) send(c *conn, r *request) {
 	c.state = connBusy
 	c.request = r
@@ -71,9 +73,10 @@
 	})
 }
 
-// failAttempt ends an attempt without a response for the client, and leaves it to the
-// dispatcher whether there is another attempt. A request that cannot be replayed gets its
-// final response here: a rejection only where the node rejected it without executing it.
+// failAttempt ends an attempt that produced no response for the client. The dispatcher then
+// decides whether there is another attempt. If the request was sent and cannot be replayed,
+// failAttempt gives it the final response instead: Reject if the node rejected it without
+// executing it, and Fail otherwise.
 func (f *Forwarder) failAttempt(r *request, result dispatch.AttemptResult, info ResponseInfo) {
 	r.timedOut = result == dispatch.TimedOut
 	if r.notReplayable && r.stage == stageInFlight {
@@ -90,8 +93,8 @@
 	f.reportResult(r, result, info, false)
 }
 
-// reportResult reports an attempt's result to the dispatcher. With responded set the
-// request is over, and nothing more is reported of it.
+// reportResult reports an attempt's result to the dispatcher. If responded is set, the
+// request is finished, and reportResult ignores later calls for it.
 func (f *Forwarder) reportResult(r *request, result dispatch.AttemptResult, info ResponseInfo, responded bool) {
 	if r.resultReported {
 		return
@@ -123,8 +126,8 @@
 	return result == dispatch.Rejected || result == dispatch.ConnectFailed || result == dispatch.NotSent
 }
 
-// abandonAttempt ends an attempt that is in flight. A response may still arrive on its
-// connection, which is therefore closed.
+// abandonAttempt ends an attempt that is in flight. It also closes the connection, because
+// the node's response may still arrive on it.
 func (f *Forwarder) abandonAttempt(r *request, result dispatch.AttemptResult) {
 	if r.stage != stageInFlight {
 		return
@@ -137,20 +140,23 @@
 	}
 }
 
-// dedupWindowExpired reports whether nodes may no longer recognize a further attempt as a
-// repeat of one that may have been executed. It is checked when the connection is ready,
-// as dialing may take longer than the window.
+// dedupWindowExpired reports whether the deduplication window of an earlier attempt, which
+// a node may have executed, has expired. Nodes may then execute a further attempt as a new
+// request. The forwarder checks this when the connection is ready, because dialing may take
+// longer than the window.
 func (f *Forwarder) dedupWindowExpired(r *request) bool {
 	return r.ambiguous && r.class.Idempotency == dispatch.Deduplicated &&
 		f.now-r.ambiguousSince >= r.class.DedupWindow
 }
 
-// onBodyStreaming detaches a request whose body is streamed from the dispatcher: the
-// client and the network set its pace, and that must not count as the node's latency, for
-// which other requests would be rejected. A request that holds its key's order stays
-// attached. Beyond MaxStreamsPerNode a request stays attached, too, so that a node full
-// of streams counts as busy. A slow client may hide a slow node this way; the node then
-// shows in its other responses.
+// onBodyStreaming detaches a request from the dispatcher when its body starts to stream to
+// the node. The client and the network determine how long the transfer takes. If that time
+// counted as the node's latency, the dispatcher would reject other requests.
+//
+// An ordered request with a key stays attached, because it holds back later requests with
+// the same key. A request beyond MaxStreamsPerNode also stays attached, so that a node with
+// too many streams counts as busy. A slow client can hide a slow node this way, but the
+// latency of the node's other responses still reveals it.
 func (f *Forwarder) onBodyStreaming(id dispatch.RequestID) {
 	r := f.requests[id]
 	if r == nil || r.stage != stageInFlight || r.bodySent {
@@ -160,12 +166,13 @@
 		return
 	}
 	f.reportResult(r, dispatch.Canceled, ResponseInfo{}, true)
-	f.leaveNode(r) // it no longer counts in the dispatcher's concurrency
+	f.leaveNode(r) // the request no longer counts in the dispatcher's concurrency
 	r.stage = stageDetached
 	f.stopTimer(r)
 }
 
-// onBodySent starts the timeout of a detached request: from now on the node sets the pace.
+// onBodySent starts the timeout of a detached request. The node has the whole body, so that
+// only the node can delay the response from now on.
 func (f *Forwarder) onBodySent(id dispatch.RequestID) {
 	if r := f.requests[id]; r != nil {
 		r.bodySent = true
@@ -175,8 +182,8 @@
 	}
 }
 
-// reserveStream counts a request among its node's streams. It returns false where the node
-// has MaxStreamsPerNode.
+// reserveStream counts a request as one of its node's streams. It returns false if the node
+// already has MaxStreamsPerNode streams.
 func (f *Forwarder) reserveStream(r *request) bool {
 	n := r.conn.node
 	if r.streamNode == nil && n.streamCount < f.cfg.MaxStreamsPerNode {
@@ -186,10 +193,10 @@
 	return r.streamNode != nil
 }
 
-// onAttemptTimeout handles the timer of a request's attempt.
+// onAttemptTimeout ends a request's attempt when its timer fires.
 func (f *Forwarder) onAttemptTimeout(r *request) {
 	switch r.stage {
-	case stageDialing: // the connection may still be used by another request
+	case stageDialing: // the dial continues, and another request may use the connection
 		c := r.conn
 		f.failAttempt(r, dispatch.ConnectFailed, ResponseInfo{})
 		r.conn = nil
--- a/forwarder/config.go
+++ b/forwarder/config.go
@@ -1,6 +1,6 @@
-// Package forwarder carries requests to storage nodes: it owns the requests, their
-// attempts, and the pool of connections that carry them. The dispatcher decides when
-// and where an attempt goes; the forwarder turns these decisions into operations on
+// Package forwarder carries requests to storage nodes. It owns the requests, their
+// attempts, and the connection pool. The dispatcher decides when an attempt starts and
+// which node it goes to. The forwarder turns these decisions into operations on
 // connections. It is a deterministic state machine: Handle takes an event and returns
 // actions. It does no I/O, reads no clock and starts no goroutine.
 package forwarder
@@ -15,36 +15,38 @@
 // Config holds the settings of a Forwarder.
 type Config struct {
 	Dispatch dispatch.Config
-	Seed     uint64 // of the dispatcher's random numbers
+	Seed     uint64 // seeds the dispatcher's random numbers
 
-	// MaxConnsPerNode bounds the connections to one node, those being dialed included.
+	// MaxConnsPerNode is the maximum number of connections to one node, including those
+	// being dialed.
 	MaxConnsPerNode int
-	// MaxStreamsPerNode bounds the bodies that stream to or from one node without being
-	// counted in the dispatcher's concurrency. It must be below MaxConnsPerNode: the other
-	// connections are for the attempts that the dispatcher counts.
+	// MaxStreamsPerNode is the maximum number of bodies that stream to or from one node
+	// without counting in the dispatcher's concurrency. It must be below MaxConnsPerNode,
+	// because the attempts that the dispatcher counts need the remaining connections.
 	MaxStreamsPerNode int
-	MaxConns          int           // connections to all nodes; 0: no bound
-	ReuseDelay        time.Duration // from a response to the connection's next request; may be 0
-	IdleTimeout       time.Duration // after which an idle connection is closed
-	MaxConnAge        time.Duration // after which a connection carries no further request
+	MaxConns          int           // maximum number of connections to all nodes; 0 means no limit
+	ReuseDelay        time.Duration // minimum time between a response and the connection's next request; may be 0
+	IdleTimeout       time.Duration // idle time after which a connection is closed
+	MaxConnAge        time.Duration // age from which a connection carries no further request
 	DialTimeout       time.Duration
 	// ResponseMargin is the part of a client's timeout that is reserved for returning the
 	// response.
 	ResponseMargin time.Duration
-	// MaxRequests bounds the unfinished requests. Beyond it a request is rejected without
-	// reaching the dispatcher.
+	// MaxRequests is the maximum number of unfinished requests. The forwarder rejects
+	// requests beyond this limit without passing them to the dispatcher.
 	MaxRequests int
-	// Attribution enables one RequestAttributed action for each StartRequest.
+	// Attribution makes the forwarder emit one RequestAttributed action for each
+	// StartRequest.
 	Attribution bool
 }
 
 // ConfigError reports a field of a Config whose value is out of range.
 type ConfigError struct {
-	Field    string // of Config
-	Expected string
+	Field    string // name of the field in Config
+	Expected string // description of the valid values
 }
 
-func (e *ConfigError) Error() string { return e.Field + ": want " + e.Expected }
+func (e *ConfigError) Error() string { return e.Field + " must be " + e.Expected }
 
 // check returns a *ConfigError for the first field that is out of range.
 func (c *Config) check() error {
@@ -57,7 +59,7 @@
 		{
 			"MaxStreamsPerNode",
 			c.MaxStreamsPerNode >= 0 && c.MaxStreamsPerNode < c.MaxConnsPerNode,
-			"0 to below MaxConnsPerNode",
+			"at least 0 and below MaxConnsPerNode",
 		},
 		{"MaxConns", c.MaxConns >= 0, "at least 0"},
 		{"ReuseDelay", c.ReuseDelay >= 0, "at least 0"},
--- a/forwarder/connpool.go
+++ b/forwarder/connpool.go
@@ -1,5 +1,5 @@
-// The connection pool: it owns the connections to nodes, and bounds their number, their
-// age and their idle time. A connection carries one request at a time.
+// This file holds the connection pool. The pool owns the connections to nodes and limits
+// their number, age and idle time. A connection carries one request at a time.
 
 package forwarder
 
@@ -10,7 +10,7 @@
 	"chalkstand/dispatch"
 )
 
-// connState is the state of a connection.
+// connState is the state of a connection in the pool.
 type connState int
 
 const (
@@ -25,16 +25,17 @@
 	node         *node
 	loop         LoopID
 	state        connState
-	request      *request // that it carries, or is dialed for
+	request      *request // request that the connection carries or is being dialed for, or nil
 	createdAt    time.Duration
 	idleSince    time.Duration
 	idleTimerSet bool
 }
 
-// takeIdle removes a connection of a loop from a node's idle ones, the most recently used
-// first, so that the others reach the idle timeout. It returns nil where there is none.
-// A connection is not reused before ReuseDelay has passed: what a faulty node sends after
-// its response must not be read as the response to the next request.
+// takeIdle removes a connection of the given loop from a node's idle connections and
+// returns it, or returns nil if no connection is usable. It prefers the most recently used
+// connection, so that the others reach the idle timeout. It does not reuse a connection
+// before ReuseDelay has passed: if a faulty node sends extra bytes after a response, these
+// must not be read as the response to the next request.
 func (f *Forwarder) takeIdle(n *node, loop LoopID) *conn {
 	for i := len(n.idleConns) - 1; i >= 0; i-- {
 		c := n.idleConns[i]
@@ -51,8 +52,9 @@
 	return nil
 }
 
-// dial starts to open a connection. At a bound an idle connection, of whatever loop, is
-// closed for it; where there is none, dial returns nil.
+// dial starts to open a connection to a node. If a connection limit is reached, dial first
+// closes an idle connection, which may belong to any loop. If none is idle, dial returns
+// nil.
 func (f *Forwarder) dial(n *node, loop LoopID) *conn {
 	if n.connCount >= f.cfg.MaxConnsPerNode {
 		if len(n.idleConns) == 0 {
@@ -71,8 +73,8 @@
 	return c
 }
 
-// evictIdle closes the connection that has been idle for the longest, over all nodes. It
-// returns false where none is idle.
+// evictIdle closes the connection that has been idle the longest among all nodes. It
+// returns false if no connection is idle.
 func (f *Forwarder) evictIdle() bool {
 	var oldest *conn
 	for _, n := range f.sortedNodes {
@@ -87,8 +89,8 @@
 	return true
 }
 
-// putIdle adds a connection to its node's idle ones, or closes it where it cannot carry
-// another request.
+// putIdle adds a connection to its node's idle connections. If the connection cannot carry
+// another request, putIdle closes it instead.
 func (f *Forwarder) putIdle(c *conn) {
 	if c.node.State != dispatch.Ready || f.now-c.createdAt >= f.cfg.MaxConnAge || f.conns[c.id] == nil {
 		f.closeConn(c)
@@ -104,8 +106,8 @@
 	}
 }
 
-// onIdleTimeout closes a connection that has been idle for IdleTimeout. It sets the timer
-// again where the connection was used meanwhile.
+// onIdleTimeout closes a connection that has been idle for IdleTimeout. If the connection
+// was used since the timer was set, onIdleTimeout sets the timer again.
 func (f *Forwarder) onIdleTimeout(c *conn) {
 	c.idleTimerSet = false
 	switch {
@@ -118,7 +120,7 @@
 	}
 }
 
-// closeConn closes a connection and removes it.
+// closeConn emits CloseConn for a connection and removes it from the pool.
 func (f *Forwarder) closeConn(c *conn) {
 	if f.conns[c.id] != c {
 		return
@@ -127,7 +129,7 @@
 	f.removeConn(c)
 }
 
-// removeConn removes a connection that is closed.
+// removeConn removes a closed connection from the pool.
 func (f *Forwarder) removeConn(c *conn) {
 	if f.conns[c.id] != c {
 		return
@@ -143,7 +145,7 @@
 	c := f.conns[e.Conn]
 	if c == nil || c.state != connDialing {
 		if e.OK {
-			f.emit(CloseConn{Conn: e.Conn}) // no longer wanted
+			f.emit(CloseConn{Conn: e.Conn}) // the forwarder has already removed this connection
 		}
 		return
 	}
@@ -161,8 +163,8 @@
 	case r == nil:
 		f.putIdle(c)
 	case c.node.State != dispatch.Ready:
-		// The node started draining after the dispatcher's decision: nothing was sent, and
-		// the dispatcher chooses another node.
+		// The node started draining after the dispatcher had chosen it. Nothing was sent, so
+		// the dispatcher can choose another node.
 		r.conn = nil
 		c.request = nil
 		f.closeConn(c)
@@ -202,12 +204,13 @@
 	}
 }
 
-// onInFlightLost ends an attempt whose connection was lost, or continues it on another one.
+// onInFlightLost handles the loss of the connection of an attempt in flight. It ends the
+// attempt, or continues it on another connection if nothing was written.
 func (f *Forwarder) onInFlightLost(r *request, n *node, e ConnectionLost) {
 	switch {
 	case e.Stale && n.State == dispatch.Ready && f.now < r.timer.At() && !f.dedupWindowExpired(r):
-		// The node had closed an idle connection, or it had input that is not a response.
-		// Each time there is one idle connection less, so this ends.
+		// The node had closed the idle connection, or the connection had received input that
+		// is not a response. Each repetition uses up one idle connection, so the retries end.
 		f.leaveNode(r)
 		r.stage = stageDialing
 		f.assignConn(r, n)
--- a/forwarder/endpoints.go
+++ b/forwarder/endpoints.go
@@ -1,5 +1,5 @@
-// The endpoint list: it owns the nodes, and closes idle connections to nodes that are no
-// longer used.
+// This file maintains the list of nodes from endpoint updates. It also closes idle
+// connections to nodes that are no longer used.
 
 package forwarder
 
@@ -11,16 +11,16 @@
 	"chalkstand/dispatch"
 )
 
-// node is a storage node with its connections.
+// node is a storage node together with its connections.
 type node struct {
 	Node
-	connCount        int // including those that are dialed or busy
-	streamCount      int
-	occupancyHistory *attribution.Occupancy // nil until it is needed
-	idleConns        []*conn                // the most recently used last
+	connCount        int                    // connections in any state: dialing, idle or busy
+	streamCount      int                    // requests that count toward MaxStreamsPerNode
+	occupancyHistory *attribution.Occupancy // created by occupancy on the first use
+	idleConns        []*conn                // idle connections, the most recently used last
 }
 
-// onEndpointUpdate applies an update to the nodes and passes it on to the dispatcher.
+// onEndpointUpdate applies an update to the list of nodes and passes it to the dispatcher.
 func (f *Forwarder) onEndpointUpdate(e EndpointUpdate) {
 	update := dispatch.EndpointUpdate{Kind: e.Kind}
 	if e.Kind == dispatch.Snapshot || e.Kind == dispatch.Cached {
@@ -48,8 +48,8 @@
 	f.notify(update)
 }
 
-// updateNode adds or updates the node of an entry. An entry without an address keeps the
-// node's address.
+// updateNode adds or updates the node that an entry describes. If the entry has no address,
+// the node keeps its previous address.
 func (f *Forwarder) updateNode(entry Node) {
 	n := f.nodes[entry.ID]
 	if n == nil {
@@ -60,13 +60,13 @@
 	if entry.Addr == "" {
 		entry.Addr = n.Addr
 	}
-	if n.Addr != entry.Addr || n.Started != entry.Started { // another process
+	if n.Addr != entry.Addr || n.Started != entry.Started { // the node is now a different process
 		f.closeIdleConns(n)
 	}
 	n.Node = entry
 }
 
-// closeIdleConns closes a node's idle connections.
+// closeIdleConns closes all idle connections to a node.
 func (f *Forwarder) closeIdleConns(n *node) {
 	for len(n.idleConns) > 0 {
 		f.closeConn(n.idleConns[len(n.idleConns)-1])
--- a/forwarder/events.go
+++ b/forwarder/events.go
@@ -1,4 +1,5 @@
-// The events that a Forwarder handles, and the values that they carry.
+// This file declares the events that Forwarder.Handle takes, and the types of their
+// fields.
 
 package forwarder
 
@@ -8,14 +9,14 @@
 	"chalkstand/dispatch"
 )
 
-// ConnID identifies a connection to a node. It is never reused.
+// ConnID identifies a connection to a node. An ID is never reused.
 type ConnID uint64
 
 // LoopID identifies an event loop. A request and the connection that carries it belong
 // to the same loop.
 type LoopID int
 
-// Node is an entry of the endpoint list, with its address.
+// Node is an entry of the endpoint list. It adds the node's address to dispatch.Node.
 type Node struct {
 	dispatch.Node
 	Addr string
@@ -24,45 +25,48 @@
 // Event is an input of Handle.
 type Event interface{ event() }
 
-// StartRequest adds a request. It gets exactly one final response.
+// StartRequest adds a request. The forwarder gives it exactly one final response unless
+// ClientCanceled or AbortRequest ends it first.
 type StartRequest struct {
 	Request       dispatch.Request
 	Loop          LoopID
-	NotReplayable bool // its body is streamed and cannot be sent a second time
+	NotReplayable bool // the body is streamed from the client and cannot be sent twice
 }
 
-// ClientCanceled reports that the client no longer waits for its request. Units, where it
-// is above 0, is the cost of the part of the response that had arrived.
+// ClientCanceled reports that the client no longer waits for its request. If Units is
+// above 0, it is the cost of the part of the response that arrived before the
+// cancellation.
 type ClientCanceled struct {
 	ID    dispatch.RequestID
 	Units float64
 }
 
-// AbortRequest ends a request whose body is invalid or stopped arriving. The caller
-// responds to the client itself.
+// AbortRequest ends a request whose body is invalid or has stopped arriving. The forwarder
+// emits no final response, because the caller responds to the client itself.
 type AbortRequest struct{ ID dispatch.RequestID }
 
-// BodyStreaming reports that the node reads the request's body as it arrives: from now on
-// the client and the network set the pace.
+// BodyStreaming reports that the request's body is sent to the node as it arrives from the
+// client. From then on, the client and the network determine how long the request takes.
 type BodyStreaming struct{ ID dispatch.RequestID }
 
 // BodySent reports that the whole body was written to the node.
 type BodySent struct{ ID dispatch.RequestID }
 
-// EndpointUpdate is an update from discovery. Entries in state Removed may lack an address.
+// EndpointUpdate is an update of the endpoint list from discovery. A node in state Removed
+// may lack an address.
 type EndpointUpdate struct {
 	Kind  dispatch.EndpointUpdateKind
 	Nodes []Node
 }
 
-// DialCompleted reports the result of a Dial.
+// DialCompleted reports the result of a Dial action.
 type DialCompleted struct {
 	Conn ConnID
 	OK   bool
 }
 
-// ResponseHeaders reports that the headers of a node's response were passed on to the
-// client, and that the body is passed on as it arrives. No other response can follow.
+// ResponseHeaders reports that the client has received the headers of the node's response
+// and receives the body as it arrives. After that, the client can get no other response.
 type ResponseHeaders struct {
 	Conn ConnID
 	Info ResponseInfo
@@ -75,10 +79,10 @@
 	Reuse bool // the connection can carry another request
 }
 
-// ResponseInfo is what a node's response says apart from its content.
+// ResponseInfo holds the metadata of a node's response.
 type ResponseInfo struct {
 	Result      dispatch.AttemptResult // OK, ServerError or Rejected
-	Units       float64                // cost of the request by the response's size; 0: as requested
+	Units       float64                // cost of the request given the response's size; 0 keeps the requested cost
 	QuotaUsage  float64
 	PeerUnits   float64
 	LoadReport  dispatch.LoadReport
@@ -87,17 +91,19 @@
 	ServiceTime time.Duration
 }
 
-// ConnectionLost reports that a connection ended or that its input was not a valid response.
+// ConnectionLost reports that a connection ended without a CloseConn action, or that its
+// input was not a valid response.
 type ConnectionLost struct {
 	Conn ConnID
-	// Unsent is set where the request was not wholly written, and so was never executed.
+	// Unsent is set if the request was not written completely. The node cannot have executed
+	// it then.
 	Unsent bool
-	// Stale is set where nothing of the request was written: the node had closed the
+	// Stale is set if no byte of the request was written, because the node had closed the
 	// connection while it was idle.
 	Stale bool
 }
 
-// TimerFired reports that the time of the last SetTimer has come.
+// TimerFired reports that the time of the last SetTimer action has been reached.
 type TimerFired struct{}
 
 func (StartRequest) event()      {}
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -1,5 +1,5 @@
-// The Forwarder itself: it passes events to their handlers, passes the dispatcher's
-// events to the dispatcher, and applies the dispatcher's decisions.
+// This file holds the Forwarder, which routes each event to its handler, notifies the
+// dispatcher, and applies the dispatcher's decisions.
 
 package forwarder
 
@@ -12,11 +12,11 @@
 	"chalkstand/internal/timerqueue"
 )
 
-// Forwarder is the state machine of one gateway's requests. It is not safe for
-// concurrent use.
+// Forwarder is the state machine that carries all requests of one gateway to storage
+// nodes. It is not safe for concurrent use.
 type Forwarder struct {
-	// Trace, when set, is called with each event of the dispatcher and the actions that
-	// the dispatcher returned.
+	// Trace, if not nil, is called after the dispatcher has handled an event. It receives
+	// the event and the actions that the dispatcher returned.
 	Trace func(now time.Duration, ev dispatch.Event, acts []dispatch.Action)
 
 	cfg         Config
@@ -25,19 +25,19 @@
 	requests    map[dispatch.RequestID]*request
 	conns       map[ConnID]*conn
 	nodes       map[dispatch.NodeID]*node
-	sortedNodes []*node // by ID
+	sortedNodes []*node // the values of nodes, sorted by ID
 	lastConnID  ConnID
 
 	timers          timerqueue.Queue[timer]
-	wakeAt          time.Duration // of the last SetTimer; math.MaxInt64 where none is pending
+	wakeAt          time.Duration // time of the pending SetTimer, or math.MaxInt64 if none is pending
 	dispatcherTimer dispatcherTimer
 
-	dispatcherEvents []dispatch.Event // not yet handled by the dispatcher, in order
-	actions          []Action         // of the current event
+	dispatcherEvents []dispatch.Event // events that the dispatcher has not handled yet, oldest first
+	actions          []Action         // actions that the current call of Handle returns
 }
 
-// New returns a Forwarder without endpoints. The error of an invalid setting wraps a
-// *ConfigError or the dispatcher's own error.
+// New returns a Forwarder that has no nodes yet. If a setting is invalid, the returned
+// error wraps a *ConfigError or the dispatcher's own error.
 func New(cfg Config) (*Forwarder, error) {
 	if err := cfg.check(); err != nil {
 		return nil, fmt.Errorf("forwarder: %w", err)
@@ -59,11 +59,12 @@
 // Requests returns the number of unfinished requests.
 func (f *Forwarder) Requests() int { return len(f.requests) }
 
-// Conns returns the number of connections to nodes.
+// Conns returns the number of connections to nodes, including those being dialed.
 func (f *Forwarder) Conns() int { return len(f.conns) }
 
-// Handle takes one event and returns the actions to perform, in order. The slice is
-// valid until the next call. A time before that of an earlier call counts as that time.
+// Handle processes one event and returns the actions that the caller must perform, in
+// order. The returned slice is valid until the next call. If now is before the time of an
+// earlier call, Handle uses the earlier call's time instead.
 func (f *Forwarder) Handle(now time.Duration, ev Event) []Action {
 	f.actions = f.actions[:0]
 	f.now = max(now, f.now)
@@ -97,16 +98,16 @@
 	return f.actions
 }
 
-// emit appends an action to those that Handle returns.
+// emit appends an action to the list that Handle returns.
 func (f *Forwarder) emit(a Action) { f.actions = append(f.actions, a) }
 
-// notify queues an event for the dispatcher.
+// notify queues an event for the dispatcher. The next runDispatcher delivers it.
 func (f *Forwarder) notify(ev dispatch.Event) {
 	f.dispatcherEvents = append(f.dispatcherEvents, ev)
 }
 
-// runDispatcher passes the queued events to the dispatcher and applies its actions, until
-// these cause no further event.
+// runDispatcher passes the queued events to the dispatcher and applies the resulting
+// actions. Actions can queue further events, so it repeats until the queue is empty.
 func (f *Forwarder) runDispatcher() {
 	for len(f.dispatcherEvents) > 0 {
 		ev := f.dispatcherEvents[0]
@@ -122,7 +123,7 @@
 	f.dispatcherEvents = nil
 }
 
-// apply carries out one action of the dispatcher.
+// apply carries out one action that the dispatcher returned.
 func (f *Forwarder) apply(a dispatch.Action) {
 	switch a := a.(type) {
 	case dispatch.SendAttempt:
@@ -138,7 +139,8 @@
 			f.respond(r, Fail{ID: a.ID, Loop: r.loop, TimedOut: r.timedOut})
 		}
 	case dispatch.CancelAttempt:
-		// A request that cannot be replayed would fail with its attempt, so its attempt is not canceled.
+		// Canceling the only attempt of a request that cannot be replayed would fail the
+		// request, so such an attempt continues.
 		if r := f.requests[a.ID]; r != nil && r.attempt == a.Attempt && !r.notReplayable {
 			f.abandonAttempt(r, dispatch.Canceled)
 		}
--- a/forwarder/requests.go
+++ b/forwarder/requests.go
@@ -1,4 +1,5 @@
-// Requests: their start, their cancellation by the client, and their one final response.
+// This file handles the lifecycle of requests: the start, the cancellation by the client,
+// and the final response.
 
 package forwarder
 
@@ -10,39 +11,39 @@
 	"chalkstand/internal/timerqueue"
 )
 
-// stage is the stage of a request.
+// stage is the stage of a request's lifecycle.
 type stage int
 
 const (
-	stageWaiting   stage = iota // with the dispatcher: queued, or between attempts
-	stageDialing                // its attempt waits for a connection
-	stageInFlight               // its attempt was sent
-	stageStreaming              // the headers of its response were passed on
-	stageDetached               // in flight, but no longer counted by the dispatcher
-	stageDone
+	stageWaiting   stage = iota // the dispatcher holds the request in its queue or between two attempts
+	stageDialing                // the current attempt waits for a connection
+	stageInFlight               // the current attempt was sent to a node
+	stageStreaming              // the client has received the headers of the response
+	stageDetached               // the attempt is in flight, but the dispatcher no longer counts it
+	stageDone                   // the request has finished
 )
 
-// request is an unfinished request with its current or last attempt.
+// request is an unfinished request together with its current or most recent attempt.
 type request struct {
 	req           dispatch.Request
 	class         *dispatch.Class
 	loop          LoopID
 	stage         stage
-	deadline      time.Duration // of the client, less the response margin
+	deadline      time.Duration // the client's deadline minus the response margin
 	notReplayable bool
-	chargedUnits  float64 // cost that the dispatcher counts
-	streamNode    *node   // among whose streams it counts
+	chargedUnits  float64 // cost that the dispatcher currently counts for the request
+	streamNode    *node   // node whose streamCount includes the request, or nil
 
 	conn             *conn
-	timer            *timerqueue.Timer[timer] // the attempt's timeout
-	attempt          int                      // from 0; -1 before the first
-	attemptStartedAt time.Duration            // when the dispatcher decided on it
+	timer            *timerqueue.Timer[timer] // timeout of the current attempt
+	attempt          int                      // number of the current attempt, from 0; -1 before the first
+	attemptStartedAt time.Duration            // when the dispatcher started the current attempt
 	bodySent         bool
-	timedOut         bool          // the last attempt timed out
-	resultReported   bool          // the dispatcher knows that the request is over
-	ambiguous        bool          // an attempt may have been executed
-	ambiguousSince   time.Duration // start of the first such attempt
-	headersAt        time.Duration // when the response's headers were passed on
+	timedOut         bool          // whether the last attempt timed out
+	resultReported   bool          // whether the dispatcher has been told that the request is finished
+	ambiguous        bool          // whether a node may have executed one of the attempts
+	ambiguousSince   time.Duration // start of the first ambiguous attempt
+	headersAt        time.Duration // when the response's headers were passed on to the client
 	headersInfo      ResponseInfo
 
 	attribution requestAttribution
@@ -50,7 +51,7 @@
 
 func (f *Forwarder) onStartRequest(e StartRequest) {
 	if f.requests[e.Request.ID] != nil {
-		return // a duplicate
+		return // a request with this ID already exists
 	}
 	class := e.Request.Class
 	if len(f.requests) >= f.cfg.MaxRequests || class < 0 || class >= len(f.cfg.Dispatch.Classes) {
@@ -79,8 +80,8 @@
 	f.cancel(e.ID)
 }
 
-// cancel ends a request that its client has canceled. An attempt that is in flight
-// ends with it, and its connection is closed.
+// cancel ends a request without a final response. If an attempt is in flight, cancel ends
+// the attempt, too, and closes its connection.
 func (f *Forwarder) cancel(id dispatch.RequestID) {
 	r := f.requests[id]
 	if r == nil {
@@ -102,8 +103,8 @@
 	f.finish(r, nil)
 }
 
-// respond gives a request a final response that is not its attempt's, and ends the
-// attempt.
+// respond ends a request with a final response that the gateway generates. It also ends
+// the current attempt, if there is one.
 func (f *Forwarder) respond(r *request, response Action) {
 	if r.stage == stageDone {
 		return
@@ -112,7 +113,8 @@
 	f.finish(r, response)
 }
 
-// finish removes a request, with its final response; nil where its client has canceled.
+// finish emits the final response of a request and removes the request. A nil response
+// means that the request was canceled and gets no response.
 func (f *Forwarder) finish(r *request, response Action) {
 	r.stage = stageDone
 	f.stopTimer(r)
@@ -128,8 +130,8 @@
 	delete(f.requests, r.req.ID)
 }
 
-// releaseConn separates a request from its connection. A connection on which a response
-// may still arrive is closed, so that no other request receives it.
+// releaseConn detaches a request from its connection. If a response may still arrive on
+// the connection, releaseConn closes it, so that no other request receives that response.
 func (f *Forwarder) releaseConn(r *request) {
 	c := r.conn
 	if c == nil {
--- a/forwarder/responses.go
+++ b/forwarder/responses.go
@@ -1,4 +1,5 @@
-// Responses of nodes: passed on to the client, or discarded for another attempt.
+// This file handles responses of nodes. The forwarder passes a response on to the client,
+// or discards it and ends the attempt.
 
 package forwarder
 
@@ -7,8 +8,8 @@
 	"chalkstand/dispatch"
 )
 
-// onResponseHeaders notes that the client has received the start of its response, which
-// is the final one whether or not it completes.
+// onResponseHeaders moves a request to stageStreaming, because the client has received the
+// headers of the response. No further attempt is possible, even if the body is cut off.
 func (f *Forwarder) onResponseHeaders(e ResponseHeaders) {
 	c := f.conns[e.Conn]
 	if c == nil || c.request == nil ||
@@ -28,8 +29,9 @@
 	}
 }
 
-// onResponseCompleted ends a request with its node's response, or its attempt where the
-// response is not for the client, and returns the connection to the pool.
+// onResponseCompleted ends a request with its node's response. If the response is not for
+// the client, it ends only the attempt. It then returns the connection to the pool, or
+// closes the connection if it cannot be reused.
 func (f *Forwarder) onResponseCompleted(e ResponseCompleted) {
 	c := f.conns[e.Conn]
 	if c == nil || c.state != connBusy {
@@ -44,7 +46,7 @@
 	r.conn = nil
 	c.request = nil
 	if f.conns[c.id] != c {
-		return // closed with a request that cannot be replayed
+		return // failAttempt has closed the connection of a request that cannot be replayed
 	}
 	if e.Reuse {
 		f.putIdle(c)
@@ -53,7 +55,8 @@
 	}
 }
 
-// completeResponse decides what becomes of a complete response.
+// completeResponse forwards a complete response to the client or discards it, depending on
+// the request's stage and the node's result.
 func (f *Forwarder) completeResponse(c *conn, r *request, info ResponseInfo) {
 	switch {
 	case r.stage == stageStreaming:
@@ -74,8 +77,9 @@
 	}
 }
 
-// reportStreamed reports the result of a response that is passed on as it arrives. Its
-// latency ends with the headers: the rest is paced by the client.
+// reportStreamed reports a streamed response to the dispatcher as a successful attempt. The
+// reported latency ends at the headers, because the client determines how long the body
+// takes.
 func (f *Forwarder) reportStreamed(r *request) {
 	f.leaveNode(r)
 	if r.resultReported {
@@ -94,8 +98,9 @@
 	})
 }
 
-// correctCost reports to the dispatcher that a request costs other units than it counts.
-// Units of 0 or below mean that the cost is not known.
+// correctCost tells the dispatcher how far a request's actual cost differs from the cost
+// that the dispatcher counts. It does nothing if units is 0 or negative, which means that
+// the cost is not known.
 func (f *Forwarder) correctCost(r *request, units float64) {
 	if !(units > 0) || units == r.chargedUnits || r.conn == nil {
 		return
--- a/forwarder/timers.go
+++ b/forwarder/timers.go
@@ -1,5 +1,6 @@
-// Timers: the timeouts of attempts, the idle timeouts of connections, and the
-// dispatcher's own timer. The caller's one timer is set to the earliest of them.
+// This file manages timers: the timeouts of attempts, the idle timeouts of connections, and
+// the dispatcher's timer. The caller has a single timer, which SetTimer sets to the earliest
+// of these times.
 
 package forwarder
 
@@ -10,32 +11,33 @@
 	"chalkstand/dispatch"
 )
 
-// timer is the timeout of a request's attempt, or of an idle connection.
+// timer is the timeout of a request's attempt or of an idle connection. One of its fields
+// is nil.
 type timer struct {
 	request *request
 	conn    *conn
 }
 
-// dispatcherTimer is the timer that the dispatcher last set.
+// dispatcherTimer is the last timer that the dispatcher requested.
 type dispatcherTimer struct {
 	at      time.Duration
 	token   string
 	pending bool
 }
 
-// setAttemptTimer sets the timeout of a request's attempt, in place of an earlier one.
+// setAttemptTimer sets the timeout of a request's attempt. It replaces any earlier timeout.
 func (f *Forwarder) setAttemptTimer(r *request, at time.Duration) {
 	f.stopTimer(r)
 	r.timer = f.timers.Add(at, timer{request: r})
 }
 
-// stopTimer stops the timeout of a request's attempt.
+// stopTimer cancels the timeout of a request's attempt.
 func (f *Forwarder) stopTimer(r *request) {
 	f.timers.Remove(r.timer)
 	r.timer = nil
 }
 
-// runTimers handles the timers that are due.
+// runTimers handles all timers that are due. The dispatcher's timer takes precedence.
 func (f *Forwarder) runTimers() {
 	for {
 		if f.dispatcherTimer.pending && f.dispatcherTimer.at <= f.now {
@@ -58,7 +60,8 @@
 	}
 }
 
-// setTimer requests the next TimerFired where it is due before the one requested last.
+// setTimer emits SetTimer if the next timer is due before the TimerFired event that was
+// requested last.
 func (f *Forwarder) setTimer() {
 	next := time.Duration(math.MaxInt64)
 	if at, pending := f.timers.Next(); pending {
