--- a/fairshare/bench_test.go
+++ b/fairshare/bench_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// BenchmarkTurn serves one item among so many backlogged flows, beside container/heap with the same
-// tags and a round robin without weights.
+// BenchmarkTurn measures how long it takes to serve one item if 2, 64 or 4096 flows are
+// backlogged. For comparison, it measures container/heap with the same tags, and a round
+// robin without weights.
 func BenchmarkTurn(b *testing.B) {
 	for _, n := range []int{2, 64, 4096} {
 		b.Run(fmt.Sprintf("share/%d", n), func(b *testing.B) { benchmarkScheduler(b, n) })
@@ -61,8 +62,10 @@
 	}
 }
 
+// tagged is a flow that consists of a tag and a weight only.
 type tagged struct{ tag, weight float64 }
 
+// taggedHeap implements heap.Interface.
 type taggedHeap []*tagged
 
 func (h taggedHeap) Len() int           { return len(h) }
--- a/fairshare/gate.go
+++ b/fairshare/gate.go
@@ -2,29 +2,32 @@
 
 import "time"
 
-// bytePrice is the cost of a byte behind a gate, where bytes alone count, in nanoseconds.
-const bytePrice = 1
+// costPerByte is the cost of a byte in a gate's scheduler, in nanoseconds. The scheduler of a
+// gate charges flows for bytes only.
+const costPerByte = 1
 
-// Gate bounds how many streams use a shared resource at a time, such as the link of a node, by
-// start-time fair queuing with a depth (Jin, Chase and Kaur 2004). Where that resource is the
-// bottleneck and not the loop, streams that are not gated appear ready as soon as they receive
-// anything, so that a flow with more streams gets more of the resource. Behind a gate they wait for
-// a grant, by weight. A stream keeps its grant while it has nothing to read for a moment:
-// the resource's capacity goes to the streams with grants, once the others are
-// held back.
+// Gate limits how many streams use a shared resource at a time, such as the link of a node.
+// It grants access by weight, with depth-bounded start-time fair queuing (Jin, Chase and
+// Kaur 2004).
 //
-// A grant expires, so that a stream that is slow for other reasons does not keep it, and is then
-// charged in full, since the slot was occupied. Data for streams without a grant collects in their
-// socket buffers meanwhile. With many slow streams those buffers can fill up before it is
-// a grant; so the depth grows with the number of waiting streams, and each waits for
-// WaitersPerGrant times GrantTimeout at most.
+// A Gate is needed if the resource, and not the loop, is the bottleneck. Without it, a
+// stream is ready as soon as it receives any data, so that a flow with more streams gets
+// more of the resource. With a Gate, each stream waits for a grant. A stream keeps its grant
+// while it has nothing to read for a moment. Because the other streams are held back, the
+// resource's capacity goes to the streams with grants.
 //
-// It is not safe for concurrent use.
+// A grant expires, so that a stream that is slow for other reasons does not keep its slot.
+// The flow still pays for the whole grant, because the slot was occupied. Data for streams
+// without a grant collects in their socket buffers. If many streams are slow, these buffers
+// could fill up before the streams get grants. The depth therefore grows with the number of
+// waiting streams, so that no stream waits longer than WaitersPerGrant times GrantTimeout.
+//
+// A Gate is not safe for concurrent use.
 type Gate[T any] struct {
 	cfg         GateConfig
 	sched       *Scheduler[T]
-	outstanding int         // grants that have not ended
-	grants      []*Grant[T] // in the order of their expiry; may contain ended ones
+	outstanding int         // number of grants that have not ended
+	grants      []*Grant[T] // grants in the order of their expiry; some may have ended
 }
 
 // Grant permits a stream to move GateConfig.Quantum bytes.
@@ -34,20 +37,21 @@
 	expires time.Duration
 }
 
-// NewGate returns a gate. The error is a *ConfigError.
+// NewGate returns a Gate without waiting streams. If a setting is invalid, the error is a
+// *ConfigError.
 func NewGate[T any](c GateConfig) (*Gate[T], error) {
 	if err := c.check(); err != nil {
 		return nil, err
 	}
-	sched, err := New[T](Config{ByteTime: bytePrice, Window: c.Window, Flows: c.Flows, FIFO: c.FIFO}, 0)
+	sched, err := New[T](Config{ByteTime: costPerByte, Window: c.Window, Flows: c.Flows, FIFO: c.FIFO}, 0)
 	if err != nil {
 		return nil, err
 	}
 	return &Gate[T]{cfg: c, sched: sched}, nil
 }
 
-// Request queues a stream for a grant in the flow of the given name. The rate limit of c is not
-// used: limits are enforced on the loop.
+// Request queues a stream for a grant, in the flow with the given name. It ignores the rate
+// limit in c, because the loop's own Scheduler enforces rate limits.
 func (g *Gate[T]) Request(now time.Duration, name string, c FlowConfig, item T) {
 	c.Rate = 0
 	f := g.sched.Flow(now, name, c, nil)
@@ -57,9 +61,9 @@
 	g.sched.Push(now, f, item)
 }
 
-// NextGrant returns a grant for the stream that is next by weight; false if none is waiting or all
-// slots are taken. The flow is charged for the whole quantum at once, so that outstanding
-// grants count when the next is chosen.
+// NextGrant returns a grant for the next stream by weight. It returns false if no stream is
+// waiting or all slots are taken. It charges the flow for the whole quantum at once, so that
+// outstanding grants count when the next stream is chosen.
 func (g *Gate[T]) NextGrant(now time.Duration) (*Grant[T], bool) {
 	if g.outstanding >= g.cfg.Depth+g.sched.Len()/g.cfg.WaitersPerGrant {
 		return nil, false
@@ -75,8 +79,8 @@
 	return grant, true
 }
 
-// Done ends a grant under which the stream has moved the given number of bytes, and gives back the
-// charge for the rest of the quantum. Ending a grant twice has no effect.
+// Done ends a grant after its stream has moved the given number of bytes. It refunds the
+// charge for the rest of the quantum. Done has no effect on a grant that has already ended.
 func (g *Gate[T]) Done(now time.Duration, grant *Grant[T], bytes int) {
 	if grant.flow == nil {
 		return
@@ -85,8 +89,8 @@
 	g.end(grant)
 }
 
-// Expired ends and returns a grant whose time has passed; false if there is none. It stays
-// charged in full.
+// Expired ends and returns a grant that has expired. It returns false if there is none. The
+// flow is not refunded for an expired grant.
 func (g *Gate[T]) Expired(now time.Duration) (*Grant[T], bool) {
 	g.dropEnded()
 	if len(g.grants) == 0 || g.grants[0].expires > now {
@@ -97,6 +101,7 @@
 	return grant, true
 }
 
+// end frees the slot of a grant.
 func (g *Gate[T]) end(grant *Grant[T]) {
 	grant.flow = nil
 	g.outstanding--
@@ -114,7 +119,8 @@
 	}
 }
 
-// NextWake returns when the next grant expires; false if no stream is waiting for its slot.
+// NextWake returns when the next grant expires. It returns false if no stream is waiting for
+// the slot of that grant.
 func (g *Gate[T]) NextWake() (time.Duration, bool) {
 	if g.sched.Len() == 0 || len(g.grants) == 0 {
 		return 0, false
@@ -125,5 +131,5 @@
 // Idle reports whether no stream is waiting and no grant is outstanding.
 func (g *Gate[T]) Idle() bool { return g.sched.Len() == 0 && g.outstanding == 0 }
 
-// Flows calls visit for each flow.
+// Flows calls visit for each flow of the gate.
 func (g *Gate[T]) Flows(visit func(*Flow[T])) { g.sched.Flows(visit) }
--- a/fairshare/gate_test.go
+++ b/fairshare/gate_test.go
@@ -15,9 +15,10 @@
 	return g
 }
 
-// A gate keeps weights where the resource behind it is the bottleneck, whatever the number of
-// streams: a link that moves a quantum at a time for the streams with grants, in turn.
-func TestGateKeepsWeights(t *testing.T) {
+// If the resource behind a gate is the bottleneck, flows share it by weight, regardless of
+// their number of streams. The resource is a simulated link that moves one quantum at a time
+// for each stream with a grant, in turn.
+func TestGateSharesByWeight(t *testing.T) {
 	const quantum = 64
 	for _, depth := range []int{1, 2, 4} {
 		g := newGate(t, GateConfig{
@@ -42,7 +43,7 @@
 				grants = append(grants, grant)
 			}
 			if len(grants) != depth {
-				t.Fatalf("%d grants, depth %d", len(grants), depth)
+				t.Fatalf("got %d grants, want the depth %d", len(grants), depth)
 			}
 			grant := grants[0]
 			grants = grants[1:]
@@ -51,13 +52,14 @@
 			g.Request(0, names[grant.Item], configs[grant.Item], grant.Item)
 		}
 		if ratio := float64(bytes[0]) / float64(bytes[1]); ratio < 3.9 || ratio > 4.1 {
-			t.Errorf("depth %d: %.2f to 1, want 4", depth, ratio)
+			t.Errorf("depth %d: bytes of flow a by bytes of flow b = %.2f, want 4", depth, ratio)
 		}
 	}
 }
 
-// The grant of a stream that does not move expires, and is charged in full; one that ends early is
-// charged for what it moved; ending a grant twice has no effect.
+// The grant of a stream that moves no bytes expires, and its flow is charged in full. If a
+// grant ends early, the flow is charged for the moved bytes only. Ending a grant twice has
+// no effect.
 func TestGrantsExpire(t *testing.T) {
 	g := newGate(t, GateConfig{
 		Depth:           1,
@@ -72,44 +74,46 @@
 	slow, _ := g.NextGrant(0)
 	request("b", 2)
 	if _, ok := g.NextGrant(0); ok {
-		t.Fatal("two grants, depth 1")
+		t.Fatal("got a second grant at depth 1, want none")
 	}
 	if at, ok := g.NextWake(); !ok || at != ms {
-		t.Fatalf("wakes at %v, %v", at, ok)
+		t.Fatalf("NextWake = %v, %v, want 1ms, true", at, ok)
 	}
 	if _, ok := g.Expired(ms - 1); ok {
-		t.Fatal("expired early")
+		t.Fatal("grant expired before GrantTimeout")
 	}
 	if grant, ok := g.Expired(ms); !ok || grant != slow {
-		t.Fatal("the grant has not expired")
+		t.Fatal("grant of the slow stream has not expired at GrantTimeout")
 	}
-	g.Done(ms, slow, 10) // has expired
+	g.Done(ms, slow, 10) // has no effect, because the grant has expired
 	b, ok := g.NextGrant(ms)
 	if !ok || b.Item != 2 || g.outstanding != 1 {
-		t.Fatalf("%v, %d grants", ok, g.outstanding)
+		t.Fatalf("NextGrant returned %v with %d grants outstanding, want true for stream 2 with 1 outstanding",
+			ok, g.outstanding)
 	}
 	request("slow", 1)
 	request("b", 2)
 	g.Done(ms, b, 10)
 	g.Done(ms, b, 10)
 	if g.outstanding != 0 {
-		t.Fatal("a grant that was ended twice counts twice")
+		t.Fatal("grants are outstanding after a grant was ended twice, want 0")
 	}
 	if grant, _ := g.NextGrant(ms); grant.Item != 2 {
-		t.Error("a stream that moved 10 bytes is served after one that was charged in full")
+		t.Error("next grant is not for flow b, which moved 10 bytes, while flow slow was charged in full")
 	}
 	if _, ok := g.Expired(time.Hour); !ok {
-		t.Error("the grant has not expired")
+		t.Error("grant has not expired after an hour")
 	}
 	if _, ok := g.NextGrant(time.Hour); !ok {
-		t.Error("the next stream has no grant")
+		t.Error("next stream got no grant after the previous grant expired")
 	}
 	if _, ok := g.Expired(2 * time.Hour); !ok || !g.Idle() || g.grants != nil {
-		t.Error("not idle without grants")
+		t.Error("gate is not idle after the last grant expired")
 	}
 }
 
-// With many waiting streams the depth grows, so that each is served soon.
+// The depth of a gate grows with the number of waiting streams, so that each waits only for
+// a limited time.
 func TestGateDepthGrowsWithWaiters(t *testing.T) {
 	g := newGate(t, GateConfig{
 		Depth:           2,
@@ -127,14 +131,14 @@
 		n++
 	}
 	if n < 10 || n > 12 {
-		t.Errorf("%d of 320 have grants, want 2 and 1 for each 32", n)
+		t.Errorf("%d of 320 streams have grants, want 2 and 1 more for each 32 waiting streams", n)
 	}
 }
 
 func TestInvalidGateConfig(t *testing.T) {
 	for _, test := range []struct {
-		field string
-		spoil func(*GateConfig)
+		field      string
+		invalidate func(*GateConfig)
 	}{
 		{"Depth", func(c *GateConfig) { c.Depth = 0 }},
 		{"WaitersPerGrant", func(c *GateConfig) { c.WaitersPerGrant = 0 }},
@@ -143,11 +147,11 @@
 		{"Window", func(c *GateConfig) { c.Window = 0 }},
 	} {
 		c := GateConfig{Depth: 1, WaitersPerGrant: 1, Quantum: 1, GrantTimeout: 1, Window: time.Second, Flows: 1}
-		test.spoil(&c)
+		test.invalidate(&c)
 		_, err := NewGate[int](c)
 		var configErr *ConfigError
 		if !errors.As(err, &configErr) || configErr.Field != test.field {
-			t.Errorf("%+v: %v, want an error of %s", c, err, test.field)
+			t.Errorf("NewGate(%+v) = error %v, want a ConfigError of %s", c, err, test.field)
 		}
 	}
 }
--- a/fairshare/heap.go
+++ b/fairshare/heap.go
@@ -1,7 +1,7 @@
 package fairshare
 
-// flowHeap is a binary heap of flows, each of which holds its index. Unlike container/heap it makes no
-// interface calls.
+// flowHeap is a binary heap of flows. Each flow stores its index in the heap. Unlike
+// container/heap, flowHeap makes no interface calls.
 type flowHeap[T any] struct {
 	flows []*Flow[T]
 	less  func(a, b *Flow[T]) bool
@@ -24,7 +24,7 @@
 	}
 }
 
-// fix restores the order after a flow's key has changed.
+// fix restores the heap order after the key of f has changed.
 func (h *flowHeap[T]) fix(f *Flow[T]) {
 	i := f.heapIndex
 	h.up(i)
--- a/fairshare/queue.go
+++ b/fairshare/queue.go
@@ -1,11 +1,11 @@
 package fairshare
 
 const (
-	minRingSize = 4  // items
-	keptRing    = 64 // items; a longer ring is released when it becomes empty
+	minRingSize = 4  // capacity of the first buffer, in items
+	maxKeptRing = 64 // largest buffer, in items, that an empty ring keeps for reuse
 )
 
-// ring is a FIFO queue in a buffer that grows as needed and is reused.
+// ring is a FIFO queue in a circular buffer. The buffer grows as needed and is reused.
 type ring[T any] struct {
 	buf  []T
 	head int
@@ -35,7 +35,7 @@
 	r.buf[r.head] = zero
 	r.head = (r.head + 1) % len(r.buf)
 	r.len--
-	if r.len == 0 && len(r.buf) > keptRing {
+	if r.len == 0 && len(r.buf) > maxKeptRing {
 		r.buf = nil
 		r.head = 0
 	}
@@ -44,45 +44,48 @@
 
 // Classes of items within a flow.
 const (
-	inProgress = iota
-	notStarted
-	itemClasses
+	inProgress  = iota // items of Push
+	notStarted         // items of PushNew
+	itemClasses        // number of classes
 )
 
-// itemQueue holds the items of one flow in two classes, each first in, first out. The classes share
-// the flow's service by start-time fair queuing, one level below that of the flows.
+// itemQueue holds the items of one flow in two classes. Each class is a FIFO queue. The
+// classes share the flow's service by start-time fair queuing, as the flows share the loop.
 type itemQueue[T any] struct {
-	rings   [itemClasses]ring[T]
-	tags    [itemClasses]float64 // of the next service of each class
-	len     int
-	serving int // class of the last item that was popped
+	rings       [itemClasses]ring[T]
+	tags        [itemClasses]float64 // start tag of the next service of each class
+	len         int
+	servedClass int // class of the last item that was popped
 }
 
+// push adds an item to a class.
 func (q *itemQueue[T]) push(class int, x T) {
-	if q.rings[class].len == 0 { // an idle class accumulates no credit
-		q.tags[class] = max(q.tags[class], q.tags[q.serving])
+	if q.rings[class].len == 0 { // the class was idle and must not have accumulated credit
+		q.tags[class] = max(q.tags[class], q.tags[q.servedClass])
 	}
 	q.rings[class].push(x)
 	q.len++
 }
 
+// pop removes and returns the first item of the class with the smaller tag. The queue must
+// not be empty.
 func (q *itemQueue[T]) pop() T {
-	q.serving = inProgress
+	q.servedClass = inProgress
 	if q.rings[inProgress].len == 0 || q.rings[notStarted].len > 0 && q.tags[notStarted] < q.tags[inProgress] {
-		q.serving = notStarted
+		q.servedClass = notStarted
 	}
 	q.len--
-	return q.rings[q.serving].pop()
+	return q.rings[q.servedClass].pop()
 }
 
-// charge adds a cost to the class that was served last. Tags are reset when the queue is empty, so
-// that they do not grow without bound.
+// charge adds the cost of a service to the tag of the class that was served last. It resets
+// the tags if the queue is empty, so that they do not grow without bound.
 func (q *itemQueue[T]) charge(cost, inProgressWeight float64) {
 	if q.len == 0 {
 		q.tags = [itemClasses]float64{}
 	}
-	if q.serving == inProgress {
+	if q.servedClass == inProgress {
 		cost /= inProgressWeight
 	}
-	q.tags[q.serving] += cost
+	q.tags[q.servedClass] += cost
 }
--- a/fairshare/ratelimit.go
+++ b/fairshare/ratelimit.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// refill adds the tokens that a flow's rate limit has yielded by now.
+// refill adds the tokens that a flow has earned since its last refill.
 func (s *Scheduler[T]) refill(now time.Duration, f *Flow[T]) {
 	if f.config.Rate > 0 && now > f.refilledAt {
 		f.tokens = min(f.config.Burst, f.tokens+f.config.Rate*(now-f.refilledAt).Seconds())
@@ -13,9 +13,9 @@
 	f.refilledAt = max(f.refilledAt, now)
 }
 
-// limit reports whether a flow with a rate has less than one token, and sets when it will have
-// one.
-func (s *Scheduler[T]) limit(now time.Duration, f *Flow[T]) bool {
+// checkRateLimit reports whether a flow with a rate limit has less than one token. If so, it
+// sets limitedUntil to the time at which the flow will have one.
+func (s *Scheduler[T]) checkRateLimit(now time.Duration, f *Flow[T]) bool {
 	s.refill(now, f)
 	if f.tokens >= 1 {
 		return false
@@ -24,8 +24,8 @@
 	return true
 }
 
-// releaseRateLimited queues the first of the rate-limited flows again. It starts level with the
-// others: it could not have been served meanwhile, so it has no claim on that time.
+// releaseRateLimited queues the first of the rate-limited flows for service again. The flow
+// gets no credit for the time that it waited, because it could not have been served then.
 func (s *Scheduler[T]) releaseRateLimited(now time.Duration) {
 	f := s.rateLimited.flows[0]
 	s.rateLimited.remove(f)
@@ -33,7 +33,8 @@
 	s.enqueue(now, f)
 }
 
-// NextWake returns when the first rate-limited flow may be served; false if there is none.
+// NextWake returns when the first rate-limited flow may be served. It returns false if no
+// flow is rate-limited.
 func (s *Scheduler[T]) NextWake() (time.Duration, bool) {
 	if len(s.rateLimited.flows) == 0 {
 		return 0, false
@@ -41,8 +42,8 @@
 	return s.rateLimited.flows[0].limitedUntil, true
 }
 
-// Delay returns how long the rate limit of a flow delays an item that is pushed now, assuming that
-// each queued item takes so many bytes.
+// Delay returns how long the rate limit of a flow delays an item that is pushed now. It
+// assumes that each queued item takes bytesPerItem bytes.
 func (s *Scheduler[T]) Delay(now time.Duration, f *Flow[T], bytesPerItem int) time.Duration {
 	if f.config.Rate == 0 {
 		return 0
--- a/fairshare/scheduler.go
+++ b/fairshare/scheduler.go
@@ -1,42 +1,43 @@
 // Package fairshare schedules the work of an event loop among volumes by weight, with
 // start-time fair queuing (Goyal, Vin and Cheng 1996). All connections of a volume share one
-// flow, however many there are. A service is charged after it was done, with the time that it
-// took and the bytes that it moved. The package does no I/O and reads no clock.
+// flow, regardless of their number. A flow is charged after each service, for the time that
+// the service took and the bytes that it moved. The package does no I/O and reads no clock.
 //
-// The scheduler runs about a million times per second, so that its methods neither allocate nor
-// exchange events; they are deterministic, as the other decision packages are
-// (docs/design/fair-sharing.md).
+// The scheduler runs about a million times per second. Its methods therefore neither
+// allocate nor exchange events with their caller. Like the other decision packages, they are
+// deterministic (docs/design/fair-sharing.md).
 package fairshare
 
 import "time"
 
-// overflowFlow is the name of the flow that is shared by all names beyond Config.Flows.
+// overflowFlow is the name of the flow that all names beyond Config.Flows share.
 const overflowFlow = "others"
 
-// evictionScan bounds how many flows are examined to find one that can be forgotten.
-const evictionScan = 16
+// maxEvictionScan is the maximum number of flows that one search for an evictable flow examines.
+const maxEvictionScan = 16
 
-// Scheduler decides which flow of one loop is served next. It is not safe for concurrent use.
+// Scheduler decides which flow of an event loop is served next. It is not safe for
+// concurrent use.
 type Scheduler[T any] struct {
 	cfg         Config
 	loop        int
-	virtualTime float64 // the start tag of the last service
-	maxFinish   float64 // the largest finish tag
-	seq         uint64
+	virtualTime float64 // start tag of the last service
+	maxFinish   float64 // largest finish tag of all flows
+	seq         uint64  // number of times that a flow was enqueued
 
-	ready       flowHeap[T] // by start tag
-	rateLimited flowHeap[T] // by limitedUntil
+	ready       flowHeap[T] // flows that may be served, ordered by start tag
+	rateLimited flowHeap[T] // flows that wait for tokens, ordered by limitedUntil
 
-	byName    map[string]*Flow[T]
-	flows     []*Flow[T] // all of byName, in the order of their creation unless some were forgotten
-	overflow  *Flow[T]
-	changed   []*Flow[T] // with usage since the last Sync
-	evictHand int        // index into flows of the last one examined by forgetOne
-	queued    int        // items of all flows
+	byName        map[string]*Flow[T]
+	flows         []*Flow[T] // the values of byName; evictions change their order of creation
+	overflow      *Flow[T]   // flow of all names beyond Config.Flows
+	changed       []*Flow[T] // flows with usage since the last Sync
+	evictionIndex int        // index in flows of the flow that evictOne examined last
+	queued        int        // number of queued items of all flows
 }
 
-// New returns a scheduler of the loop with the given index, the loop's slot in SharedUsage. The
-// error is a *ConfigError.
+// New returns a Scheduler for the loop with the given index, which is also the loop's slot in
+// SharedUsage. If a setting is invalid, the error is a *ConfigError.
 func New[T any](cfg Config, loop int) (*Scheduler[T], error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -55,13 +56,13 @@
 	return s, nil
 }
 
-// Len returns the number of queued items, those of rate-limited flows included.
+// Len returns the number of queued items, including those of rate-limited flows.
 func (s *Scheduler[T]) Len() int { return s.queued }
 
 // Ready reports whether a flow can be served without waiting for a rate limit.
 func (s *Scheduler[T]) Ready() bool { return len(s.ready.flows) > 0 }
 
-// Flows calls visit for each flow.
+// Flows calls visit for each flow, including the overflow flow.
 func (s *Scheduler[T]) Flows(visit func(*Flow[T])) {
 	for _, f := range s.flows {
 		visit(f)
@@ -69,10 +70,11 @@
 	visit(s.overflow)
 }
 
-// Flow returns the flow with the given name, and creates it if there is none. A non-nil shared
-// joins it with the flows of that name on other loops. When the number of flows is at its bound,
-// an idle flow that is not ahead of virtual time is forgotten; if there is none, the
-// overflow flow is returned.
+// Flow returns the flow with the given name, and creates it if it does not exist. If shared
+// is not nil, the flow shares its usage with the flows of the same name on other loops.
+//
+// If Config.Flows is reached, Flow evicts an idle flow that is not ahead of virtual time. If
+// it finds none, it returns the overflow flow.
 func (s *Scheduler[T]) Flow(now time.Duration, name string, c FlowConfig, shared *SharedUsage) *Flow[T] {
 	if f := s.byName[name]; f != nil {
 		return f
@@ -80,34 +82,35 @@
 	if s.cfg.FIFO {
 		return s.overflow
 	}
-	if len(s.flows) >= s.cfg.Flows && !s.forgetOne() {
+	if len(s.flows) >= s.cfg.Flows && !s.evictOne() {
 		return s.overflow
 	}
 	f := &Flow[T]{name: name, config: c.normalized(), shared: shared, refilledAt: now}
 	f.tokens = f.config.Burst
 	if shared != nil {
-		f.elsewhere = shared.elsewhere(s.loop)
+		f.usageOnOtherLoops = shared.usageOnOtherLoops(s.loop)
 	}
 	s.byName[name] = f
 	s.flows = append(s.flows, f)
 	return f
 }
 
-// forgetOne drops an idle flow whose finish tag virtual time has passed; recreated, it would be in
-// the same state. Its holders may still push to it. It reports whether it found one.
-func (s *Scheduler[T]) forgetOne() bool {
-	for range min(evictionScan, len(s.flows)) {
-		s.evictHand = (s.evictHand + 1) % len(s.flows)
-		f := s.flows[s.evictHand]
+// evictOne evicts an idle flow whose finish tag is not ahead of virtual time. Such a flow
+// would have the same state if it were created again. Callers that hold the flow may still
+// push to it. evictOne reports whether it found a flow to evict.
+func (s *Scheduler[T]) evictOne() bool {
+	for range min(maxEvictionScan, len(s.flows)) {
+		s.evictionIndex = (s.evictionIndex + 1) % len(s.flows)
+		f := s.flows[s.evictionIndex]
 		bucketFull := f.config.Rate == 0 || f.tokens >= f.config.Burst
 		if f.state != idle || f.finishTag > s.virtualTime || !bucketFull {
 			continue
 		}
 		s.publish(f)
 		delete(s.byName, f.name)
-		f.forgotten = true
+		f.evicted = true
 		last := len(s.flows) - 1
-		s.flows[s.evictHand] = s.flows[last]
+		s.flows[s.evictionIndex] = s.flows[last]
 		s.flows[last] = nil
 		s.flows = s.flows[:last]
 		return true
@@ -115,28 +118,30 @@
 	return false
 }
 
-// restore returns the flow that replaces a forgotten one, or registers it again.
+// restore returns the flow that has replaced the evicted flow f. If there is none, restore
+// registers f again, or returns the overflow flow if no other flow can be evicted.
 func (s *Scheduler[T]) restore(f *Flow[T]) *Flow[T] {
 	if replacement := s.byName[f.name]; replacement != nil {
 		return replacement
 	}
-	if len(s.flows) >= s.cfg.Flows && !s.forgetOne() {
+	if len(s.flows) >= s.cfg.Flows && !s.evictOne() {
 		return s.overflow
 	}
-	f.forgotten = false
+	f.evicted = false
 	s.byName[f.name] = f
 	s.flows = append(s.flows, f)
 	return f
 }
 
-// Configure replaces a flow's configuration. The distance of its tags from virtual time is scaled by
-// the ratio of the weights, so that earlier service is paid off at the new weight.
+// Configure replaces a flow's configuration. It scales the distance of the flow's tags from
+// virtual time by the ratio of the old weight to the new one. The flow then compensates for
+// earlier service at its new weight.
 func (s *Scheduler[T]) Configure(now time.Duration, f *Flow[T], c FlowConfig) {
 	c = c.normalized()
 	s.refill(now, f)
 	ratio := f.config.Weight / c.Weight
-	f.startTag = s.rescaled(f.startTag, ratio)
-	f.finishTag = s.rescaled(f.finishTag, ratio)
+	f.startTag = s.rescaleTag(f.startTag, ratio)
+	f.finishTag = s.rescaleTag(f.finishTag, ratio)
 	f.config = c
 	f.tokens = min(f.tokens, c.Burst)
 	if f.state == ready {
@@ -148,15 +153,16 @@
 	}
 }
 
-// rescaled returns a tag with its distance ahead of virtual time multiplied by ratio.
-func (s *Scheduler[T]) rescaled(tag, ratio float64) float64 {
+// rescaleTag returns a tag after multiplying its distance ahead of virtual time by ratio. It
+// returns a tag that is not ahead unchanged.
+func (s *Scheduler[T]) rescaleTag(tag, ratio float64) float64 {
 	if tag <= s.virtualTime {
 		return tag
 	}
 	return s.virtualTime + (tag-s.virtualTime)*ratio
 }
 
-// Push adds an item to a flow for work in progress.
+// Push adds an item to a flow for work that has already begun.
 func (s *Scheduler[T]) Push(now time.Duration, f *Flow[T], item T) { s.push(now, f, item, inProgress) }
 
 // PushNew adds an item to a flow for work that has not begun, such as a new request.
@@ -169,7 +175,7 @@
 }
 
 func (s *Scheduler[T]) push(now time.Duration, f *Flow[T], item T, class int) {
-	if f.forgotten {
+	if f.evicted {
 		f = s.restore(f)
 	}
 	f.items.push(class, item)
@@ -177,17 +183,17 @@
 	if f.state != idle {
 		return
 	}
-	s.chargeElsewhere(now, f)
+	s.chargeOtherLoops(now, f)
 	f.startTag = max(s.virtualTime, f.finishTag)
 	s.enqueue(now, f)
 }
 
-// enqueue puts a backlogged flow into the heap of ready flows, or into that of rate-limited
-// ones.
+// enqueue puts a flow with queued items into the heap of ready flows. If the flow has no
+// tokens, enqueue puts it into the heap of rate-limited flows instead.
 func (s *Scheduler[T]) enqueue(now time.Duration, f *Flow[T]) {
 	s.seq++
 	f.seq = s.seq
-	if f.config.Rate > 0 && s.limit(now, f) {
+	if f.config.Rate > 0 && s.checkRateLimit(now, f) {
 		f.state = rateLimited
 		s.rateLimited.push(f)
 		return
@@ -196,14 +202,15 @@
 	s.ready.push(f)
 }
 
-// Next removes and returns an item of the flow with the smallest start tag. The caller serves it, and
-// calls Done before it calls Next again. It returns false when no flow may be served now.
+// Next removes and returns an item of the ready flow with the smallest start tag. The caller
+// serves the item and calls Done before it calls Next again. Next returns false if no flow
+// may be served now.
 func (s *Scheduler[T]) Next(now time.Duration) (item T, f *Flow[T], ok bool) {
 	for len(s.rateLimited.flows) > 0 && s.rateLimited.flows[0].limitedUntil <= now {
 		s.releaseRateLimited(now)
 	}
 	if len(s.ready.flows) == 0 {
-		if s.queued == 0 { // the end of a busy period: flows start level again
+		if s.queued == 0 { // at the end of a busy period, no flow stays ahead of virtual time
 			s.virtualTime = max(s.virtualTime, s.maxFinish)
 		}
 		return item, nil, false
@@ -216,7 +223,8 @@
 	return f.items.pop(), f, true
 }
 
-// Done charges a flow for the service of its item, and queues the flow again if it has more.
+// Done charges a flow for the service of its item. It queues the flow again if the flow has
+// more items.
 func (s *Scheduler[T]) Done(now time.Duration, f *Flow[T], c Cost) {
 	s.Charge(now, f, c)
 	if f.state != inService {
@@ -230,8 +238,8 @@
 	}
 }
 
-// Charge adds to what a flow has used, whether it is in service or not. Negative bytes give back
-// what was charged in excess.
+// Charge adds a cost to a flow's usage, whether or not the flow is in service. Negative bytes
+// refund an earlier charge.
 func (s *Scheduler[T]) Charge(now time.Duration, f *Flow[T], c Cost) {
 	cost := max(float64(c.Work), float64(c.Bytes)*s.cfg.ByteTime)
 	if c.Bytes < 0 {
@@ -252,7 +260,8 @@
 	s.advance(f, cost)
 }
 
-// advance moves a flow's tags by a cost, as far as Config.Window allows.
+// advance moves a flow's tags forward by a cost divided by the flow's weight. Config.Window
+// limits how far the tags move ahead of virtual time.
 func (s *Scheduler[T]) advance(f *Flow[T], cost float64) {
 	from := f.finishTag
 	if f.state != idle {
--- a/fairshare/scheduler_test.go
+++ b/fairshare/scheduler_test.go
@@ -23,7 +23,7 @@
 	return s
 }
 
-// newTwoFlows returns flows a and b, with the given weight and with a weight of 1.
+// newTwoFlows returns flow "a" with the weight weightA and flow "b" with a weight of 1.
 func newTwoFlows(s *Scheduler[int], weightA float64) []*Flow[int] {
 	return []*Flow[int]{
 		s.Flow(0, "a", FlowConfig{Weight: weightA}, nil),
@@ -31,8 +31,8 @@
 	}
 }
 
-// serve performs a number of services of the same cost, and returns what each flow got. Each
-// flow that is not nil stays backlogged.
+// serve performs a number of services of the same cost. It returns the total cost of each
+// flow's services. It keeps each flow backlogged that is not nil.
 func serve(s *Scheduler[int], flows []*Flow[int], cost time.Duration, services int) []float64 {
 	served := make([]float64, len(flows))
 	for i, f := range flows {
@@ -52,9 +52,10 @@
 	return served
 }
 
-// The bound of start-time fair queuing (Goyal, Vin and Cheng 1996, theorem 1): over any time in which
-// two flows are backlogged, their services by weight differ by at most one largest service of
-// each by its weight. Other flows come and go and change their weights meanwhile.
+// The test checks the fairness bound of start-time fair queuing (Goyal, Vin and Cheng 1996,
+// theorem 1). Divide the service of each flow by its weight. While two flows are backlogged,
+// the results differ by at most the sum of the largest single service of each flow divided
+// by its weight. Meanwhile, other flows become backlogged and idle and change their weights.
 func TestLagOfBackloggedFlowsIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, _ := New[int](testConfig, 0)
@@ -79,11 +80,11 @@
 			}
 			i, f, ok := s.Next(0)
 			if !ok {
-				t.Fatal("no flow is next, though two are backlogged")
+				t.Fatal("Next returned no item while two flows are backlogged")
 			}
 			cost := math.Floor(rapid.Float64Range(0, largest[i]).Draw(t, "cost"))
 			served[i] += cost
-			if i < 2 { // stays backlogged
+			if i < 2 { // the first two flows stay backlogged
 				s.Push(0, f, i)
 			}
 			s.Done(0, f, Cost{Work: time.Duration(cost)})
@@ -92,7 +93,7 @@
 		}
 		bound := largest[0]/flows[0].config.Weight + largest[1]/flows[1].config.Weight
 		if high-low > bound*(1+1e-9) {
-			t.Fatalf("lag %g, bound %g", high-low, bound)
+			t.Fatalf("lag between the two flows = %g, want at most %g", high-low, bound)
 		}
 	})
 }
@@ -102,24 +103,25 @@
 		s := newScheduler(t, testConfig, 0)
 		served := serve(s, newTwoFlows(s, weight), time.Microsecond, 10000)
 		if got := served[0] / served[1]; math.Abs(got/weight-1) > 0.01 {
-			t.Errorf("%g to 1: served %.3f to 1", weight, got)
+			t.Errorf("weights %g to 1: got services %.3f to 1, want them by weight", weight, got)
 		}
 	}
 }
 
-// The number of a flow's items does not matter, and an idle flow accumulates no credit.
+// The share of a flow does not depend on its number of queued items, and an idle flow
+// accumulates no credit.
 func TestManyItemsAndIdleFlow(t *testing.T) {
 	s := newScheduler(t, testConfig, 0)
 	flows := newTwoFlows(s, 1)
 	for range 1000 {
 		s.Push(0, flows[1], 1)
 	}
-	serve(s, []*Flow[int]{nil, flows[1]}, time.Microsecond, 5000) // a is idle
+	serve(s, []*Flow[int]{nil, flows[1]}, time.Microsecond, 5000) // flow a is idle
 	served := serve(s, flows, time.Microsecond, 100)
 	if served[0] < 49e3 || served[0] > 51e3 {
-		t.Errorf("one item beside a thousand got %v of 100 services", served[0]/1e3)
+		t.Errorf("flow with 1 item beside one with 1000 got %v of 100 services, want 50", served[0]/1e3)
 	}
-	// An item of a new flow is among the next.
+	// An item of a new flow is served soon, although other flows have many items.
 	c := s.Flow(0, "c", FlowConfig{Weight: 1}, nil)
 	s.Push(0, c, 7)
 	services := 0
@@ -132,11 +134,11 @@
 		s.Done(0, f, Cost{Work: time.Microsecond})
 	}
 	if services > 3 {
-		t.Errorf("a new flow waited for %d services", services-1)
+		t.Errorf("new flow waited for %d services, want at most 2", services-1)
 	}
 }
 
-// A changed weight applies to later services; earlier ones count by the old weight.
+// A changed weight applies to later services. Earlier services count by the old weight.
 func TestWeightChange(t *testing.T) {
 	s := newScheduler(t, testConfig, 0)
 	flows := newTwoFlows(s, 1)
@@ -144,15 +146,16 @@
 	s.Configure(0, flows[0], FlowConfig{Weight: 9})
 	served := serve(s, flows, ms, 100)
 	if served[0] < 88e6 || served[0] > 92e6 {
-		t.Errorf("got %v of 100 after its weight rose to nine tenths", served[0]/1e6)
+		t.Errorf("got %v of 100 services after the weight rose to nine tenths, want 90", served[0]/1e6)
 	}
 	s.Configure(0, flows[0], FlowConfig{Weight: 1})
 	if served = serve(s, flows, ms, 100); served[0] < 48e6 || served[0] > 52e6 {
-		t.Errorf("got %v of 100 after its weight fell to half", served[0]/1e6)
+		t.Errorf("got %v of 100 services after the weight fell to half, want 50", served[0]/1e6)
 	}
 }
 
-// What a flow is ahead of virtual time is paid off at its new weight.
+// If a flow's tag is ahead of virtual time when the flow's weight changes, the distance is
+// scaled to the new weight.
 func TestDebtIsScaledWithTheWeight(t *testing.T) {
 	s := newScheduler(t, testConfig, 0)
 	flows := newTwoFlows(s, 1)
@@ -169,7 +172,7 @@
 		services++
 	}
 	if services < 9 || services > 12 {
-		t.Errorf("%d ms of the other flow before the next service, want 10: 100 ms at a tenth of the weight", services)
+		t.Errorf("other flow got %d ms of service first, want 10 (100 ms at ten times the weight)", services)
 	}
 }
 
@@ -183,12 +186,13 @@
 	s.Push(0, f, 0)
 	s.Done(0, f, Cost{Work: time.Minute})
 	served := serve(s, flows, ms, 20)
-	if served[0] < 4e6 || served[0] > 6e6 { // ten services behind, then in turn
-		t.Errorf("got %v of 20 services", served[0]/1e6)
+	if served[0] < 4e6 || served[0] > 6e6 { // flow a waits for ten services and then gets every second one
+		t.Errorf("got %v of 20 services, want 5", served[0]/1e6)
 	}
 }
 
-// A flow beyond its rate waits while others are served, and accumulates no more than its burst.
+// A flow that exceeds its rate waits while other flows are served. Its token bucket holds at
+// most its burst.
 func TestRateLimit(t *testing.T) {
 	s := newScheduler(t, testConfig, 0)
 	limited := s.Flow(0, "a", FlowConfig{Weight: 1, Rate: 1000, Burst: 500}, nil)
@@ -199,7 +203,7 @@
 	for now := time.Duration(0); now < 10*time.Second; now += ms {
 		i, f, ok := s.Next(now)
 		if !ok {
-			t.Fatal("b may be served")
+			t.Fatal("Next returned no item, although flow b has no rate limit")
 		}
 		s.Push(now, f, i)
 		if i == 0 {
@@ -211,24 +215,25 @@
 		}
 	}
 	if bytes < 10300 || bytes > 10700 {
-		t.Errorf("%d bytes in 10 s at a rate of 1000 and a burst of 500", bytes)
+		t.Errorf("got %d bytes in 10 s, want 10500 at a rate of 1000 and a burst of 500", bytes)
 	}
 	if otherServices < 9800 {
-		t.Errorf("the other flow got %d of 10000 services", otherServices)
+		t.Errorf("other flow got %d of 10000 services, want at least 9800", otherServices)
 	}
 	if d := s.Delay(10*time.Second, limited, 1000); d < 900*ms || d > 1200*ms {
-		t.Errorf("a further item waits %v behind 1000 bytes", d)
+		t.Errorf("Delay behind 1000 bytes = %v, want 900ms to 1.2s", d)
 	}
 	if at, ok := s.NextWake(); !ok || at < 10*time.Second || at > 10100*ms {
-		t.Errorf("wakes at %v, %v", at, ok)
+		t.Errorf("NextWake = %v, %v, want 10s to 10.1s and true", at, ok)
 	}
 	s.Configure(10*time.Second, limited, FlowConfig{Weight: 1})
 	if _, ok := limited.RateLimitedUntil(); ok {
-		t.Error("rate-limited without a limit")
+		t.Error("flow is rate-limited after its limit was removed")
 	}
 }
 
-// Flows are bounded; an idle one is forgotten, and those who hold it can still use it.
+// The number of flows is limited to Config.Flows. At the limit an idle flow is evicted, and
+// callers that hold the evicted flow can still push to it.
 func TestFlowsAreBounded(t *testing.T) {
 	c := testConfig
 	c.Flows = 2
@@ -237,29 +242,30 @@
 	s.Push(0, flows[0], 1)
 	s.Push(0, flows[1], 2)
 	if f := s.Flow(0, "c", FlowConfig{Weight: 1}, nil); f.Name() != overflowFlow {
-		t.Errorf("a third of two flows is %s", f.Name())
+		t.Errorf("flow c beyond Config.Flows is %s, want the overflow flow", f.Name())
 	}
 	for range 2 {
 		_, f, _ := s.Next(0)
 		s.Done(0, f, Cost{})
 	}
 	if f := s.Flow(0, "c", FlowConfig{Weight: 1}, nil); f.Name() != "c" || len(s.flows) != 2 {
-		t.Errorf("no idle flow is forgotten: %s, %d flows", f.Name(), len(s.flows))
+		t.Errorf("Flow returned %s among %d flows, want c among 2 after evicting an idle flow",
+			f.Name(), len(s.flows))
 	}
 	for _, f := range flows {
 		s.Push(0, f, 9)
 		i, next, ok := s.Next(0)
 		if !ok || i != 9 {
-			t.Fatal("an item is lost")
+			t.Fatal("item that was pushed to an evicted flow is lost")
 		}
 		s.Done(0, next, Cost{})
 	}
 	if len(s.flows) != 2 || len(s.byName) != 2 {
-		t.Errorf("%d flows, %d by name, want 2", len(s.flows), len(s.byName))
+		t.Errorf("got %d flows and %d names, want 2 of each", len(s.flows), len(s.byName))
 	}
 }
 
-// After a time without work all flows start level.
+// When the scheduler has run out of work, no flow is charged for earlier service any more.
 func TestIdleTimeClearsDebt(t *testing.T) {
 	s := newScheduler(t, testConfig, 0)
 	flows := newTwoFlows(s, 1)
@@ -267,29 +273,30 @@
 	_, f, _ := s.Next(0)
 	s.Done(0, f, Cost{Work: 100 * ms})
 	if _, _, ok := s.Next(0); ok {
-		t.Fatal("an item of an empty scheduler")
+		t.Fatal("Next of an empty scheduler returned an item")
 	}
 	served := serve(s, flows, ms, 20)
 	if served[0] < 9e6 {
-		t.Errorf("got %v of 20 services after idle time", served[0]/1e6)
+		t.Errorf("got %v of 20 services after idle time, want 10", served[0]/1e6)
 	}
 }
 
-// A forgotten flow stands for the flow that was created under its name since.
-func TestForgottenFlowIsReplaced(t *testing.T) {
+// If a flow was evicted and another flow with the same name was created, an item that is
+// pushed to the evicted flow goes to the other one.
+func TestEvictedFlowIsReplaced(t *testing.T) {
 	c := testConfig
 	c.Flows = 1
 	s := newScheduler(t, c, 0)
-	forgotten := s.Flow(0, "a", FlowConfig{Weight: 1}, nil)
+	evicted := s.Flow(0, "a", FlowConfig{Weight: 1}, nil)
 	s.Flow(0, "b", FlowConfig{Weight: 1}, nil)
 	recreated := s.Flow(0, "a", FlowConfig{Weight: 1}, nil)
-	if forgotten == recreated {
-		t.Fatal("not forgotten")
+	if evicted == recreated {
+		t.Fatal("flow a was not evicted")
 	}
-	s.Push(0, forgotten, 1)
+	s.Push(0, evicted, 1)
 	s.Push(0, recreated, 2)
 	if recreated.Waiting() != 2 {
-		t.Errorf("%d items in the flow, want both", recreated.Waiting())
+		t.Errorf("recreated flow has %d items, want 2", recreated.Waiting())
 	}
 }
 
@@ -308,13 +315,13 @@
 		_, err := New[int](test.cfg, 0)
 		var configErr *ConfigError
 		if !errors.As(err, &configErr) || configErr.Field != test.field {
-			t.Errorf("%+v: %v, want an error of %s", test.cfg, err, test.field)
+			t.Errorf("New(%+v) = error %v, want a ConfigError of %s", test.cfg, err, test.field)
 		}
 	}
 }
 
-// Within a flow, items in progress are served before new ones by their weight, neither class starves, and
-// an idle class accumulates no credit.
+// Within a flow, items in progress and new items share the service by InProgressWeight.
+// Neither class starves, and an idle class accumulates no credit.
 func TestInProgressWeight(t *testing.T) {
 	s := newScheduler(t, Config{Window: time.Second, Flows: 4, InProgressWeight: 4}, 0)
 	f := s.Flow(0, "a", FlowConfig{Weight: 1}, nil)
@@ -334,11 +341,11 @@
 		}
 		return served
 	}
-	if served := serveClasses(50); served[notStarted] != 50 { // no others are queued
-		t.Errorf("%v", served)
+	if served := serveClasses(50); served[notStarted] != 50 { // only new items are queued
+		t.Errorf("services by class without items in progress = %v, want 0 and 50", served)
 	}
 	s.Push(0, f, inProgress)
 	if served := serveClasses(500); served[inProgress] < 398 || served[inProgress] > 402 {
-		t.Errorf("%v, want 400 and 100", served)
+		t.Errorf("services by class = %v, want 400 and 100", served)
 	}
 }
--- a/fairshare/usage.go
+++ b/fairshare/usage.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// SharedUsage sums the usage of one volume over several loops. Each loop adds to its own slot,
-// about once a millisecond, and reads the others': there is no lock, and no cache line
-// has two writers. It is safe for concurrent use.
+// SharedUsage sums the usage of one volume over several loops. About once a millisecond, each
+// loop adds to its own slot and reads the slots of the others. There is no lock, and each
+// cache line has one writer. SharedUsage is safe for concurrent use.
 type SharedUsage struct {
 	slots []usageSlot
 }
@@ -15,21 +15,22 @@
 type usageSlot struct {
 	cost  atomic.Int64 // nanoseconds
 	bytes atomic.Int64
-	_     [48]byte // fills a cache line
+	_     [48]byte // pads the slot to a cache line
 }
 
-// NewSharedUsage returns the usage of a volume over the given number of loops.
+// NewSharedUsage returns a SharedUsage with one slot for each of the given number of loops.
 func NewSharedUsage(loops int) *SharedUsage {
 	return &SharedUsage{slots: make([]usageSlot, loops)}
 }
 
+// add adds the usage x to the slot of a loop.
 func (u *SharedUsage) add(loop int, x Usage) {
 	u.slots[loop].cost.Add(int64(x.Cost))
 	u.slots[loop].bytes.Add(x.Bytes)
 }
 
-// elsewhere returns the usage of all loops but one.
-func (u *SharedUsage) elsewhere(loop int) Usage {
+// usageOnOtherLoops returns the summed usage of all loops except the given one.
+func (u *SharedUsage) usageOnOtherLoops(loop int) Usage {
 	var sum Usage
 	for i := range u.slots {
 		if i != loop {
@@ -40,21 +41,23 @@
 	return sum
 }
 
-// Sync publishes what flows have used here since the last call, and charges them for what they have
-// used on other loops; a flow that was not served here is charged when it is pushed to
-// again. It is to be called about a thousand times per second.
+// Sync publishes the usage of flows on this loop since the last call. It also charges these
+// flows for their usage on other loops. It leaves out idle flows, which Push charges, and
+// flows that were not served on this loop, which the Sync after their next service charges.
+// Callers should call Sync about a thousand times per second.
 func (s *Scheduler[T]) Sync(now time.Duration) {
 	for i, f := range s.changed {
 		s.changed[i] = nil
 		f.changed = false
 		s.publish(f)
 		if f.state != idle {
-			s.chargeElsewhere(now, f)
+			s.chargeOtherLoops(now, f)
 		}
 	}
 	s.changed = s.changed[:0]
 }
 
+// publish adds a flow's unpublished usage to its SharedUsage, if it has one.
 func (s *Scheduler[T]) publish(f *Flow[T]) {
 	if f.shared != nil && f.unpublished != (Usage{}) {
 		f.shared.add(s.loop, f.unpublished)
@@ -62,15 +65,15 @@
 	}
 }
 
-// chargeElsewhere charges a flow for what it has used on other loops since the last call.
-func (s *Scheduler[T]) chargeElsewhere(now time.Duration, f *Flow[T]) {
+// chargeOtherLoops charges a flow for its usage on other loops since the last call.
+func (s *Scheduler[T]) chargeOtherLoops(now time.Duration, f *Flow[T]) {
 	if f.shared == nil {
 		return
 	}
-	elsewhere := f.shared.elsewhere(s.loop)
-	cost := elsewhere.Cost - f.elsewhere.Cost
-	bytes := elsewhere.Bytes - f.elsewhere.Bytes
-	f.elsewhere = elsewhere
+	usageOnOtherLoops := f.shared.usageOnOtherLoops(s.loop)
+	cost := usageOnOtherLoops.Cost - f.usageOnOtherLoops.Cost
+	bytes := usageOnOtherLoops.Bytes - f.usageOnOtherLoops.Bytes
+	f.usageOnOtherLoops = usageOnOtherLoops
 	if bytes > 0 && f.config.Rate > 0 {
 		s.refill(now, f)
 		f.tokens -= float64(bytes)
--- a/fairshare/usage_test.go
+++ b/fairshare/usage_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// Shares hold over all loops together, whichever loops a flow is on.
+// Flows share the service of all loops together by weight, whichever loops a flow is on.
 func TestSharesOverLoops(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		loops [2][]int // of flow a (weight 4) and flow b (weight 1)
-		want  float64  // a's share of all services
+		loops [2][]int // loops of flow a (weight 4) and of flow b (weight 1)
+		want  float64  // flow a's share of all services
 	}{
 		{"both on all", [2][]int{{0, 1, 2, 3}, {0, 1, 2, 3}}, 0.8},
 		{"a on two of four", [2][]int{{0, 1}, {0, 1, 2, 3}}, 0.5},
@@ -23,13 +23,14 @@
 		t.Run(test.name, func(t *testing.T) {
 			served := serveOnLoops(newLoops(t, test.loops))
 			if got := served[0] / (served[0] + served[1]); math.Abs(got-test.want) > 0.03 {
-				t.Errorf("a got %.3f, want %.3f", got, test.want)
+				t.Errorf("flow a got a share of %.3f, want %.3f", got, test.want)
 			}
 		})
 	}
 }
 
-// newLoops returns the schedulers of four loops, each with the flows that are on it backlogged.
+// newLoops returns the schedulers of four loops. On each loop, the flows that are on it
+// according to loops are backlogged.
 func newLoops(t *testing.T, loops [2][]int) []*Scheduler[int] {
 	t.Helper()
 	shared := [2]*SharedUsage{NewSharedUsage(4), NewSharedUsage(4)}
@@ -47,7 +48,8 @@
 	return scheds
 }
 
-// serveOnLoops performs one service on each loop 40,000 times, with a Sync every 20 times.
+// serveOnLoops runs 40,000 rounds with one service on each loop, and a Sync every 20 rounds.
+// It returns the number of services of each flow.
 func serveOnLoops(scheds []*Scheduler[int]) (served [2]float64) {
 	for round := range 40000 {
 		for _, s := range scheds {
