--- a/overload/overload.go
+++ b/overload/overload.go
@@ -1,5 +1,6 @@
-// Package overload detects a standing queue of requests before an event loop and rejects those
-// that have waited too long, after controlled delay (CoDel). It does no I/O and reads no clock.
+// Package overload detects a standing queue of requests in front of an event loop, and rejects
+// requests that have waited too long. It is based on controlled delay (CoDel). It does no I/O
+// and reads no clock.
 package overload
 
 import (
@@ -8,83 +9,86 @@
 	"time"
 )
 
-// maxTarget bounds Config.Target.
+// maxTarget is the largest valid Config.Target.
 const maxTarget = time.Minute
 
 // ConfigError reports a setting that is out of range.
 type ConfigError struct {
-	Field    string // the field of Config
+	Field    string // name of the field in Config
 	Got      time.Duration
-	Expected string
+	Expected string // description of the valid values
 }
 
 func (e *ConfigError) Error() string {
-	return fmt.Sprintf("overload: %s is %v, want %s", e.Field, e.Got, e.Expected)
+	return fmt.Sprintf("overload: %s is %v, but must be %s", e.Field, e.Got, e.Expected)
 }
 
 // Config holds the settings of a Controller.
 type Config struct {
-	// Target is the longest queue time of a request that is accepted during overload. 0: no
-	// request is rejected.
+	// Target is the queue time from which a request is rejected during overload. 0 means that
+	// no request is rejected.
 	Target time.Duration
-	// Interval is for how long all queue times must be at Target or above until the flow counts as
-	// overloaded, and below it until it no longer does. It is Target or more.
+	// Interval is how long all queue times must be at or above Target before the flow counts
+	// as overloaded. It is also how long they must all be below Target before the overload
+	// ends. Interval must be at least Target.
 	Interval time.Duration
-	// RetryAfter and MaxRetryAfter bound the time after which rejected clients may retry.
+	// RetryAfter is the initial and smallest mean of the retry times that rejected clients
+	// get. MaxRetryAfter is the largest retry time.
 	RetryAfter, MaxRetryAfter time.Duration
 }
 
+// check returns a *ConfigError for the first field that is out of range.
 func (c Config) check() error {
 	switch {
 	case c.Target < 0 || c.Target > maxTarget:
-		return &ConfigError{Field: "Target", Got: c.Target, Expected: "0 to 1m"}
+		return &ConfigError{Field: "Target", Got: c.Target, Expected: "from 0 to 1m"}
 	case c.Target == 0:
 		return nil
 	case c.Interval < c.Target:
-		return &ConfigError{Field: "Interval", Got: c.Interval, Expected: fmt.Sprintf("Target, %v, or more", c.Target)}
+		return &ConfigError{Field: "Interval", Got: c.Interval, Expected: fmt.Sprintf("at least Target (%v)", c.Target)}
 	case c.RetryAfter <= 0:
 		return &ConfigError{Field: "RetryAfter", Got: c.RetryAfter, Expected: "more than 0s"}
 	case c.MaxRetryAfter < c.RetryAfter:
 		return &ConfigError{
 			Field:    "MaxRetryAfter",
 			Got:      c.MaxRetryAfter,
-			Expected: fmt.Sprintf("RetryAfter, %v, or more", c.RetryAfter),
+			Expected: fmt.Sprintf("at least RetryAfter (%v)", c.RetryAfter),
 		}
 	}
 	return nil
 }
 
 // Controller decides which requests of one flow on one loop are rejected before any work is
-// done for them. It guards against a standing queue: where more requests arrive than the flow's
-// share of the loop can serve, each waits until its client has timed out, and the work on it
-// is wasted. Under fair sharing a flow's requests wait long only when the flow itself exceeds its
-// share, so its own queue times are a sufficient signal.
+// done for them. It prevents a standing queue. If more requests arrive than the flow's share of
+// the loop can serve, each request waits until its client has timed out, and the work on it is
+// wasted. Under fair sharing, a flow's requests wait long only if the flow itself exceeds its
+// share. The flow's own queue times are therefore a sufficient signal.
 //
-// Detection follows controlled delay (Nichols and Jacobson, "Controlling Queue Delay", 2012): a
-// queue is standing when no queue time was below the target for an interval. While it
-// is, requests that waited for the target or longer are rejected and the others served, as in
-// Maurer, "Fail at Scale" (2015): the queue shrinks as fast as rejections are cheap, and
-// the loop always has work.
+// The detection follows controlled delay (Nichols and Jacobson, "Controlling Queue Delay",
+// 2012): a standing queue exists if no queue time was below the target for an interval. During
+// overload, the Controller rejects requests that waited for the target or longer, and accepts
+// the others, as in Maurer, "Fail at Scale" (2015). The queue then shrinks quickly, because
+// rejections are cheap, and the loop always has work.
 //
-// A burst longer than the interval is rejected in part even if all of its clients would have
-// waited for it. The retry time grows while many requests are rejected, so that rejections remain a
-// small part of the flow's cost.
+// The Controller rejects a part of each burst that is longer than the interval, even if all
+// clients would have waited. The retry time grows while many requests are rejected, so that
+// rejections remain a small part of the flow's cost.
 //
-// It is not safe for concurrent use.
+// A Controller is not safe for concurrent use.
 type Controller struct {
 	cfg        Config
 	overloaded bool
-	steadyAt   time.Duration // the last time a queue time agreed with overloaded
+	steadyAt   time.Duration // time of the last queue time that was consistent with overloaded
 	lastSeen   time.Duration // time of the last request
 
-	countingSince time.Duration // start of the interval that accepted and rejected refer to
+	countingSince time.Duration // start of the interval in which accepted and rejected are counted
 	accepted      int
 	rejected      int
-	retryAfter    time.Duration // mean of the times that are returned
-	draws         uint64        // number of times returned
+	retryAfter    time.Duration // mean of the retry times that ShouldReject returns
+	draws         uint64        // number of retry times that ShouldReject has returned
 }
 
-// New returns a controller for one flow. The error is a *ConfigError.
+// New returns a Controller for one flow. If a setting is invalid, the error is a *ConfigError.
 func New(c Config) (*Controller, error) {
 	if err := c.check(); err != nil {
 		return nil, err
@@ -92,11 +96,12 @@
 	return &Controller{cfg: c, retryAfter: c.RetryAfter}, nil
 }
 
-// Overloaded reports whether the flow is overloaded.
+// Overloaded reports whether the flow counts as overloaded.
 func (c *Controller) Overloaded() bool { return c.overloaded }
 
-// ShouldReject reports whether a request that has waited for queueTime and is about to be served is
-// to be rejected, and after which time its client may retry.
+// ShouldReject reports whether the caller must reject a request that is about to be served
+// after it has waited for queueTime. If so, it also returns the time after which the client may
+// retry.
 func (c *Controller) ShouldReject(now, queueTime time.Duration) (retryAfter time.Duration, reject bool) {
 	if c.cfg.Target == 0 {
 		return 0, false
@@ -110,10 +115,10 @@
 	return c.jitteredRetryAfter(), true
 }
 
-// observe updates the overload state with the queue time of a request.
+// observe updates the overload state from the queue time of a request.
 func (c *Controller) observe(now, queueTime time.Duration) {
 	long := queueTime >= c.cfg.Target
-	if now-c.lastSeen > c.cfg.Interval { // no requests for an interval: no queue is standing
+	if now-c.lastSeen > c.cfg.Interval { // an interval without requests proves that there is no standing queue
 		c.overloaded = false
 		c.steadyAt = now
 	}
@@ -128,14 +133,16 @@
 	}
 }
 
-// The retry time is doubled when more than one request in an interval was rejected per
-// doubleAbove accepted ones, and halved when fewer than one was per halveBelow.
+// The Controller doubles the retry time if more than one request was rejected for every
+// doubleAbove accepted requests of an interval. It halves the retry time if fewer than one
+// request was rejected for every halveBelow accepted requests.
 const (
 	doubleAbove = 4
 	halveBelow  = 16
 )
 
-// count adds a request to the current interval. At the interval's end it adjusts the retry time.
+// count adds a request to the counts of the current interval. If the interval has ended, count
+// first adjusts the retry time and starts a new interval.
 func (c *Controller) count(now time.Duration, rejected bool) {
 	if elapsed := now - c.countingSince; elapsed >= c.cfg.Interval {
 		c.adjustRetryAfter(elapsed)
@@ -150,9 +157,11 @@
 	}
 }
 
+// adjustRetryAfter doubles, halves or resets the retry time, based on the counts of an interval
+// that lasted for the given time.
 func (c *Controller) adjustRetryAfter(elapsed time.Duration) {
 	switch {
-	case elapsed >= 2*c.cfg.Interval+c.retryAfter: // rejected clients would have been back
+	case elapsed >= 2*c.cfg.Interval+c.retryAfter: // long enough for rejected clients to have retried
 		c.retryAfter = c.cfg.RetryAfter
 	case c.rejected > c.accepted/doubleAbove:
 		c.retryAfter = min(c.retryAfter*2, c.cfg.MaxRetryAfter)
@@ -161,12 +170,12 @@
 	}
 }
 
-// drawCycle is after how many draws the sequence of jitteredRetryAfter repeats.
+// drawCycle is the number of draws after which the jitter sequence repeats.
 const drawCycle = 1 << 20
 
-// jitteredRetryAfter returns a time from half to one and a half of the current retry time, so that
-// clients rejected together do not retry together. Multiples of the golden ratio cover the
-// range evenly from the first draw on.
+// jitteredRetryAfter returns a time between 0.5 and 1.5 times the current retry time, so that
+// clients that are rejected together do not retry together. The fractional parts of the
+// multiples of the golden ratio cover the range evenly from the first draw on.
 func (c *Controller) jitteredRetryAfter() time.Duration {
 	c.draws++
 	_, frac := math.Modf(float64(c.draws%drawCycle) * math.Phi)
