--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,6 +1,7 @@
-// Package placement maps objects to shards by rendezvous hashing: dispatchers
-// that share nothing agree without an index, and adding a shard moves only what
-// the new shard takes. It does no I/O and keeps no state between calls.
+// Package placement maps objects to shards by rendezvous hashing. Dispatchers that
+// share no state compute the same mapping and need no index. If a shard is added,
+// only the keys that it takes over move. The package does no I/O and keeps no state
+// between calls.
 package placement
 
 import (
@@ -12,13 +13,13 @@
 	"chalkstand/dispatch"
 )
 
-// Map holds the shards of one installation. Its zero value has none.
+// Map holds the shards of one installation. The zero value has no shards.
 type Map struct {
 	shards []dispatch.Shard
 	seeds  []uint64
 }
 
-// New returns the map over shards 0 to n-1.
+// New returns the Map of the shards 0 to n-1.
 func New(n int) *Map {
 	m := &Map{shards: make([]dispatch.Shard, n), seeds: make([]uint64, n)}
 	for i := range n {
@@ -28,7 +29,7 @@
 	return m
 }
 
-// mix is the finalizer of splitmix64: every bit of x moves every bit of the result.
+// mix is the finalizer of splitmix64. Every bit of x affects every bit of the result.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -37,15 +38,16 @@
 	return x ^ x>>31
 }
 
-// Volume is a volume's part of the map.
+// Volume holds the shards of one volume.
 type Volume struct {
 	hash   uint64
 	shards []dispatch.Shard // in ascending order
 	seeds  []uint64
 }
 
-// Volume returns the shards of a volume: spread of them, those that rank highest
-// for its name, or all with spread 0.
+// Volume returns the volume with the given name. The volume has the spread shards
+// that rank highest for its name. If spread is 0 or less, or not less than the number
+// of shards, the volume has all shards of the map.
 func (m *Map) Volume(name string, spread int) *Volume {
 	h := xxhash.Sum64String(name)
 	if spread <= 0 || spread >= len(m.shards) {
@@ -67,17 +69,18 @@
 	return v
 }
 
-// Shards returns all shards of the volume in ascending order; not to be changed.
+// Shards returns all shards of the volume in ascending order. Callers must not change
+// the returned slice.
 func (v *Volume) Shards() []dispatch.Shard { return v.shards }
 
 // Shard returns the shard that holds a key.
 func (v *Volume) Shard(key string) dispatch.Shard {
 	h := mix(v.hash ^ xxhash.Sum64String(key))
-	best, at := uint64(0), 0
-	for i, s := range v.seeds {
-		if w := mix(h ^ s); w > best || i == 0 {
-			best, at = w, i
+	bestRank, bestIndex := uint64(0), 0
+	for i, seed := range v.seeds {
+		if rank := mix(h ^ seed); rank > bestRank || i == 0 {
+			bestRank, bestIndex = rank, i
 		}
 	}
-	return v.shards[at]
+	return v.shards[bestIndex]
 }
