--- a/costmodel/costmodel_test.go
+++ b/costmodel/costmodel_test.go
@@ -29,14 +29,14 @@
 	}{
 		{"small", get, 1 << 19, Cost{Class: 0, Units: 2}},
 		{"at the rule's largest size", get, 1 << 20, Cost{Class: 0, Units: 3}},
-		{"above it", get, 1<<20 + 1<<20, Cost{Class: 1, Units: 5}},
-		{"above the model's bound", get, 1 << 30, Cost{Class: 1, Units: 10}},
+		{"above the rule's largest size", get, 1<<20 + 1<<20, Cost{Class: 1, Units: 5}},
+		{"above the model's maximum cost", get, 1 << 30, Cost{Class: 1, Units: 10}},
 		{"without bytes", put, 0, Cost{Class: 1, Units: 2}},
 		{"of unknown size", put, -1, Cost{Class: 1, Units: 2}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := m.Cost(c.op, c.bytes); got != c.want {
-				t.Errorf("%+v, want %+v", got, c.want)
+				t.Errorf("got cost %+v, want %+v", got, c.want)
 			}
 		})
 	}
@@ -56,7 +56,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if _, err := New([]Rule[operation]{c.rule}, int(operations), 1, 10); err == nil {
-				t.Error("no error")
+				t.Error("New accepted an invalid rule, want an error")
 			}
 		})
 	}
