--- a/costmodel/costmodel.go
+++ b/costmodel/costmodel.go
@@ -70,8 +70,8 @@
 	return m, nil
 }
 
-// Cost returns the class and cost of an operation on a number of bytes. A negative number
-// means that the size is not known.
+// Cost returns the class and cost of an operation on a number of bytes. The number is -1 if
+// the size is not known.
 func (m *Model[O]) Cost(op O, bytes int64) Cost {
 	for i := range m.rules[op] {
 		r := &m.rules[op][i]
--- a/fairshare/config.go
+++ b/fairshare/config.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Bounds of the fields of Config.
+// These constants limit the fields of Config.
 const (
 	maxByteTime         = 1000 // nanoseconds per byte
 	minWindow           = time.Microsecond
--- a/fairshare/queue.go
+++ b/fairshare/queue.go
@@ -42,7 +42,7 @@
 	return x
 }
 
-// Classes of items within a flow.
+// These constants number the classes of items within a flow.
 const (
 	inProgress  = iota // items of Push
 	notStarted         // items of PushNew
--- a/fairshare/scheduler.go
+++ b/fairshare/scheduler.go
@@ -29,7 +29,7 @@
 	rateLimited flowHeap[T] // flows that wait for tokens, ordered by limitedUntil
 
 	byName        map[string]*Flow[T]
-	flows         []*Flow[T] // the values of byName; evictions change their order of creation
+	flows         []*Flow[T] // the values of byName, in the order of their creation until the first eviction
 	overflow      *Flow[T]   // flow of all names beyond Config.Flows
 	changed       []*Flow[T] // flows with usage since the last Sync
 	evictionIndex int        // index in flows of the flow that evictOne examined last
@@ -73,8 +73,9 @@
 // Flow returns the flow with the given name, and creates it if it does not exist. If shared
 // is not nil, the flow shares its usage with the flows of the same name on other loops.
 //
-// If Config.Flows is reached, Flow evicts an idle flow that is not ahead of virtual time. If
-// it finds none, it returns the overflow flow.
+// If the number of flows has reached Config.Flows, Flow evicts an idle flow that is not ahead
+// of virtual time. If it finds none, it returns the overflow flow. With Config.FIFO, all names
+// share the overflow flow.
 func (s *Scheduler[T]) Flow(now time.Duration, name string, c FlowConfig, shared *SharedUsage) *Flow[T] {
 	if f := s.byName[name]; f != nil {
 		return f
@@ -153,8 +154,8 @@
 	}
 }
 
-// rescaleTag returns a tag after multiplying its distance ahead of virtual time by ratio. It
-// returns a tag that is not ahead unchanged.
+// rescaleTag multiplies a tag's distance ahead of virtual time by ratio and returns the new
+// tag. A tag that is not ahead of virtual time stays unchanged.
 func (s *Scheduler[T]) rescaleTag(tag, ratio float64) float64 {
 	if tag <= s.virtualTime {
 		return tag
--- a/fairshare/scheduler_test.go
+++ b/fairshare/scheduler_test.go
@@ -53,9 +53,10 @@
 }
 
 // The test checks the fairness bound of start-time fair queuing (Goyal, Vin and Cheng 1996,
-// theorem 1). Divide the service of each flow by its weight. While two flows are backlogged,
-// the results differ by at most the sum of the largest single service of each flow divided
-// by its weight. Meanwhile, other flows become backlogged and idle and change their weights.
+// theorem 1). The normalized service of a flow is its service divided by its weight. While
+// two flows are backlogged, their normalized services differ by at most the sum of the
+// largest normalized services of one item of each flow. Meanwhile, other flows become
+// backlogged and idle, and change their weights.
 func TestLagOfBackloggedFlowsIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, _ := New[int](testConfig, 0)
@@ -154,8 +155,8 @@
 	}
 }
 
-// If a flow's tag is ahead of virtual time when the flow's weight changes, the distance is
-// scaled to the new weight.
+// The debt of a flow is the distance of its tag ahead of virtual time. When the weight of a
+// flow changes, Configure scales its debt to the new weight.
 func TestDebtIsScaledWithTheWeight(t *testing.T) {
 	s := newScheduler(t, testConfig, 0)
 	flows := newTwoFlows(s, 1)
@@ -176,6 +177,7 @@
 	}
 }
 
+// Config.Window limits the debt that a single long service causes.
 func TestWindowBoundsTheDebt(t *testing.T) {
 	c := testConfig
 	c.Window = 10 * ms
@@ -265,7 +267,7 @@
 	}
 }
 
-// When the scheduler has run out of work, no flow is charged for earlier service any more.
+// When the scheduler has run out of work, all flows lose their debt from earlier service.
 func TestIdleTimeClearsDebt(t *testing.T) {
 	s := newScheduler(t, testConfig, 0)
 	flows := newTwoFlows(s, 1)
--- a/fairshare/usage.go
+++ b/fairshare/usage.go
@@ -12,6 +12,7 @@
 	slots []usageSlot
 }
 
+// usageSlot holds the usage of one loop.
 type usageSlot struct {
 	cost  atomic.Int64 // nanoseconds
 	bytes atomic.Int64
@@ -41,10 +42,10 @@
 	return sum
 }
 
-// Sync publishes the usage of flows on this loop since the last call. It also charges these
-// flows for their usage on other loops. It leaves out idle flows, which Push charges, and
-// flows that were not served on this loop, which the Sync after their next service charges.
-// Callers should call Sync about a thousand times per second.
+// Sync publishes the usage of flows on this loop since the last call. If such a flow is not
+// idle, Sync also charges it for its usage on other loops. All other flows are charged later:
+// an idle flow when an item is pushed to it, and a waiting flow by the Sync after its next
+// service. Callers should call Sync about a thousand times per second.
 func (s *Scheduler[T]) Sync(now time.Duration) {
 	for i, f := range s.changed {
 		s.changed[i] = nil
--- a/forwarder/connpool_test.go
+++ b/forwarder/connpool_test.go
@@ -196,7 +196,7 @@
 	h.handle(ClientCanceled{ID: 1})
 	h.completeDial()
 	if next := h.startRead(2); next.sent != 1 || h.f.Conns() != 1 {
-		t.Fatalf("sent %d times over %d connections, want once over 1", next.sent, h.f.Conns())
+		t.Fatalf("sent %d times over %d connections, want once over 1 connection", next.sent, h.f.Conns())
 	}
 	actions := h.f.Handle(h.now, DialCompleted{Conn: 99, OK: true})
 	if len(actions) == 0 || actions[0] != (CloseConn{Conn: 99}) {
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// If a node stalls, the request fails before its deadline and its connection is closed. A
-// response that arrives later has no effect.
+// If a node stalls, the forwarder fails the request by its deadline and closes the
+// connection. A response that arrives later has no effect.
 func TestLateResponseIsIgnored(t *testing.T) {
 	h := newHarness(t, testConfig())
 	h.setNode("a", 0, dispatch.Ready)
--- a/forwarder/harness_test.go
+++ b/forwarder/harness_test.go
@@ -13,7 +13,7 @@
 // never is the value of harness.wakeAt while no timer is set.
 const never time.Duration = 1 << 62
 
-// Indexes of the request classes in testConfig.
+// These constants are the indexes of the request classes in testConfig.
 const (
 	readClass   = iota
 	writeClass  // requests with the same key are executed in order
--- a/forwarder/requests.go
+++ b/forwarder/requests.go
@@ -42,7 +42,7 @@
 	timedOut         bool          // whether the last attempt timed out
 	resultReported   bool          // whether the dispatcher has been told that the request is finished
 	ambiguous        bool          // whether a node may have executed one of the attempts
-	ambiguousSince   time.Duration // start of the first ambiguous attempt
+	ambiguousSince   time.Duration // start of the first attempt that a node may have executed
 	headersAt        time.Duration // when the response's headers were passed on to the client
 	headersInfo      ResponseInfo
 
--- a/overload/overload.go
+++ b/overload/overload.go
@@ -78,7 +78,7 @@
 type Controller struct {
 	cfg        Config
 	overloaded bool
-	steadyAt   time.Duration // time of the last queue time that was consistent with overloaded
+	steadyAt   time.Duration // time of the last request whose queue time was consistent with overloaded
 	lastSeen   time.Duration // time of the last request
 
 	countingSince time.Duration // start of the interval in which accepted and rejected are counted
@@ -117,18 +117,18 @@
 
 // observe updates the overload state from the queue time of a request.
 func (c *Controller) observe(now, queueTime time.Duration) {
-	long := queueTime >= c.cfg.Target
+	reachesTarget := queueTime >= c.cfg.Target
 	if now-c.lastSeen > c.cfg.Interval { // an interval without requests proves that there is no standing queue
 		c.overloaded = false
 		c.steadyAt = now
 	}
 	c.lastSeen = now
-	if long == c.overloaded {
+	if reachesTarget == c.overloaded {
 		c.steadyAt = now
 		return
 	}
 	if now-c.steadyAt >= c.cfg.Interval {
-		c.overloaded = long
+		c.overloaded = reachesTarget
 		c.steadyAt = now
 	}
 }
--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// Properties of the server that goodput simulates, and the timeout of its clients.
+// These constants describe the server that goodput simulates, and its clients.
 const (
 	serviceTime   = 100 * time.Microsecond
 	rejectTime    = 5 * time.Microsecond // a twentieth of serviceTime
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -16,7 +16,7 @@
 // Map holds the shards of one installation. The zero value has no shards.
 type Map struct {
 	shards []dispatch.Shard
-	seeds  []uint64
+	seeds  []uint64 // hash seed of each shard
 }
 
 // New returns the Map of the shards 0 to n-1.
@@ -40,14 +40,14 @@
 
 // Volume holds the shards of one volume.
 type Volume struct {
-	hash   uint64
-	shards []dispatch.Shard // in ascending order
-	seeds  []uint64
+	hash   uint64           // hash of the volume's name
+	shards []dispatch.Shard // shards in ascending order
+	seeds  []uint64         // hash seed of each shard
 }
 
-// Volume returns the volume with the given name. The volume has the spread shards
-// that rank highest for its name. If spread is 0 or less, or not less than the number
-// of shards, the volume has all shards of the map.
+// Volume returns the volume with the given name. It selects the shards that rank highest
+// for the name; spread is the number of shards to select. If spread is 0 or exceeds the
+// number of shards, Volume selects all shards.
 func (m *Map) Volume(name string, spread int) *Volume {
 	h := xxhash.Sum64String(name)
 	if spread <= 0 || spread >= len(m.shards) {
