--- a/gateway/actions.go
+++ b/gateway/actions.go
@@ -131,7 +131,7 @@
 	if r == nil || r.completed || r.worker == nil {
 		return
 	}
-	w.forget(r)
+	w.moveToUnattributed(r)
 	canceled := forwarder.ClientCanceled{ID: r.id}
 	if r.readsObject {
 		canceled.Units = w.gateway.costs.Cost(objectapi.GetObject, r.streamedBytes).Units
@@ -139,9 +139,9 @@
 	w.handle(canceled)
 }
 
-// forget removes a node request that the forwarder is about to abort, and keeps it until it has been
+// moveToUnattributed removes a node request that the forwarder is about to abort, and keeps it until it has been
 // attributed.
-func (w *loopWorker) forget(r *nodeRequest) {
+func (w *loopWorker) moveToUnattributed(r *nodeRequest) {
 	if w.remove(r.id) != nil && w.gateway.attribution != nil {
 		w.unattributed[r.id] = r
 	}
--- a/gateway/attribution.go
+++ b/gateway/attribution.go
@@ -133,13 +133,13 @@
 
 // Attribution calls f with the collector of latency attribution, which f may read until it returns. f
 // must be quick: batches wait meanwhile. The error is ErrAttributionOff or ErrClosed.
-func (g *Gateway) Attribution(f func(now time.Duration, k *attribution.Collector)) error {
+func (g *Gateway) Attribution(f func(now time.Duration, collector *attribution.Collector)) error {
 	if g.attribution == nil {
 		return ErrAttributionOff
 	}
 	done := make(chan struct{})
-	query := func(now time.Duration, k *attribution.Collector) {
-		f(now, k)
+	query := func(now time.Duration, collector *attribution.Collector) {
+		f(now, collector)
 		close(done)
 	}
 	select {
--- a/gateway/attributionhandler.go
+++ b/gateway/attributionhandler.go
@@ -24,18 +24,18 @@
 		}
 		doc := attribution.Document{Version: attribution.Version, Run: g.Run()}
 		covered := false
-		reach := time.Duration(0)
-		err = g.Attribution(func(now time.Duration, k *attribution.Collector) {
+		maxSpan := time.Duration(0)
+		err = g.Attribution(func(now time.Duration, collector *attribution.Collector) {
 			doc.Now = now
-			doc.Counts = k.Counts()
-			reach = k.Aggregator().MaxSpan()
-			doc.Windows, covered = attributionWindows(k, now, since, slots)
+			doc.Counts = collector.Counts()
+			maxSpan = collector.Aggregator().MaxSpan()
+			doc.Windows, covered = attributionWindows(collector, now, since, slots)
 		})
 		switch {
 		case err != nil:
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		case !covered:
-			http.Error(w, fmt.Sprintf("since: at most %v is kept", reach), http.StatusBadRequest)
+			http.Error(w, fmt.Sprintf("since: at most %v is kept", maxSpan), http.StatusBadRequest)
 		default:
 			writeJSON(w, doc)
 		}
@@ -44,11 +44,11 @@
 
 // attributionWindows returns the slots of a period, or their sum as one window; false if the period
 // reaches beyond what is kept.
-func attributionWindows(k *attribution.Collector, now, since time.Duration, slots bool) ([]attribution.Window, bool) {
+func attributionWindows(collector *attribution.Collector, now, since time.Duration, slots bool) ([]attribution.Window, bool) {
 	if slots {
-		return k.Aggregator().Slots(now, since)
+		return collector.Aggregator().Slots(now, since)
 	}
-	sum, covered := k.Aggregator().Window(now, since)
+	sum, covered := collector.Aggregator().Window(now, since)
 	if !covered {
 		return nil, false
 	}
--- a/gateway/copy.go
+++ b/gateway/copy.go
@@ -274,7 +274,7 @@
 		return
 	}
 	etag := string(r.resp.Headers.Get("etag"))
-	modified := objectapi.FormatTime(t.conn.worker.gateway.wall().Truncate(time.Second))
+	modified := objectapi.FormatTime(t.conn.worker.gateway.wallClock().Truncate(time.Second))
 	if t.op.Kind == objectapi.UploadPartCopy {
 		t.respondXML(objectapi.CopyPartResult{LastModified: modified, ETag: etag})
 		return
--- a/gateway/deleteobjects.go
+++ b/gateway/deleteobjects.go
@@ -57,20 +57,20 @@
 // parseDeleted returns a shard's result, or the error that holds for all of its keys.
 func parseDeleted(r shardResponse) (objectapi.DeleteResult, *objectapi.Error) {
 	var result objectapi.DeleteResult
-	unknown := objectapi.NewError(objectapi.CodeInternalError,
+	outcomeUnknown := objectapi.NewError(objectapi.CodeInternalError,
 		"We encountered an internal error; whether the object was deleted is not known.")
 	switch {
 	case r.kind == resultRejected:
 		return result, objectapi.NewError(objectapi.CodeSlowDown, "Please reduce your request rate.")
 	case r.kind != resultBuffered:
-		return result, unknown
+		return result, outcomeUnknown
 	case r.status != http.StatusOK:
 		if apiErr, ok := objectapi.ParseError(r.document); ok {
 			return result, apiErr
 		}
-		return result, unknown
+		return result, outcomeUnknown
 	case xml.Unmarshal(r.document, &result) != nil:
-		return objectapi.DeleteResult{}, unknown
+		return objectapi.DeleteResult{}, outcomeUnknown
 	}
 	return result, nil
 }
--- a/gateway/flowcontrol.go
+++ b/gateway/flowcontrol.go
@@ -28,7 +28,7 @@
 		return g
 	}
 	share := w.gateway.cfg.Share
-	fair, err := fairshare.NewGate[*nodeConn](fairshare.GateConfig{
+	fairGate, err := fairshare.NewGate[*nodeConn](fairshare.GateConfig{
 		Depth:           share.Depth,
 		WaitersPerGrant: share.Crowd,
 		Quantum:         share.Draw,
@@ -46,7 +46,7 @@
 	if len(w.gates) >= maxGates {
 		w.dropIdleGates()
 	}
-	g := &nodeGate{Gate: fair, lastUsed: w.now()}
+	g := &nodeGate{Gate: fairGate, lastUsed: w.now()}
 	w.gates[id] = g
 	return g
 }
@@ -79,7 +79,7 @@
 	n.gate.Request(n.worker.gateway.core.now(), v.name, v.flowConfig, n)
 	if !n.gate.contended {
 		n.gate.contended = true
-		n.worker.contended = append(n.worker.contended, n.gate)
+		n.worker.contendedGates = append(n.worker.contendedGates, n.gate)
 	}
 }
 
@@ -138,8 +138,8 @@
 func (w *loopWorker) nextGrantExpiry() (time.Duration, bool) {
 	var first time.Duration
 	found := false
-	kept := w.contended[:0]
-	for _, g := range w.contended {
+	kept := w.contendedGates[:0]
+	for _, g := range w.contendedGates {
 		at, ok := g.NextWake()
 		g.contended = ok
 		if !ok {
@@ -150,14 +150,14 @@
 		}
 		kept = append(kept, g)
 	}
-	clear(w.contended[len(kept):])
-	w.contended = kept
+	clear(w.contendedGates[len(kept):])
+	w.contendedGates = kept
 	return first, found
 }
 
 // expireGrants pauses the connections whose grants have expired, and issues the next grants.
 func (w *loopWorker) expireGrants(now time.Duration) {
-	for _, g := range w.contended {
+	for _, g := range w.contendedGates {
 		for grant, ok := g.Expired(now); ok; grant, ok = g.Expired(now) {
 			if n := grant.Item; n.grant == grant {
 				n.grant = nil
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -32,13 +32,13 @@
 
 // Gateway is one running gateway.
 type Gateway struct {
-	cfg      *Settings
-	log      *zap.Logger
-	registry prometheus.Registerer
-	wall     func() time.Time
-	seed     uint64
-	trace    func(time.Duration, dispatch.Event, []dispatch.Action)
-	started  time.Time // by the wall clock
+	cfg       *Settings
+	log       *zap.Logger
+	registry  prometheus.Registerer
+	wallClock func() time.Time
+	seed      uint64
+	trace     func(time.Duration, dispatch.Event, []dispatch.Action)
+	started   time.Time // by the wall clock
 
 	onEntry     func(attribution.Entry)
 	onLogAction func(attribution.Action)
@@ -65,7 +65,7 @@
 
 // New builds a gateway and starts its event loops. The gateway accepts clients once Serve is called.
 func New(cfg Settings, opts ...Option) (*Gateway, error) {
-	g := &Gateway{cfg: &cfg, log: zap.NewNop(), wall: time.Now, seed: rand.Uint64()}
+	g := &Gateway{cfg: &cfg, log: zap.NewNop(), wallClock: time.Now, seed: rand.Uint64()}
 	for _, o := range opts {
 		o(g)
 	}
@@ -82,7 +82,7 @@
 	}
 	f.Trace = g.trace
 	g.core = newCore(f)
-	g.started = g.wall()
+	g.started = g.wallClock()
 	g.nextID.Store(firstID())
 	if cfg.Accounts.On {
 		g.attribution, err = newAttributionWorker(cfg.Accounts, g.core.now, g.onEntry, g.onLogAction)
--- a/gateway/httpserver.go
+++ b/gateway/httpserver.go
@@ -23,7 +23,7 @@
 		return
 	}
 	t.op = op
-	auth, authErr := g.verifier.Verify(g.wall(), r)
+	auth, authErr := g.verifier.Verify(g.wallClock(), r)
 	if authErr != nil {
 		t.respondError(objectapi.NewError(authErr.Code, authErr.Message), authErr.Status)
 		return
--- a/gateway/list.go
+++ b/gateway/list.go
@@ -210,8 +210,8 @@
 func (t *transaction) respondInSlices(build func(objectapi.Pause) any) {
 	w := t.conn.worker
 	w.loop.RunInSlices(w.chargedVolume(t).flow, func(pause func() bool) {
-		wanted := func() bool { return !t.responded && pause() && !t.responded }
-		v := build(wanted)
+		shouldContinue := func() bool { return !t.responded && pause() && !t.responded }
+		v := build(shouldContinue)
 		if t.responded {
 			return
 		}
@@ -219,7 +219,7 @@
 			t.respondFailure(false)
 			return
 		}
-		if doc, ok := objectapi.MarshalWithPauses(v, wanted); ok {
+		if doc, ok := objectapi.MarshalWithPauses(v, shouldContinue); ok {
 			t.respond(http.StatusOK, []byte(xmlHeader), doc)
 		}
 	})
--- a/gateway/listen_test.go
+++ b/gateway/listen_test.go
@@ -11,8 +11,8 @@
 	kit "chalkstand/internal/testkit"
 )
 
-// serveLimit is how long Serve may take to return.
-const serveLimit = 10 * time.Second
+// serveTimeout is how long Serve may take to return.
+const serveTimeout = 10 * time.Second
 
 func newTestGateway(t *testing.T) *gateway.Gateway {
 	t.Helper()
@@ -39,8 +39,8 @@
 		if err != nil {
 			t.Errorf("Serve: %v", err)
 		}
-	case <-time.After(serveLimit):
-		t.Fatalf("Serve has not returned after %v", serveLimit)
+	case <-time.After(serveTimeout):
+		t.Fatalf("Serve has not returned after %v", serveTimeout)
 	}
 }
 
@@ -65,9 +65,9 @@
 
 // Serve returns wherever Close meets its start, with clients that dial meanwhile, and no connection
 // that was accepted by then is left open.
-func TestServeReturnsWhereverCloseMeetsIt(t *testing.T) {
+func TestServeReturnsWhenClosedDuringStart(t *testing.T) {
 	const rounds = 200
-	before := testfd.Count(t)
+	openBefore := testfd.Count(t)
 	for round := range rounds {
 		g := newTestGateway(t)
 		addr, returned := serveInBackground(t.Context(), t, g)
@@ -85,12 +85,12 @@
 		close(ended)
 		<-clientEnded
 	}
-	testfd.Await(t, before)
+	testfd.Await(t, openBefore)
 }
 
 // After Serve has returned because its context ended, its listener is closed. The gateway can serve
 // on another.
-func TestServeClosesItsListenerWithItsContext(t *testing.T) {
+func TestServeClosesListenerWhenContextEnds(t *testing.T) {
 	g := newTestGateway(t)
 	defer g.Close()
 	for range 2 {
--- a/gateway/loadreport.go
+++ b/gateway/loadreport.go
@@ -13,8 +13,8 @@
 // loadHeader carries a node's load report, in the text format of Open Request Cost Aggregation.
 const loadHeader = "endpoint-load-metrics"
 
-// maxMetric bounds the values that are accepted from a load report.
-const maxMetric = 1e12
+// maxMetricValue bounds the values that are accepted from a load report.
+const maxMetricValue = 1e12
 
 // responseInfo returns what the forwarder needs to know of the response that is being read.
 func (n *nodeConn) responseInfo() forwarder.ResponseInfo {
@@ -52,7 +52,7 @@
 		item, rest, _ = bytes.Cut(rest, []byte(","))
 		name, val, _ := bytes.Cut(bytes.TrimSpace(item), []byte("="))
 		x, err := strconv.ParseFloat(string(val), 64)
-		if err != nil || !(x >= 0) || x > maxMetric {
+		if err != nil || !(x >= 0) || x > maxMetricValue {
 			continue
 		}
 		switch string(name) {
--- a/gateway/newfails_test.go
+++ b/gateway/newfails_test.go
@@ -12,25 +12,25 @@
 
 // A gateway that cannot be built for want of descriptors leaves none of its event loops open.
 func TestFailedNewLeavesNothingOpen(t *testing.T) {
-	var before unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &before); err != nil {
+	var oldLimit unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &oldLimit); err != nil {
 		t.Fatal(err)
 	}
-	open := testfd.Count(t)
+	openFiles := testfd.Count(t)
 	s := kit.Settings(1)
 	s.Embedded = nil
 	s.Loops = 64
-	lowered := unix.Rlimit{Cur: uint64(open + 20), Max: before.Max}
+	lowered := unix.Rlimit{Cur: uint64(openFiles + 20), Max: oldLimit.Max}
 	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &lowered); err != nil {
 		t.Fatal(err)
 	}
 	g, err := gateway.New(s)
-	if restoreErr := unix.Setrlimit(unix.RLIMIT_NOFILE, &before); restoreErr != nil {
+	if restoreErr := unix.Setrlimit(unix.RLIMIT_NOFILE, &oldLimit); restoreErr != nil {
 		t.Fatal(restoreErr)
 	}
 	if err == nil {
 		g.Close()
 		t.Fatal("New succeeded with 20 descriptors for 64 loops")
 	}
-	testfd.Await(t, open)
+	testfd.Await(t, openFiles)
 }
--- a/gateway/nodeconn.go
+++ b/gateway/nodeconn.go
@@ -56,7 +56,7 @@
 		n.conn, err = w.loop.Add(fd, n)
 	}
 	if err == nil {
-		n.conn.AssignFlow(w.ownVolume.flow)
+		n.conn.AssignFlow(w.gatewayVolume.flow)
 		n.conn.SetReceiveBuffer(w.gateway.cfg.Share.Receive)
 	} else {
 		delete(w.conns, n.id)
--- a/gateway/nodehead.go
+++ b/gateway/nodehead.go
@@ -55,9 +55,9 @@
 	size int64,
 ) dispatch.Request {
 	g := t.conn.worker.gateway
-	price := g.costs.Cost(kind, size)
-	class := &g.cfg.Classes[price.Class]
-	d := dispatch.Request{Class: price.Class, Shard: shard, Units: price.Units, Timeout: class.Deadline.D()}
+	cost := g.costs.Cost(kind, size)
+	class := &g.cfg.Classes[cost.Class]
+	d := dispatch.Request{Class: cost.Class, Shard: shard, Units: cost.Units, Timeout: class.Deadline.D()}
 	if v != nil {
 		d.Plan = v.plan
 		d.Volume = dispatch.VolumeID(v.name)
@@ -143,16 +143,16 @@
 
 func appendForwardedHeaders(b []byte, hs http1.Headers) []byte {
 	for _, h := range hs {
-		is := func(name string) bool { return http1.EqualFold(h.Name, name) }
+		nameIs := func(name string) bool { return http1.EqualFold(h.Name, name) }
 		if isAmzHeader(h.Name) {
-			if slices.ContainsFunc(gatewayHeaders, is) {
+			if slices.ContainsFunc(gatewayHeaders, nameIs) {
 				continue
 			}
-		} else if !slices.ContainsFunc(forwardedHeaders, is) {
+		} else if !slices.ContainsFunc(forwardedHeaders, nameIs) {
 			continue
 		}
 		value := h.Value
-		if is("content-encoding") {
+		if nameIs("content-encoding") {
 			if value = withoutAWSChunked(value); len(value) == 0 {
 				continue
 			}
--- a/gateway/nodetiming.go
+++ b/gateway/nodetiming.go
@@ -15,8 +15,8 @@
 const timingHeader = "server-timing"
 
 const (
-	maxTimings = 64             // metrics read from one response
-	maxTiming  = 24 * time.Hour // of a metric
+	maxTimingMetrics  = 64             // metrics read from one response
+	maxTimingDuration = 24 * time.Hour // of a metric
 )
 
 // timingMetric is one metric of a Server-Timing header.
@@ -29,7 +29,7 @@
 // eachTiming calls f for each queue and work metric. Malformed and other metrics are ignored.
 func eachTiming(hs http1.Headers, f func(timingMetric)) {
 	rest := hs.Get(timingHeader)
-	for n := 0; len(rest) > 0 && n < maxTimings; n++ {
+	for n := 0; len(rest) > 0 && n < maxTimingMetrics; n++ {
 		var item []byte
 		item, rest, _ = bytes.Cut(rest, []byte(","))
 		if m, ok := parseTiming(item); ok {
@@ -56,7 +56,7 @@
 		switch string(key) {
 		case "dur":
 			ms, err := strconv.ParseFloat(string(val), 64)
-			if err != nil || !(ms >= 0) || ms > float64(maxTiming/time.Millisecond) {
+			if err != nil || !(ms >= 0) || ms > float64(maxTimingDuration/time.Millisecond) {
 				return m, false
 			}
 			m.duration = time.Duration(ms * float64(time.Millisecond))
--- a/gateway/nodetiming_test.go
+++ b/gateway/nodetiming_test.go
@@ -34,7 +34,7 @@
 func TestTimingsAreBounded(t *testing.T) {
 	n := 0
 	eachTiming(timingHeaders(strings.Repeat("queue;dur=1,", 1000)), func(timingMetric) { n++ })
-	if n != maxTimings {
+	if n != maxTimingMetrics {
 		t.Errorf("%d metrics were read", n)
 	}
 }
--- a/gateway/options.go
+++ b/gateway/options.go
@@ -20,7 +20,7 @@
 func WithRegistry(r prometheus.Registerer) Option { return func(g *Gateway) { g.registry = r } }
 
 // WithClock sets the wall clock by which signatures are checked.
-func WithClock(now func() time.Time) Option { return func(g *Gateway) { g.wall = now } }
+func WithClock(now func() time.Time) Option { return func(g *Gateway) { g.wallClock = now } }
 
 // WithSeed fixes the seed of the dispatcher's random choices.
 func WithSeed(seed uint64) Option { return func(g *Gateway) { g.seed = seed } }
--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -115,7 +115,7 @@
 
 // Of two requests that arrive together the one that had to wait is rejected before its signature is
 // checked, with a retry time; the one that did not wait is checked.
-func TestOverloadIsRejectedBeforeTheSignature(t *testing.T) {
+func TestOverloadRejectsBeforeSignatureCheck(t *testing.T) {
 	_, all := startOverloaded(t, overloadSettings(time.Second), 2, "a wrong secret")
 	headers := map[int]http.Header{}
 	for _, c := range all {
--- a/gateway/scatter.go
+++ b/gateway/scatter.go
@@ -29,7 +29,7 @@
 	done        func([]shardResponse)
 	responses   []shardResponse // as shards
 	next        int             // index of the next shard
-	open        int             // requests without a result
+	inFlight        int             // requests without a result
 	starting    bool            // startMore runs
 	finished    bool            // done was called
 }
@@ -59,13 +59,13 @@
 	}
 	t := s.transaction
 	s.starting = true
-	for s.next < len(s.shards) && s.open < t.conn.worker.gateway.cfg.Limits.FanOut && !t.responded {
+	for s.next < len(s.shards) && s.inFlight < t.conn.worker.gateway.cfg.Limits.FanOut && !t.responded {
 		i := s.next
 		s.next++
-		s.open++
+		s.inFlight++
 		r, d := s.newRequest(s.shards[i])
 		r.onResult = func(result nodeResult) {
-			s.open--
+			s.inFlight--
 			s.responses[i] = newShardResponse(s.shards[i], result)
 			t.removeNodeRequest(r)
 			s.startMore()
@@ -73,7 +73,7 @@
 		t.startNodeRequest(r, d)
 	}
 	s.starting = false
-	if s.open == 0 && s.next == len(s.shards) && !s.finished && !t.responded {
+	if s.inFlight == 0 && s.next == len(s.shards) && !s.finished && !t.responded {
 		s.finished = true
 		s.done(s.responses)
 	}
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -16,8 +16,8 @@
 	// sweepInterval is how often connections are checked for idle and slow clients, whose
 	// time limits are much longer.
 	sweepInterval = 100 * time.Millisecond
-	// drainPoll is how often Drain checks whether all requests have their responses.
-	drainPoll = 5 * time.Millisecond
+	// drainPollInterval is how often Drain checks whether all requests have their responses.
+	drainPollInterval = 5 * time.Millisecond
 )
 
 // tooManyConns is the response on a connection that is not accepted.
@@ -138,7 +138,7 @@
 			w.closeIdleClients()
 		})
 	}
-	t := time.NewTicker(drainPoll)
+	t := time.NewTicker(drainPollInterval)
 	defer t.Stop()
 	for g.inFlight.Load() > 0 {
 		select {
--- a/gateway/serve_test.go
+++ b/gateway/serve_test.go
@@ -10,7 +10,7 @@
 
 // Serve returns where the gateway is closed before its listener is in use.
 func TestServeReturnsAfterClose(t *testing.T) {
-	const limit = 5 * time.Second
+	const returnTimeout = 5 * time.Second
 	s := kit.Settings(1)
 	s.Embedded = nil
 	g := kit.Must(gateway.New(s))(t)
@@ -23,7 +23,7 @@
 	select {
 	case err := <-returned:
 		t.Logf("Serve returned %v", err)
-	case <-time.After(limit):
-		t.Errorf("Serve has not returned after %v", limit)
+	case <-time.After(returnTimeout):
+		t.Errorf("Serve has not returned after %v", returnTimeout)
 	}
 }
--- a/gateway/span.go
+++ b/gateway/span.go
@@ -40,10 +40,10 @@
 func (t *transaction) recordContenders(waited time.Duration) {
 	c := t.conn
 	w := c.worker
-	w.contenders = c.conn.WaitedBehind(w.contenders[:0])
-	contributions := make([]attribution.Contribution, 0, len(w.contenders)+1)
+	w.loopContenders = c.conn.WaitedBehind(w.loopContenders[:0])
+	contributions := make([]attribution.Contribution, 0, len(w.loopContenders)+1)
 	rest := waited
-	for _, x := range w.contenders {
+	for _, x := range w.loopContenders {
 		d := min(x.Time, rest)
 		rest -= d
 		if x.Flow != c.volume.flow {
--- a/gateway/upload.go
+++ b/gateway/upload.go
@@ -117,7 +117,7 @@
 // abort aborts the node request of a body that is invalid or has stalled.
 func (u *upload) abort() {
 	w := u.transaction.conn.worker
-	w.forget(u.request)
+	w.moveToUnattributed(u.request)
 	w.handle(forwarder.AbortRequest{ID: u.request.id})
 }
 
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -38,7 +38,7 @@
 
 // shared returns the shared usage of a volume. It returns nil for volumes beyond share.flows, which
 // are scheduled on each loop separately.
-func (r *usageRegistry) shared(name string, cfg *settings.Settings) *fairshare.SharedUsage {
+func (r *usageRegistry) sharedUsage(name string, cfg *settings.Settings) *fairshare.SharedUsage {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if u := r.byVolume[name]; u != nil {
@@ -58,7 +58,7 @@
 // chargedVolume returns the volume that a transaction's work is charged to.
 func (w *loopWorker) chargedVolume(t *transaction) *volume {
 	if t.volume == nil {
-		return w.ownVolume
+		return w.gatewayVolume
 	}
 	return t.volume
 }
--- a/gateway/volume.go
+++ b/gateway/volume.go
@@ -45,7 +45,7 @@
 	}
 	v.rate = cfg.Plans[v.plan].Rate
 	v.flowConfig = cfg.FlowConfig(rule)
-	v.flow = w.loop.Flow(v.name, v.flowConfig, w.gateway.usage.shared(v.name, cfg))
+	v.flow = w.loop.Flow(v.name, v.flowConfig, w.gateway.usage.sharedUsage(v.name, cfg))
 	v.overload = w.newOverloadController()
 	w.volumes[v.name] = v
 	return v
--- a/gateway/worker.go
+++ b/gateway/worker.go
@@ -13,9 +13,9 @@
 
 // Names and weights of the flows that belong to no bucket's volume.
 const (
-	newcomersVolume = "(newcomers)"
-	gatewayVolume   = "(gateway)"
-	gatewayWeight   = 1
+	newcomersVolumeName = "(newcomers)"
+	gatewayVolumeName   = "(gateway)"
+	gatewayWeight       = 1
 )
 
 // loopWorker is one event loop with all that runs on it: client connections, their transactions, and
@@ -30,15 +30,15 @@
 	requests     map[dispatch.RequestID]*nodeRequest // without a result
 	unattributed map[dispatch.RequestID]*nodeRequest // canceled, while their attribution is to come
 
-	volumes   map[string]*volume // by bucket
-	newcomers *volume            // of client connections without an authenticated request
-	ownVolume *volume            // of work that belongs to no bucket
+	volumes       map[string]*volume // by bucket
+	newcomers     *volume            // of client connections without an authenticated request
+	gatewayVolume *volume            // of work that belongs to no bucket
 
 	gates      map[dispatch.NodeID]*nodeGate
-	contended  []*nodeGate // all at which streams are waiting; may contain others
+	contendedGates  []*nodeGate // all at which streams are waiting; may contain others
 	backoff    backoffQueue
 	batch      attribution.Batch      // for the attribution worker
-	contenders []eventloop.SliceUsage // reused buffer
+	loopContenders []eventloop.SliceUsage // reused buffer
 	scratch    []byte                 // reused buffer of heads and chunks
 	coarseNow  time.Time              // of the last sweep; clock of the connections' time limits
 	date       string                 // value of the Date header, for dateSecond
@@ -63,14 +63,14 @@
 		coarseNow:    time.Now(),
 	}
 	w.newcomers = &volume{
-		name:       newcomersVolume,
+		name:       newcomersVolumeName,
 		flowConfig: fairshare.FlowConfig{Weight: g.cfg.Share.Newcomers},
 		overload:   w.newOverloadController(),
 	}
-	w.newcomers.flow = loop.Flow(newcomersVolume, w.newcomers.flowConfig, g.usage.shared(newcomersVolume, g.cfg))
+	w.newcomers.flow = loop.Flow(newcomersVolumeName, w.newcomers.flowConfig, g.usage.sharedUsage(newcomersVolumeName, g.cfg))
 	loop.SetTimer(w.nextTimer, w.onTimer)
-	w.ownVolume = &volume{name: gatewayVolume, flowConfig: fairshare.FlowConfig{Weight: gatewayWeight}}
-	w.ownVolume.flow = loop.Flow(gatewayVolume, w.ownVolume.flowConfig, nil)
+	w.gatewayVolume = &volume{name: gatewayVolumeName, flowConfig: fairshare.FlowConfig{Weight: gatewayWeight}}
+	w.gatewayVolume.flow = loop.Flow(gatewayVolumeName, w.gatewayVolume.flowConfig, nil)
 	return w
 }
 
@@ -136,7 +136,7 @@
 
 // httpDate returns the value of the Date header.
 func (w *loopWorker) httpDate() string {
-	now := w.gateway.wall()
+	now := w.gateway.wallClock()
 	if s := now.Unix(); s != w.dateSecond {
 		w.dateSecond = s
 		w.date = now.UTC().Format("Mon, 02 Jan 2006 15:04:05 GMT")
