--- a/gateway/actions.go
+++ b/gateway/actions.go
@@ -6,11 +6,12 @@
 	"chalkstand/internal/objectapi"
 )
 
-// handle passes an event to the forwarder, and applies this worker's actions.
+// handle passes an event to the forwarder, and applies the resulting actions for this worker.
 func (w *loopWorker) handle(ev forwarder.Event) { w.gateway.core.handle(w, ev) }
 
-// applyActions applies the forwarder's actions for this worker, in order. A nested call leaves them to
-// the outer one.
+// applyActions applies the queued forwarder actions for this worker in order. Applying an action may
+// call applyActions again. The nested call returns at once, and the outer call applies the new
+// actions.
 func (w *loopWorker) applyActions() {
 	if w.applying {
 		return
@@ -34,6 +35,7 @@
 	w.applying = false
 }
 
+// apply applies one action of the forwarder.
 func (w *loopWorker) apply(a forwarder.Action) {
 	switch a := a.(type) {
 	case forwarder.Dial:
@@ -67,16 +69,17 @@
 	}
 }
 
-// discardResponse notes of a response that is not for the client whether the node failed. The request is
-// nil where it is over.
+// discardResponse records in the request whether a discarded response was an internal error of the
+// node. The parameter r is nil if the request has already ended.
 func (w *loopWorker) discardResponse(r *nodeRequest, result nodeResult) {
 	if r != nil && result.resp != nil {
 		r.nodeFailed = resultOfStatus(result.resp.Status) == dispatch.ServerError
 	}
 }
 
-// rejectRequest completes a request that has no further attempt. After an internal error of its node it
-// fails: a rejection would tell the client that a later retry helps.
+// rejectRequest completes a request that the forwarder has rejected. If the node's response to the
+// last attempt was an internal error, the result is a failure instead, because a rejection would tell
+// the client that a later retry helps.
 func (w *loopWorker) rejectRequest(a forwarder.Reject) {
 	if r := w.requests[a.ID]; r != nil && r.nodeFailed {
 		w.gateway.metrics.failed.Inc()
@@ -87,6 +90,7 @@
 	w.completeRequest(a.ID, nodeResult{kind: resultRejected, retryAfter: a.RetryAfter})
 }
 
+// forwardResponse completes a request with the response that its connection holds.
 func (w *loopWorker) forwardResponse(a forwarder.ForwardResponse) {
 	r := w.remove(a.ID)
 	if r == nil {
@@ -99,14 +103,16 @@
 	r.onResult(result)
 }
 
-// completeRequest gives a node request its result, unless it was canceled.
+// completeRequest passes the result of a node request to its onResult function, unless the request
+// was canceled.
 func (w *loopWorker) completeRequest(id dispatch.RequestID, result nodeResult) {
 	if r := w.remove(id); r != nil {
 		r.onResult(result)
 	}
 }
 
-// remove removes a node request and marks it completed; nil if there is none.
+// remove removes the node request with this ID, marks it completed, and returns it. It returns nil if
+// the worker has no such request.
 func (w *loopWorker) remove(id dispatch.RequestID) *nodeRequest {
 	r := w.requests[id]
 	if r != nil {
@@ -116,7 +122,8 @@
 	return r
 }
 
-// startRequest passes a node request to the forwarder. Its result may come before startRequest returns.
+// startRequest passes a node request to the forwarder. The request's onResult function may be called
+// before startRequest returns.
 func (w *loopWorker) startRequest(r *nodeRequest, d dispatch.Request) {
 	r.id = dispatch.RequestID(w.gateway.nextID.Add(1))
 	d.ID = r.id
@@ -125,8 +132,8 @@
 	w.handle(forwarder.StartRequest{Request: d, Loop: w.index, NotReplayable: r.source != nil})
 }
 
-// cancelRequest cancels a node request whose result is not needed. It is charged for what was streamed. It
-// has no effect on a request that is nil, not started or completed.
+// cancelRequest cancels a node request whose result is no longer needed. A canceled read is charged
+// for the bytes streamed so far. Nothing happens if r is nil, not started or completed.
 func (w *loopWorker) cancelRequest(r *nodeRequest) {
 	if r == nil || r.completed || r.worker == nil {
 		return
@@ -139,8 +146,8 @@
 	w.handle(canceled)
 }
 
-// moveToUnattributed removes a node request that the forwarder is about to abort, and keeps it until it has been
-// attributed.
+// moveToUnattributed removes a node request that the forwarder is about to cancel or abort. If
+// attribution is on, the worker keeps the request until its attribution arrives.
 func (w *loopWorker) moveToUnattributed(r *nodeRequest) {
 	if w.remove(r.id) != nil && w.gateway.attribution != nil {
 		w.unattributed[r.id] = r
--- a/gateway/backoff.go
+++ b/gateway/backoff.go
@@ -5,19 +5,22 @@
 	"time"
 )
 
-// backoffEntry is a client connection's place among those in backoff.
+// backoffEntry is a client connection's entry in the backoff queue.
 type backoffEntry struct {
 	until    time.Duration
-	position int // in the queue, from 1; 0: not in backoff
+	position int // position in the queue, from 1; 0 if the connection is not in backoff
 }
 
+// inBackoff reports whether the connection is in the backoff queue.
 func (c *clientConn) inBackoff() bool { return c.backoff.position > 0 }
 
-// backoffQueue holds a worker's client connections that are not read until the retry time of their
-// rejected request, the earliest first.
+// backoffQueue is a heap of client connections that have had a request rejected. The worker does not
+// read from these connections until their retry time. The connection with the earliest retry time is
+// first.
 type backoffQueue struct{ clients []*clientConn }
 
-// add puts a connection into backoff; one that is in backoff already keeps its time.
+// add puts a connection into backoff until the given time. A connection that is already in backoff
+// keeps its earlier time.
 func (q *backoffQueue) add(c *clientConn, until time.Duration) {
 	if c.inBackoff() {
 		return
@@ -26,13 +29,14 @@
 	heap.Push(q, c)
 }
 
+// remove removes a connection from the queue, if it is in backoff.
 func (q *backoffQueue) remove(c *clientConn) {
 	if c.inBackoff() {
 		heap.Remove(q, c.backoff.position-1)
 	}
 }
 
-// popDue removes and returns a connection whose backoff has ended; nil if there is none.
+// popDue removes and returns a connection whose backoff has ended. It returns nil if there is none.
 func (q *backoffQueue) popDue(now time.Duration) *clientConn {
 	if len(q.clients) == 0 || q.clients[0].backoff.until > now {
 		return nil
--- a/gateway/clientconn.go
+++ b/gateway/clientconn.go
@@ -10,48 +10,53 @@
 	"chalkstand/internal/objectapi"
 )
 
-// lingerTimeout is for how long a client's input is read and discarded after an early response, so that
-// the client can read the response before its connection is closed.
+// lingerTimeout is how long the gateway keeps reading and discarding a client's input after the last
+// response on a connection. This gives the client time to read the response before the connection
+// is closed.
 const lingerTimeout = 2 * time.Second
 
+// clientState is the phase of the transaction on a client connection.
 type clientState uint8
 
 const (
-	stateReading       clientState = iota // a head is read
-	stateBufferingBody                    // a body is read into memory
-	stateWaiting                          // a response is awaited; input stays buffered
-	stateUploading                        // a body is streamed to a node
-	stateResponding                       // a response is streamed to the client
-	stateLingering                        // the connection is closing; input is discarded
+	stateReading       clientState = iota // the worker reads a request's head, or waits for one
+	stateBufferingBody                    // the worker reads a request's body into memory
+	stateWaiting                          // the transaction waits for a response, and input stays in the read buffer
+	stateUploading                        // the worker streams a request's body to a node
+	stateResponding                       // the worker streams a node's response to the client
+	stateLingering                        // the connection is closing, and the worker discards its input
 )
 
-// clientConn is a client's connection. It processes one transaction at a time.
+// clientConn is a connection from a client. It processes one transaction at a time.
 type clientConn struct {
 	worker       *loopWorker
 	conn         *eventloop.Conn
 	state        clientState
-	lastProgress time.Time // of the state, or of the last byte that was moved in it
+	lastProgress time.Time // when the state last changed or the connection last moved a byte
 	headParser   http1.Head
 	request      http1.Request
-	current      *transaction // nil in stateReading
-	previous     *transaction // written, while the client has not received all of it
-	volume       *volume      // that the connection's work is charged to
+	current      *transaction // the transaction without a complete response; nil in stateReading
+	previous     *transaction // the last transaction, until the client has received its response
+	volume       *volume      // the volume to which the connection's work is charged
 	backoff      backoffEntry
 }
 
-// assignVolume charges the connection's work to a volume from here on.
+// assignVolume charges the connection's future work to the volume v.
 func (c *clientConn) assignVolume(v *volume) {
 	c.volume = v
 	c.conn.AssignFlow(v.flow)
 }
 
+// setState changes the connection's state and restarts the time limit of the state.
 func (c *clientConn) setState(s clientState) {
 	c.state = s
 	c.conn.SetStarting(s == stateReading || s == stateLingering)
 	c.lastProgress = c.worker.now()
 }
 
-// OnData processes input, and returns the number of bytes consumed.
+// OnData processes input from the client according to the connection's state, and returns the number
+// of bytes consumed. While a transaction waits for its response, OnData consumes nothing, and pauses
+// the connection once limits.pipelined bytes are buffered.
 func (c *clientConn) OnData(_ *eventloop.Conn, b []byte) int {
 	c.lastProgress = c.worker.now()
 	switch c.state {
@@ -70,8 +75,9 @@
 	return 0
 }
 
-// OnDrained is called when all that was written has been sent. It continues what was waiting for the
-// client to read.
+// OnDrained is called when the kernel has accepted all bytes written to the client. It resumes a
+// streamed response that was stopped because the client did not read, or the reading of the next
+// request.
 func (c *clientConn) OnDrained(*eventloop.Conn) {
 	c.lastProgress = c.worker.now()
 	c.previousWritten()
@@ -87,7 +93,8 @@
 	}
 }
 
-// OnClose cancels the node requests of a client that has left.
+// OnClose is called when the client's connection has closed. It cancels the node requests of the
+// current transaction.
 func (c *clientConn) OnClose(_ *eventloop.Conn, _ error) {
 	delete(c.worker.clients, c)
 	c.worker.backoff.remove(c)
@@ -109,13 +116,14 @@
 	t.endSpanWhenAttributed()
 }
 
-// readHead reads a request's head, and starts its transaction.
+// readHead parses the head of a request, and starts a transaction once the head is complete. It
+// returns the number of bytes consumed.
 func (c *clientConn) readHead(b []byte) int {
-	if c.conn.Pending() > 0 { // the previous response is sent first
+	if c.conn.Pending() > 0 { // part of the previous response is still unsent
 		c.conn.Pause()
 		return 0
 	}
-	if c.conn.PeerClosed() { // no response can be received: the request is not started
+	if c.conn.PeerClosed() { // the client has closed its side, so the request is dropped
 		return len(b)
 	}
 	if skip := http1.SkipBlank(b); skip > 0 {
@@ -148,7 +156,8 @@
 	return n
 }
 
-// parseErrorCode returns the object API's error code for a head that is not valid HTTP.
+// parseErrorCode returns the object API's error code for a head that is not valid HTTP. The status
+// is the HTTP status that the parser chose for the error.
 func parseErrorCode(status int) string {
 	switch status {
 	case http.StatusNotImplemented:
@@ -159,19 +168,20 @@
 	return objectapi.CodeInvalidRequest
 }
 
-// closeAfterResponse closes the connection once all is written. The client's input is read and discarded
-// for a while: closing at once would reset the connection before the client has read the response.
+// closeAfterResponse shuts down the write side once all bytes are written. The worker then reads and
+// discards the client's input for lingerTimeout. Closing at once would reset the connection before
+// the client has read the response.
 func (c *clientConn) closeAfterResponse() {
 	c.lastProgress = time.Now()
 	c.conn.CloseWrite()
 	c.conn.Resume()
 }
 
-// checkTimeout enforces the time limits of the connection's state.
+// checkTimeout enforces the time limits that apply in the connection's state.
 func (c *clientConn) checkTimeout(now time.Time) {
 	limits := c.worker.gateway.cfg.Limits
 	if c.conn.Queued() {
-		c.lastProgress = now // it is waiting for this gateway
+		c.lastProgress = now // the connection waits for the event loop, not for the client
 	}
 	waited := now.Sub(c.lastProgress)
 	switch c.state {
@@ -195,7 +205,8 @@
 	}
 }
 
-// checkReadTimeout enforces the time limits of a connection without a transaction.
+// checkReadTimeout enforces the time limits of a connection in stateReading. The parameter waited is
+// the time since the last progress.
 func (c *clientConn) checkReadTimeout(waited time.Duration) {
 	limits := c.worker.gateway.cfg.Limits
 	switch {
--- a/gateway/core.go
+++ b/gateway/core.go
@@ -8,18 +8,19 @@
 	"chalkstand/forwarder"
 )
 
-// core owns the forwarder, and through it the dispatcher. Workers pass events to it under a lock,
-// which is held for a few microseconds (docs/design/http-gateway.md compares it with a goroutine);
-// actions go to the worker that owns the connection, in the order in which they were decided.
+// core owns the forwarder, which in turn owns the dispatcher. Workers pass events to the core under
+// a lock that is held for a few microseconds (docs/design/http-gateway.md compares the lock with a
+// goroutine). The core queues each resulting action for the worker that owns the connection, in the
+// order in which the forwarder returned them.
 type core struct {
-	mu        sync.Mutex // guards forwarder, and actions and wakePosted of each worker
+	mu        sync.Mutex // guards forwarder, and the fields actions and wakePosted of each worker
 	forwarder *forwarder.Forwarder
 	workers   []*loopWorker
 	timer     *time.Timer
 	start     time.Time
 	done      chan struct{} // closed by stop
 	stopOnce  sync.Once
-	nonce     string // prefix of the idempotency keys, unique to this run
+	nonce     string // prefix of the idempotency keys; it is unique to this run of the gateway
 }
 
 func newCore(f *forwarder.Forwarder) *core {
@@ -51,8 +52,9 @@
 
 func (c *core) stop() { c.stopOnce.Do(func() { close(c.done) }) }
 
-// handle passes an event to the forwarder. Actions of the worker from, on whose loop the caller runs, are
-// applied before it returns, and those of other workers soon after. from is nil off the loops.
+// handle passes an event to the forwarder. The parameter from is the worker on whose loop the
+// caller runs, or nil if the caller runs on no loop. Before handle returns, it applies the actions
+// of that worker. The other workers are woken to apply theirs.
 func (c *core) handle(from *loopWorker, ev forwarder.Event) {
 	c.mu.Lock()
 	for _, a := range c.forwarder.Handle(c.now(), ev) {
@@ -70,8 +72,9 @@
 	}
 }
 
-// queueAction appends an action to its worker's queue, or sets the timer. Requests for a discovery poll or
-// watch are dropped: here endpoint lists are pushed by UpdateEndpoints.
+// queueAction appends an action to the queue of its worker, or sets the timer. It drops the
+// forwarder's requests to poll or watch a discovery service, because callers push endpoint lists
+// with UpdateEndpoints.
 func (c *core) queueAction(a forwarder.Action) {
 	loop, ok := a.OnLoop()
 	if !ok {
--- a/gateway/flowcontrol.go
+++ b/gateway/flowcontrol.go
@@ -9,19 +9,21 @@
 	"chalkstand/internal/upstreamhttp"
 )
 
-// maxGates is from how many gates on a worker on those of unlisted nodes are looked for and dropped. A
-// connection keeps its gate even when it has been dropped here.
+// maxGates is the number of gates from which a worker, before it adds another gate, drops the gates
+// that are idle and unused for limits.node_age. A connection keeps its gate even if the worker has
+// dropped the gate.
 const maxGates = 1024
 
-// nodeGate is the flow control of the responses that stream from one node to a worker: it grants a few
-// of them at a time a quantum, by the weights of their volumes.
+// nodeGate is the flow control of the responses that stream from one node to a worker. It lets a few
+// responses stream at a time. Each grant covers a quantum of bytes, and the gate shares the grants
+// among volumes by their weights.
 type nodeGate struct {
 	*fairshare.Gate[*nodeConn]
 	lastUsed  time.Time
-	contended bool // listed in the worker's contended
+	contended bool // the gate is in the worker's list contendedGates
 }
 
-// gate returns a node's gate, and creates it if there is none.
+// gate returns the gate of a node. It creates the gate if the node has none.
 func (w *loopWorker) gate(id dispatch.NodeID) *nodeGate {
 	if g := w.gates[id]; g != nil {
 		g.lastUsed = w.now()
@@ -38,7 +40,7 @@
 		FIFO:            share.Order == "arrival",
 	})
 	if err != nil {
-		panic("gateway: " + err.Error()) // cannot happen: the settings were checked
+		panic("gateway: " + err.Error()) // cannot happen: loading the settings validates these values
 	}
 	if w.gates == nil {
 		w.gates = map[dispatch.NodeID]*nodeGate{}
@@ -51,6 +53,7 @@
 	return g
 }
 
+// dropIdleGates drops the gates that are idle and have not been used for limits.node_age.
 func (w *loopWorker) dropIdleGates() {
 	for id, g := range w.gates {
 		if g.Idle() && w.now().Sub(g.lastUsed) > w.gateway.cfg.Limits.NodeAge.D() {
@@ -59,7 +62,8 @@
 	}
 }
 
-// acquireGrant continues to read a streamed response, once a grant permits it.
+// acquireGrant resumes reading a streamed response if the connection holds a grant. Otherwise it
+// requests a grant, and reading resumes when the gate issues it.
 func (n *nodeConn) acquireGrant() {
 	if n.grant != nil {
 		n.conn.Resume()
@@ -69,7 +73,8 @@
 	n.worker.issueGrants(n.gate)
 }
 
-// requestGrant queues the connection for a grant, unless it has nothing to read.
+// requestGrant queues the connection at its gate, unless it is already queued or has nothing to
+// read. In the latter case OnReadable requests the grant later.
 func (n *nodeConn) requestGrant() {
 	if n.grantRequested || !n.conn.Readable() {
 		return
@@ -83,22 +88,24 @@
 	}
 }
 
-// OnReadable is called when a paused connection has something to read.
+// OnReadable is called when data arrives on a paused connection that had nothing to read. It
+// requests a grant for a streamed response.
 func (n *nodeConn) OnReadable(*eventloop.Conn) {
 	if n.request != nil && n.reader.State() == upstreamhttp.Streaming && n.grant == nil {
 		n.acquireGrant()
 	}
 }
 
-// renewGrant replaces a grant that is used up, and reports whether the next one was issued at once.
+// renewGrant exchanges a grant whose quantum is used up for a new one. It reports whether the gate
+// issued the new grant at once.
 func (n *nodeConn) renewGrant() bool {
 	n.conn.Pause()
-	n.requestGrant() // before the release, so that this stream competes for the slot
+	n.requestGrant() // requested before the release, so this stream competes for the free slot
 	n.releaseGrant()
 	return n.grant != nil
 }
 
-// releaseGrant ends the connection's grant, if any, and issues the next.
+// releaseGrant ends the connection's grant, if it holds one, and issues the gate's next grants.
 func (n *nodeConn) releaseGrant() {
 	if n.grant == nil {
 		return
@@ -109,7 +116,8 @@
 	n.worker.issueGrants(n.gate)
 }
 
-// issueGrants resumes the connections that are next at a gate, as far as it has slots.
+// issueGrants issues grants to the connections queued at a gate until the gate has no free slot, and
+// resumes these connections.
 func (w *loopWorker) issueGrants(g *nodeGate) {
 	now := w.gateway.core.now()
 	for {
@@ -119,7 +127,7 @@
 		}
 		n := grant.Item
 		n.grantRequested = false
-		if !n.awaitsGrant() { // its response has ended meanwhile
+		if !n.awaitsGrant() { // the response ended while the connection was queued
 			g.Done(now, grant, 0)
 			continue
 		}
@@ -130,11 +138,13 @@
 	}
 }
 
+// awaitsGrant reports whether the connection streams a response and holds no grant.
 func (n *nodeConn) awaitsGrant() bool {
 	return n.grant == nil && n.request != nil && n.conn != nil && n.reader.State() == upstreamhttp.Streaming
 }
 
-// nextGrantExpiry returns when the next grant that others wait for expires; false if there is none.
+// nextGrantExpiry returns the earliest expiry of a grant at a gate where other streams wait. It
+// returns false if no stream waits at any gate.
 func (w *loopWorker) nextGrantExpiry() (time.Duration, bool) {
 	var first time.Duration
 	found := false
@@ -155,7 +165,8 @@
 	return first, found
 }
 
-// expireGrants pauses the connections whose grants have expired, and issues the next grants.
+// expireGrants pauses the connections whose grants have expired, queues them for new grants, and
+// issues the next grants of each gate.
 func (w *loopWorker) expireGrants(now time.Duration) {
 	for _, g := range w.contendedGates {
 		for grant, ok := g.Expired(now); ok; grant, ok = g.Expired(now) {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway is the storage gateway as a library: it serves the object API to clients over
-// HTTP, and schedules their reads and writes across storage nodes. It keeps no package-level
-// state, handles no signals and ends no process.
+// Package gateway implements the storage gateway as a library. A Gateway serves the object API to
+// clients over HTTP, and schedules their reads and writes across storage nodes. The package keeps
+// no package-level state, handles no signals and never exits the process.
 package gateway
 
 import (
@@ -27,10 +27,11 @@
 	"chalkstand/placement"
 )
 
-// Settings are those of the settings file.
+// Settings is the configuration of a gateway, as read from the settings file.
 type Settings = settings.Settings
 
-// Gateway is one running gateway.
+// Gateway is a running gateway. It owns the event loops, the forwarder, and the connections to
+// clients and nodes.
 type Gateway struct {
 	cfg       *Settings
 	log       *zap.Logger
@@ -38,11 +39,11 @@
 	wallClock func() time.Time
 	seed      uint64
 	trace     func(time.Duration, dispatch.Event, []dispatch.Action)
-	started   time.Time // by the wall clock
+	started   time.Time // wall-clock time at which New built the gateway
 
 	onEntry     func(attribution.Entry)
 	onLogAction func(attribution.Action)
-	attribution *attributionWorker // nil: attribution is off
+	attribution *attributionWorker // nil if attribution is off
 
 	costs    *costmodel.Model[objectapi.Kind]
 	shards   *placement.Map
@@ -54,16 +55,19 @@
 	usage    usageRegistry
 	nextID   atomic.Uint64
 
-	nextWorker  int // index of the worker that gets the next connection; used by the first worker only
+	// nextWorker counts the accepted connections. Modulo the number of workers, it is the index of
+	// the worker that gets the next connection. Only the first worker's loop uses it.
+	nextWorker  int
 	draining    atomic.Bool
-	clientConns atomic.Int64 // open client connections
-	inFlight    atomic.Int64 // client requests without a response
+	clientConns atomic.Int64 // number of open client connections
+	inFlight    atomic.Int64 // number of client requests whose response is incomplete
 	goroutines  sync.WaitGroup
 	closeOnce   sync.Once
-	flushOnce   sync.Once // of the attribution worker
+	flushOnce   sync.Once // guards the last flush to the attribution worker
 }
 
-// New builds a gateway and starts its event loops. The gateway accepts clients once Serve is called.
+// New builds a gateway and starts its event loops. The gateway accepts no clients until Serve is
+// called.
 func New(cfg Settings, opts ...Option) (*Gateway, error) {
 	g := &Gateway{cfg: &cfg, log: zap.NewNop(), wallClock: time.Now, seed: rand.Uint64()}
 	for _, o := range opts {
@@ -111,7 +115,8 @@
 	return g, nil
 }
 
-// discard releases what New has opened before it failed.
+// discard closes the event loops and unregisters the metrics of a gateway that New could not build
+// completely.
 func (g *Gateway) discard() (err error) {
 	for _, w := range g.workers {
 		err = errors.Join(err, w.loop.Close())
@@ -122,6 +127,7 @@
 	return err
 }
 
+// forwarderConfig derives the forwarder's configuration from the settings.
 func forwarderConfig(cfg *Settings, seed uint64) forwarder.Config {
 	l := cfg.Limits
 	return forwarder.Config{
@@ -138,11 +144,12 @@
 	}
 }
 
-// firstID returns a random first request ID, so that a node's late report for an earlier run of this
-// gateway does not name a request of this one.
+// firstID returns a random first request ID. A node may report late about a request of an earlier
+// run of this gateway, and the random start keeps that request's ID from also naming a request of
+// this run.
 func firstID() uint64 { return rand.Uint64() >> 24 << 20 }
 
-// start starts the gateway's goroutines, which Close awaits.
+// start starts the gateway's goroutines. Close waits until they have ended.
 func (g *Gateway) start() {
 	for _, w := range g.workers {
 		g.goroutines.Go(func() {
@@ -158,7 +165,7 @@
 	}
 }
 
-// EndpointsOf converts the settings' nodes to a list for UpdateEndpoints.
+// EndpointsOf converts nodes of the settings file to the list that UpdateEndpoints takes.
 func EndpointsOf(nodes []settings.Node) []forwarder.Node {
 	var list []forwarder.Node
 	for _, n := range nodes {
@@ -179,28 +186,29 @@
 	return list
 }
 
-// Now returns the time since the gateway was built. It is monotonic.
+// Now returns the monotonic time since the gateway was built.
 func (g *Gateway) Now() time.Duration { return g.core.now() }
 
-// UpdateEndpoints updates the list of storage nodes. Times in it are on the scale of Now.
+// UpdateEndpoints updates the gateway's list of storage nodes. Times in the list are on the same
+// clock as Now.
 func (g *Gateway) UpdateEndpoints(kind dispatch.EndpointUpdateKind, nodes []forwarder.Node) {
 	g.core.handle(nil, forwarder.EndpointUpdate{Kind: kind, Nodes: nodes})
 }
 
-// accessKey is a client's key with its permissions.
+// accessKey is an access key of the settings, with its secret and its permissions.
 type accessKey struct {
 	settings.Key
 }
 
-// mayAccess reports whether one of the key's patterns matches a bucket.
+// mayAccess reports whether one of the key's bucket patterns matches the bucket.
 func (k *accessKey) mayAccess(bucket string) bool {
 	return slices.ContainsFunc(k.Buckets, func(pattern string) bool {
-		ok, _ := path.Match(pattern, bucket) // a malformed pattern matches nothing
+		ok, _ := path.Match(pattern, bucket) // path.Match reports no match for a malformed pattern
 		return ok
 	})
 }
 
-// SetKeys replaces the access keys. Requests that were already authorized are not affected.
+// SetKeys replaces the access keys. It does not affect requests that are already authorized.
 func (g *Gateway) SetKeys(keys []settings.Key) {
 	m := make(map[string]*accessKey, len(keys))
 	for _, k := range keys {
@@ -209,6 +217,7 @@
 	g.keys.Store(&m)
 }
 
+// secret returns the secret of an access key, and false if there is no such key.
 func (g *Gateway) secret(id string) (string, bool) {
 	if k := (*g.keys.Load())[id]; k != nil {
 		return k.Secret, true
@@ -216,11 +225,11 @@
 	return "", false
 }
 
-// InFlight returns the number of client requests that have no response yet.
+// InFlight returns the number of client requests whose response is not complete.
 func (g *Gateway) InFlight() int { return int(g.inFlight.Load()) }
 
-// BufferedBytes returns the number of bytes in the gateway's own buffers, over all connections; 0
-// once the gateway is closed.
+// BufferedBytes returns the number of bytes in the gateway's own read and write buffers, summed
+// over all connections. It returns 0 once the gateway is closed.
 func (g *Gateway) BufferedBytes() int {
 	sums := make(chan int, len(g.workers))
 	for _, w := range g.workers {
@@ -242,7 +251,7 @@
 	return total
 }
 
-// Shard returns the shard that holds an object of a bucket.
+// Shard returns the shard that stores the object with the given bucket and key.
 func (g *Gateway) Shard(bucket, key string) int {
 	spread := 0
 	if i := g.cfg.BucketRule(bucket); i >= 0 {
--- a/gateway/httpserver.go
+++ b/gateway/httpserver.go
@@ -8,13 +8,13 @@
 	"chalkstand/internal/payload"
 )
 
-// handle processes a request whose head has been read. Nothing is sent to a node for a request that is
-// invalid, not signed or not permitted.
+// handle processes a request whose head has been read. If the request is invalid, not signed or not
+// permitted, handle responds with an error and sends nothing to a node.
 func (t *transaction) handle(r *http1.Request) {
 	w := t.conn.worker
 	g := w.gateway
 	t.resource, _, _ = strings.Cut(string(r.Target), "?")
-	if !r.None() { // until the body has been read
+	if !r.None() { // a placeholder that marks the body as unread; receiveBody replaces it
 		t.body = &payload.Body{}
 	}
 	op, err := objectapi.Parse(r, g.cfg.Domains)
@@ -47,7 +47,8 @@
 	t.receiveBody(r, auth)
 }
 
-// authorize checks the permissions of the key.
+// authorize checks whether the access key permits the operation on its bucket and, for a copy, on
+// the source bucket.
 func (t *transaction) authorize() *objectapi.Error {
 	denied := objectapi.NewError(objectapi.CodeAccessDenied, "Access Denied")
 	if t.key == nil || t.op.Kind.Writes() && !t.key.Write {
@@ -62,12 +63,14 @@
 	return nil
 }
 
-// unsupportedPrefixes begin the names of headers that are not supported.
+// unsupportedPrefixes lists name prefixes of request headers that the gateway does not support.
 var unsupportedPrefixes = [...]string{
 	"x-amz-server-side-encryption", "x-amz-object-lock", "x-amz-grant-", "x-amz-copy-source-server-side",
 }
 
-// checkUnsupportedHeaders rejects headers that would change an object's meaning if they were ignored.
+// checkUnsupportedHeaders returns an error if a header requests a feature that the gateway does not
+// support, such as encryption or locks. Ignoring such a header would store an object without the
+// requested property.
 func checkUnsupportedHeaders(hs http1.Headers) *objectapi.Error {
 	for _, h := range hs {
 		if !isAmzHeader(h.Name) {
@@ -85,6 +88,8 @@
 	return nil
 }
 
+// isUnsupported reports whether the gateway does not support a request header with this lower-case
+// name and this value.
 func isUnsupported(name string, value []byte) bool {
 	switch name {
 	case "x-amz-tagging", "x-amz-website-redirect-location", "x-amz-write-offset-bytes":
@@ -100,8 +105,9 @@
 	return false
 }
 
-// enterVolume charges the connection's work to the volume of the request's bucket. It responds and
-// returns false if there is no such volume, or if its byte rate would delay the request for too long.
+// enterVolume charges the connection's work to the volume of the request's bucket. If the bucket has
+// no volume, or the volume's byte rate would delay the request for too long, enterVolume sends an
+// error response and returns false.
 func (t *transaction) enterVolume() bool {
 	w := t.conn.worker
 	if t.volume = w.volumeOf(t.op.Bucket); t.volume == nil {
@@ -110,14 +116,15 @@
 	}
 	t.conn.assignVolume(t.volume)
 	if delay := w.rateLimitDelay(t.volume); delay > 0 {
-		t.closeConn = t.closeConn || t.body != nil // the body is not read
+		t.closeConn = t.closeConn || t.body != nil // the unread body makes the connection unusable
 		t.respondSlowDown(delay)
 		return false
 	}
 	return true
 }
 
-// execute starts the node requests of an operation whose body, if any, is buffered or to be streamed.
+// execute starts the node requests of the operation. If the request has a body, the body has been
+// buffered, or execute starts to stream it.
 func (t *transaction) execute(r *http1.Request) {
 	switch t.op.Kind {
 	case objectapi.ListBuckets:
--- a/gateway/nodeconn.go
+++ b/gateway/nodeconn.go
@@ -14,25 +14,25 @@
 	"chalkstand/internal/upstreamhttp"
 )
 
-// nodeConn is a connection to a node. It carries one request at a time.
+// nodeConn is a connection to a storage node. It carries one request at a time.
 type nodeConn struct {
 	id      forwarder.ConnID
 	worker  *loopWorker
-	conn    *eventloop.Conn // nil until connected
-	request *nodeRequest    // nil while unused
+	conn    *eventloop.Conn // nil until the dial has succeeded
+	request *nodeRequest    // nil while the connection carries no request
 	reader  upstreamhttp.Reader
-	result  nodeResult // complete, while the forwarder decides what becomes of it
-	source  bodySource // nil once the body has been sent
+	result  nodeResult // the complete response, until the forwarder forwards or discards it
+	source  bodySource // the source of a streamed request body; nil once the body has been sent
 
-	lastData time.Time // when a part of a streamed response arrived last
+	lastData time.Time // when the last part of a streamed response arrived
 
 	gate           *nodeGate
-	grant          *fairshare.Grant[*nodeConn] // to read a streamed response; may be nil
-	grantUsed      int                         // bytes read under it
-	grantRequested bool
+	grant          *fairshare.Grant[*nodeConn] // permits reading a streamed response; nil if none is held
+	grantUsed      int                         // bytes read under the grant so far
+	grantRequested bool                        // the connection is queued at the gate
 }
 
-// dial opens a connection to a node.
+// dial starts to open the connection to a node that the forwarder requested.
 func (w *loopWorker) dial(a forwarder.Dial) {
 	n := &nodeConn{
 		id:     a.Conn,
@@ -44,11 +44,13 @@
 	w.loop.Dial(a.Addr, a.Timeout, func(fd int, err error) { n.dialCompleted(fd, err) })
 }
 
+// dialCompleted registers the connected socket with the loop, and reports the result of the dial to
+// the forwarder.
 func (n *nodeConn) dialCompleted(fd int, err error) {
 	w := n.worker
-	if w.conns[n.id] != n { // closed meanwhile
+	if w.conns[n.id] != n { // the forwarder closed the connection during the dial
 		if err == nil {
-			_ = unix.Close(fd) // unused
+			_ = unix.Close(fd)
 		}
 		return
 	}
@@ -64,12 +66,13 @@
 	w.handle(forwarder.DialCompleted{Conn: n.id, OK: err == nil})
 }
 
-// send writes a request's head and buffered body, and starts its source, if any.
+// send writes the head and the buffered body of a request to the node. If the body is streamed, send
+// starts its source.
 func (n *nodeConn) send(r *nodeRequest, a forwarder.SendRequest) {
 	n.request = r
 	n.result = nodeResult{}
 	n.conn.AssignFlow(n.worker.chargedVolume(r.transaction).flow)
-	if !n.reader.RequestSent(r.method, r.maxBuffered) { // cannot happen: the connection is unused
+	if !n.reader.RequestSent(r.method, r.maxBuffered) { // cannot happen: the forwarder picks an idle connection
 		n.abort()
 		return
 	}
@@ -92,7 +95,8 @@
 	}
 }
 
-// bodySent is called by the source when the whole body has been written.
+// bodySent reports to the forwarder that the whole request body is written. The source of the body
+// calls it.
 func (n *nodeConn) bodySent() {
 	n.source = nil
 	if n.request != nil {
@@ -100,14 +104,15 @@
 	}
 }
 
-// OnDrained is called when all that was written has been sent.
+// OnDrained is called when the kernel has accepted all bytes written to the node. It tells the
+// source of a streamed body to continue.
 func (n *nodeConn) OnDrained(*eventloop.Conn) {
 	if n.source != nil {
 		n.source.bodyDrained()
 	}
 }
 
-// OnData reads a response, and returns the number of bytes consumed.
+// OnData parses a part of the node's response, and returns the number of bytes consumed.
 func (n *nodeConn) OnData(_ *eventloop.Conn, b []byte) int {
 	used := 0
 	for {
@@ -137,9 +142,10 @@
 	}
 }
 
-// handleHeaders decides what becomes of a response that is not buffered by its size: a successful one
-// is streamed to the request's sink, if it has one, and any other is buffered after all. It
-// reports whether reading continues.
+// handleHeaders chooses between streaming and buffering for a response whose length is unknown or
+// exceeds the buffer limit. A successful response is streamed to the request's sink, if the request
+// has one. Any other response is buffered if it is chunked. If it is not, handleHeaders aborts the
+// connection. It reports whether OnData may continue to read.
 func (n *nodeConn) handleHeaders() bool {
 	info := n.responseInfo()
 	sink := n.request.sink
@@ -165,11 +171,12 @@
 	return n.grant != nil
 }
 
-// handleBody passes a part of a streamed body to the sink, and reports whether reading continues.
+// handleBody passes a part of a streamed body to the sink, and reports whether OnData may continue
+// to read.
 func (n *nodeConn) handleBody(b []byte, last bool) bool {
 	n.lastData = n.worker.now()
 	more := n.request.sink.responseData(b)
-	if n.request == nil { // the client has left
+	if n.request == nil { // the client has disconnected, and the request was canceled
 		return false
 	}
 	n.request.streamedBytes += int64(len(b))
@@ -185,7 +192,8 @@
 	return n.grantUsed < n.worker.gateway.cfg.Share.Draw || n.renewGrant()
 }
 
-// completeResponse reports a complete response to the forwarder, which forwards or discards it.
+// completeResponse reports a complete response to the forwarder. The forwarder decides whether the
+// response is forwarded to the client or discarded.
 func (n *nodeConn) completeResponse(r nodeResult) {
 	n.result = r
 	reuse := n.reader.Reusable() && n.source == nil && n.conn.Pending() == 0
@@ -193,7 +201,7 @@
 	n.worker.handle(forwarder.ResponseCompleted{Conn: n.id, Info: n.responseInfo(), Reuse: reuse})
 }
 
-// takeResult returns the complete response, and prepares the connection for the next request.
+// takeResult returns the complete response, and makes the connection ready for the next request.
 func (n *nodeConn) takeResult() nodeResult {
 	n.releaseGrant()
 	r := n.result
@@ -204,7 +212,7 @@
 	return r
 }
 
-// resumeReading continues to read a response that the sink has stopped.
+// resumeReading continues to read a response after the sink has stopped it.
 func (n *nodeConn) resumeReading() {
 	switch {
 	case n.conn == nil:
@@ -215,11 +223,12 @@
 	}
 }
 
-// checkTimeout aborts a streamed response that has stalled. The client has its head, so that no other
-// attempt can replace it. A node that pauses for longer than limits.client_body is cut off.
+// checkTimeout aborts a streamed response if the node sends nothing for longer than
+// limits.client_body. The client has already received the response's head, so no other attempt can
+// replace the response.
 func (n *nodeConn) checkTimeout(now time.Time) {
 	if n.conn != nil && n.conn.Queued() {
-		n.lastData = now // it is waiting for this gateway
+		n.lastData = now // the connection waits for the event loop, not for the node
 	}
 	if n.reader.State() != upstreamhttp.Streaming || n.conn.Paused() && !n.conn.WantsRead() {
 		return
@@ -229,13 +238,14 @@
 	}
 }
 
-// OnClose reports a lost connection to the forwarder, unless the forwarder closed it.
+// OnClose is called when the connection has closed. It reports a lost connection to the forwarder,
+// unless the forwarder closed the connection itself.
 func (n *nodeConn) OnClose(_ *eventloop.Conn, err error) {
 	if n.worker.conns[n.id] != n {
 		return
 	}
 	if errors.Is(err, eventloop.ErrPeerClosed) && n.reader.PeerClosed().Kind == upstreamhttp.ResponseEnd {
-		// The body ends with its connection.
+		// The response has no length, so the end of the connection is the end of its body.
 		n.completeResponse(nodeResult{kind: resultStreamed, resp: &n.reader.Response})
 		if n.worker.conns[n.id] != n {
 			return
@@ -246,8 +256,8 @@
 	n.worker.handle(forwarder.ConnectionLost{Conn: n.id})
 }
 
-// close closes the connection at the forwarder's request. A source that is still sending is not
-// called again.
+// close closes the connection at the forwarder's request. It detaches the source of a body that is
+// still being sent, so the connection does not call the source again.
 func (n *nodeConn) close() {
 	n.releaseGrant()
 	n.request = nil
@@ -258,7 +268,7 @@
 	}
 }
 
-// abort closes the connection, and reports it to the forwarder as lost.
+// abort closes the connection, and reports the connection to the forwarder as lost.
 func (n *nodeConn) abort() {
 	delete(n.worker.conns, n.id)
 	conn := n.conn
--- a/gateway/options.go
+++ b/gateway/options.go
@@ -10,30 +10,32 @@
 	"chalkstand/dispatch"
 )
 
-// Option changes how a Gateway is built.
+// Option configures the Gateway that New builds.
 type Option func(*Gateway)
 
-// WithLogger has the gateway log to l. The default is no log.
+// WithLogger makes the gateway log to l. By default the gateway does not log.
 func WithLogger(l *zap.Logger) Option { return func(g *Gateway) { g.log = l } }
 
-// WithRegistry registers the gateway's metrics. The default is none.
+// WithRegistry makes New register the gateway's metrics with r. By default they are not registered.
 func WithRegistry(r prometheus.Registerer) Option { return func(g *Gateway) { g.registry = r } }
 
-// WithClock sets the wall clock by which signatures are checked.
+// WithClock sets the wall clock that the gateway uses to check signatures and to write dates. The
+// default is time.Now.
 func WithClock(now func() time.Time) Option { return func(g *Gateway) { g.wallClock = now } }
 
-// WithSeed fixes the seed of the dispatcher's random choices.
+// WithSeed sets the seed of the dispatcher's random choices. By default the seed is random.
 func WithSeed(seed uint64) Option { return func(g *Gateway) { g.seed = seed } }
 
-// WithTrace has f called with each event of the dispatcher and the actions that it returned, in order
-// and one at a time. f must not block.
+// WithTrace makes the gateway call f with each event that the dispatcher handles and the actions that
+// the dispatcher returns for it. The calls are in the order of the events, one at a time. The function
+// f must not block.
 func WithTrace(f func(now time.Duration, ev dispatch.Event, acts []dispatch.Action)) Option {
 	return func(g *Gateway) { g.trace = f }
 }
 
-// WithAttribution has f called with the latency attribution of each client request that needed a
-// node, one at a time, soon after its end. It turns attribution on whatever the settings say.
-// f must not block.
+// WithAttribution makes the gateway call f with the latency attribution of each client request that
+// used a node. The calls are one at a time, soon after the end of the request. The option turns
+// attribution on, even if accounts.on is false in the settings. The function f must not block.
 func WithAttribution(f func(attribution.Entry)) Option {
 	return func(g *Gateway) {
 		g.onEntry = f
@@ -41,8 +43,9 @@
 	}
 }
 
-// WithAttributionLog has f called with the aggregator's slots as they close and with later corrections
-// of them, in order and one at a time.
+// WithAttributionLog makes the gateway call f with each slot of the attribution aggregator when the
+// slot closes, and with each later correction of a closed slot. The calls are in order, one at a
+// time.
 func WithAttributionLog(f func(attribution.Action)) Option {
 	return func(g *Gateway) { g.onLogAction = f }
 }
--- a/gateway/overload.go
+++ b/gateway/overload.go
@@ -9,7 +9,7 @@
 	"chalkstand/overload"
 )
 
-// newOverloadController returns the overload control of one volume on this worker.
+// newOverloadController returns a controller for the overload control of one volume on this worker.
 func (w *loopWorker) newOverloadController() *overload.Controller {
 	o := w.gateway.cfg.Share.Overload
 	c, err := overload.New(overload.Config{
@@ -19,18 +19,19 @@
 		MaxRetryAfter: o.MaxBack.D(),
 	})
 	if err != nil {
-		panic("gateway: " + err.Error()) // cannot happen: the settings were checked
+		panic("gateway: " + err.Error()) // cannot happen: loading the settings validates these values
 	}
 	return c
 }
 
-// rejectOverload rejects a request of which only the head has been read. The connection is put into
-// backoff until the retry time, so that a client that retries earlier costs nothing.
+// rejectOverload rejects a request after its head has been read, before the signature is checked.
+// The worker does not read from the connection again until the retry time, so a client that retries
+// earlier causes no work.
 func (t *transaction) rejectOverload(r *http1.Request, retryAfter time.Duration) {
 	c := t.conn
 	c.worker.gateway.metrics.overloaded.Inc()
 	t.resource, _, _ = strings.Cut(string(r.Target), "?")
-	if !r.None() { // the body is not read
+	if !r.None() { // marks the body as unread, so the connection closes after the response
 		t.body = &payload.Body{}
 	}
 	t.respondSlowDown(retryAfter)
--- a/gateway/response.go
+++ b/gateway/response.go
@@ -10,13 +10,14 @@
 	"chalkstand/internal/objectapi"
 )
 
-// xmlHeader is the header of responses with a document.
+// xmlHeader is the Content-Type header line of a response whose body is an XML document.
 const xmlHeader = "Content-Type: application/xml\r\n"
 
-// appendHead starts a response in the worker's scratch buffer.
+// appendHead writes the status line and the gateway's own headers of a response to the worker's
+// scratch buffer. The caller appends the other headers and the blank line that ends the head.
 func (t *transaction) appendHead(status int) []byte {
 	w := t.conn.worker
-	if t.body != nil && !t.bodyComplete { // the rest of the body would be taken for a request
+	if t.body != nil && !t.bodyComplete { // the parser would take the unread rest of the body for a request
 		t.closeConn = true
 	}
 	b := http1.AppendStatus(w.scratch[:0], status)
@@ -32,15 +33,16 @@
 	return b
 }
 
-// hasBody reports whether a response of this status has a body or a length.
+// hasBody reports whether a response with this status may have a body and a Content-Length header.
 func hasBody(status int) bool {
 	return status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// respond sends the whole response. extra holds header lines with their line ends.
+// respond sends a complete response and finishes the transaction. The parameter extra holds
+// additional header lines, each with its line end.
 func (t *transaction) respond(status int, extra, body []byte) {
 	if t.responded || t.headersSent {
-		return // cannot happen: there is one response
+		return // cannot happen: a transaction sends one response
 	}
 	b := t.appendHead(status)
 	b = append(b, extra...)
@@ -50,7 +52,8 @@
 	t.writeResponse(b, body)
 }
 
-// writeResponse ends the head in b, which is in the worker's scratch buffer, and sends it with the body.
+// writeResponse sends the head in b with the body, and finishes the transaction. The head is in the
+// worker's scratch buffer, and writeResponse appends its final blank line.
 func (t *transaction) writeResponse(b, body []byte) {
 	b = append(b, "\r\n"...)
 	if !t.headOnly {
@@ -62,7 +65,7 @@
 	t.finish()
 }
 
-// respondXML sends an XML document with status 200.
+// respondXML sends v as an XML document with status 200.
 func (t *transaction) respondXML(v any) {
 	t.respond(http.StatusOK, []byte(xmlHeader), objectapi.Marshal(v))
 }
@@ -75,7 +78,8 @@
 // respondErrorCode sends an error of the object API with the status of its code.
 func (t *transaction) respondErrorCode(e *objectapi.Error) { t.respondError(e, e.Status()) }
 
-// respondSlowDown rejects the request: nothing was executed, and the client may retry after a time.
+// respondSlowDown rejects the request with status 503. The gateway has not executed the request, and
+// the client may retry it after the time retryAfter.
 func (t *transaction) respondSlowDown(retryAfter time.Duration) {
 	seconds := int64((retryAfter + time.Second - 1) / time.Second)
 	h := http1.AppendHeader([]byte(xmlHeader), "Retry-After", strconv.FormatInt(max(seconds, 1), 10))
@@ -85,7 +89,8 @@
 	t.respond(http.StatusServiceUnavailable, h, e.Document(t.resource, t.id))
 }
 
-// respondFailure sends an error that leaves open whether the request was executed.
+// respondFailure sends an error which tells the client that the request may or may not have been
+// executed.
 func (t *transaction) respondFailure(timedOut bool) {
 	t.outcome = attribution.Failed
 	if timedOut {
@@ -99,7 +104,7 @@
 	t.respondError(e, http.StatusInternalServerError)
 }
 
-// respondResult sends the result of a node request as the response.
+// respondResult turns the result of a node request into the response to the client.
 func (t *transaction) respondResult(r nodeResult) {
 	if t.responded {
 		return
@@ -118,7 +123,7 @@
 	}
 }
 
-// proxyResponse sends a node's buffered response.
+// proxyResponse sends a node's buffered response to the client.
 func (t *transaction) proxyResponse(r nodeResult) {
 	if t.responded || t.headersSent {
 		return
@@ -126,7 +131,7 @@
 	b := t.appendHead(r.resp.Status)
 	b = appendNodeHeaders(b, r.resp.Headers)
 	switch {
-	case t.headOnly: // the length that a GET would have
+	case t.headOnly: // the node's Content-Length is the length of the body that a GET would return
 		if v := r.resp.Headers.Get("content-length"); v != nil {
 			b = http1.AppendHeader(b, "Content-Length", v)
 		}
@@ -136,7 +141,8 @@
 	t.writeResponse(b, r.body)
 }
 
-// responseHeaders starts to stream a node's response. It implements responseSink.
+// responseHeaders sends the head of a node's response that is streamed to the client. It implements
+// responseSink.
 func (t *transaction) responseHeaders(n *nodeConn, r *http1.Response) {
 	b := t.appendHead(r.Status)
 	b = appendNodeHeaders(b, r.Headers)
@@ -146,7 +152,7 @@
 	case t.httpMinor == 1:
 		t.chunkedResponse = true
 		b = append(b, "Transfer-Encoding: chunked\r\n"...)
-	default: // HTTP/1.0: the body ends with the connection
+	default: // an HTTP/1.0 client finds the end of the body by the end of the connection
 		t.closeConn = true
 	}
 	b = append(b, "\r\n"...)
@@ -157,8 +163,8 @@
 	t.conn.conn.Write(b)
 }
 
-// responseData sends a part of a streamed body, and stops the node while the client does not read. It
-// implements responseSink.
+// responseData sends a part of a streamed body to the client. It returns false while the client does
+// not read, which stops reading from the node. It implements responseSink.
 func (t *transaction) responseData(p []byte) bool {
 	conn := t.conn.conn
 	if t.chunkedResponse {
@@ -177,7 +183,7 @@
 	return false
 }
 
-// endStream ends a streamed response that is complete.
+// endStream finishes the transaction of a streamed response once the response is complete.
 func (t *transaction) endStream() {
 	if t.responded {
 		return
@@ -188,8 +194,8 @@
 	t.finish()
 }
 
-// abortStream resets the connection under a streamed response that is incomplete, so that the client does
-// not take it for complete.
+// abortStream resets the client's connection when a streamed response cannot be completed. The reset
+// keeps the client from treating the incomplete response as a complete one.
 func (t *transaction) abortStream() {
 	if t.responded {
 		return
@@ -201,8 +207,8 @@
 	t.conn.conn.Reset()
 }
 
-// appendNodeHeaders appends the headers of a node's response, without those that belong to its
-// connection or to the gateway.
+// appendNodeHeaders appends the headers of a node's response to the client's response. It skips the
+// headers that apply to the node's connection only, and those that the gateway sets itself.
 func appendNodeHeaders(b []byte, hs http1.Headers) []byte {
 	for _, h := range hs {
 		if isGatewayHeader(h.Name) {
@@ -216,7 +222,8 @@
 	return b
 }
 
-// isGatewayHeader reports whether a response header is set by the gateway, or by each hop.
+// isGatewayHeader reports whether a header of a node's response is not forwarded to the client. The
+// gateway sets such a header itself, consumes it, or each hop sets it anew.
 func isGatewayHeader(name []byte) bool {
 	for _, n := range [...]string{
 		"content-length", "transfer-encoding", "connection", "keep-alive", "trailer", "date", "server",
--- a/gateway/scatter.go
+++ b/gateway/scatter.go
@@ -29,7 +29,7 @@
 	done        func([]shardResponse)
 	responses   []shardResponse // as shards
 	next        int             // index of the next shard
-	inFlight        int             // requests without a result
+	inFlight    int             // requests without a result
 	starting    bool            // startMore runs
 	finished    bool            // done was called
 }
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -13,20 +13,21 @@
 )
 
 const (
-	// sweepInterval is how often connections are checked for idle and slow clients, whose
-	// time limits are much longer.
+	// sweepInterval is the interval at which each worker checks its connections for idle and slow
+	// peers. Their time limits are much longer.
 	sweepInterval = 100 * time.Millisecond
-	// drainPollInterval is how often Drain checks whether all requests have their responses.
+	// drainPollInterval is the interval at which Drain checks whether all requests have responses.
 	drainPollInterval = 5 * time.Millisecond
 )
 
-// tooManyConns is the response on a connection that is not accepted.
+// tooManyConns is the response that a client gets when the gateway has reached its connection limit
+// or is draining.
 var tooManyConns = []byte("HTTP/1.1 503 Service Unavailable\r\n" +
 	"Retry-After: 1\r\n" +
 	"Content-Length: 0\r\n" +
 	"Connection: close\r\n\r\n")
 
-// Listen opens a listener for Serve.
+// Listen opens a TCP listener that can be passed to Serve.
 func Listen(addr string) (*net.TCPListener, error) {
 	var lc net.ListenConfig
 	ln, err := lc.Listen(context.Background(), "tcp", addr)
@@ -36,9 +37,9 @@
 	return ln.(*net.TCPListener), nil
 }
 
-// Serve accepts clients on the listeners, which it takes over, until ctx ends or the gateway is
-// closed; the listeners are closed when it returns. It returns an error at once when a listener
-// cannot be used.
+// Serve accepts clients on the listeners until ctx ends or the gateway is closed. It takes ownership
+// of the listeners and closes them before it returns. If a listener cannot be used, Serve returns an
+// error at once.
 func (g *Gateway) Serve(ctx context.Context, listeners ...*net.TCPListener) error {
 	var opened []*eventloop.Listener
 	defer func() { g.stopListening(opened) }()
@@ -62,8 +63,8 @@
 	return nil
 }
 
-// listen has the first worker's loop accept clients on a listener. The error is
-// eventloop.ErrEnded where the gateway is closed.
+// listen makes the first worker's loop accept clients on a listener. It returns
+// eventloop.ErrEnded if the gateway is closed.
 func (g *Gateway) listen(ln *net.TCPListener) (*eventloop.Listener, error) {
 	type result struct {
 		listener *eventloop.Listener
@@ -73,21 +74,22 @@
 	if err != nil {
 		return nil, err
 	}
-	_ = ln.Close() // fd is a duplicate
+	_ = ln.Close() // Detach has duplicated the descriptor
 	first := g.workers[0]
 	listening := make(chan result, 1)
 	first.loop.PostOrDrop(func() {
 		l, err := first.loop.Listen(fd, first.newcomers.flow, g.accept)
 		listening <- result{l, err}
 	}, func() {
-		_ = unix.Close(fd) // the loop has not taken it over
+		_ = unix.Close(fd) // the loop has ended and does not close it
 		listening <- result{err: eventloop.ErrEnded}
 	})
 	r := <-listening
 	return r.listener, r.err
 }
 
-// stopListening closes listeners of the first worker's loop and waits until they are closed.
+// stopListening closes the given listeners of the first worker's loop and waits until they are
+// closed.
 func (g *Gateway) stopListening(opened []*eventloop.Listener) {
 	closed := make(chan struct{})
 	g.workers[0].loop.PostOrDrop(func() {
@@ -95,23 +97,25 @@
 			l.Close()
 		}
 		close(closed)
-	}, func() { close(closed) }) // the loop has closed them
+	}, func() { close(closed) }) // a loop that has ended has closed its listeners
 	<-closed
 }
 
-// closeListeners closes listeners that were not handed to a loop. Those that are closed already
-// return an error, which does not matter.
+// closeListeners closes listeners that no loop has taken over. It ignores the errors of listeners
+// that are already closed.
 func closeListeners(listeners []*net.TCPListener) {
 	for _, ln := range listeners {
 		_ = ln.Close()
 	}
 }
 
-// accept assigns a new connection to a worker, round robin. It runs on the first worker's loop.
+// accept assigns a new connection to the next worker in round-robin order. It rejects the
+// connection if the gateway is draining or has reached its connection limit. It runs on the first
+// worker's loop.
 func (g *Gateway) accept(fd int, _ unix.Sockaddr) {
 	if int(g.clientConns.Load()) >= g.cfg.Limits.Conns || g.draining.Load() {
 		g.metrics.connsRejected.Inc()
-		_, _ = unix.Write(fd, tooManyConns) // best effort
+		_, _ = unix.Write(fd, tooManyConns) // the connection is closed even if the write fails
 		_ = unix.Close(fd)
 		return
 	}
@@ -122,14 +126,14 @@
 		w.addClient(fd)
 	} else {
 		w.loop.PostOrDrop(func() { w.addClient(fd) }, func() {
-			_ = unix.Close(fd) // the gateway is being closed
+			_ = unix.Close(fd) // the worker's loop has ended because the gateway is closing
 			g.clientConns.Add(-1)
 		})
 	}
 }
 
-// Drain stops accepting connections and waits until all requests in flight have their responses, or ctx
-// ends. The error wraps ctx's.
+// Drain stops accepting connections and waits until all requests in flight have their responses. If
+// ctx ends first, Drain returns an error that wraps ctx.Err().
 func (g *Gateway) Drain(ctx context.Context) error {
 	g.draining.Store(true)
 	for _, w := range g.workers {
@@ -150,8 +154,8 @@
 	return nil
 }
 
-// Close stops the gateway at once and awaits its goroutines. Requests in flight get no response. It
-// always returns nil.
+// Close stops the gateway at once and waits until its goroutines have ended. Requests in flight get
+// no response. Close always returns nil.
 func (g *Gateway) Close() error {
 	g.closeOnce.Do(func() {
 		g.core.stop()
@@ -165,7 +169,7 @@
 	g.goroutines.Wait()
 	if g.attribution != nil {
 		g.flushOnce.Do(func() {
-			for _, w := range g.workers { // safe: their loops have ended
+			for _, w := range g.workers { // the loops have ended, so nothing else uses the batches
 				w.flushBatch()
 			}
 			close(g.attribution.batches)
@@ -175,7 +179,8 @@
 	return nil
 }
 
-// sweepPeriodically has each worker check its connections, until the gateway is closed.
+// sweepPeriodically makes each worker check its connections every sweepInterval, until the gateway
+// is closed.
 func (g *Gateway) sweepPeriodically() {
 	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
--- a/gateway/transaction.go
+++ b/gateway/transaction.go
@@ -12,52 +12,52 @@
 	"chalkstand/internal/payload"
 )
 
-// noBucketVolume stands for the volume of operations without a bucket, at the dispatcher and in
-// attribution.
+// noBucketVolume is the volume name that the dispatcher and latency attribution use for operations
+// without a bucket, such as ListBuckets.
 const noBucketVolume = "/"
 
-// transaction is one client request with its response.
+// transaction is one client request and its response.
 type transaction struct {
 	conn     *clientConn
-	id       string // request ID of the object API
+	id       string // the request ID that the client receives in x-amz-request-id
 	started  time.Time
 	op       objectapi.Operation
-	resource string // path, for error documents
+	resource string // the request's path, which error documents repeat
 	method   string
-	volume   *volume // nil: the operation has no bucket
+	volume   *volume // nil if the operation has no bucket
 	key      *accessKey
 
-	body         *payload.Body      // nil: the request has none
-	buffered     []byte             // the body, unless it is streamed
-	onBody       func(*transaction) // is called when the body is buffered
-	upload       *upload            // of a streamed body
+	body         *payload.Body      // decodes the request body; nil if the request has none
+	buffered     []byte             // the decoded request body, unless the body is streamed
+	onBody       func(*transaction) // called once the whole request body is buffered
+	upload       *upload            // streams the request body to a node; nil if the body is buffered
 	nodeRequests []*nodeRequest
 
-	httpMinor       int       // minor version of HTTP/1
-	status          int       // of the response
-	streamingFrom   *nodeConn // of a streamed response
-	headOnly        bool      // the response has no body
-	continuePending bool      // 100 Continue is to be sent before the body is read
-	closeConn       bool      // the connection is closed after the response
-	bodyComplete    bool      // the request's body has been read
-	headersSent     bool      // of the response
-	responded       bool      // the response is complete, or none is to come
-	chunkedResponse bool      // chunked transfer coding
+	httpMinor       int       // minor version of HTTP/1 that the client uses
+	status          int       // status of the response; 0 if the response was aborted
+	streamingFrom   *nodeConn // the node connection whose response is streamed to the client
+	headOnly        bool      // the response has no body, because the method is HEAD
+	continuePending bool      // the client waits for 100 Continue before it sends the body
+	closeConn       bool      // the gateway closes the connection after the response
+	bodyComplete    bool      // the whole request body has been read
+	headersSent     bool      // the response's head has been written
+	responded       bool      // the response is complete, or the transaction ended without one
+	chunkedResponse bool      // the response uses the chunked transfer coding
 
 	span         attribution.ClientSpan
-	clientStall  stopwatch // while the client does not read the response
-	openRequests int       // node requests that are not attributed
+	clientStall  stopwatch // sums the time during which the client does not read the response
+	openRequests int       // number of node requests whose attribution has not arrived
 	outcome      attribution.Outcome
-	usedNodes    bool
-	wasStalled   bool // by the client, at least once
-	clientGone   bool // before the response was complete
+	usedNodes    bool // the transaction has started a node request
+	wasStalled   bool // the client has stopped reading the response at least once
+	clientGone   bool // the client disconnected before the response was complete
 	attributed   bool // the span has ended
 }
 
-// newTransaction starts a transaction on the connection.
+// newTransaction starts a transaction on the connection and makes it the current one.
 func (c *clientConn) newTransaction() *transaction {
 	w := c.worker
-	c.endPreviousSpan() // a client that sends a request has received the previous response
+	c.endPreviousSpan() // the client sends a new request, so it has received the previous response
 	t := &transaction{conn: c, started: time.Now(), id: requestID(w.gateway.nextID.Add(1))}
 	c.current = t
 	t.startSpan()
@@ -77,7 +77,7 @@
 	return string(b[:])
 }
 
-// startNodeRequest starts a request to a node for this transaction.
+// startNodeRequest starts a request to a node on behalf of this transaction.
 func (t *transaction) startNodeRequest(r *nodeRequest, d dispatch.Request) {
 	if t.volume != nil {
 		r.volumeRate = t.volume.rate
@@ -92,12 +92,12 @@
 	t.conn.worker.startRequest(r, d)
 }
 
-// removeNodeRequest removes a node request that has its result.
+// removeNodeRequest removes a node request that has received its result.
 func (t *transaction) removeNodeRequest(r *nodeRequest) {
 	t.nodeRequests = slices.DeleteFunc(t.nodeRequests, func(x *nodeRequest) bool { return x == r })
 }
 
-// cancelNodeRequests cancels the transaction's node requests.
+// cancelNodeRequests cancels all node requests of the transaction.
 func (t *transaction) cancelNodeRequests() {
 	for _, r := range t.nodeRequests {
 		t.conn.worker.cancelRequest(r)
@@ -105,7 +105,8 @@
 	t.nodeRequests = nil
 }
 
-// markResponded counts and logs a transaction whose response is complete.
+// markResponded marks the transaction's response as complete or aborted, counts the transaction in
+// the metrics, and writes it to the access log.
 func (t *transaction) markResponded() {
 	t.responded = true
 	g := t.conn.worker.gateway
@@ -114,7 +115,8 @@
 	g.logAccess(t)
 }
 
-// finish ends a transaction whose response has been written, and goes on to the next request.
+// finish ends a transaction after its response has been written. The connection then reads the next
+// request, or closes.
 func (t *transaction) finish() {
 	if t.responded {
 		return
@@ -136,7 +138,7 @@
 	c.conn.Redeliver()
 }
 
-// logAccess writes the access log's line for a transaction.
+// logAccess writes the access log line of a transaction, if the access log is on.
 func (g *Gateway) logAccess(t *transaction) {
 	if !g.cfg.Log.Access {
 		return
--- a/gateway/volume.go
+++ b/gateway/volume.go
@@ -9,22 +9,24 @@
 	"chalkstand/placement"
 )
 
-// maxVolumes bounds a worker's cache of volumes, which is cleared when it is full.
+// maxVolumes is the maximum number of volumes in a worker's cache. The worker clears the cache when
+// it is full.
 const maxVolumes = 4096
 
-// volume is a bucket as the settings see it, on one worker.
+// volume is a bucket with its settings and its scheduling state on one worker.
 type volume struct {
 	name        string
-	plan        int     // index in the settings
-	rate        float64 // of the plan, units per second
-	dispatchers int     // that serve the volume
+	plan        int     // index of the volume's plan in the settings
+	rate        float64 // rate limit of the plan, in cost units per second
+	dispatchers int     // number of gateways that serve the volume
 	placement   *placement.Volume
 	flow        *eventloop.Flow
 	flowConfig  fairshare.FlowConfig
 	overload    *overload.Controller
 }
 
-// volumeOf returns a bucket's volume; nil if no rule of the settings matches it.
+// volumeOf returns the volume of a bucket. It returns nil if no bucket rule of the settings matches
+// the bucket.
 func (w *loopWorker) volumeOf(bucket string) *volume {
 	if v := w.volumes[bucket]; v != nil {
 		return v
--- a/gateway/worker.go
+++ b/gateway/worker.go
@@ -11,15 +11,17 @@
 	"chalkstand/internal/http1"
 )
 
-// Names and weights of the flows that belong to no bucket's volume.
+// Names and weight of the flows for work that belongs to no bucket. These names appear in the volume
+// usage and in latency attribution.
 const (
 	newcomersVolumeName = "(newcomers)"
 	gatewayVolumeName   = "(gateway)"
 	gatewayWeight       = 1
 )
 
-// loopWorker is one event loop with all that runs on it: client connections, their transactions, and
-// connections to nodes. Its fields are used on the loop only, except actions and wakePosted.
+// loopWorker holds one event loop and the state of everything that runs on it: client connections,
+// their transactions, and connections to nodes. Only code on the loop uses the fields, except actions
+// and wakePosted.
 type loopWorker struct {
 	gateway *Gateway
 	index   forwarder.LoopID
@@ -27,27 +29,27 @@
 
 	clients      map[*clientConn]struct{}
 	conns        map[forwarder.ConnID]*nodeConn
-	requests     map[dispatch.RequestID]*nodeRequest // without a result
-	unattributed map[dispatch.RequestID]*nodeRequest // canceled, while their attribution is to come
-
-	volumes       map[string]*volume // by bucket
-	newcomers     *volume            // of client connections without an authenticated request
-	gatewayVolume *volume            // of work that belongs to no bucket
-
-	gates      map[dispatch.NodeID]*nodeGate
-	contendedGates  []*nodeGate // all at which streams are waiting; may contain others
-	backoff    backoffQueue
-	batch      attribution.Batch      // for the attribution worker
-	loopContenders []eventloop.SliceUsage // reused buffer
-	scratch    []byte                 // reused buffer of heads and chunks
-	coarseNow  time.Time              // of the last sweep; clock of the connections' time limits
-	date       string                 // value of the Date header, for dateSecond
-	dateSecond int64                  // Unix time
-
-	actions      []forwarder.Action // to be applied; guarded by core.mu
-	wakePosted   bool               // applyActions is posted to the loop; guarded by core.mu
-	spareActions []forwarder.Action // reused buffer
-	applying     bool
+	requests     map[dispatch.RequestID]*nodeRequest // node requests that have no result yet
+	unattributed map[dispatch.RequestID]*nodeRequest // canceled node requests that await their attribution
+
+	volumes       map[string]*volume // cached volumes by bucket
+	newcomers     *volume            // charged for client connections without an authenticated request
+	gatewayVolume *volume            // charged for work that belongs to no bucket
+
+	gates          map[dispatch.NodeID]*nodeGate
+	contendedGates []*nodeGate // every gate where streams wait, and possibly gates where none wait
+	backoff        backoffQueue
+	batch          attribution.Batch      // entries and reports collected for the attribution worker
+	loopContenders []eventloop.SliceUsage // reused by recordContenders
+	scratch        []byte                 // reused to build heads and chunks
+	coarseNow      time.Time              // time of the last sweep, against which time limits are checked
+	date           string                 // value of the Date header for the second dateSecond
+	dateSecond     int64                  // Unix time of date
+
+	actions      []forwarder.Action // actions that applyActions has not taken yet; guarded by core.mu
+	wakePosted   bool               // applyActions is posted to the loop and has not run yet; guarded by core.mu
+	spareActions []forwarder.Action // reused as the next buffer of actions
+	applying     bool               // applyActions is running
 }
 
 func newLoopWorker(g *Gateway, loop *eventloop.Loop) *loopWorker {
@@ -74,10 +76,10 @@
 	return w
 }
 
-// now returns the time of the last sweep.
+// now returns the time of the last sweep. It reads no clock, and lags by up to sweepInterval.
 func (w *loopWorker) now() time.Time { return w.coarseNow }
 
-// addClient starts to serve an accepted connection.
+// addClient registers an accepted connection with the loop and starts to serve its client.
 func (w *loopWorker) addClient(fd int) {
 	c := &clientConn{worker: w, lastProgress: time.Now()}
 	conn, err := w.loop.Add(fd, c)
@@ -91,7 +93,9 @@
 	w.clients[c] = struct{}{}
 }
 
-// sweep enforces the time limits of clients and nodes, and flushes what was batched.
+// sweep enforces the time limits of client and node connections, and flushes the batch for the
+// attribution worker. It also retries to accept connections, in case accepting failed earlier for
+// lack of descriptors or memory.
 func (w *loopWorker) sweep() {
 	now := time.Now()
 	w.coarseNow = now
@@ -105,7 +109,8 @@
 	w.loop.RetryAccept()
 }
 
-// closeIdleClients closes the client connections without a request.
+// closeIdleClients closes the client connections that have no request in progress and no buffered
+// bytes.
 func (w *loopWorker) closeIdleClients() {
 	for c := range w.clients {
 		if c.state == stateReading && c.conn.Pending() == 0 && c.conn.Buffered() == 0 {
@@ -114,7 +119,8 @@
 	}
 }
 
-// nextTimer returns when onTimer is to be called next; false if nothing is due.
+// nextTimer returns the time at which the loop must call onTimer next. It returns false if the worker
+// needs no timer.
 func (w *loopWorker) nextTimer() (time.Duration, bool) {
 	at, ok := w.nextGrantExpiry()
 	if len(w.backoff.clients) > 0 {
@@ -125,7 +131,7 @@
 	return at, ok
 }
 
-// onTimer expires grants and ends the backoff of rejected clients.
+// onTimer expires the grants that are due, and resumes the rejected clients whose backoff has ended.
 func (w *loopWorker) onTimer(now time.Duration) {
 	w.expireGrants(now)
 	for c := w.backoff.popDue(now); c != nil; c = w.backoff.popDue(now) {
@@ -134,7 +140,7 @@
 	}
 }
 
-// httpDate returns the value of the Date header.
+// httpDate returns the value of the Date header. It formats the value once per second.
 func (w *loopWorker) httpDate() string {
 	now := w.gateway.wallClock()
 	if s := now.Unix(); s != w.dateSecond {
@@ -144,6 +150,7 @@
 	return w.date
 }
 
+// httpLimits returns the limits of the settings on the head of a request or response.
 func (w *loopWorker) httpLimits() http1.Limits {
 	l := w.gateway.cfg.Limits
 	return http1.Limits{Line: l.Line, Headers: l.Headers, Head: l.Head}
