--- a/gateway/attribution.go
+++ b/gateway/attribution.go
@@ -9,31 +9,31 @@
 	"chalkstand/internal/settings"
 )
 
-// batchSize is how many entries or reports are handed to the attribution worker at a time. A sweep
-// hands over fewer.
+// batchSize is the number of entries or reports at which a loop worker passes its batch to the
+// attribution worker. A sweep passes smaller batches.
 const batchSize = 128
 
-// Errors of Attribution.
+// Errors that Gateway.Attribution returns.
 var (
 	ErrAttributionOff = errors.New("gateway: no accounts are kept: accounts.on is false in the settings")
 	ErrClosed         = errors.New("gateway: closed")
 )
 
-// attributionWorker owns the collector of latency attribution, on a goroutine of its own, so that
-// it takes no time of the event loops or of the core's lock.
+// attributionWorker owns the collector of latency attribution and runs it on a separate goroutine. The
+// collector thus takes no time on the event loops and does not hold the core's lock.
 type attributionWorker struct {
 	collector *attribution.Collector
 	now       func() time.Duration
-	batches   chan attribution.Batch // bounded; batches that do not fit are dropped
-	dropped   atomic.Int64           // entries
+	batches   chan attribution.Batch // a bounded queue; batches that do not fit are dropped
+	dropped   atomic.Int64           // number of entries in dropped batches
 	queries   chan func(time.Duration, *attribution.Collector)
 	onEntry   func(attribution.Entry)
 	onAction  func(attribution.Action)
 	done      chan struct{} // closed when run has returned
 }
 
-// newAttributionWorker returns a worker that calls onEntry for each entry, and onAction for each action of the
-// collector; both may be nil.
+// newAttributionWorker returns a worker that calls onEntry for each entry, and onAction for each action
+// of the collector. Either function may be nil.
 func newAttributionWorker(
 	s settings.Accounts,
 	now func() time.Duration,
@@ -60,7 +60,7 @@
 	}, nil
 }
 
-// run handles batches and queries until batches is closed.
+// run handles batches and queries until the channel batches is closed.
 func (a *attributionWorker) run() {
 	defer close(a.done)
 	t := time.NewTicker(attribution.DefaultConfig().Settle)
@@ -83,6 +83,8 @@
 	}
 }
 
+// handle passes an event to the collector, and calls onEntry and onAction for the entries of a batch
+// and the collector's actions.
 func (a *attributionWorker) handle(ev attribution.Event) {
 	if batch, ok := ev.(attribution.Batch); ok && a.onEntry != nil {
 		for _, e := range batch.Entries {
@@ -97,7 +99,7 @@
 	}
 }
 
-// addEntry batches the attribution of a client request.
+// addEntry adds the attribution of a client request to the worker's batch.
 func (w *loopWorker) addEntry(e attribution.Entry) {
 	if w.batch.Entries == nil {
 		w.batch.Entries = make([]attribution.Entry, 0, batchSize)
@@ -108,7 +110,7 @@
 	}
 }
 
-// addNodeReport batches a node's late report.
+// addNodeReport adds a report that a node sent after its response to the worker's batch.
 func (w *loopWorker) addNodeReport(r attribution.NodeReport) {
 	w.batch.Reports = append(w.batch.Reports, r)
 	if len(w.batch.Reports) >= batchSize {
@@ -116,8 +118,8 @@
 	}
 }
 
-// flushBatch hands the batch to the attribution worker. It never blocks: a batch that does not fit its
-// queue is dropped and counted.
+// flushBatch passes the batch to the attribution worker. It never blocks. If the attribution worker's
+// queue is full, it drops the batch and counts the dropped entries.
 func (w *loopWorker) flushBatch() {
 	a := w.gateway.attribution
 	if a == nil || len(w.batch.Entries)+len(w.batch.Reports) == 0 {
@@ -131,8 +133,9 @@
 	w.batch = attribution.Batch{}
 }
 
-// Attribution calls f with the collector of latency attribution, which f may read until it returns. f
-// must be quick: batches wait meanwhile. The error is ErrAttributionOff or ErrClosed.
+// Attribution calls f with the collector of latency attribution. The function f may read the collector
+// until f returns. It must be quick, because batches wait while it runs. The error is
+// ErrAttributionOff or ErrClosed.
 func (g *Gateway) Attribution(f func(now time.Duration, collector *attribution.Collector)) error {
 	if g.attribution == nil {
 		return ErrAttributionOff
@@ -151,7 +154,7 @@
 	}
 }
 
-// FlushAttribution hands the entries of all complete requests to the attribution worker.
+// FlushAttribution passes the entries of all complete requests to the attribution worker.
 func (g *Gateway) FlushAttribution() {
 	for _, w := range g.workers {
 		done := make(chan struct{})
@@ -167,7 +170,7 @@
 	}
 }
 
-// Run identifies this run of the gateway in attribution records.
+// Run returns the identity of this run of the gateway, which attribution records carry.
 func (g *Gateway) Run() attribution.Run {
 	return attribution.Run{ID: g.core.nonce, Gateway: g.cfg.Name, Started: g.started}
 }
--- a/gateway/attributionhandler.go
+++ b/gateway/attributionhandler.go
@@ -10,11 +10,12 @@
 	"chalkstand/attribution"
 )
 
-// defaultSince is the default period of the attribution handler.
+// defaultSince is the default value of the attribution handler's parameter since.
 const defaultSince = 5 * time.Minute
 
-// AttributionHandler serves latency attribution as JSON: GET with the parameters since (a duration
-// such as 5m, the default) and slots (1 for each slot by itself instead of their sum).
+// AttributionHandler returns a handler that serves latency attribution as JSON. It accepts GET requests
+// with two optional parameters. The parameter since is the length of the period up to now, and its
+// default is 5m. With slots=1 the response lists each slot of the period instead of their sum.
 func (g *Gateway) AttributionHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		since, slots, err := parseAttributionQuery(r)
@@ -42,8 +43,8 @@
 	})
 }
 
-// attributionWindows returns the slots of a period, or their sum as one window; false if the period
-// reaches beyond what is kept.
+// attributionWindows returns the slots of a period, or their sum as one window. It returns false if the
+// period starts before the oldest slot that the collector keeps.
 func attributionWindows(collector *attribution.Collector, now, since time.Duration, slots bool) ([]attribution.Window, bool) {
 	if slots {
 		return collector.Aggregator().Slots(now, since)
@@ -55,6 +56,7 @@
 	return []attribution.Window{sum}, true
 }
 
+// parseAttributionQuery parses the parameters of a request to the attribution handler.
 func parseAttributionQuery(r *http.Request) (since time.Duration, slots bool, err error) {
 	if r.Method != http.MethodGet {
 		return 0, false, errors.New("want GET")
--- a/gateway/buckets.go
+++ b/gateway/buckets.go
@@ -11,17 +11,19 @@
 	"chalkstand/internal/objectapi"
 )
 
-// defaultRegion is the region whose location constraint is empty, by the specification.
+// defaultRegion is the region for which the specification of the object API requires an empty location
+// constraint.
 const defaultRegion = "us-east-1"
 
-// listBuckets merges the bucket lists of all shards.
+// listBuckets responds with the merged bucket lists of all shards. The response holds only the buckets
+// that the access key may access.
 func (t *transaction) listBuckets() {
 	shards := t.conn.worker.gateway.shards.Volume("", 0).Shards()
 	t.scatterBucket(shards, objectapi.ListBuckets, http.MethodGet, nil, func(responses []shardResponse) {
 		if !t.requireAll(responses, http.StatusOK) {
 			return
 		}
-		created := map[string]string{} // the earliest date of each bucket
+		created := map[string]string{} // the earliest creation date of each bucket among the shards
 		for _, r := range responses {
 			var list objectapi.ListAllMyBucketsResult
 			if xml.Unmarshal(r.document, &list) != nil {
@@ -44,7 +46,8 @@
 	})
 }
 
-// createBucket creates the bucket on all shards of its volume.
+// createBucket creates the bucket on all shards of its volume. It responds with an error if the bucket
+// already exists on all of them.
 func (t *transaction) createBucket() {
 	shards := t.volume.placement.Shards()
 	t.scatterBucket(shards, objectapi.CreateBucket, http.MethodPut, nil, func(responses []shardResponse) {
@@ -60,12 +63,13 @@
 	})
 }
 
-// anyStatus reports whether a shard has responded with the status.
+// anyStatus reports whether at least one shard has responded with the given status.
 func anyStatus(responses []shardResponse, status int) bool {
 	return slices.ContainsFunc(responses, func(r shardResponse) bool { return r.status == status })
 }
 
-// deleteBucket deletes the bucket on all shards of its volume if it is empty on each.
+// deleteBucket deletes the bucket on all shards of its volume, provided that the bucket is empty on
+// each of them. It first lists one key per shard.
 func (t *transaction) deleteBucket() {
 	firstKey := objectapi.Query{{Name: "list-type", Value: "2"}, {Name: "max-keys", Value: "1"}}
 	shards := t.volume.placement.Shards()
@@ -91,8 +95,9 @@
 	t.respondErrorCode(objectapi.NewError(objectapi.CodeBucketNotEmpty, "The bucket you tried to delete is not empty."))
 }
 
-// deleteEmptyBucket deletes a bucket that was empty on all shards. A shard in which an object was written
-// meanwhile rejects it; then the bucket is created again on the others.
+// deleteEmptyBucket deletes a bucket that was empty on all shards when deleteBucket listed it. If an
+// object has been written since, that object's shard rejects the deletion. In this case the bucket is
+// created again on the shards that have deleted it.
 func (t *transaction) deleteEmptyBucket() {
 	shards := t.volume.placement.Shards()
 	t.scatterBucket(shards, objectapi.DeleteBucket, http.MethodDelete, nil, func(responses []shardResponse) {
@@ -114,7 +119,8 @@
 	})
 }
 
-// getBucketLocation responds with the gateway's region if the bucket exists.
+// getBucketLocation responds with the gateway's region if the bucket exists. It asks only the first
+// shard of the volume.
 func (t *transaction) getBucketLocation() {
 	first := t.volume.placement.Shards()[:1]
 	query := objectapi.Query{{Name: "location"}}
--- a/gateway/copy.go
+++ b/gateway/copy.go
@@ -10,22 +10,23 @@
 	"chalkstand/internal/objectapi"
 )
 
-// objectCopy copies an object from one shard to another: the response of a read is the body of a write.
-// Each is a node request of its own.
+// objectCopy copies an object from one shard to another. It uses two node requests: the response body
+// of the read request is the request body of the write request.
 type objectCopy struct {
 	transaction *transaction
 	request     *http1.Request
 	read        *nodeRequest
 	write       *nodeRequest
-	source      *nodeConn // of the read, while it streams
-	target      *nodeConn // of the write, once it has been sent
-	length      int64     // of a streamed body, or unknownSize
-	received    int64     // bytes of it
-	pending     []byte    // received and not sent; the last byte until the source is complete
-	writeDone   bool
+	source      *nodeConn // connection that streams the read's response; nil if none streams
+	target      *nodeConn // connection of the write; nil until the write's head has been sent
+	length      int64     // length of a streamed body, or unknownSize
+	received    int64     // bytes of the streamed body received so far
+	pending     []byte    // bytes received but not sent; includes the last byte until the read is complete
+	writeDone   bool      // the write has its result
 }
 
-// copyObject copies an object. Within a shard the node does it.
+// copyObject copies an object. If the source and the target are on the same shard, the node copies the
+// object itself. Otherwise the gateway copies it with an objectCopy.
 func (t *transaction) copyObject(r *http1.Request) {
 	source := t.conn.worker.volumeOf(t.op.SourceBucket)
 	if source == nil {
@@ -42,6 +43,7 @@
 	c.startRead(source, from)
 }
 
+// copyWithinShard sends the copy request to a node of the shard that holds both source and target.
 func (t *transaction) copyWithinShard(r *http1.Request, shard dispatch.Shard) {
 	d := t.newDispatchRequest(t.op.Kind, t.volume, shard, t.op.Key, unknownSize)
 	b := make([]byte, 0, putHeadCapacity)
@@ -57,7 +59,7 @@
 	}, d)
 }
 
-// startRead starts the request that reads the source.
+// startRead starts the node request that reads the source object.
 func (c *objectCopy) startRead(source *volume, shard dispatch.Shard) {
 	t := c.transaction
 	headers := c.request.Headers
@@ -83,7 +85,8 @@
 	t.startNodeRequest(c.read, d)
 }
 
-// onReadResult starts the write of a buffered source, or ends that of a streamed one.
+// onReadResult handles the result of the read. If the source is buffered, it starts the write. If the
+// source was streamed, it ends the body of the write, or cancels the write of an incomplete source.
 func (c *objectCopy) onReadResult(r nodeResult) {
 	t := c.transaction
 	t.removeNodeRequest(c.read)
@@ -96,7 +99,7 @@
 	case resultStreamed:
 		c.source = nil
 		c.endBody()
-	case resultAborted: // the write must not complete
+	case resultAborted: // the source is incomplete, so the write must not complete
 		c.source = nil
 		if !c.writeDone {
 			t.conn.worker.cancelRequest(c.write)
@@ -107,6 +110,8 @@
 	}
 }
 
+// onBufferedRead starts the write of a source that was read completely, or responds with the error
+// that the node returned.
 func (c *objectCopy) onBufferedRead(r nodeResult) {
 	t := c.transaction
 	switch r.resp.Status {
@@ -120,7 +125,7 @@
 	}
 }
 
-// responseHeaders starts the write of a streamed source. It implements responseSink.
+// responseHeaders starts the write of a source whose body is streamed. It implements responseSink.
 func (c *objectCopy) responseHeaders(n *nodeConn, r *http1.Response) {
 	c.source = n
 	c.length = r.Length
@@ -130,7 +135,8 @@
 	c.startWrite(r, nil, c.length, true)
 }
 
-// startWrite starts the request that stores the copy. resp is the read's response.
+// startWrite starts the node request that stores the copy. The parameter resp is the response of the
+// read. If stream is true, the body follows as the source streams it.
 func (c *objectCopy) startWrite(resp *http1.Response, body []byte, size int64, stream bool) {
 	t := c.transaction
 	kind := objectapi.PutObject
@@ -168,7 +174,7 @@
 	t.startNodeRequest(c.write, d)
 }
 
-// appendMetadata appends the headers of a response that describe the object itself.
+// appendMetadata appends those headers of the read's response that describe the object itself.
 func appendMetadata(b []byte, hs http1.Headers) []byte {
 	for _, h := range hs {
 		name := strings.ToLower(string(h.Name))
@@ -184,7 +190,7 @@
 	return b
 }
 
-// startBody starts to stream to the node that stores the copy. It implements bodySource.
+// startBody starts to stream the body to the node that stores the copy. It implements bodySource.
 func (c *objectCopy) startBody(n *nodeConn) {
 	c.target = n
 	c.sendPending()
@@ -195,18 +201,19 @@
 	}
 }
 
-// bodyDrained continues after the target has read what was sent. It implements bodySource.
+// bodyDrained resumes reading the source once the kernel has accepted all bytes written to the target.
+// It implements bodySource.
 func (c *objectCopy) bodyDrained() {
 	if c.source != nil {
 		c.source.resumeReading()
 	}
 }
 
-// responseData sends a part of the source to the target. Before the write has been sent it keeps the
-// part and stops the source. It implements responseSink.
+// responseData sends a part of the source to the target. Until the write's head has been sent, it keeps
+// the part and stops reading the source. It implements responseSink.
 func (c *objectCopy) responseData(p []byte) bool {
 	c.received += int64(len(p))
-	if c.complete() { // the last byte is sent once the source is complete
+	if c.complete() { // endBody sends the last byte once the read has succeeded
 		n := len(p) - 1
 		c.send(p[:n])
 		c.pending = append(c.pending, p[n])
@@ -216,14 +223,15 @@
 	return c.attached() && c.target.conn.Pending() == 0
 }
 
-// complete reports whether all bytes of a source of known length have been received.
+// complete reports whether the source has a known length and all of its bytes have been received.
 func (c *objectCopy) complete() bool { return c.length >= 0 && c.received == c.length }
 
-// attached reports whether the target still carries the write.
+// attached reports whether the target connection carries the write. It is false before the write's head
+// has been sent and after the write has its result.
 func (c *objectCopy) attached() bool { return c.target != nil && c.target.request == c.write }
 
-// send sends a part of the body; it keeps the part if the write has not been sent, and drops it if the
-// write has its result.
+// send sends a part of the body to the target. If the write's head has not been sent, it keeps the part
+// for sendPending. If the write already has its result, it drops the part.
 func (c *objectCopy) send(p []byte) {
 	switch {
 	case c.target == nil:
@@ -236,7 +244,8 @@
 	}
 }
 
-// sendPending sends what was kept, without the last byte of the source.
+// sendPending sends the kept bytes to the target, except for the last byte of the source. The last byte
+// stays in pending until endBody.
 func (c *objectCopy) sendPending() {
 	p := c.pending
 	c.pending = nil
@@ -247,7 +256,8 @@
 	c.send(p)
 }
 
-// endBody ends the write's body after the source has ended complete.
+// endBody ends the body of the write after the source has been read completely. It sends the last chunk,
+// or the last byte if the length is known.
 func (c *objectCopy) endBody() {
 	if !c.attached() {
 		return
@@ -261,7 +271,8 @@
 	c.target.bodySent()
 }
 
-// onWriteResult responds to the client.
+// onWriteResult handles the result of the write. It cancels the read, in case it has not ended, and
+// responds to the client.
 func (c *objectCopy) onWriteResult(r nodeResult) {
 	t := c.transaction
 	c.writeDone = true
--- a/gateway/deleteobjects.go
+++ b/gateway/deleteobjects.go
@@ -8,8 +8,9 @@
 	"chalkstand/internal/objectapi"
 )
 
-// deleteObjects sends each shard its keys. A shard that fails yields errors of its keys, not of the whole
-// request.
+// deleteObjects deletes several objects. It sends each shard the keys that the shard stores. If a shard
+// fails, the response lists an error for each of its keys, and the keys of other shards are not
+// affected.
 func (t *transaction) deleteObjects() {
 	request, apiErr := objectapi.ParseDelete(t.buffered)
 	if apiErr != nil {
@@ -54,7 +55,8 @@
 	})
 }
 
-// parseDeleted returns a shard's result, or the error that holds for all of its keys.
+// parseDeleted returns the result that a shard reported for its keys. If the request to the shard has
+// failed as a whole, it returns an error that applies to all of these keys.
 func parseDeleted(r shardResponse) (objectapi.DeleteResult, *objectapi.Error) {
 	var result objectapi.DeleteResult
 	outcomeUnknown := objectapi.NewError(objectapi.CodeInternalError,
--- a/gateway/list.go
+++ b/gateway/list.go
@@ -8,10 +8,12 @@
 	"chalkstand/internal/objectapi"
 )
 
-// maxListKeys is the largest number of names in one list, by the specification.
+// maxListKeys is the maximum number of names in one list response, according to the specification of
+// the object API.
 const maxListKeys = 1000
 
-// listLimit parses the parameter for the largest number of names.
+// listLimit parses the query parameter that limits the number of names in a list. It returns
+// maxListKeys if the value is larger or is not a number.
 func listLimit(v string) int {
 	if n, err := strconv.Atoi(v); err == nil {
 		return min(n, maxListKeys)
@@ -19,7 +21,8 @@
 	return maxListKeys
 }
 
-// appendParams appends the parameters of in with the given names, unless they are empty.
+// appendParams appends to q those parameters of the query in that have one of the given names and a
+// value.
 func appendParams(q, in objectapi.Query, names ...string) objectapi.Query {
 	for _, name := range names {
 		if v := in.Get(name); v != "" {
@@ -29,7 +32,8 @@
 	return q
 }
 
-// listStart returns the name after which a list of objects starts; empty: at the first.
+// listStart returns the name after which a list of objects starts. An empty name means that the list
+// starts at the first object.
 func (t *transaction) listStart() (string, *objectapi.Error) {
 	in := t.op.Query
 	if t.op.Kind != objectapi.ListObjectsV2 {
@@ -46,7 +50,8 @@
 	return string(b), nil
 }
 
-// listObjects merges the first names of all shards of the volume.
+// listObjects responds with one page of the bucket's objects. It requests a page from each shard of the
+// volume and merges the pages.
 func (t *transaction) listObjects() {
 	limit := listLimit(t.op.Query.Get("max-keys"))
 	v2 := t.op.Kind == objectapi.ListObjectsV2
@@ -79,7 +84,7 @@
 	})
 }
 
-// nameEncoder returns the encoding of names that the client has asked for.
+// nameEncoder returns the function that encodes names in the encoding that the client has requested.
 func (t *transaction) nameEncoder() func(string) string {
 	if t.op.Query.Get("encoding-type") == "url" {
 		return objectapi.EncodeName
@@ -87,7 +92,8 @@
 	return func(s string) string { return s }
 }
 
-// listDocument returns the response for a page of objects.
+// listDocument returns the response document for a page of objects. The parameter v2 selects version 2
+// of the list operation.
 func (t *transaction) listDocument(p objectapi.Page, limit int, v2 bool) objectapi.ListBucketResult {
 	in := t.op.Query
 	encode := t.nameEncoder()
@@ -127,7 +133,7 @@
 	return result
 }
 
-// listMultipartUploads merges the uploads of all shards of the volume.
+// listMultipartUploads responds with the merged lists of multipart uploads of all shards of the volume.
 func (t *transaction) listMultipartUploads() {
 	limit := listLimit(t.op.Query.Get("max-uploads"))
 	q := objectapi.Query{
@@ -151,7 +157,7 @@
 	})
 }
 
-// uploadsDocument returns the response for the uploads of several shards.
+// uploadsDocument returns the response document for the merged multipart uploads of several shards.
 func (t *transaction) uploadsDocument(
 	lists []objectapi.ListMultipartUploadsResult,
 	limit int,
@@ -188,7 +194,8 @@
 	return result
 }
 
-// parseShards parses each shard's document, with pauses.
+// parseShards parses the response document of each shard. The parse function calls pause every few
+// kilobytes, so that other work on the loop can run.
 func parseShards[T any](
 	responses []shardResponse,
 	parse func([]byte, objectapi.Pause) (T, error),
@@ -204,9 +211,9 @@
 	return all, nil
 }
 
-// respondInSlices responds with a document that may take long to build. The work is done in slices that are
-// charged to the transaction's volume, so that other work waits for one slice at most. build
-// returns nil if a shard's document is malformed.
+// respondInSlices responds with a document that may take long to build. The work runs in time slices
+// that are charged to the transaction's volume, so other work on the loop waits for one slice at most.
+// The function build returns nil if a shard's document is malformed.
 func (t *transaction) respondInSlices(build func(objectapi.Pause) any) {
 	w := t.conn.worker
 	w.loop.RunInSlices(w.chargedVolume(t).flow, func(pause func() bool) {
--- a/gateway/loadreport.go
+++ b/gateway/loadreport.go
@@ -10,13 +10,15 @@
 	"chalkstand/internal/objectapi"
 )
 
-// loadHeader carries a node's load report, in the text format of Open Request Cost Aggregation.
+// loadHeader is the name of the header that carries a node's load report, in the text format of Open
+// Request Cost Aggregation (ORCA).
 const loadHeader = "endpoint-load-metrics"
 
-// maxMetricValue bounds the values that are accepted from a load report.
+// maxMetricValue is the largest value that the gateway accepts for a metric of a load report.
 const maxMetricValue = 1e12
 
-// responseInfo returns what the forwarder needs to know of the response that is being read.
+// responseInfo returns the data that the forwarder needs about the response on the connection: its
+// result, its cost, and the node's load report and timing.
 func (n *nodeConn) responseInfo() forwarder.ResponseInfo {
 	resp := &n.reader.Response
 	info := forwarder.ResponseInfo{Result: resultOfStatus(resp.Status)}
@@ -31,6 +33,7 @@
 	return info
 }
 
+// resultOfStatus classifies a node's response by its HTTP status.
 func resultOfStatus(status int) dispatch.AttemptResult {
 	switch {
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
@@ -41,7 +44,8 @@
 	return dispatch.OK
 }
 
-// readLoadReport reads "TEXT name=value, …" into info. Unknown names and malformed values are ignored.
+// readLoadReport parses a load report of the form "TEXT name=value, …" and stores its metrics in info.
+// It ignores unknown names and malformed values.
 func readLoadReport(v []byte, r *nodeRequest, info *forwarder.ResponseInfo) {
 	rest, ok := bytes.CutPrefix(v, []byte("TEXT "))
 	if !ok {
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -11,29 +11,32 @@
 // metricsNamespace is the prefix of all metric names.
 const metricsNamespace = "chalkstand"
 
-// statusClasses is the number of first digits of a status, 0 (aborted) to 5.
+// statusClasses is the number of status classes. A class is the first digit of a status, from 0 for
+// aborted responses to 5.
 const statusClasses = 6
 
-// metrics holds the gateway's metrics. It is registered as one collector.
+// metrics holds the gateway's metrics. New registers it as one Prometheus collector.
 type metrics struct {
 	requests      *prometheus.CounterVec
 	latency       prometheus.Histogram
 	attempts      prometheus.Counter
-	rejected      prometheus.Counter // by the dispatcher
-	overloaded    prometheus.Counter // rejected by overload control
+	rejected      prometheus.Counter // node requests rejected by the dispatcher
+	overloaded    prometheus.Counter // client requests rejected by overload control
 	failed        prometheus.Counter
 	aborted       prometheus.Counter
 	canceled      prometheus.Counter
 	connsRejected prometheus.Counter
 	conns         prometheus.GaugeFunc
 	inFlight      prometheus.GaugeFunc
-	byOperation   [][statusClasses]prometheus.Counter // of requests, by operation and status class
+	byOperation   [][statusClasses]prometheus.Counter // the counters of requests, indexed by operation and status class
 }
 
+// newCounter returns a counter in the gateway's namespace.
 func newCounter(name, help string) prometheus.Counter {
 	return prometheus.NewCounter(prometheus.CounterOpts{Namespace: metricsNamespace, Name: name, Help: help})
 }
 
+// newGauge returns a gauge in the gateway's namespace whose value is the result of f.
 func newGauge(name, help string, f func() float64) prometheus.GaugeFunc {
 	return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: metricsNamespace, Name: name, Help: help}, f)
 }
@@ -77,6 +80,7 @@
 	return m
 }
 
+// collectors returns all metrics of the gateway.
 func (m *metrics) collectors() []prometheus.Collector {
 	return []prometheus.Collector{
 		m.requests, m.latency, m.attempts, m.rejected, m.overloaded, m.failed, m.aborted, m.canceled,
@@ -98,7 +102,7 @@
 	}
 }
 
-// requestCompleted counts a transaction whose response is complete or aborted.
+// requestCompleted counts a transaction whose response is complete or aborted, and records its latency.
 func (m *metrics) requestCompleted(t *transaction) {
 	class := min(max(t.status/100, 0), statusClasses-1)
 	m.byOperation[t.op.Kind][class].Inc()
--- a/gateway/nodehead.go
+++ b/gateway/nodehead.go
@@ -12,19 +12,20 @@
 	"chalkstand/internal/sigv4"
 )
 
-// Initial capacities of the buffers of a node request's head, in bytes.
+// Initial capacities in bytes of the buffers that hold the head of a node request.
 const (
 	headCapacity    = 512
 	putHeadCapacity = 768
 )
 
-// unknownSize is the size of an object or body that is not known.
+// unknownSize stands for the size of an object or body whose size is not known.
 const unknownSize = -1
 
-// shard returns the shard of the operation's object.
+// shard returns the shard that stores the operation's object.
 func (t *transaction) shard() dispatch.Shard { return t.volume.placement.Shard(t.op.Key) }
 
-// rangeSize returns how many bytes a Range header asks for, or unknownSize.
+// rangeSize returns the number of bytes that the value of a Range header requests. It returns
+// unknownSize if the header is missing or invalid, or has no last byte.
 func rangeSize(v []byte) int64 {
 	if v == nil {
 		return unknownSize
@@ -35,7 +36,7 @@
 	if !ok || !dash || err != nil || last < 0 {
 		return unknownSize
 	}
-	if firstText == "" { // a suffix of so many bytes
+	if firstText == "" { // "bytes=-N" requests the last N bytes
 		return last
 	}
 	first, err := strconv.ParseInt(firstText, 10, 64)
@@ -45,8 +46,8 @@
 	return last - first + 1
 }
 
-// newDispatchRequest returns the dispatcher's request for an operation of a volume, which may be nil. size
-// may be unknownSize.
+// newDispatchRequest returns the dispatcher's request for an operation on a shard. The volume v is nil
+// if the operation has no bucket. The size, which determines the cost, may be unknownSize.
 func (t *transaction) newDispatchRequest(
 	kind objectapi.Kind,
 	v *volume,
@@ -72,8 +73,9 @@
 	return d
 }
 
-// appendNodeHead appends the head of a request to a node, without the header that names the attempt. A
-// write gets an idempotency key that ends with keySuffix.
+// appendNodeHead appends the request line and the gateway's own headers of a request to a node. It
+// leaves out the header that names the attempt, which nodeConn.send adds. A write gets an idempotency
+// key that ends with keySuffix.
 func (t *transaction) appendNodeHead(
 	b []byte,
 	method, bucket, key string,
@@ -105,7 +107,8 @@
 	return b
 }
 
-// appendNodeQuery appends a query without the parameters of a presigned URL.
+// appendNodeQuery appends the query of a request to a node. It skips the parameters of a presigned
+// URL, which are meant for the gateway.
 func appendNodeQuery(b []byte, q objectapi.Query) []byte {
 	separator := byte('?')
 	for _, p := range q {
@@ -123,24 +126,29 @@
 	return b
 }
 
-// forwardedHeaders are the request headers that are forwarded to a node, in addition to those of x-amz-.
+// forwardedHeaders lists the request headers that the gateway forwards to a node, in addition to the
+// headers whose names start with x-amz-.
 var forwardedHeaders = []string{
 	"content-type", "content-encoding", "content-disposition", "content-language", "cache-control", "expires",
 	"range", "if-match", "if-none-match", "if-modified-since", "if-unmodified-since", "if-range", "content-md5",
 }
 
-// gatewayHeaders are the headers of x-amz- that are for the gateway.
+// gatewayHeaders lists the request headers whose names start with x-amz- but which the gateway
+// consumes itself and does not forward.
 var gatewayHeaders = []string{
 	"x-amz-date", "x-amz-content-sha256", "x-amz-security-token", "x-amz-decoded-content-length", "x-amz-trailer",
 	"x-amz-copy-source", "x-amz-acl",
 }
 
-// isAmzHeader reports whether a header's name begins with x-amz-, and is longer.
+// isAmzHeader reports whether a header's name starts with x-amz- and has more characters after this
+// prefix.
 func isAmzHeader(name []byte) bool {
 	const prefix = "x-amz-"
 	return len(name) > len(prefix) && http1.EqualFold(name[:len(prefix)], prefix)
 }
 
+// appendForwardedHeaders appends those of a client's request headers that the gateway forwards to a
+// node.
 func appendForwardedHeaders(b []byte, hs http1.Headers) []byte {
 	for _, h := range hs {
 		nameIs := func(name string) bool { return http1.EqualFold(h.Name, name) }
@@ -165,7 +173,8 @@
 	return b
 }
 
-// withoutAWSChunked removes aws-chunked, which is decoded by the gateway, from a list of codings.
+// withoutAWSChunked removes the coding aws-chunked from the value of a Content-Encoding header,
+// because the gateway decodes this coding itself.
 func withoutAWSChunked(v []byte) []byte {
 	var codings []string
 	for coding := range strings.SplitSeq(string(v), ",") {
--- a/gateway/noderequest.go
+++ b/gateway/noderequest.go
@@ -55,7 +55,7 @@
 const (
 	resultBuffered resultKind = iota // the complete response is in the fields resp and body
 	resultStreamed                   // the complete response has been passed to the sink
-	resultRejected                   // the client may safely repeat the request after retryAfter
+	resultRejected                   // not executed, or safe to execute again; the client may retry after retryAfter
 	resultFailed                     // the node may or may not have executed the request
 	resultAborted                    // the response ended early, after its head was passed to the sink
 )
--- a/gateway/nodetiming.go
+++ b/gateway/nodetiming.go
@@ -9,24 +9,26 @@
 	"chalkstand/internal/http1"
 )
 
-// timingHeader is how a node reports the parts of a request's time there, as a Server-Timing header:
-// "queue;dur=1.5, work;dur=20" for the request of this response, and with a desc that names it
-// as GATEWAY/REQUEST/ATTEMPT for an earlier one. Durations are milliseconds.
+// timingHeader is the Server-Timing header, in which a node reports how long a request was queued and
+// worked on at the node. For the request that the response answers, the value has the form
+// "queue;dur=1.5, work;dur=20". For an earlier request, each metric also has a desc parameter that
+// names the attempt as GATEWAY/REQUEST/ATTEMPT. Durations are in milliseconds.
 const timingHeader = "server-timing"
 
 const (
-	maxTimingMetrics  = 64             // metrics read from one response
-	maxTimingDuration = 24 * time.Hour // of a metric
+	maxTimingMetrics  = 64             // maximum number of items read from one header
+	maxTimingDuration = 24 * time.Hour // maximum duration accepted in a metric
 )
 
 // timingMetric is one metric of a Server-Timing header.
 type timingMetric struct {
-	work     bool // else the time in the queue
+	work     bool // true for a work metric, false for a queue metric
 	duration time.Duration
-	desc     []byte // empty: of the request of this response
+	desc     []byte // names an earlier attempt; empty for the request that the response answers
 }
 
-// eachTiming calls f for each queue and work metric. Malformed and other metrics are ignored.
+// eachTiming calls f for each queue and work metric of a response's Server-Timing header. It ignores
+// malformed metrics and metrics with other names.
 func eachTiming(hs http1.Headers, f func(timingMetric)) {
 	rest := hs.Get(timingHeader)
 	for n := 0; len(rest) > 0 && n < maxTimingMetrics; n++ {
@@ -38,7 +40,8 @@
 	}
 }
 
-// parseTiming parses a metric. It returns false if the metric has another name, or no valid duration.
+// parseTiming parses one metric of a Server-Timing header. It returns false if the metric is neither
+// queue nor work, or has no valid duration.
 func parseTiming(item []byte) (m timingMetric, ok bool) {
 	name, rest, _ := bytes.Cut(item, []byte(";"))
 	switch string(bytes.TrimSpace(name)) {
@@ -68,7 +71,8 @@
 	return m, hasDuration
 }
 
-// readTiming returns the times of the request of a response; found is false if it has none.
+// readTiming returns the queue time and the work time that a response reports for its own request. If
+// the response reports neither, found is false.
 func readTiming(hs http1.Headers) (queue, work time.Duration, found bool) {
 	eachTiming(hs, func(m timingMetric) {
 		switch {
@@ -82,12 +86,13 @@
 	return queue, work, found
 }
 
-// readLateTimings batches the times that a response reports of earlier requests of this gateway.
+// readLateTimings collects the times that a response reports for earlier requests of this gateway, and
+// adds them to the batch for the attribution worker.
 func (w *loopWorker) readLateTimings(hs http1.Headers) {
 	if w.gateway.attribution == nil {
 		return
 	}
-	var current []byte // desc of report
+	var current []byte // desc of the metrics in report; nil if report is empty
 	var report attribution.NodeReport
 	flush := func() {
 		if current != nil {
@@ -117,7 +122,8 @@
 	flush()
 }
 
-// parseAttemptID parses GATEWAY/REQUEST/ATTEMPT.
+// parseAttemptID parses the name of an attempt, which has the form GATEWAY/REQUEST/ATTEMPT. It returns
+// ok false if the request or the attempt is not a valid number.
 func parseAttemptID(b []byte) (gateway string, request uint64, attempt int, ok bool) {
 	name, rest, _ := bytes.Cut(b, []byte("/"))
 	requestText, attemptText, _ := bytes.Cut(rest, []byte("/"))
--- a/gateway/proxy.go
+++ b/gateway/proxy.go
@@ -8,7 +8,7 @@
 	"chalkstand/internal/objectapi"
 )
 
-// forward sends the operation to the node of one shard, whose response is the client's.
+// forward sends the operation to a node of one shard, and passes the node's response to the client.
 func (t *transaction) forward(r *http1.Request, shard dispatch.Shard, size int64) {
 	kind := t.op.Kind
 	d := t.newDispatchRequest(kind, t.volume, shard, t.op.Key, size)
@@ -31,7 +31,8 @@
 	}, d)
 }
 
-// putObject stores an object or a part.
+// putObject sends an object, or a part of a multipart upload, to a node. It streams the body unless
+// the body is already buffered.
 func (t *transaction) putObject(r *http1.Request) {
 	size := t.body.Length
 	d := t.newDispatchRequest(t.op.Kind, t.volume, t.shard(), t.op.Key, size)
--- a/gateway/requestbody.go
+++ b/gateway/requestbody.go
@@ -10,10 +10,13 @@
 	"chalkstand/internal/sigv4"
 )
 
-// maxObject is the largest object of one PUT by the specification, in bytes.
+// maxObject is the maximum size in bytes of an object in one PUT, according to the specification of
+// the object API.
 const maxObject = 5 << 30
 
-// receiveBody buffers the request's body, or executes the operation at once if the body is streamed.
+// receiveBody validates the headers that describe the request body. It then starts to buffer the body.
+// If the operation can stream its body, and the body is larger than limits.replay or of unknown length,
+// receiveBody executes the operation at once instead.
 func (t *transaction) receiveBody(r *http1.Request, auth *sigv4.Auth) {
 	limits := t.conn.worker.gateway.cfg.Limits
 	if !r.HasLength && !r.Chunked && t.op.Kind != objectapi.CreateBucket {
@@ -44,7 +47,8 @@
 
 // startBuffering reads the body into memory and then executes the operation.
 func (t *transaction) startBuffering(r *http1.Request) {
-	// r refers to the input buffer, which is reused before the body is complete.
+	// The fields of r point into the input buffer, which is reused before the body is complete, so
+	// they are copied here.
 	request := &http1.Request{Method: []byte(t.method), Target: []byte(string(r.Target)), Headers: r.Headers.Clone()}
 	t.onBody = func(t *transaction) { t.execute(request) }
 	if t.body.Length > 0 {
@@ -58,7 +62,8 @@
 	}
 }
 
-// bufferBody reads a part of a body into memory.
+// bufferBody reads a part of a request body into memory, and returns the number of bytes consumed.
+// Once the body is complete it calls the transaction's onBody function.
 func (c *clientConn) bufferBody(b []byte) int {
 	t := c.current
 	used, done, err := t.body.Feed(b, func(p []byte) { t.buffered = append(t.buffered, p...) })
@@ -79,7 +84,7 @@
 	return used
 }
 
-// sendContinue sends 100 Continue if the client waits for it.
+// sendContinue sends the interim response 100 Continue if the client waits for it.
 func (t *transaction) sendContinue() {
 	if t.continuePending {
 		t.continuePending = false
@@ -87,7 +92,8 @@
 	}
 }
 
-// rejectInvalidBody responds to a body that does not match its head.
+// rejectInvalidBody rejects a request whose body has invalid HTTP framing or does not match its
+// signature, checksum or length.
 func (t *transaction) rejectInvalidBody(err error) {
 	t.closeConn = true
 	var apiErr *objectapi.Error
--- a/gateway/scatter.go
+++ b/gateway/scatter.go
@@ -11,31 +11,32 @@
 	"chalkstand/internal/objectapi"
 )
 
-// shardResponse is the result of one shard's request in a scatter-gather.
+// shardResponse is the result of the request to one shard of a scatter-gather operation.
 type shardResponse struct {
 	shard      dispatch.Shard
 	kind       resultKind
-	retryAfter time.Duration // of resultRejected
-	timedOut   bool          // of resultFailed
-	status     int           // of resultBuffered
-	document   []byte        // of resultBuffered
+	retryAfter time.Duration // set if kind is resultRejected
+	timedOut   bool          // set if kind is resultFailed and a timeout was the cause
+	status     int           // HTTP status, set if kind is resultBuffered
+	document   []byte        // response body, set if kind is resultBuffered
 }
 
-// scatterGather sends a request to each of several shards, a few at a time, and gathers their results.
+// scatterGather sends a request to each of several shards, a few at a time, and collects their results.
 type scatterGather struct {
 	transaction *transaction
 	shards      []dispatch.Shard
 	newRequest  func(dispatch.Shard) (*nodeRequest, dispatch.Request)
 	done        func([]shardResponse)
-	responses   []shardResponse // as shards
-	next        int             // index of the next shard
-	inFlight    int             // requests without a result
-	starting    bool            // startMore runs
-	finished    bool            // done was called
+	responses   []shardResponse // results, in the order of shards
+	next        int             // index in shards of the next request to start
+	inFlight    int             // number of started requests that have no result yet
+	starting    bool            // startMore is running
+	finished    bool            // done has been called
 }
 
-// scatter sends a request to each shard, limits.fan_out at a time, and calls done with their results in
-// the order of shards. It does not call done if the transaction has its response before.
+// scatter sends a request to each shard, at most limits.fan_out at a time. When all have results, it
+// calls done with the results in the order of shards. It does not call done if the transaction has
+// already responded by then.
 func (t *transaction) scatter(
 	shards []dispatch.Shard,
 	newRequest func(dispatch.Shard) (*nodeRequest, dispatch.Request),
@@ -51,8 +52,9 @@
 	s.startMore()
 }
 
-// startMore starts as many requests as the limit allows. A nested call, by a result that comes at once, leaves
-// them to the outer one.
+// startMore starts as many requests as limits.fan_out allows, and calls done after the last result. If a
+// result arrives while startMore is starting requests, the nested call returns at once and the outer
+// call starts the next request.
 func (s *scatterGather) startMore() {
 	if s.starting {
 		return
@@ -79,6 +81,8 @@
 	}
 }
 
+// newShardResponse converts a node's result to the shard's response. It copies the document, which is
+// valid only until onResult returns.
 func newShardResponse(shard dispatch.Shard, r nodeResult) shardResponse {
 	response := shardResponse{shard: shard, kind: r.kind, retryAfter: r.retryAfter, timedOut: r.timedOut}
 	if r.kind == resultBuffered {
@@ -88,8 +92,9 @@
 	return response
 }
 
-// requireAll reports whether all shards have responded with one of the statuses. If not, it responds with an
-// error: a part of the result must not pass for the whole.
+// requireAll reports whether all shards have responded with one of the given statuses. If not, it
+// responds to the client with an error, because the client could mistake a partial result for the
+// complete one.
 func (t *transaction) requireAll(responses []shardResponse, statuses ...int) bool {
 	var retryAfter time.Duration
 	worst := resultBuffered
@@ -128,7 +133,8 @@
 	return true
 }
 
-// newShardRequest returns a request to one shard, for an operation on a bucket or on none.
+// newShardRequest returns the node request for an operation on one shard, with the matching request to
+// the dispatcher. The bucket is empty if the operation has none.
 func (t *transaction) newShardRequest(
 	kind objectapi.Kind,
 	method, bucket string,
@@ -150,7 +156,8 @@
 	}, d
 }
 
-// scatterBucket sends the same request for the operation's bucket, without a body, to each shard.
+// scatterBucket sends the same request to each shard. The request is for the operation's bucket and has
+// no body.
 func (t *transaction) scatterBucket(
 	shards []dispatch.Shard,
 	kind objectapi.Kind,
--- a/gateway/span.go
+++ b/gateway/span.go
@@ -8,19 +8,22 @@
 )
 
 const (
-	// minContendedWait is how long a request must wait for the event loop for its contenders to be
-	// recorded, which costs more than the rest of its attribution.
+	// minContendedWait is the shortest wait for the event loop for which the gateway records the
+	// volumes that the request waited behind. Recording them costs more than the rest of the
+	// request's attribution.
 	minContendedWait = time.Millisecond
-	// minDeliveryPoll is the shortest interval of watchDelivery.
+	// minDeliveryPoll is the shortest interval at which watchDelivery polls.
 	minDeliveryPoll = time.Millisecond
-	// deliveryPollRatio is the time that a delivery takes, to watchDelivery's interval.
+	// deliveryPollRatio is the time that a delivery has taken so far, divided by the interval at
+	// which watchDelivery polls.
 	deliveryPollRatio = 16
 )
 
 // now returns the time since the gateway was built.
 func (t *transaction) now() time.Duration { return t.conn.worker.gateway.core.now() }
 
-// startSpan starts the transaction's span at the time when its head began to wait for the event loop.
+// startSpan starts the transaction's span. The span begins when the request's head began to wait for
+// the event loop.
 func (t *transaction) startSpan() {
 	c := t.conn
 	w := c.worker
@@ -35,8 +38,9 @@
 	}
 }
 
-// recordContenders records behind which other volumes the request has waited for the event loop. Time
-// that is no volume's, such as polling, or not remembered has no name.
+// recordContenders records the other volumes that the request waited behind for the event loop. A
+// contribution without a volume name stands for time that no volume used, such as polling, and for
+// time that the loop no longer remembers.
 func (t *transaction) recordContenders(waited time.Duration) {
 	c := t.conn
 	w := c.worker
@@ -56,14 +60,15 @@
 	t.span.WaitedBehind(contributions)
 }
 
-// enterComponent attributes the time from now on to a component.
+// enterComponent attributes the transaction's time from now on to the component c.
 func (t *transaction) enterComponent(c attribution.Component) {
 	if t.conn.worker.gateway.attribution != nil {
 		t.span.Enter(t.now(), c)
 	}
 }
 
-// requestAttributed adds the attribution of a node request to its transaction's span.
+// requestAttributed handles the forwarder's report of how the time of a node request divides. It adds
+// this attribution to the span of the request's transaction.
 func (w *loopWorker) requestAttributed(a forwarder.RequestAttributed) {
 	r := w.requests[a.ID]
 	if r == nil {
@@ -71,7 +76,7 @@
 		delete(w.unattributed, a.ID)
 	}
 	if r == nil || r.transaction == nil {
-		return // cannot happen: a request is known until it is attributed
+		return // cannot happen: the worker keeps a request until it is attributed
 	}
 	t := r.transaction
 	if t.attributed {
@@ -90,7 +95,8 @@
 	}
 }
 
-// endSpan ends the span of a transaction that used nodes, and batches its entry.
+// endSpan ends the span of a transaction that has started node requests, and adds the span's entry to
+// the batch for the attribution worker. Further calls have no effect.
 func (t *transaction) endSpan() {
 	w := t.conn.worker
 	if w.gateway.attribution == nil || t.attributed || !t.usedNodes {
@@ -104,9 +110,10 @@
 	w.addEntry(t.span.End(t.now(), name, t.outcome))
 }
 
-// endSpanWhenDelivered ends the span of a transaction whose response has been written, once the client has
-// received what is still buffered here. If the client has stalled the response before, what
-// is buffered in the kernel counts, too: it may be megabytes. The client's own buffers are not seen.
+// endSpanWhenDelivered ends the span of a transaction whose response has been written, as soon as the
+// gateway's write buffer is empty. If the client has stalled the response before, the span ends only
+// when the kernel's send buffer is empty too, because this buffer may hold megabytes. The gateway
+// cannot see how much data the client's own buffers hold.
 func (t *transaction) endSpanWhenDelivered() {
 	c := t.conn
 	if c.worker.gateway.attribution == nil || !t.usedNodes {
@@ -123,8 +130,9 @@
 	}
 }
 
-// watchDelivery polls whether the client has received the response. The interval grows with the time
-// since the response was written, so that the end is found within a sixteenth of it.
+// watchDelivery polls until the client has received the response, and then ends the span. The interval
+// grows with the time since the response was written, so the poll detects the end of the delivery
+// within a sixteenth of that time.
 func (c *clientConn) watchDelivery(t *transaction, since time.Duration) {
 	interval := max((t.now()-since)/deliveryPollRatio, minDeliveryPoll)
 	loop := c.worker.loop
@@ -141,7 +149,8 @@
 	})
 }
 
-// previousWritten is called when all bytes have been passed to the kernel.
+// previousWritten ends the span of the previous transaction when the kernel has accepted all bytes of
+// its response. If the client has stalled that response, watchDelivery ends the span instead.
 func (c *clientConn) previousWritten() {
 	if c.previous != nil && !c.previous.wasStalled {
 		c.endPreviousSpan()
@@ -156,8 +165,8 @@
 	}
 }
 
-// endSpanWhenAttributed ends the span of a transaction whose client has left, once all of its node requests
-// have been attributed.
+// endSpanWhenAttributed ends the span of a transaction whose client has disconnected. If some of its
+// node requests have not been attributed, requestAttributed ends the span after the last of them.
 func (t *transaction) endSpanWhenAttributed() {
 	t.clientGone = true
 	if t.openRequests <= 0 {
@@ -165,11 +174,11 @@
 	}
 }
 
-// stopwatch sums the times between start and stop.
+// stopwatch sums the periods between calls of start and stop.
 type stopwatch struct {
-	since   time.Duration
+	since   time.Duration // when the current period started; valid while running
 	running bool
-	sum     time.Duration
+	sum     time.Duration // total of the completed periods
 }
 
 func (s *stopwatch) start(now time.Duration) {
@@ -186,7 +195,7 @@
 	}
 }
 
-// reset stops the stopwatch, sets it to zero, and returns the sum that it had.
+// reset stops the stopwatch, sets its sum to zero, and returns the sum from before the reset.
 func (s *stopwatch) reset(now time.Duration) time.Duration {
 	s.stop(now)
 	sum := s.sum
--- a/gateway/upload.go
+++ b/gateway/upload.go
@@ -8,23 +8,24 @@
 	"chalkstand/internal/objectapi"
 )
 
-// upload streams a client's body to a node. The node gets the last byte, or the end of the chunks, only
-// when the whole body has been verified; so it never holds an invalid body that is complete.
+// upload streams the body of a client's request to a node. The gateway sends the last byte, or the last
+// chunk, only after it has verified the whole body. A node therefore never holds a complete body that
+// is invalid.
 type upload struct {
 	transaction *transaction
 	request     *nodeRequest
-	conn        *nodeConn // nil until the request has been sent
-	chunked     bool      // chunked transfer coding to the node
-	trailer     string    // name of the checksum's trailer field; empty: none
-	heldByte    []byte    // the last byte, unless chunked
-	streaming   bool      // BodyStreaming has been reported
+	conn        *nodeConn // nil until the request's head has been sent
+	chunked     bool      // the body is sent to the node in the chunked transfer coding
+	trailer     string    // name of the trailer field with the checksum; empty if there is none
+	heldByte    []byte    // the last byte of the body, held back until verification; unused if chunked
+	streaming   bool      // the event BodyStreaming has been passed to the forwarder
 
-	startedAt  time.Duration // 0: not yet
-	receivedAt time.Duration // when the client had sent all; 0: not yet
-	nodeStall  stopwatch     // while the node does not read
+	startedAt  time.Duration // when streaming started; 0 until then
+	receivedAt time.Duration // when the last byte arrived from the client; 0 until then
+	nodeStall  stopwatch     // sums the time during which the node does not read
 }
 
-// startBody starts to stream. It implements bodySource.
+// startBody starts to stream the client's body to the connection n. It implements bodySource.
 func (u *upload) startBody(n *nodeConn) {
 	u.conn = n
 	c := u.transaction.conn
@@ -35,7 +36,8 @@
 	c.conn.Redeliver()
 }
 
-// bodyDrained continues after the node has read what was sent. It implements bodySource.
+// bodyDrained resumes reading from the client once the kernel has accepted all bytes written to the
+// node. It implements bodySource.
 func (u *upload) bodyDrained() {
 	if c := u.transaction.conn; c.state == stateUploading {
 		c.lastProgress = c.worker.now()
@@ -44,14 +46,15 @@
 	}
 }
 
-// attached reports whether the connection still carries the upload's request.
+// attached reports whether the upload's node connection still carries the upload's request.
 func (u *upload) attached() bool { return u.conn != nil && u.conn.request == u.request }
 
-// feed processes a part of the body as the client sent it, and returns the number of bytes consumed.
+// feed decodes and verifies a part of the body as the client sent it, and forwards the result to the
+// node. It returns the number of bytes consumed.
 func (u *upload) feed(b []byte) int {
 	t := u.transaction
 	c := t.conn
-	if !u.attached() { // the attempt has ended, and its result is to come
+	if !u.attached() { // the attempt has ended, and the request's result follows
 		c.conn.Pause()
 		return 0
 	}
@@ -76,7 +79,8 @@
 	return used
 }
 
-// forward sends a part of the body to the node, and keeps back the last byte unless chunked.
+// forward sends a decoded part of the body to the node. Unless the body is sent in chunks, it holds back
+// the last byte of the body for finish.
 func (u *upload) forward(p []byte) {
 	if u.chunked {
 		w := u.transaction.conn.worker
@@ -96,7 +100,7 @@
 	}
 }
 
-// finish sends the end of a body that has been verified.
+// finish sends the end of the body to the node after the whole body has been verified.
 func (u *upload) finish() {
 	t := u.transaction
 	t.bodyComplete = true
@@ -114,14 +118,15 @@
 	u.conn.bodySent()
 }
 
-// abort aborts the node request of a body that is invalid or has stalled.
+// abort aborts the node request because the client's body is invalid or has stalled.
 func (u *upload) abort() {
 	w := u.transaction.conn.worker
 	w.moveToUnattributed(u.request)
 	w.handle(forwarder.AbortRequest{ID: u.request.id})
 }
 
-// clientTime returns how long the body was read at the client's pace, until now at most.
+// clientTime returns how long the upload has waited for the client's body, up to the time now. It leaves
+// out the time during which the node did not read.
 func (u *upload) clientTime(now time.Duration) time.Duration {
 	if u.startedAt == 0 {
 		return 0
@@ -132,8 +137,9 @@
 	return max(0, now-u.startedAt-u.nodeStall.reset(now))
 }
 
-// checkTimeout closes the connection of a node that has stopped reading, or rejects the body of a client
-// that has stopped sending. waited is the time since the last progress.
+// checkTimeout enforces limits.client_body on the upload. If the node has stopped reading, it aborts the
+// node's connection. If the client has stopped sending, it rejects the request. The parameter waited is
+// the time since the last progress.
 func (u *upload) checkTimeout(waited time.Duration) {
 	t := u.transaction
 	switch {
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -13,7 +13,7 @@
 	"chalkstand/internal/settings"
 )
 
-// loopOptions returns an event loop's options. Its clock is now.
+// loopOptions returns the options of an event loop that uses the function now as its clock.
 func loopOptions(s *settings.Settings, now func() time.Duration) eventloop.Options {
 	share := s.Share
 	return eventloop.Options{
@@ -30,7 +30,9 @@
 	}
 }
 
-// usageRegistry holds what joins a volume's flows on all loops. It is used once per volume and worker.
+// usageRegistry holds the shared usage of each volume, through which the event loops schedule the flows
+// of one volume together. Each worker asks for a volume's shared usage once, when it creates the
+// volume.
 type usageRegistry struct {
 	mu       sync.Mutex
 	byVolume map[string]*fairshare.SharedUsage
@@ -55,7 +57,7 @@
 	return u
 }
 
-// chargedVolume returns the volume that a transaction's work is charged to.
+// chargedVolume returns the volume to which the work of a transaction is charged.
 func (w *loopWorker) chargedVolume(t *transaction) *volume {
 	if t.volume == nil {
 		return w.gatewayVolume
@@ -63,8 +65,9 @@
 	return t.volume
 }
 
-// rateLimitDelay returns after which time a new request is to be retried because its volume's byte rate
-// would delay each body for longer than share.max_wait. 0: it is accepted.
+// rateLimitDelay returns the time after which the client should retry a new request, or 0 if the
+// request is accepted. A request is not accepted if the volume's byte rate would delay its body for
+// longer than share.max_wait.
 func (w *loopWorker) rateLimitDelay(v *volume) time.Duration {
 	if wait := w.loop.Delay(v.flow, w.gateway.cfg.Share.Quantum); wait > w.gateway.cfg.Share.MaxWait.D() {
 		return wait
@@ -72,19 +75,19 @@
 	return 0
 }
 
-// VolumeUsage is what a volume has used of the event loops since they first served it, and what
-// of it is waiting.
+// VolumeUsage describes how much of the event loops a volume has used since they first served it, and
+// how many of its connections and responses are waiting.
 type VolumeUsage struct {
 	Volume      string        `json:"volume"`
 	Weight      float64       `json:"weight"`
-	LoopTime    time.Duration `json:"loops_ns"` // time, or bytes at share.byte_time
-	Bytes       int64         `json:"bytes"`    // read from clients and nodes
-	Waiting     int           `json:"waits"`    // connections that wait to be served
+	LoopTime    time.Duration `json:"loops_ns"` // loop time used; at least share.byte_time for each byte
+	Bytes       int64         `json:"bytes"`    // bytes read from clients and nodes
+	Waiting     int           `json:"waits"`    // connections that wait for a time slice
 	Streams     int           `json:"streams"`  // responses that wait for a grant of their node's gate
-	RateLimited bool          `json:"paced"`    // waiting for its byte rate on some loop
+	RateLimited bool          `json:"paced"`    // the volume's byte rate delays it on at least one loop
 }
 
-// plus returns the sum of a volume's usage on two loops, with the weight of u.
+// plus returns the sum of a volume's usage on two loops. The sum has the volume name and weight of u.
 func (u VolumeUsage) plus(other VolumeUsage) VolumeUsage {
 	u.LoopTime += other.LoopTime
 	u.Bytes += other.Bytes
@@ -94,8 +97,8 @@
 	return u
 }
 
-// VolumeUsage returns the usage of all volumes in the order of their names; nil once the gateway is
-// closed.
+// VolumeUsage returns the usage of all volumes in the order of their names. It returns nil once the
+// gateway is closed.
 func (g *Gateway) VolumeUsage() []VolumeUsage {
 	parts := make(chan map[string]VolumeUsage, len(g.workers))
 	for _, w := range g.workers {
@@ -120,7 +123,7 @@
 	return all
 }
 
-// volumeUsage returns the usage on this loop by volume.
+// volumeUsage returns the usage of each volume on this worker's loop, by volume name.
 func (w *loopWorker) volumeUsage() map[string]VolumeUsage {
 	byVolume := map[string]VolumeUsage{}
 	w.loop.Flows(func(f *eventloop.Flow) {
@@ -146,7 +149,8 @@
 	return byVolume
 }
 
-// VolumeUsageHandler serves VolumeUsage as JSON: {"loops": n, "shares": [...]}.
+// VolumeUsageHandler returns a handler that serves the result of VolumeUsage as JSON, in the form
+// {"loops": n, "shares": [...]}.
 func (g *Gateway) VolumeUsageHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, struct {
@@ -156,7 +160,8 @@
 	})
 }
 
-// writeJSON writes a JSON document. It ignores errors, which mean that the client has left.
+// writeJSON writes v as a JSON document. It ignores write errors, because they mean that the client has
+// disconnected.
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
