--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Clients leave backoff in the order of their times; a removed one does not, and one that is in
-// backoff already keeps its time.
+// TestBackoffQueue checks that connections leave the queue in the order of their retry times. A removed
+// connection must not leave it, and a connection that is added again must keep its first time.
 func TestBackoffQueue(t *testing.T) {
 	var q backoffQueue
 	all := make([]*clientConn, 50)
@@ -23,12 +23,12 @@
 	n := 0
 	for c := q.popDue(49); c != nil; c = q.popDue(49) {
 		if c.backoff.until < last || c.inBackoff() {
-			t.Fatalf("%v after %v", c.backoff.until, last)
+			t.Fatalf("popped a client due at %v after one due at %v; want ascending times and clients out of backoff", c.backoff.until, last)
 		}
 		last = c.backoff.until
 		n++
 	}
 	if n != 33 || q.Len() != 0 {
-		t.Errorf("%d left backoff, %d are in it", n, q.Len())
+		t.Errorf("clients popped = %d, clients still queued = %d, want 33 and 0", n, q.Len())
 	}
 }
--- a/gateway/core_test.go
+++ b/gateway/core_test.go
@@ -8,8 +8,8 @@
 	"chalkstand/forwarder"
 )
 
-// BenchmarkHandOver compares ways to pass an event to the owner of the decisions: the lock that is used,
-// and a goroutine with a channel.
+// BenchmarkHandOver compares two ways to pass an event to the forwarder: under a lock, as core does, and
+// through a channel to a goroutine.
 func BenchmarkHandOver(b *testing.B) {
 	f := newTestForwarder(b)
 	b.Run("lock", func(b *testing.B) {
@@ -46,6 +46,7 @@
 	return f
 }
 
+// benchmarkGoroutine measures a goroutine that owns the forwarder and receives events through a channel.
 func benchmarkGoroutine(b *testing.B, f *forwarder.Forwarder) {
 	b.Helper()
 	type request struct {
--- a/gateway/export_test.go
+++ b/gateway/export_test.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Overload puts a volume into overload on the first worker, and stops its loop until release
-// is called.
+// Overload makes the first worker's overload controller treat a volume as overloaded, and blocks the
+// worker's loop until the caller calls release.
 func (g *Gateway) Overload(volume string) (release func()) {
 	stopped, resume := make(chan struct{}), make(chan struct{})
 	w := g.workers[0]
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -97,7 +97,7 @@
 	g.metrics = newMetrics(g)
 	if g.registry != nil {
 		if err := g.registry.Register(g.metrics); err != nil {
-			return nil, fmt.Errorf("gateway: metrics: %w", err)
+			return nil, fmt.Errorf("gateway: register metrics: %w", err)
 		}
 	}
 	for i := range cfg.LoopCount() {
--- a/gateway/listen_test.go
+++ b/gateway/listen_test.go
@@ -11,7 +11,7 @@
 	kit "chalkstand/internal/testkit"
 )
 
-// serveTimeout is how long Serve may take to return.
+// serveTimeout is the maximum time that Serve may take to return.
 const serveTimeout = 10 * time.Second
 
 func newTestGateway(t *testing.T) *gateway.Gateway {
@@ -22,29 +22,31 @@
 	return kit.Must(gateway.New(s))(t)
 }
 
-// serveInBackground returns the listener's address and a channel with what Serve returned.
+// serveInBackground runs Serve with a new listener. It returns the listener's address and a channel that
+// receives the error that Serve returns.
 func serveInBackground(ctx context.Context, t *testing.T, g *gateway.Gateway) (string, chan error) {
 	t.Helper()
 	ln := kit.Must(gateway.Listen("127.0.0.1:0"))(t)
-	addr := ln.Addr().String() // Serve takes the listener over
+	addr := ln.Addr().String() // read before Serve takes ownership of the listener
 	returned := make(chan error, 1)
 	go func() { returned <- g.Serve(ctx, ln) }()
 	return addr, returned
 }
 
+// expectReturn checks that Serve returns nil within serveTimeout.
 func expectReturn(t *testing.T, returned <-chan error) {
 	t.Helper()
 	select {
 	case err := <-returned:
 		if err != nil {
-			t.Errorf("Serve: %v", err)
+			t.Errorf("Serve returned %v, want nil", err)
 		}
 	case <-time.After(serveTimeout):
 		t.Fatalf("Serve has not returned after %v", serveTimeout)
 	}
 }
 
-// dialUntil opens connections to an address until the channel is closed.
+// dialUntil opens connections to an address, one after the other, until the channel ended is closed.
 func dialUntil(ctx context.Context, addr string, ended <-chan struct{}) {
 	for {
 		select {
@@ -63,8 +65,8 @@
 	}
 }
 
-// Serve returns wherever Close meets its start, with clients that dial meanwhile, and no connection
-// that was accepted by then is left open.
+// TestServeReturnsWhenClosedDuringStart calls Close at various moments while Serve starts and clients
+// dial. Serve must return, and no accepted connection may stay open.
 func TestServeReturnsWhenClosedDuringStart(t *testing.T) {
 	const rounds = 200
 	openBefore := testfd.Count(t)
@@ -88,8 +90,8 @@
 	testfd.Await(t, openBefore)
 }
 
-// After Serve has returned because its context ended, its listener is closed. The gateway can serve
-// on another.
+// TestServeClosesListenerWhenContextEnds checks that the listener is closed after the end of the context
+// has made Serve return. The gateway must then be able to serve on another listener.
 func TestServeClosesListenerWhenContextEnds(t *testing.T) {
 	g := newTestGateway(t)
 	defer g.Close()
@@ -97,13 +99,13 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		addr, returned := serveInBackground(ctx, t, g)
 		if status := kit.Get(t, "http://"+addr+"/").Status; status != 403 {
-			t.Errorf("unsigned request: %d", status)
+			t.Errorf("status of an unsigned request = %d, want 403", status)
 		}
 		cancel()
 		expectReturn(t, returned)
 		if conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addr); err == nil {
 			conn.Close()
-			t.Error("the listener still accepts")
+			t.Error("dialing the listener after Serve returned succeeded, want an error")
 		}
 	}
 }
--- a/gateway/newfails_test.go
+++ b/gateway/newfails_test.go
@@ -10,7 +10,8 @@
 	kit "chalkstand/internal/testkit"
 )
 
-// A gateway that cannot be built for want of descriptors leaves none of its event loops open.
+// TestFailedNewLeavesNothingOpen checks that New closes the event loops that it has already opened when
+// it fails for lack of file descriptors.
 func TestFailedNewLeavesNothingOpen(t *testing.T) {
 	var oldLimit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &oldLimit); err != nil {
@@ -30,7 +31,7 @@
 	}
 	if err == nil {
 		g.Close()
-		t.Fatal("New succeeded with 20 descriptors for 64 loops")
+		t.Fatal("New succeeded with 20 free descriptors for 64 loops, want an error")
 	}
 	testfd.Await(t, openFiles)
 }
--- a/gateway/nodetiming_test.go
+++ b/gateway/nodetiming_test.go
@@ -26,7 +26,7 @@
 	} {
 		queue, work, found := readTiming(timingHeaders(header))
 		if queue != want[0] || work != want[1] || found != (queue+work > 0) {
-			t.Errorf("%q: %v %v %v", header, queue, work, found)
+			t.Errorf("readTiming(%q): got queue %v, work %v, found %v, want the times in the test table", header, queue, work, found)
 		}
 	}
 }
@@ -35,7 +35,7 @@
 	n := 0
 	eachTiming(timingHeaders(strings.Repeat("queue;dur=1,", 1000)), func(timingMetric) { n++ })
 	if n != maxTimingMetrics {
-		t.Errorf("%d metrics were read", n)
+		t.Errorf("eachTiming read %d metrics, want maxTimingMetrics", n)
 	}
 }
 
@@ -50,7 +50,7 @@
 		"gw/18446744073709551615/3": true,
 	} {
 		if _, _, _, ok := parseAttemptID([]byte(id)); ok != want {
-			t.Errorf("%q: %v", id, ok)
+			t.Errorf("parseAttemptID(%q): got ok %v, want the opposite", id, ok)
 		}
 	}
 }
--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -13,10 +13,10 @@
 	kit "chalkstand/internal/testkit"
 )
 
-// clientTimeout bounds the wait for a response.
+// clientTimeout is the maximum time that a test client waits for a response.
 const clientTimeout = 20 * time.Second
 
-// testClient is a connection that requests the same object again and again.
+// testClient is a client connection on which each request reads the same object.
 type testClient struct {
 	net.Conn
 	reader *bufio.Reader
@@ -50,8 +50,9 @@
 	return kit.ReadResponse(t, c.reader)
 }
 
-// overloadSettings returns settings of one loop with overload control; retryAfter 0 turns it off.
-// Under them no other component rejects requests within clientTimeout, however busy the machine is.
+// overloadSettings returns settings for a gateway with one event loop and overload control. If
+// retryAfter is 0, overload control is off. With these settings no other component rejects requests
+// within clientTimeout, however busy the machine is.
 func overloadSettings(retryAfter time.Duration) settings.Settings {
 	s := kit.Settings(1)
 	s.Loops = 1
@@ -64,9 +65,9 @@
 			MaxBack:  settings.Duration(2 * retryAfter),
 		}
 	}
-	// With one attempt per request the dispatcher does not cancel attempts that it presumes lost because
-	// the node was slow, and so does not reject requests when the retry budget is spent. Latency
-	// objectives beyond clientTimeout keep it from shedding load.
+	// With one attempt per request, the dispatcher does not cancel attempts that it presumes lost because
+	// the node was slow. It therefore does not reject requests when the retry budget is spent. Latency
+	// objectives longer than clientTimeout keep the dispatcher from shedding load.
 	s.Rules.MaxAttempts = 1
 	s.Limits.Connect = settings.Duration(3 * clientTimeout)
 	for i := range s.Classes {
@@ -76,8 +77,9 @@
 	return s
 }
 
-// startOverloaded starts a site whose volume photos is overloaded, with so many clients whose requests
-// are all waiting when its loop goes on.
+// startOverloaded starts a site whose volume photos is overloaded. It blocks the gateway's loop until
+// each of the given number of clients has sent a request, so all of these requests are waiting when the
+// loop continues. If overload control is off, every second client reads from the bucket loans.
 func startOverloaded(
 	t *testing.T,
 	s settings.Settings,
@@ -99,7 +101,7 @@
 		}
 		all = append(all, dialTestClient(t, site.Addr, path))
 	}
-	for _, c := range all { // assigns the connection to its volume
+	for _, c := range all { // the first request assigns the connection to its volume
 		c.sendRequest(t, kit.Secret)
 		if resp := c.readResponse(t); resp.Status != http.StatusOK {
 			t.Fatal(resp)
@@ -113,8 +115,9 @@
 	return site, all
 }
 
-// Of two requests that arrive together the one that had to wait is rejected before its signature is
-// checked, with a retry time; the one that did not wait is checked.
+// TestOverloadRejectsBeforeSignatureCheck sends two requests with a wrong signature that arrive
+// together. The request that had to wait must be rejected with a retry time before its signature is
+// checked. The signature of the request that did not wait must be checked.
 func TestOverloadRejectsBeforeSignatureCheck(t *testing.T) {
 	_, all := startOverloaded(t, overloadSettings(time.Second), 2, "a wrong secret")
 	headers := map[int]http.Header{}
@@ -123,12 +126,13 @@
 		headers[resp.Status] = resp.Header
 	}
 	if headers[http.StatusForbidden] == nil || headers[http.StatusServiceUnavailable].Get("Retry-After") == "" {
-		t.Errorf("%v", headers)
+		t.Errorf("response headers by status = %v, want one status 403 and one 503 with Retry-After", headers)
 	}
 }
 
-// A rejected client that retries before its retry time gets no response until then, and is served
-// afterwards. One that leaves meanwhile is forgotten.
+// TestRejectedClientWaitsForItsRetryTime checks clients that retry before the retry time of their
+// rejection. They must get no response until the retry time, and must be served after it. A client that
+// disconnects during its backoff must not disturb the others.
 func TestRejectedClientWaitsForItsRetryTime(t *testing.T) {
 	const retryAfter = 200 * time.Millisecond
 	_, all := startOverloaded(t, overloadSettings(retryAfter), 8, kit.Secret)
@@ -140,7 +144,7 @@
 	}
 	rejectedAt := time.Now()
 	if len(rejected) < 2 {
-		t.Fatalf("%d rejected", len(rejected))
+		t.Fatalf("requests rejected = %d, want at least 2", len(rejected))
 	}
 	if err := rejected[0].Close(); err != nil {
 		t.Fatal(err)
@@ -151,17 +155,18 @@
 	for i, c := range rejected[1:] {
 		resp := c.readResponse(t)
 		if i == 0 && time.Since(rejectedAt) < retryAfter/2-20*time.Millisecond {
-			t.Errorf("response after %v", time.Since(rejectedAt))
+			t.Errorf("got the first response %v after the rejections, want at least half the retry time less 20ms", time.Since(rejectedAt))
 		}
-		for resp.Status == http.StatusServiceUnavailable { // it waited behind another that retried
+		for resp.Status == http.StatusServiceUnavailable { // the retry waited behind another client's retry
 			c.sendRequest(t, kit.Secret)
 			resp = c.readResponse(t)
 		}
 	}
 }
 
-// Of a hundred requests that arrive together the last wait for the loop behind the first: their
-// attribution says so, names the other volume, and sums to their latency.
+// TestEventLoopWaitIsAttributed sends a hundred requests that arrive together, so the last requests wait
+// for the loop behind the first. The attribution must record this wait and name the other volume, and
+// its parts must sum to the latency of each request.
 func TestEventLoopWaitIsAttributed(t *testing.T) {
 	const clients = 100
 	received := make(chan attribution.Entry, 4*clients)
@@ -172,7 +177,7 @@
 			t.Error(resp)
 		}
 	}
-	if err := site.Gateway.Close(); err != nil { // flushes the entries
+	if err := site.Gateway.Close(); err != nil { // Close flushes the attribution entries
 		t.Error(err)
 	}
 	close(received)
@@ -184,20 +189,21 @@
 		behindPhotos += checkEntry(t, e)
 	}
 	if entries != 2*clients || waited == 0 || behindPhotos == 0 {
-		t.Errorf("%d entries, waited %v, %v of it behind photos by loans", entries, waited, behindPhotos)
+		t.Errorf("got %d entries, %v of event loop wait, %v behind photos; want 200 entries and both times above 0", entries, waited, behindPhotos)
 	}
 }
 
-// checkEntry checks the sums of an entry, and returns how long it waited behind the volume photos.
+// checkEntry checks the sums of an attribution entry. It returns how long the entry's request waited
+// behind the volume photos.
 func checkEntry(t *testing.T, e attribution.Entry) time.Duration {
 	t.Helper()
 	if e.Parts.Total() != e.Ended-e.Started {
-		t.Errorf("%v of %v", e.Parts.Total(), e.Ended-e.Started)
+		t.Errorf("parts of the entry sum to %v, want the entry's duration %v", e.Parts.Total(), e.Ended-e.Started)
 	}
 	var sum, behindPhotos time.Duration
 	for _, b := range e.Behind {
 		if b.Volume == e.Volume {
-			t.Errorf("%s waited behind itself", e.Volume)
+			t.Errorf("volume %s is recorded as waiting behind itself, want other volumes only", e.Volume)
 		}
 		sum += b.Time
 		if b.Volume == "photos" {
@@ -207,14 +213,15 @@
 	if loopWait := e.Parts[attribution.EventLoop]; loopWait > 0 {
 		queued := loopWait + e.Parts[attribution.QueuedBehindOthers] + e.Parts[attribution.NodeQueue]
 		if sum > queued {
-			t.Errorf("waited %v behind others, of %v in queues", sum, queued)
+			t.Errorf("recorded wait behind other volumes = %v, want at most the time in queues, %v", sum, queued)
 		}
 	}
 	return behindPhotos
 }
 
-// A request whose client has left when it is its turn is not started, nor is its body taken for
-// another request.
+// TestRequestOfClosedClientIsNotStarted checks a request whose client has closed its side before the
+// gateway reads the request. The gateway must neither send the request to a node, nor respond to it, nor
+// take any of its bytes for another request.
 func TestRequestOfClosedClientIsNotStarted(t *testing.T) {
 	site, all := startOverloaded(t, overloadSettings(0), 1, kit.Secret)
 	c := all[0]
@@ -230,9 +237,9 @@
 		t.Fatal(err)
 	}
 	if b, err := c.reader.Peek(1); err == nil {
-		t.Errorf("response: %q", b)
+		t.Errorf("got response bytes %q, want the connection to end without a response", b)
 	}
 	if n := len(site.Log()) - before; n != 0 {
-		t.Errorf("%d requests at the node", n)
+		t.Errorf("the node received %d requests, want 0", n)
 	}
 }
--- a/gateway/serve_test.go
+++ b/gateway/serve_test.go
@@ -8,7 +8,7 @@
 	kit "chalkstand/internal/testkit"
 )
 
-// Serve returns where the gateway is closed before its listener is in use.
+// TestServeReturnsAfterClose checks that Serve returns if the gateway was closed before Serve is called.
 func TestServeReturnsAfterClose(t *testing.T) {
 	const returnTimeout = 5 * time.Second
 	s := kit.Settings(1)
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -38,8 +38,8 @@
 	byVolume map[string]*fairshare.SharedUsage
 }
 
-// shared returns the shared usage of a volume. It returns nil for volumes beyond share.flows, which
-// are scheduled on each loop separately.
+// sharedUsage returns the shared usage of a volume. Once share.flows volumes have one, it returns nil
+// for any further volume, and each loop then schedules the further volume separately.
 func (r *usageRegistry) sharedUsage(name string, cfg *settings.Settings) *fairshare.SharedUsage {
 	r.mu.Lock()
 	defer r.mu.Unlock()
