--- a/gateway/actions.go
+++ b/gateway/actions.go
@@ -92,7 +92,7 @@
 
 // forwardResponse completes a request with the response that its connection holds.
 func (w *loopWorker) forwardResponse(a forwarder.ForwardResponse) {
-	r := w.remove(a.ID)
+	r := w.removeRequest(a.ID)
 	if r == nil {
 		return
 	}
@@ -106,14 +106,14 @@
 // completeRequest passes the result of a node request to its onResult function, unless the request
 // was canceled.
 func (w *loopWorker) completeRequest(id dispatch.RequestID, result nodeResult) {
-	if r := w.remove(id); r != nil {
+	if r := w.removeRequest(id); r != nil {
 		r.onResult(result)
 	}
 }
 
-// remove removes the node request with this ID, marks it completed, and returns it. It returns nil if
+// removeRequest removes the node request with this ID, marks it completed, and returns it. It returns nil if
 // the worker has no such request.
-func (w *loopWorker) remove(id dispatch.RequestID) *nodeRequest {
+func (w *loopWorker) removeRequest(id dispatch.RequestID) *nodeRequest {
 	r := w.requests[id]
 	if r != nil {
 		delete(w.requests, id)
@@ -149,7 +149,7 @@
 // moveToUnattributed removes a node request that the forwarder is about to cancel or abort. If
 // attribution is on, the worker keeps the request until its attribution arrives.
 func (w *loopWorker) moveToUnattributed(r *nodeRequest) {
-	if w.remove(r.id) != nil && w.gateway.attribution != nil {
+	if w.removeRequest(r.id) != nil && w.gateway.attribution != nil {
 		w.unattributed[r.id] = r
 	}
 }
--- a/gateway/attribution.go
+++ b/gateway/attribution.go
@@ -13,7 +13,7 @@
 // attribution worker. A sweep passes smaller batches.
 const batchSize = 128
 
-// Errors that Gateway.Attribution returns.
+// These errors are returned by Gateway.Attribution.
 var (
 	ErrAttributionOff = errors.New("gateway: no accounts are kept: accounts.on is false in the settings")
 	ErrClosed         = errors.New("gateway: closed")
@@ -29,7 +29,7 @@
 	queries   chan func(time.Duration, *attribution.Collector)
 	onEntry   func(attribution.Entry)
 	onAction  func(attribution.Action)
-	done      chan struct{} // closed when run has returned
+	done      chan struct{} // run closes it when run returns
 }
 
 // newAttributionWorker returns a worker that calls onEntry for each entry, and onAction for each action
--- a/gateway/backoff.go
+++ b/gateway/backoff.go
@@ -20,7 +20,7 @@
 type backoffQueue struct{ clients []*clientConn }
 
 // add puts a connection into backoff until the given time. A connection that is already in backoff
-// keeps its earlier time.
+// keeps the time that it has.
 func (q *backoffQueue) add(c *clientConn, until time.Duration) {
 	if c.inBackoff() {
 		return
--- a/gateway/clientconn.go
+++ b/gateway/clientconn.go
@@ -35,7 +35,7 @@
 	lastProgress time.Time // when the state last changed or the connection last moved a byte
 	headParser   http1.Head
 	request      http1.Request
-	current      *transaction // the transaction without a complete response; nil in stateReading
+	current      *transaction // the transaction in progress; nil in stateReading
 	previous     *transaction // the last transaction, until the client has received its response
 	volume       *volume      // the volume to which the connection's work is charged
 	backoff      backoffEntry
--- a/gateway/core.go
+++ b/gateway/core.go
@@ -18,7 +18,7 @@
 	workers   []*loopWorker
 	timer     *time.Timer
 	start     time.Time
-	done      chan struct{} // closed by stop
+	done      chan struct{} // stop closes it when the gateway is closed
 	stopOnce  sync.Once
 	nonce     string // prefix of the idempotency keys; it is unique to this run of the gateway
 }
@@ -54,7 +54,7 @@
 
 // handle passes an event to the forwarder. The parameter from is the worker on whose loop the
 // caller runs, or nil if the caller runs on no loop. Before handle returns, it applies the actions
-// of that worker. The other workers are woken to apply theirs.
+// of that worker. It also wakes the other workers that have actions to apply.
 func (c *core) handle(from *loopWorker, ev forwarder.Event) {
 	c.mu.Lock()
 	for _, a := range c.forwarder.Handle(c.now(), ev) {
--- a/gateway/flowcontrol.go
+++ b/gateway/flowcontrol.go
@@ -9,9 +9,9 @@
 	"chalkstand/internal/upstreamhttp"
 )
 
-// maxGates is the number of gates from which a worker, before it adds another gate, drops the gates
-// that are idle and unused for limits.node_age. A connection keeps its gate even if the worker has
-// dropped the gate.
+// maxGates is a soft limit on the number of a worker's gates. Before a worker that has this many gates
+// adds another, it drops the gates that are idle and unused for limits.node_age, such as those of nodes
+// that are no longer listed. A connection keeps its gate even if the worker has dropped the gate.
 const maxGates = 1024
 
 // nodeGate is the flow control of the responses that stream from one node to a worker. It lets a few
@@ -23,8 +23,8 @@
 	contended bool // the gate is in the worker's list contendedGates
 }
 
-// gate returns the gate of a node. It creates the gate if the node has none.
-func (w *loopWorker) gate(id dispatch.NodeID) *nodeGate {
+// gateOf returns the gateOf of a node. It creates the gateOf if the node has none.
+func (w *loopWorker) gateOf(id dispatch.NodeID) *nodeGate {
 	if g := w.gates[id]; g != nil {
 		g.lastUsed = w.now()
 		return g
--- a/gateway/nodeconn.go
+++ b/gateway/nodeconn.go
@@ -37,7 +37,7 @@
 	n := &nodeConn{
 		id:     a.Conn,
 		worker: w,
-		gate:   w.gate(a.Node),
+		gate:   w.gateOf(a.Node),
 		reader: upstreamhttp.Reader{Limits: w.httpLimits()},
 	}
 	w.conns[a.Conn] = n
--- a/gateway/nodehead.go
+++ b/gateway/nodehead.go
@@ -12,7 +12,8 @@
 	"chalkstand/internal/sigv4"
 )
 
-// Initial capacities in bytes of the buffers that hold the head of a node request.
+// These constants are the initial capacities, in bytes, of the buffers that hold the head of a node
+// request.
 const (
 	headCapacity    = 512
 	putHeadCapacity = 768
--- a/gateway/noderequest.go
+++ b/gateway/noderequest.go
@@ -20,7 +20,7 @@
 	body        []byte       // the buffered request body, which each attempt sends
 	source      bodySource   // sends a streamed request body; nil if the field body holds the whole body
 	maxBuffered int          // largest response body that is buffered, in bytes
-	sink        responseSink // receives a larger response body; nil if one is a protocol error
+	sink        responseSink // receives a larger response body; nil if a larger body is a protocol error
 	onResult    func(nodeResult)
 
 	volumeRate    float64 // rate limit of the volume's plan, in cost units per second
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -49,7 +49,7 @@
 			closeListeners(listeners[i:])
 		}
 		if errors.Is(err, eventloop.ErrEnded) {
-			return nil // the gateway is closed
+			return nil // Close has stopped the loops, which is a normal end of Serve
 		}
 		if err != nil {
 			return fmt.Errorf("gateway: listener %v: %w", ln.Addr(), err)
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -75,8 +75,8 @@
 	return 0
 }
 
-// VolumeUsage describes how much of the event loops a volume has used since they first served it, and
-// how many of its connections and responses are waiting.
+// VolumeUsage describes how much of the event loops a volume has used since the loops first served the
+// volume, and how many of the volume's connections and responses are waiting.
 type VolumeUsage struct {
 	Volume      string        `json:"volume"`
 	Weight      float64       `json:"weight"`
--- a/gateway/worker.go
+++ b/gateway/worker.go
@@ -11,8 +11,8 @@
 	"chalkstand/internal/http1"
 )
 
-// Names and weight of the flows for work that belongs to no bucket. These names appear in the volume
-// usage and in latency attribution.
+// These constants are the names and the weight of the flows for work that belongs to no bucket. The
+// names appear in the volume usage and in latency attribution.
 const (
 	newcomersVolumeName = "(newcomers)"
 	gatewayVolumeName   = "(gateway)"
@@ -40,15 +40,15 @@
 	contendedGates []*nodeGate // every gate where streams wait, and possibly gates where none wait
 	backoff        backoffQueue
 	batch          attribution.Batch      // entries and reports collected for the attribution worker
-	loopContenders []eventloop.SliceUsage // reused by recordContenders
-	scratch        []byte                 // reused to build heads and chunks
+	loopContenders []eventloop.SliceUsage // buffer that recordContenders reuses
+	scratch        []byte                 // buffer in which HTTP heads and chunks are built
 	coarseNow      time.Time              // time of the last sweep, against which time limits are checked
 	date           string                 // value of the Date header for the second dateSecond
-	dateSecond     int64                  // Unix time of date
+	dateSecond     int64                  // the second for which date was formatted, in Unix time
 
 	actions      []forwarder.Action // actions that applyActions has not taken yet; guarded by core.mu
 	wakePosted   bool               // applyActions is posted to the loop and has not run yet; guarded by core.mu
-	spareActions []forwarder.Action // reused as the next buffer of actions
+	spareActions []forwarder.Action // buffer that applyActions swaps with actions, to reuse its memory
 	applying     bool               // applyActions is running
 }
 
@@ -76,7 +76,8 @@
 	return w
 }
 
-// now returns the time of the last sweep. It reads no clock, and lags by up to sweepInterval.
+// now returns the time of the last sweep. It does not read the clock, so its result lags behind by about
+// sweepInterval.
 func (w *loopWorker) now() time.Time { return w.coarseNow }
 
 // addClient registers an accepted connection with the loop and starts to serve its client.
