--- a/respserver/clients.go
+++ b/respserver/clients.go
@@ -12,53 +12,53 @@
 	"chalkstand/internal/resp"
 )
 
-// Bounds of a client connection.
+// These constants bound what one client connection may use.
 const (
-	maxPipelined    = 64        // commands without a reply
-	maxUnsentBytes  = 128 << 10 // of replies; beyond it no further command is read
-	maxBadCommands  = 16        // commands replied to with an error; then the connection is closed
+	maxPipelined    = 64        // maximum number of commands without a reply
+	maxUnsentBytes  = 128 << 10 // the server reads no further command while more bytes of replies are unsent
+	maxBadCommands  = 16        // the server closes the connection after this many error replies to commands
 	minEvictionIdle = 50 * time.Millisecond
 )
 
-// Time-outs of a client connection.
+// These timeouts apply to each client connection.
 const (
-	silenceTimeout        = 2500 * time.Millisecond // without a byte, before the first command or within one
-	partialCommandTimeout = 10 * time.Second        // from the first byte of a command to its last
-	unreadReplyTimeout    = 10 * time.Second        // while the client does not read its replies
-	clientIdleTimeout     = 2 * time.Second         // without an open request
-	lingerTimeout         = 500 * time.Millisecond  // from the half-close to the close
+	silenceTimeout        = 2500 * time.Millisecond // maximum silence before the first command or within a command
+	partialCommandTimeout = 10 * time.Second        // maximum time from the first byte of a command to its last
+	unreadReplyTimeout    = 10 * time.Second        // maximum time during which the client reads none of its replies
+	clientIdleTimeout     = 2 * time.Second         // maximum time without an open request
+	lingerTimeout         = 500 * time.Millisecond  // time from the half-close of a connection to its close
 )
 
 var _ eventloop.PeerCloseHandler = (*client)(nil)
 
-// client is a connection from a client. Its commands run concurrently; replies are written in the
-// order of the commands.
+// client is a connection from a client. The server runs the commands of a client concurrently and
+// writes their replies in the order of the commands.
 type client struct {
 	server       *Server
 	conn         *eventloop.Conn
-	pipeline     []*pendingReply // commands without a reply, the oldest first
-	lastActivity time.Duration   // a command came or a reply was given
-	lastReceived time.Duration   // the last bytes came
-	sentCommand  bool            // a whole command has come
-	partialSince time.Duration   // when the first byte of an incomplete command came; 0: there is none
-	badCommands  int             // commands replied to with an error
-	// draining: in a graceful shutdown, nothing more is read, and the connection is half-closed after
-	// the last reply.
+	pipeline     []*pendingReply // one entry per command without a reply, oldest first
+	lastActivity time.Duration   // time of the last command received or reply completed
+	lastReceived time.Duration   // time at which the last bytes arrived
+	sentCommand  bool            // whether the client has sent at least one whole command
+	partialSince time.Duration   // arrival time of the first byte of an incomplete command; 0 if there is none
+	badCommands  int             // number of commands that received an error reply
+	// draining is set in a graceful shutdown. The server then reads no further command from the
+	// connection and half-closes it after the last reply.
 	draining      bool
-	discarding    bool // no further command is started; what comes is discarded
+	discarding    bool // the server starts no further command and discards all input
 	writeClosed   bool
 	writeClosedAt time.Duration
 }
 
-// pendingReply is the place of a reply in a client's pipeline.
+// pendingReply reserves the place of a reply in a client's pipeline.
 type pendingReply struct {
-	request *request // nil: the command was replied to at once
+	request *request // nil if the command starts no request
 	done    bool
-	reply   []byte // while it waits for those before it
+	reply   []byte // the completed reply while it waits for earlier replies
 }
 
-// accept takes over a new client connection. Idle ones are evicted from the high-water mark on; at
-// the bound the new one is closed if none can be evicted.
+// accept takes over a new client connection. At or above the high-water mark, accept first evicts
+// idle connections. At the connection limit, it closes the new connection if it can evict no other.
 func (s *Server) accept(fd int, _ unix.Sockaddr) {
 	for len(s.clients) >= s.cfg.clientHighWaterMark() {
 		if !s.evictIdleClient(minEvictionIdle) {
@@ -66,14 +66,14 @@
 		}
 	}
 	if len(s.clients) >= s.cfg.maxClientConns() && !s.evictIdleClient(0) {
-		_ = unix.Close(fd) // nothing was read or written; the descriptor is released in any case
+		_ = unix.Close(fd) // Linux releases the descriptor even if close fails, and no data is lost
 		return
 	}
 	now := s.now()
 	cl := &client{server: s, lastActivity: now, lastReceived: now}
 	conn, err := s.loop.Add(fd, cl)
 	if err != nil {
-		return // Add has closed fd
+		return // Loop.Add closes fd when it fails
 	}
 	cl.conn = conn
 	conn.AssignFlow(s.flows.clients)
@@ -81,8 +81,8 @@
 }
 
 // evictIdleClient closes the idle connection that is first in the order of eviction and reports
-// whether there was one. Connections that have sent a command within minIdle are left: a client
-// that asks again would have to open another.
+// whether it found one. It spares connections whose last activity is less than minIdle ago if they
+// have sent a command, because their clients would have to reconnect for the next command.
 func (s *Server) evictIdleClient(minIdle time.Duration) bool {
 	var victim *client
 	now := s.now()
@@ -99,8 +99,9 @@
 	return true
 }
 
-// evictedBefore reports whether cl is before other in the order of eviction: first connections that
-// have never sent a command, then those without activity for the longest. other may be nil.
+// evictedBefore reports whether cl precedes other in the order of eviction. Connections that have
+// never sent a command come first. Otherwise the connection with the oldest activity comes first.
+// other may be nil.
 func (cl *client) evictedBefore(other *client) bool {
 	if other == nil {
 		return true
@@ -111,14 +112,15 @@
 	return cl.lastActivity < other.lastActivity
 }
 
-// idle reports whether the connection can be closed without harm: no request is open, all replies
-// have left, and there is no unread input, for which the kernel is asked last.
+// idle reports whether the server can close the connection without harm. An idle connection has no
+// open request, no unsent reply and no unread input. The check for unread input is the last one
+// because it needs a system call.
 func (cl *client) idle() bool {
 	return len(cl.pipeline) == 0 && cl.conn.Pending() == 0 && cl.conn.NoUnreadInput()
 }
 
-// OnData reads one command. Input that is discarded is read once per sweep: reading it at full speed
-// would take the processor from other connections.
+// OnData reads one command. If the client's input is discarded, OnData pauses the connection until
+// the next sweep, because reading at full speed would take CPU time from other connections.
 func (cl *client) OnData(conn *eventloop.Conn, b []byte) int {
 	s := cl.server
 	cl.lastReceived = s.now()
@@ -148,7 +150,7 @@
 	return n
 }
 
-// OnDrained resumes reading once all replies have left.
+// OnDrained resumes reading after the kernel has accepted all replies.
 func (cl *client) OnDrained(conn *eventloop.Conn) {
 	cl.lastActivity = cl.server.now()
 	if cl.writeClosed {
@@ -159,15 +161,16 @@
 	}
 }
 
-// OnPeerClosed closes the connection of a client that has closed its side: its open requests are
-// canceled. Where input is discarded the error reply may still be on its way.
+// OnPeerClosed closes the connection when the client has closed its side, which cancels the client's
+// open requests. It keeps a connection whose input is discarded, because the last reply may still be
+// in transit.
 func (cl *client) OnPeerClosed(conn *eventloop.Conn) {
 	if !cl.discarding {
 		conn.Close()
 	}
 }
 
-// OnClose removes the client and cancels its open requests.
+// OnClose unregisters the client and cancels its open requests.
 func (cl *client) OnClose(*eventloop.Conn, error) {
 	s := cl.server
 	s.removeClient(cl)
@@ -183,7 +186,7 @@
 	}
 }
 
-// removeClient takes a client out of the list, whose last entry takes its place.
+// removeClient removes a client from the list and moves the last entry into its place.
 func (s *Server) removeClient(cl *client) {
 	i := slices.Index(s.clients, cl)
 	if i < 0 {
@@ -195,7 +198,7 @@
 	s.clients = s.clients[:last]
 }
 
-// execute runs a command.
+// execute starts the request of an object command and replies to any other command at once.
 func (cl *client) execute(args [][]byte) {
 	switch name := args[0]; {
 	case objectcommand.IsObjectCommand(name):
@@ -209,8 +212,8 @@
 	}
 }
 
-// startRequest starts the request of an object command, or replies BUSY beyond the bounds on open
-// requests and retained bytes.
+// startRequest starts the request of an object command. It replies BUSY if the client's pipeline is
+// full or the server would retain too many bytes.
 func (cl *client) startRequest(args [][]byte) {
 	s := cl.server
 	command, err := s.schema.Parse(args)
@@ -232,8 +235,8 @@
 	s.handle(forwarder.StartRequest{Request: req.command.Request})
 }
 
-// rejectCommand replies with an error to a command that is well-formed RESP and can't be executed.
-// The connection is closed after maxBadCommands of them.
+// rejectCommand sends an error reply to a command that is well-formed RESP but cannot be executed.
+// It closes the connection after maxBadCommands such commands.
 func (cl *client) rejectCommand(text string) {
 	cl.badCommands++
 	if cl.badCommands >= maxBadCommands {
@@ -243,8 +246,8 @@
 	cl.replyLine(resp.ErrorReply, text)
 }
 
-// closeWithError replies with an error, behind the replies that are still owed, and closes the
-// connection after it. What comes from here on is discarded.
+// closeWithError sends an error reply after all pending replies and then closes the connection. The
+// server discards all further input of the client.
 func (cl *client) closeWithError(text string) {
 	cl.replyLine(resp.ErrorReply, text)
 	cl.discarding = true
@@ -252,22 +255,22 @@
 	cl.closeWriteIfDone()
 }
 
-// drain closes the connection once all commands that were read are replied to. Further commands are
-// not started: the client sends them again on another connection.
+// drain closes the connection after the server has replied to all commands that it has read. The
+// server starts no further command: the client sends it again on another connection.
 func (cl *client) drain() {
 	cl.draining = true
 	cl.conn.Pause()
 	cl.closeWriteIfDone()
 }
 
-// replyLine replies to the last command with a line.
+// replyLine replies to the last command with a one-line RESP value.
 func (cl *client) replyLine(kind resp.Kind, text string) {
 	s := cl.server
 	s.writeBuffer = resp.AppendLine(s.writeBuffer[:0], kind, text)
 	cl.reply(s.writeBuffer)
 }
 
-// reply replies to the last command, behind the replies to those before it.
+// reply replies to the last command. The reply is sent after the replies to all earlier commands.
 func (cl *client) reply(b []byte) {
 	if len(cl.pipeline) == 0 {
 		cl.conn.Write(b)
@@ -278,12 +281,12 @@
 	cl.completeReply(pending, b)
 }
 
-// completeReply fills the place of a reply. The replies at the head of the pipeline are written; a
-// reply that has to wait is copied.
+// completeReply fills the place of a reply in the pipeline. It writes all completed replies at the
+// head of the pipeline. If the reply has to wait for earlier replies, completeReply keeps a copy.
 func (cl *client) completeReply(pending *pendingReply, b []byte) {
 	pending.done = true
 	if len(cl.pipeline) == 0 || !cl.conn.Open() {
-		return // the client has disconnected, or a write has failed: OnClose clears the pipeline
+		return // the client has disconnected or a write has failed, and OnClose clears the pipeline
 	}
 	s := cl.server
 	cl.lastActivity = s.now()
@@ -306,9 +309,9 @@
 	cl.closeWriteIfDone()
 }
 
-// closeWriteIfDone half-closes a connection on which no further command is started, once all
-// replies are given. The read side stays open for lingerTimeout and its input is discarded: a close
-// over unread bytes resets the connection, which destroys replies on their way.
+// closeWriteIfDone half-closes the connection if the server starts no further command on it and has
+// completed all its replies. The server goes on to read and discard input for lingerTimeout, because
+// closing a socket with unread input resets the connection and destroys replies in transit.
 func (cl *client) closeWriteIfDone() {
 	closing := cl.discarding || cl.draining
 	if !closing || len(cl.pipeline) > 0 || cl.writeClosed {
@@ -320,7 +323,8 @@
 	cl.conn.CloseWrite()
 }
 
-// sweepClients closes the connections whose time is over and reads input that is discarded.
+// sweepClients closes the client connections that have reached a timeout. It resumes the connections
+// whose input is discarded, so that each of them is read once per sweep.
 func (s *Server) sweepClients(now time.Duration) {
 	for _, cl := range slices.Clone(s.clients) {
 		if cl.expired(now) {
@@ -331,7 +335,7 @@
 	}
 }
 
-// expired reports whether one of the connection's time-outs has passed.
+// expired reports whether the connection has reached one of its timeouts.
 func (cl *client) expired(now time.Duration) bool {
 	unsent := cl.conn.Pending() > 0
 	switch {
--- a/respserver/clients_test.go
+++ b/respserver/clients_test.go
@@ -9,8 +9,8 @@
 	"chalkstand/fake/respnode"
 )
 
-// What is no RESP command gets an error at once, before the announced bytes have come. The connection
-// ends after it, and further input is discarded.
+// The server replies with an error to input that is not a RESP command, even before the announced
+// bytes have arrived. It then closes the connection and discards further input.
 func TestProtocolErrors(t *testing.T) {
 	f := startFixture(t, 256)
 	for _, malformed := range []string{
@@ -27,32 +27,33 @@
 		c := f.client()
 		c.send(malformed)
 		c.expectReply("-ERR Protocol error")
-		go func() { _, _ = c.Write(make([]byte, 1<<20)) }() // any amount; the server may close meanwhile
+		go func() { _, _ = c.Write(make([]byte, 1<<20)) }() // the write may fail when the server closes the connection
 		if _, err := c.in.ReadByte(); err == nil {
-			t.Errorf("%q: the connection stays open", malformed)
+			t.Errorf("%q: got another byte after the error reply, want the end of the connection", malformed)
 		}
 	}
 	f.expectCommands(0)
 }
 
-// A client that sends on behind a protocol error reads the whole error and an orderly end: no input
-// is left unread, which would reset the connection.
+// A client continues to send after a protocol error. It reads the whole error reply and an end of
+// file. The server must read all input, because closing a socket with unread input resets the
+// connection.
 func TestProtocolErrorReplyIsNotReset(t *testing.T) {
 	f := startFixture(t, 256)
 	c := f.client()
 	c.send("nonsense\r\n" + string(make([]byte, 256<<10)))
 	c.expectReply("-ERR Protocol error")
 	if _, err := c.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("the connection ends with %v, want EOF", err)
+		t.Errorf("read after the error reply: got %v, want EOF", err)
 	}
 	f.server.RunOnLoop(func() {})
 	if _, err := c.Write([]byte("more")); err != nil {
-		t.Errorf("the connection is reset at once: %v", err)
+		t.Errorf("write after the half-close: got %v, want no error", err)
 	}
 }
 
-// A client resets its connection with commands unread: the write of the first reply fails, and the
-// commands behind it are not started.
+// A client resets its connection before the server has read its commands. The write of the first
+// reply fails, and the server does not start the commands after it.
 func TestResetDuringFirstReply(t *testing.T) {
 	f := startFixture(t, 256)
 	c := f.client()
@@ -65,13 +66,13 @@
 	f.expectNothingRetained()
 	f.server.RunOnLoop(func() {
 		if n := f.server.StartedRequests(); n > 0 {
-			t.Errorf("%d requests were started", n)
+			t.Errorf("the server started %d requests, want none", n)
 		}
 	})
 }
 
-// Replies between a failed write and the close of its connection remove their requests once, not a
-// second time with the connection.
+// After a failed write, further requests of the client finish before its connection is closed. Each
+// of these requests is removed only once, and not again when the connection closes.
 func TestRepliesAfterFailedWrite(t *testing.T) {
 	f := startFixture(t, 256)
 	f.node.SetDefault(respnode.Behavior{Hang: true})
@@ -86,7 +87,8 @@
 	f.expectNothingRetained()
 }
 
-// The close of a client whose connection is not read is noticed, and its requests end.
+// The server notices that a client closes its connection while the connection is paused. It ends the
+// client's requests.
 func TestClientCloseWhilePaused(t *testing.T) {
 	f := startFixture(t, 256)
 	f.node.SetDefault(respnode.Behavior{Hang: true})
@@ -99,11 +101,12 @@
 	f.waitOnLoop(func() bool { return f.server.ClientCount() == 0 })
 	f.expectNothingRetained()
 	if commands := f.node.Commands(); len(commands) > 1 {
-		t.Errorf("commands at the node: %v, want the first at most", commands)
+		t.Errorf("the node received the commands %v, want at most the first", commands)
 	}
 }
 
-// A command is not started if it is read after its client is known to have closed the connection.
+// The server does not start a command that it reads after the kernel has reported that the client
+// closed its connection.
 func TestNoRequestAfterClientClose(t *testing.T) {
 	f := startFixture(t, 256)
 	c := f.client()
@@ -117,7 +120,8 @@
 	f.expectCommands(0)
 }
 
-// The parts of a command may come over seconds; after silence within one the connection is closed.
+// The parts of a command may arrive over several seconds. The server closes a connection that stays
+// silent for too long within a command.
 func TestSilenceWithinCommand(t *testing.T) {
 	f := startFixture(t, 256)
 	c := f.client()
@@ -137,14 +141,15 @@
 	f.waitOnLoop(func() bool { return f.server.ClientCount() == 0 })
 }
 
-// A command whose parts come in time and without end has its connection closed.
+// The server closes the connection of a client that sends parts of a command regularly but does not
+// complete the command in time.
 func TestPartialCommandTimeout(t *testing.T) {
 	f := startFixture(t, 256)
 	text := getCommand("1")
 	c := f.client()
-	connected := func() (yes bool) {
-		f.server.RunOnLoop(func() { yes = f.server.ClientCount() > 0 })
-		return yes
+	connected := func() (found bool) {
+		f.server.RunOnLoop(func() { found = f.server.ClientCount() > 0 })
+		return found
 	}
 	sent := 0
 	for ; sent < len(text) && (sent == 0 || connected()); sent += 10 {
@@ -155,11 +160,11 @@
 		f.advance(2 * time.Second)
 	}
 	if sent >= 100 {
-		t.Errorf("%d bytes of a command came over %d s", sent, sent/5)
+		t.Errorf("the server accepted %d bytes of a command over %d s, want fewer than 100", sent, sent/5)
 	}
 }
 
-// A client that does not read its replies is closed after a while.
+// The server closes the connection of a client that does not read its replies for unreadReplyTimeout.
 func TestUnreadReplyTimeout(t *testing.T) {
 	f := startFixture(t, 256)
 	f.slowReader()
@@ -169,7 +174,8 @@
 	f.waitOnLoop(func() bool { return f.server.ClientCount() == 0 })
 }
 
-// Connections that stay open after one request, or without any, are evicted for others.
+// The server evicts idle connections in favor of new ones. Half of the idle connections have sent one
+// request, and the other half none.
 func TestIdleClientsEvicted(t *testing.T) {
 	f := startFixture(t, 64)
 	for i := range 200 {
@@ -185,7 +191,7 @@
 	c.expectReply(replyTo("last"))
 }
 
-// A client that sends no whole command is closed before 3 s have passed.
+// The server closes the connection of a client that sends no whole command within 3 s.
 func TestSilentClientsClosed(t *testing.T) {
 	f := startFixture(t, 256)
 	start := time.Now()
@@ -193,16 +199,17 @@
 		c := f.client()
 		c.send(part)
 		if _, err := c.in.ReadByte(); err == nil {
-			t.Errorf("%q: there is a reply", part)
+			t.Errorf("%q: got a reply, want a closed connection", part)
 		}
 	}
 	if elapsed := time.Since(start); elapsed > 2*3*time.Second {
-		t.Errorf("closed after %v", elapsed)
+		t.Errorf("the server closed two silent connections after %v, want at most 6 s", elapsed)
 	}
 }
 
-// At the connection limit, where all connections are in use, if only by a part of a command, a new
-// one is closed and the others stay; once one is idle, it is evicted for a new one.
+// All connections up to the limit are in use, each by a partial command. The server closes a new
+// connection and keeps the others. After the connections become idle, the server evicts one of them
+// for a new connection.
 func TestAcceptAtConnectionLimit(t *testing.T) {
 	f := startFixture(t, 64)
 	ping := respnode.Command("PING")
@@ -213,8 +220,8 @@
 		clients = append(clients, c)
 		f.waitOnLoop(func() bool { return f.server.PartialCommands() == len(clients) })
 	}
-	beyond := f.client()
-	beyond.expectClosed()
+	excess := f.client()
+	excess.expectClosed()
 	for _, c := range clients {
 		c.send(ping[5:])
 		c.expectReply("+PONG")
--- a/respserver/config.go
+++ b/respserver/config.go
@@ -15,20 +15,20 @@
 	"chalkstand/internal/simwire"
 )
 
-// Config is the configuration of a server.
+// Config holds the configuration of a server.
 type Config struct {
 	Name      string
 	Listen    netip.AddrPort
 	Discovery netip.AddrPort
-	Seed      uint64 // of the dispatcher's random numbers
+	Seed      uint64 // seeds the dispatcher's random numbers
 	Cores     float64
 	MemoryMB  float64
-	Sockets   int                // bound on file descriptors
-	Known     endpoints.Document // the endpoint list at the start; its version is -1 where there is none
+	Sockets   int                // maximum number of file descriptors
+	Known     endpoints.Document // endpoint list at startup; its version is -1 if the configuration has none
 	Settings  simwire.Settings
 }
 
-// configFile is the platform's form of a configuration.
+// configFile is the JSON form in which the platform writes a configuration.
 type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -43,27 +43,27 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Bounds of a configuration.
+// A configuration must stay within these bounds.
 const (
 	minSockets     = 64
 	minMemoryMB    = 16
-	maxConfigBytes = 16 << 20 // of the file
+	maxConfigBytes = 16 << 20 // maximum size of a configuration file
 )
 
-// errMissing is the cause of a ConfigError where a required field is absent.
+// errMissing is the cause in a ConfigError when a required field is absent.
 var errMissing = errors.New("missing")
 
-// ConfigError is an error in a configuration.
+// ConfigError describes an invalid field of a configuration or an invalid configuration text.
 type ConfigError struct {
-	File     string // empty: the configuration was not read from a file
-	Field    string // its path, such as limits.sockets; empty: the whole text
+	File     string // empty if the configuration was not read from a file
+	Field    string // path of the field, such as limits.sockets; empty if the whole text is invalid
 	Expected string
-	Got      string // the value as it is to be shown; empty: not known
-	Err      error  // cause; may be nil
+	Got      string // invalid value as the message shows it; empty if it is not known
+	Err      error  // cause of the error; may be nil
 }
 
-// Error returns the file, the field, what was expected, what was got and the cause, as far as they
-// are known.
+// Error returns the file, the field, the expected value, the actual value and the cause. It omits
+// those that are not known.
 func (e *ConfigError) Error() string {
 	var parts []string
 	if e.File != "" {
@@ -85,11 +85,11 @@
 	return strings.Join(parts, ": ")
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause of the error, or nil.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// LoadConfig reads and checks a configuration file of the platform. What is wrong with its content is
-// reported as a *ConfigError.
+// LoadConfig reads and checks a configuration file of the platform. It reports invalid content as a
+// *ConfigError.
 func LoadConfig(file string) (Config, error) {
 	info, err := os.Stat(file)
 	if err != nil {
@@ -117,7 +117,8 @@
 	return cfg, nil
 }
 
-// ParseConfig parses and checks a configuration of the platform. All its errors are *ConfigError.
+// ParseConfig parses and checks a configuration of the platform. All its errors are of type
+// *ConfigError.
 func ParseConfig(text []byte) (Config, error) {
 	var file configFile
 	if err := json.Unmarshal(text, &file); err != nil {
@@ -154,7 +155,7 @@
 	return cfg, nil
 }
 
-// parseAddresses sets the addresses of the server and of discovery.
+// parseAddresses sets the listening address of the server and the address of discovery.
 func (c *Config) parseAddresses(file *configFile) error {
 	var err error
 	if c.Listen, err = netip.ParseAddrPort(file.Listen); err != nil {
@@ -166,7 +167,7 @@
 	return nil
 }
 
-// checkLimits checks that the limits suffice for a server.
+// checkLimits returns an error if the limits on sockets or memory are too low for a server.
 func (c *Config) checkLimits() error {
 	if c.Sockets < minSockets {
 		return &ConfigError{
@@ -185,7 +186,7 @@
 	return nil
 }
 
-// parseKnown sets the endpoint list at the start, which may be absent.
+// parseKnown sets the endpoint list at startup. A configuration may omit the list.
 func (c *Config) parseKnown(text json.RawMessage) error {
 	if len(text) == 0 || string(text) == "null" {
 		c.Known.Version = -1
@@ -198,45 +199,46 @@
 	return nil
 }
 
-// endpointNames returns the names of zones and kinds that endpoint lists refer to.
+// endpointNames returns the names of zones and node kinds that endpoint lists may contain.
 func (c *Config) endpointNames() endpoints.Names {
 	return endpoints.Names{Zones: c.Settings.Zones, Kinds: c.Settings.NodeKinds}
 }
 
-// Values of settings that are absent.
+// These defaults replace settings that the configuration omits.
 const (
 	defaultConnIdle    = 10 * time.Second
 	defaultDialTimeout = 250 * time.Millisecond
 )
 
-// The file descriptors are divided once, so that neither clients nor nodes can use up those of the
-// other side.
+// The server divides its file descriptors between clients and nodes at startup, so that neither side
+// can exhaust the descriptors of the other side.
 const (
-	reservedSockets = 24 // listener, event loop, discovery, log and the runtime's
+	reservedSockets = 24 // descriptors for the listener, the event loop, discovery, the log and the Go runtime
 	nodeConnShare   = 0.4
 )
 
-// maxNodeConns is the bound on connections to all nodes.
+// maxNodeConns returns the maximum number of connections to all nodes together.
 func (c *Config) maxNodeConns() int { return int(float64(c.Sockets-reservedSockets) * nodeConnShare) }
 
-// maxClientConns is the bound on connections from clients.
+// maxClientConns returns the maximum number of connections from clients.
 func (c *Config) maxClientConns() int { return c.Sockets - reservedSockets - c.maxNodeConns() }
 
-// clientHighWaterMark is the number of client connections from which on idle ones are evicted. The
-// platform's clients use up to a third of the descriptors for requests; connections that stay open
-// after one request would keep others out.
+// clientHighWaterMark returns the number of client connections at which the server starts to evict
+// idle ones. The platform's clients use up to a third of the descriptors for requests. Without
+// eviction, connections that stay open after one request would prevent other clients from connecting.
 func (c *Config) clientHighWaterMark() int { return c.Sockets / 4 }
 
-// Shares of the memory limit.
+// The server derives its own limits from the memory limit by these factors.
 const (
-	retainedMemoryShare = 0.15 // for arguments of open requests and for replies
-	requestsPerMB       = 32   // open requests
+	retainedMemoryShare = 0.15 // share of memory for the arguments of open requests and for queued replies
+	requestsPerMB       = 32   // open requests per megabyte of memory
 )
 
-// maxRetainedBytes is the bound on the bytes of arguments and replies that are kept.
+// maxRetainedBytes returns the maximum number of bytes of arguments and replies that the server
+// retains.
 func (c *Config) maxRetainedBytes() int { return int(c.MemoryMB * retainedMemoryShare * (1 << 20)) }
 
-// maxRequests is the bound on open requests.
+// maxRequests returns the maximum number of open requests.
 func (c *Config) maxRequests() int {
 	byMemory := int(c.MemoryMB * requestsPerMB)
 	if configured := c.Settings.MaxOpenRequests; configured > 0 {
@@ -245,14 +247,14 @@
 	return byMemory
 }
 
-// Times of node connections and of responses.
+// These times apply to node connections and to responses.
 const (
-	connReuseDelay = 20 * time.Millisecond // far above the network delay from a node
+	connReuseDelay = 20 * time.Millisecond // far above the network delay between a node and the server
 	maxConnAge     = 10 * time.Minute
-	responseMargin = 10 * time.Millisecond // for the network to the client and a delay of the event loop
+	responseMargin = 10 * time.Millisecond // covers the network delay to the client and a delay of the event loop
 )
 
-// forwarderConfig returns the configuration of the forwarder.
+// forwarderConfig returns the configuration of the forwarder for this server.
 func (c *Config) forwarderConfig() forwarder.Config {
 	connIdle := c.Settings.NodeIdleTimeout
 	if connIdle <= 0 {
@@ -268,7 +270,7 @@
 		MaxConnsPerNode: max(c.maxNodeConns()/2, 1),
 		MaxConns:        c.maxNodeConns(),
 		ReuseDelay:      connReuseDelay,
-		IdleTimeout:     connIdle * 6 / 10, // below the time after which a node closes an idle connection
+		IdleTimeout:     connIdle * 6 / 10, // shorter than the time after which a node closes an idle connection
 		MaxConnAge:      maxConnAge,
 		DialTimeout:     dialTimeout,
 		ResponseMargin:  responseMargin,
--- a/respserver/config_test.go
+++ b/respserver/config_test.go
@@ -11,7 +11,7 @@
 	"chalkstand/respserver"
 )
 
-// An error in a configuration names the field.
+// ParseConfig returns a *ConfigError that names the invalid field.
 func TestInvalidConfigurations(t *testing.T) {
 	valid := configText("127.0.0.1:1", "127.0.0.1:2", "null", 256)
 	if _, err := respserver.ParseConfig([]byte(valid)); err != nil {
@@ -33,17 +33,17 @@
 			_, err := respserver.ParseConfig([]byte(strings.Replace(valid, c.text, c.replacement, 1)))
 			var configErr *respserver.ConfigError
 			if !errors.As(err, &configErr) || configErr.Field != c.field || !strings.Contains(err.Error(), c.message) {
-				t.Errorf("%s in place of %s: %v", c.replacement, c.text, err)
+				t.Errorf("%s in place of %s: got error %v, want another field or message", c.replacement, c.text, err)
 			}
 		})
 	}
 }
 
-// An error in a configuration file names the file.
+// LoadConfig returns an error that names the configuration file.
 func TestInvalidConfigurationFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	if _, err := respserver.LoadConfig(file); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("missing file: %v", err)
+		t.Errorf("LoadConfig of a missing file: got error %v, want fs.ErrNotExist", err)
 	}
 	if err := os.WriteFile(file, []byte(`{"listen":"here"}`), 0o600); err != nil {
 		t.Fatal(err)
@@ -51,6 +51,6 @@
 	_, err := respserver.LoadConfig(file)
 	want := "configuration: " + file + `: listen: expected address:port, got "here"`
 	if err == nil || err.Error() != want {
-		t.Errorf("got %v, want %s", err, want)
+		t.Errorf("LoadConfig of an invalid file: got error %v, want %s", err, want)
 	}
 }
--- a/respserver/export_test.go
+++ b/respserver/export_test.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// RunOnLoop runs f on the server's event loop and waits for it. What clients and nodes send meanwhile
-// stays in the kernel until the loop goes on.
+// RunOnLoop runs f on the server's event loop and waits until f returns. Bytes that clients and nodes
+// send in the meantime stay in the kernel until the loop continues.
 func (s *Server) RunOnLoop(f func()) {
 	done := make(chan struct{})
 	s.loop.Post(func() {
@@ -18,30 +18,31 @@
 	<-done
 }
 
-// AdvanceClock advances the server's clock.
+// AdvanceClock advances the server's clock by a duration.
 func (s *Server) AdvanceClock(by time.Duration) { s.RunOnLoop(func() { s.epoch += by }) }
 
-// Sweep checks the time-outs now.
+// Sweep runs a sweep of the server at once, which checks the timeouts of client connections.
 func (s *Server) Sweep() { s.RunOnLoop(func() { s.sweep(s.now()) }) }
 
-// EndGracePeriod advances the clock by the grace period of a graceful shutdown and checks the time-outs.
+// EndGracePeriod advances the clock by the grace period of a graceful shutdown and runs a sweep. It
+// must be called on the event loop.
 func (s *Server) EndGracePeriod() {
 	s.epoch += shutdownGracePeriod
 	s.sweep(s.now())
 }
 
-// ShutdownStarted returns when the graceful shutdown started, in Unix time.
+// ShutdownStarted returns the Unix time at which the graceful shutdown started.
 func (s *Server) ShutdownStarted() time.Duration { return s.shutdownStarted }
 
-// Retained returns the retained bytes and the number of registered requests and of their ids.
+// Retained returns the number of retained bytes, of registered requests and of registered request ids.
 func (s *Server) Retained() (bytes, requests, ids int) {
 	return s.retainedBytes, len(s.requests), len(s.requestsByClientID)
 }
 
-// StartedRequests returns how many requests were started.
+// StartedRequests returns how many requests the server has started.
 func (s *Server) StartedRequests() int { return int(s.lastRequestID) }
 
-// FinishAll gives all open requests a final reply, as the forwarder would.
+// FinishAll gives all open requests the same final reply, as an action of the forwarder would.
 func (s *Server) FinishAll(reply string) {
 	for _, cl := range s.clients {
 		for _, pending := range slices.Clone(cl.pipeline) {
@@ -52,13 +53,13 @@
 	}
 }
 
-// ClientCount returns the number of client connections.
+// ClientCount returns the number of open client connections.
 func (s *Server) ClientCount() int { return len(s.clients) }
 
-// MaxClientConns returns the bound on client connections.
+// MaxClientConns returns the maximum number of client connections.
 func (s *Server) MaxClientConns() int { return s.cfg.maxClientConns() }
 
-// PendingReplies returns the number of commands of all clients without a reply.
+// PendingReplies returns the number of commands without a reply, summed over all clients.
 func (s *Server) PendingReplies() (n int) {
 	for _, cl := range s.clients {
 		n += len(cl.pipeline)
@@ -66,7 +67,7 @@
 	return n
 }
 
-// PartialCommands returns the number of clients that have sent a part of a command.
+// PartialCommands returns the number of clients that have sent only a part of their current command.
 func (s *Server) PartialCommands() (n int) {
 	for _, cl := range s.clients {
 		if cl.partialSince > 0 {
@@ -76,7 +77,7 @@
 	return n
 }
 
-// UnsentBytes returns how many bytes of replies the kernel has not taken.
+// UnsentBytes returns how many bytes of replies the kernel has not accepted yet.
 func (s *Server) UnsentBytes() (n int) {
 	for _, cl := range s.clients {
 		n += cl.conn.Pending()
@@ -84,7 +85,7 @@
 	return n
 }
 
-// ResumeClients reads from all clients again.
+// ResumeClients resumes reading from all clients.
 func (s *Server) ResumeClients() {
 	s.RunOnLoop(func() {
 		for _, cl := range s.clients {
@@ -93,8 +94,8 @@
 	})
 }
 
-// Watches returns how many discovery watches the server has opened and not seen end, and of how many the
-// goroutine has ended. It may be called once Run has returned.
+// Watches returns how many discovery watches the server still holds open, and for how many of them the
+// goroutine has ended. It may only be called after Run has returned.
 func (s *Server) Watches() (ended, open int) {
 	for _, w := range []*watch{s.watch, s.previousWatch} {
 		if w == nil {
@@ -119,7 +120,8 @@
 	})
 }
 
-// ShrinkSendBuffers makes the kernel take few bytes of replies.
+// ShrinkSendBuffers shrinks the kernel's send buffers of all client connections, so that the kernel
+// accepts only a few bytes of replies.
 func (s *Server) ShrinkSendBuffers() (err error) {
 	s.RunOnLoop(func() {
 		for _, cl := range s.clients {
@@ -132,12 +134,12 @@
 }
 
 // ClientHangup reports whether the kernel knows that a client has closed its connection. The event
-// loop may not have noticed it.
+// loop may not know it yet.
 func (s *Server) ClientHangup() bool {
 	const hangup = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
 	for _, cl := range s.clients {
 		fds := []unix.PollFd{{Fd: int32(cl.conn.FD()), Events: unix.POLLRDHUP}}
-		n, _ := unix.Poll(fds, 0) // an error counts as no event: the caller asks again
+		n, _ := unix.Poll(fds, 0) // an error counts as no event because the caller repeats the call
 		if n > 0 && fds[0].Revents&hangup != 0 {
 			return true
 		}
@@ -145,7 +147,7 @@
 	return false
 }
 
-// ClientInputRead reports whether all that clients have sent was read.
+// ClientInputRead reports whether the server has read all bytes that its clients have sent.
 func (s *Server) ClientInputRead() bool {
 	for _, cl := range s.clients {
 		if !cl.conn.NoUnreadInput() {
@@ -155,13 +157,14 @@
 	return true
 }
 
-// ReceiveCommand makes the first client's connection read a command before all other input.
+// ReceiveCommand passes a command to the first client's connection as if it had arrived before all
+// other input.
 func (s *Server) ReceiveCommand(text string) { s.clients[0].OnData(s.clients[0].conn, []byte(text)) }
 
-// NodeConnCount returns the number of connections to nodes.
+// NodeConnCount returns the number of open connections to nodes.
 func (s *Server) NodeConnCount() int { return s.forwarder.Conns() }
 
-// UnreadNodeInput reports whether the kernel holds bytes from a node that were not read.
+// UnreadNodeInput reports whether the kernel holds bytes from a node that the server has not read.
 func (s *Server) UnreadNodeInput() bool {
 	for _, conn := range s.nodeConns {
 		if !conn.conn.NoUnreadInput() {
@@ -171,7 +174,8 @@
 	return false
 }
 
-// ReceiveNodeReply makes a connection to a node with a request in flight read a reply.
+// ReceiveNodeReply passes a reply to a node connection that has a request in flight, as if the node
+// had sent it.
 func (s *Server) ReceiveNodeReply(text string) {
 	for _, conn := range s.nodeConns {
 		if conn.request != nil {
@@ -181,8 +185,8 @@
 	}
 }
 
-// EndpointVersion returns the version of the endpoint list.
+// EndpointVersion returns the version of the endpoint list that the server uses.
 func (s *Server) EndpointVersion() int64 { return s.endpointVersion }
 
-// WatchOpen reports whether a discovery watch is open or being opened.
+// WatchOpen reports whether a discovery watch is open or is being opened.
 func (s *Server) WatchOpen() bool { return s.watch != nil }
--- a/respserver/fixture_test.go
+++ b/respserver/fixture_test.go
@@ -17,17 +17,17 @@
 	"chalkstand/respserver"
 )
 
-// testTimeout bounds the wait for what comes much sooner unless something is broken.
+// testTimeout limits each wait for an event. Unless the code is broken, the event occurs much sooner.
 const testTimeout = 20 * time.Second
 
-// fixture is a server between its clients, a fake node and a fake discovery.
+// fixture holds a running server, the fake node and fake discovery that it uses, and its clients.
 type fixture struct {
 	t         *testing.T
 	server    *respserver.Server
 	cfg       respserver.Config
 	node      *respnode.Node
 	discovery *fakediscovery.Server
-	runErr    chan error // receives the result of Run
+	runErr    chan error // receives the error that Run returns
 	lastID    int
 }
 
@@ -40,14 +40,14 @@
 "family_info":{"largest":8,"usual_units":2.0,"slots_total":2,"class_writes":[false,true]},
 "unknown":{"x":[1,{"y":null}]}}`
 
-// configText returns a configuration. known is the JSON text of an endpoint list.
+// configText returns the JSON text of a configuration. known is the JSON text of an endpoint list.
 func configText(listen, discovery, known string, sockets int) string {
 	return fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",`+
 		`"limits":{"cores":1.0,"memory_mb":64,"sockets":%d},`+"\n"+`"known":%s,"settings":%s}`,
 		listen, discovery, sockets, known, settingsText)
 }
 
-// startFixture runs a server with that many file descriptors until the test ends.
+// startFixture runs a server until the test ends. sockets is the server's limit on file descriptors.
 func startFixture(t *testing.T, sockets int) *fixture {
 	t.Helper()
 	f := &fixture{t: t, runErr: make(chan error, 1)}
@@ -87,12 +87,12 @@
 	return server
 }
 
-// readyEndpoint returns the entry of a node that is ready.
+// readyEndpoint returns the entry of a ready node for an endpoint list.
 func readyEndpoint(id string, node *respnode.Node) fakediscovery.Endpoint {
 	return fakediscovery.Endpoint{ID: id, Addr: node.Addr(), State: "Ready"}
 }
 
-// listen opens a listener on a free port.
+// listen opens a listener on a free local port.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	var config net.ListenConfig
@@ -103,7 +103,7 @@
 	return ln
 }
 
-// freeAddr returns an address on which nobody listens.
+// freeAddr returns a local address on which no process listens.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	ln := listen(t)
@@ -119,7 +119,7 @@
 	}
 }
 
-// waitFor waits until a condition holds.
+// waitFor polls a condition until it holds.
 func (f *fixture) waitFor(condition func() bool) {
 	f.t.Helper()
 	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
@@ -129,7 +129,7 @@
 	}
 }
 
-// waitOnLoop waits until a condition holds that is evaluated on the event loop.
+// waitOnLoop evaluates a condition on the event loop until it holds.
 func (f *fixture) waitOnLoop(condition func() bool) {
 	f.t.Helper()
 	f.waitFor(func() (holds bool) {
@@ -138,7 +138,7 @@
 	})
 }
 
-// waitForCommands waits until the node has received that many commands.
+// waitForCommands waits until the node has received count commands.
 func (f *fixture) waitForCommands(count int) {
 	f.t.Helper()
 	if err := f.node.AwaitCommands(count, testTimeout); err != nil {
@@ -146,7 +146,7 @@
 	}
 }
 
-// waitForStop waits until Run returns.
+// waitForStop waits until Run returns and checks that it returns no error.
 func (f *fixture) waitForStop() {
 	f.t.Helper()
 	select {
@@ -155,56 +155,56 @@
 			f.t.Error(err)
 		}
 	case <-time.After(testTimeout):
-		f.t.Error("the server does not stop")
+		f.t.Error("timed out waiting for Run to return")
 	}
 }
 
-// advance advances the server's clock and checks its time-outs.
+// advance advances the server's clock and runs a sweep.
 func (f *fixture) advance(by time.Duration) {
 	f.t.Helper()
 	f.server.AdvanceClock(by)
 	f.server.Sweep()
 }
 
-// expectCommands checks how many commands the node has received.
+// expectCommands checks the number of commands that the node has received.
 func (f *fixture) expectCommands(want int) {
 	f.t.Helper()
 	if commands := f.node.Commands(); len(commands) != want {
-		f.t.Errorf("%d commands at the node, want %d: %v", len(commands), want, commands)
+		f.t.Errorf("the node received %d commands, want %d: %v", len(commands), want, commands)
 	}
 }
 
-// expectNothingRetained checks that no request is registered and nothing is kept for one.
+// expectNothingRetained checks that the server has no registered request and retains no bytes.
 func (f *fixture) expectNothingRetained() {
 	f.t.Helper()
 	f.server.RunOnLoop(func() {
 		if bytes, requests, ids := f.server.Retained(); bytes != 0 || requests != 0 || ids != 0 {
-			f.t.Errorf("%d bytes, %d requests and %d ids are retained", bytes, requests, ids)
+			f.t.Errorf("the server retains %d bytes, %d requests and %d ids, want none", bytes, requests, ids)
 		}
 	})
 }
 
-// sendUpdate sends a line on the open watches of a discovery, once there is one.
+// sendUpdate waits until the discovery has an open watch and sends a line on its open watches.
 func (f *fixture) sendUpdate(discovery *fakediscovery.Server, line string) {
 	f.t.Helper()
 	f.waitFor(func() bool { return discovery.Send(line) > 0 })
 }
 
-// movedTo returns the configuration with discovery at another address.
-func (f *fixture) movedTo(addr string) respserver.Config {
+// withDiscovery returns the server's configuration with another address of discovery.
+func (f *fixture) withDiscovery(addr string) respserver.Config {
 	cfg := f.cfg
 	cfg.Discovery = netip.MustParseAddrPort(addr)
 	return cfg
 }
 
-// client is a client's end of a connection.
+// client is the client side of a connection to the server.
 type client struct {
 	net.Conn
 	t  *testing.T
 	in *bufio.Reader
 }
 
-// client opens a connection that is closed when the test ends.
+// client opens a connection to the server that is closed when the test ends.
 func (f *fixture) client() *client {
 	f.t.Helper()
 	c := f.dial()
@@ -212,7 +212,7 @@
 	return c
 }
 
-// dial opens a connection that the caller closes.
+// dial opens a connection to the server that the caller must close.
 func (f *fixture) dial() *client {
 	f.t.Helper()
 	var dialer net.Dialer
@@ -226,8 +226,8 @@
 	return &client{Conn: conn, t: f.t, in: bufio.NewReader(conn)}
 }
 
-// resetClient resets a client's connection while the event loop stands still, and waits until the
-// kernel knows of it.
+// resetClient resets a client's connection and waits until the kernel reports the reset. It must be
+// called on the event loop, so that the loop does not handle the reset in the meantime.
 func (f *fixture) resetClient(c *client) {
 	f.t.Helper()
 	if err := c.Conn.(*net.TCPConn).SetLinger(0); err != nil {
@@ -244,11 +244,11 @@
 	}
 }
 
-// expectReply reads a reply and checks its beginning.
+// expectReply reads a reply and checks that it begins with prefix.
 func (c *client) expectReply(prefix string) {
 	c.t.Helper()
 	if got, err := respnode.ReadReply(c.in); err != nil || !strings.HasPrefix(got, prefix) {
-		c.t.Errorf("reply %q (%v), want %q", got, err, prefix)
+		c.t.Errorf("got reply %q (error %v), want one that begins with %q", got, err, prefix)
 	}
 }
 
@@ -259,25 +259,25 @@
 	c.expectReply("+PONG")
 }
 
-// expectClosed checks that the server closes the connection without a further reply.
+// expectClosed checks that the server closes the connection without another reply.
 func (c *client) expectClosed() {
 	c.t.Helper()
 	if b, err := c.in.ReadByte(); err == nil {
-		c.t.Errorf("read %q, want the end of the connection", b)
+		c.t.Errorf("got byte %q, want the end of the connection", b)
 	}
 }
 
-// pieceID is the piece that all requests are for.
+// pieceID identifies the piece that all requests of these tests address.
 const pieceID = "7f3a9c21e0b4d655"
 
-// nextID returns a request id that was not used before.
+// nextID returns a request id that the test has not used before.
 func (f *fixture) nextID() string {
 	f.lastID++
 	return fmt.Sprintf("%016x", f.lastID)
 }
 
-// fieldList returns the fields of a usual request. replacements are pairs of a field's name and the
-// text that stands in its place.
+// fieldList returns the fields of a typical request. replacements are pairs of a field's name and the
+// text that replaces the field.
 func fieldList(replacements ...string) string {
 	list := ",c=read,t=gold,d=2500,volume=00000003b4d60021,units=2,shard=0,hosts=1"
 	for i := 0; i+1 < len(replacements); i += 2 {
@@ -295,18 +295,19 @@
 	return respnode.Command("OBJ.PUT", pieceID, id, fields, body)
 }
 
-// replyTo returns the reply to the request with an id.
+// replyTo returns the beginning of the expected reply to the OBJ.GET request with an id.
 func replyTo(id string) string {
 	return "$" + respnode.Value([]string{"OBJ.GET", pieceID, id})
 }
 
-// largeValueReply is a node's reply with a value of 64 KiB, of which largeValue is a bulk string.
+// largeValue is a bulk string of 64 KiB, and largeValueReply is a node's reply with this value.
 var (
 	largeValue      = respnode.Bulk(strings.Repeat("v", 64<<10))
 	largeValueReply = "*3\r\n" + largeValue + "$-1\r\n$-1\r\n"
 )
 
-// slowReader returns a client that reads nothing, with more replies than the kernel takes.
+// slowReader returns a client that reads none of its replies. The server holds more bytes of replies
+// for this client than the kernel accepts.
 func (f *fixture) slowReader() *client {
 	f.t.Helper()
 	f.node.SetDefault(respnode.Behavior{Reply: largeValueReply})
--- a/respserver/lifecycle_test.go
+++ b/respserver/lifecycle_test.go
@@ -9,20 +9,20 @@
 	"chalkstand/respserver"
 )
 
-// A server that cannot listen leaves no event loop open.
+// New leaves no descriptor of an event loop open when the server's address is in use.
 func TestFailedNewLeavesNothingOpen(t *testing.T) {
 	f := startFixture(t, 256)
 	f.waitFor(func() bool { return len(f.discovery.Calls()) > 0 })
 	before := testfd.Count(t)
 	for range 5 {
 		if _, err := respserver.New(f.cfg, zap.NewNop()); err == nil {
-			t.Fatal("two servers on one address")
+			t.Fatal("New on an address in use: got no error, want one")
 		}
 	}
 	testfd.Await(t, before)
 }
 
-// When Run returns, the goroutine of the discovery watch has ended.
+// The goroutine of the discovery watch has ended when Run returns.
 func TestWatchEndsWithTheServer(t *testing.T) {
 	f := startFixture(t, 256)
 	f.waitFor(func() bool { return len(f.discovery.Calls()) > 0 })
@@ -30,6 +30,6 @@
 	f.server.RunOnLoop(f.server.EndGracePeriod)
 	f.waitForStop()
 	if ended, open := f.server.Watches(); open == 0 || ended < open {
-		t.Errorf("%d of %d watches have ended", ended, open)
+		t.Errorf("after Run, %d of %d watches have ended, want all of at least one", ended, open)
 	}
 }
--- a/respserver/nodes.go
+++ b/respserver/nodes.go
@@ -12,20 +12,20 @@
 
 var _ eventloop.ConnectHandler = (*nodeConn)(nil)
 
-// nodeConn is a connection to a storage node. It carries one request at a time.
+// nodeConn is a connection to a storage node. It carries at most one request at a time.
 type nodeConn struct {
 	server         *Server
 	id             forwarder.ConnID
 	conn           *eventloop.Conn
 	dialDeadline   time.Duration
 	connected      bool
-	used           bool     // it has carried a request
-	request        *request // in flight; nil: none
-	requestWritten bool     // the kernel has all of the request
-	value          []byte   // of the reply that is being handled
+	used           bool     // whether the connection has carried a request
+	request        *request // request in flight, or nil
+	requestWritten bool     // whether the kernel has accepted the whole request
+	value          []byte   // value in the reply that the forwarder is handling
 }
 
-// dial opens a connection to a node.
+// dial starts to open a connection to a node and reports a failure to the forwarder.
 func (s *Server) dial(a forwarder.Dial) {
 	addr, err := netip.ParseAddrPort(a.Addr)
 	conn := &nodeConn{server: s, id: a.Conn, dialDeadline: s.now() + a.Timeout}
@@ -41,7 +41,7 @@
 	s.dials = append(s.dials, conn)
 }
 
-// expireDials closes the connections that were not established by their deadline.
+// expireDials closes the connections that are not established by their dial deadline.
 func (s *Server) expireDials(now time.Duration) {
 	for len(s.dials) > 0 {
 		conn := s.dials[0]
@@ -59,8 +59,9 @@
 	}
 }
 
-// send writes a request that is to be replied to by the deadline. A connection on which something
-// has come since its last reply is lost: that would be taken for the reply to this request.
+// send writes a request to which the node must reply by the deadline. If the connection has received
+// input since its last reply, send closes it instead of using it, because the server would mistake
+// that input for the reply to this request.
 func (c *nodeConn) send(req *request, deadline time.Duration) {
 	s := c.server
 	if c.used && !c.conn.NoUnreadInput() {
@@ -74,7 +75,7 @@
 	c.requestWritten = c.conn.Open() && c.conn.Pending() == 0
 }
 
-// lose closes the connection and reports it as lost.
+// lose closes the connection and reports its loss to the forwarder.
 func (c *nodeConn) lose(event forwarder.ConnectionLost) {
 	delete(c.server.nodeConns, c.id)
 	c.request = nil
@@ -88,8 +89,9 @@
 	c.server.handle(forwarder.DialCompleted{Conn: c.id, OK: true})
 }
 
-// OnData reads a reply, which is complete before any of it is passed on. Input without a request in
-// flight, and what is no reply to an object command, ends the connection.
+// OnData reads a reply and passes it to the forwarder when it is complete. OnData closes the
+// connection on input without a request in flight and on input that is not a reply to an object
+// command.
 func (c *nodeConn) OnData(_ *eventloop.Conn, b []byte) int {
 	s := c.server
 	if c.request == nil {
@@ -111,7 +113,7 @@
 	}
 	reuse := n == len(b) && c.requestWritten && !c.conn.PeerClosed()
 	if info.Result == dispatch.ServerError {
-		reuse = false // it may be garbage in the form of an error
+		reuse = false // the error may be garbage that happens to parse as an error reply
 	}
 	c.request = nil
 	c.value = value
@@ -120,10 +122,11 @@
 	return n
 }
 
-// OnDrained records that the kernel has all of the request.
+// OnDrained records that the kernel has accepted the whole request.
 func (c *nodeConn) OnDrained(*eventloop.Conn) { c.requestWritten = true }
 
-// OnClose reports the connection's end to the forwarder, unless the forwarder asked for it.
+// OnClose reports to the forwarder that the connection is closed, unless the server has closed and
+// removed it itself.
 func (c *nodeConn) OnClose(*eventloop.Conn, error) {
 	s := c.server
 	if s.nodeConns[c.id] != c {
--- a/respserver/nodes_test.go
+++ b/respserver/nodes_test.go
@@ -9,10 +9,10 @@
 	"chalkstand/fake/respnode"
 )
 
-// secondReply is a whole reply that no request asked for.
+// secondReply is a complete reply that a node sends without a request.
 const secondReply = "*3\r\n$3\r\nbad\r\n$-1\r\n$-1\r\n"
 
-// What a node sends beside its reply is never taken for the reply to another request.
+// The server never uses bytes that a node sends after its reply as the reply to another request.
 func TestInputAfterNodeReply(t *testing.T) {
 	for name, trailer := range map[string]string{
 		"second reply":      secondReply,
@@ -29,14 +29,15 @@
 				c.expectReply(replyTo(id))
 			}
 			if opened := f.node.ConnsOpened(); opened != 20 {
-				t.Errorf("%d connections for 20 replies with a trailer", opened)
+				t.Errorf("the server opened %d connections for 20 replies with a trailer, want 20", opened)
 			}
 		})
 	}
 }
 
-// expectAmbiguousAttempt checks that an attempt with that outcome may have been executed: a read is
-// retried, a request that is not idempotent fails, and the client sees nothing of the outcome.
+// expectAmbiguousAttempt checks that the server treats an attempt with this outcome as one that the
+// node may have executed. The server retries a read, and a request that is not idempotent fails. The
+// client receives no part of the outcome.
 func expectAmbiguousAttempt(t *testing.T, outcome respnode.Behavior) {
 	t.Helper()
 	f := startFixture(t, 256)
@@ -50,7 +51,7 @@
 	f.expectCommands(3)
 }
 
-// A malformed reply is a failed attempt that may have been executed.
+// The server treats a malformed reply as a failed attempt that the node may have executed.
 func TestMalformedNodeReplies(t *testing.T) {
 	for name, reply := range map[string]string{
 		"noise":            "\x00\x01 noise\r\n",
@@ -65,8 +66,7 @@
 	}
 }
 
-// A reply that ends within a line or within its value, or does not start, is a failed attempt that
-// may have been executed.
+// The server treats a truncated or absent reply as a failed attempt that the node may have executed.
 func TestTruncatedNodeReplies(t *testing.T) {
 	for name, outcome := range map[string]respnode.Behavior{
 		"within a line":      {Reply: "*3\r\n$5", Close: true},
@@ -78,7 +78,7 @@
 	}
 }
 
-// A whole reply counts, whatever follows on its connection.
+// The server forwards a complete reply even if the node closes the connection after it.
 func TestCloseAfterNodeReply(t *testing.T) {
 	f := startFixture(t, 256)
 	c := f.client()
@@ -87,7 +87,7 @@
 	c.expectReply(replyTo("1"))
 }
 
-// The value of a reply is forwarded, even where the load report beside it is invalid.
+// The server forwards the value of a reply even if the load report in the same reply is invalid.
 func TestInvalidLoadReportIgnored(t *testing.T) {
 	f := startFixture(t, 256)
 	c := f.client()
@@ -103,7 +103,8 @@
 	}
 }
 
-// A request that a node rejected is retried, and an idempotent one also if its connection was closed.
+// The server retries a request that a node has rejected. If a node closes the connection instead, the
+// server retries the request only if it is idempotent.
 func TestRetries(t *testing.T) {
 	f := startFixture(t, 256)
 	c := f.client()
@@ -122,8 +123,8 @@
 	f.expectCommands(6)
 }
 
-// expectConnClosedAfter makes the server read a node's reply in one read while a request is in flight
-// and checks that the node's connection is closed before anything else is handled.
+// expectConnClosedAfter passes a node's reply to the server in one read while a request is in flight.
+// It checks that the server closes the node's connection before it handles any other event.
 func expectConnClosedAfter(t *testing.T, reply, want string) {
 	t.Helper()
 	f := startFixture(t, 256)
@@ -138,26 +139,27 @@
 	c.expectReply(want)
 }
 
-// expectNoNodeConns is called on the event loop.
+// expectNoNodeConns checks that no node connection is open. It must be called on the event loop.
 func (f *fixture) expectNoNodeConns() {
 	f.t.Helper()
 	if n := f.server.NodeConnCount(); n != 0 {
-		f.t.Errorf("%d connections to nodes are open, want none", n)
+		f.t.Errorf("got %d open connections to nodes, want none", n)
 	}
 }
 
-// There are three guards against input beside a reply, each tested alone. The first: input behind a
-// reply in the same read ends the connection.
+// The server closes a connection if a read contains bytes after a reply. This is the first of its
+// three checks for input that does not belong to a reply. Each check has its own test.
 func TestInputBehindReplyInSameRead(t *testing.T) {
 	expectConnClosedAfter(t, "*3\r\n$4\r\ngood\r\n$-1\r\n$-1\r\n"+secondReply, "$good")
 }
 
-// An error ends its connection: it may be noise in the form of one.
+// The server closes the connection after an error reply, which may be noise that looks like an error.
 func TestErrorReplyClosesConnection(t *testing.T) {
 	expectConnClosedAfter(t, "-ERR failed\r\n", "-ERR failed")
 }
 
-// The second guard: input on a connection without a request in flight ends it.
+// The server closes a connection that receives input without a request in flight. This is the second
+// of its three checks for input that does not belong to a reply.
 func TestInputOnIdleConnection(t *testing.T) {
 	f := startFixture(t, 256)
 	c := f.client()
@@ -169,15 +171,16 @@
 	f.server.RunOnLoop(f.expectNoNodeConns)
 }
 
-// The third guard: before a request is written the kernel is asked for input that the event loop has
-// not read. It would be taken for the reply to the request.
+// The server asks the kernel for unread input before it writes a request, because it would mistake
+// such input for the reply to the request. This is the third of its three checks for input that does
+// not belong to a reply.
 func TestUnreadInputBeforeSend(t *testing.T) {
 	f := startFixture(t, 256)
 	c := f.client()
 	c.send(getCommand("1"))
 	c.expectReply(replyTo("1"))
 	f.waitOnLoop(func() bool { return f.server.NodeConnCount() == 1 })
-	f.server.AdvanceClock(100 * time.Millisecond) // beyond the connection's reuse delay
+	f.server.AdvanceClock(100 * time.Millisecond) // longer than the reuse delay of the connection
 	f.server.RunOnLoop(func() {
 		f.node.WriteAll(secondReply)
 		f.waitFor(f.server.UnreadNodeInput)
--- a/respserver/requests.go
+++ b/respserver/requests.go
@@ -9,17 +9,17 @@
 	"chalkstand/internal/resp"
 )
 
-// request is an open request: its final reply has not been given.
+// request is an open request of a client. It stays open until the server gives its final reply.
 type request struct {
 	id            dispatch.RequestID
 	client        *client
 	reply         *pendingReply
 	command       objectcommand.Command
-	retainedBytes int // of the command's arguments
+	retainedBytes int // total size of the command's arguments
 }
 
-// retainArguments copies the command's arguments, which are parts of the read buffer, to a buffer of
-// the request's own. size is the sum of their lengths in bytes.
+// retainArguments copies the command's arguments from the read buffer to a buffer that the request
+// owns. size is the total length of the arguments in bytes.
 func (r *request) retainArguments(size int) {
 	buffer := make([]byte, 0, size)
 	retain := func(b []byte) []byte {
@@ -35,7 +35,8 @@
 	r.retainedBytes = size
 }
 
-// addRequest registers a request of a client under a new id. size is that of its arguments in bytes.
+// addRequest registers a request of a client under a new id. size is the total length of the
+// command's arguments in bytes.
 func (s *Server) addRequest(cl *client, command objectcommand.Command, size int) *request {
 	s.lastRequestID++
 	req := &request{id: s.lastRequestID, client: cl, command: command}
@@ -48,21 +49,22 @@
 	return req
 }
 
-// removeRequest unregisters a request.
+// removeRequest unregisters a request and releases its retained bytes.
 func (s *Server) removeRequest(req *request) {
 	delete(s.requests, req.id)
 	delete(s.requestsByClientID, string(req.command.ID))
 	s.retainedBytes -= req.retainedBytes
 }
 
-// finish gives a request its final reply.
+// finish unregisters a request and completes its reply.
 func (s *Server) finish(req *request, reply []byte) {
 	s.removeRequest(req)
 	req.client.completeReply(req.reply, reply)
 }
 
-// busyReply returns the reply to a rejected request: BUSY with the time after which to retry, in
-// milliseconds, rounded up. It is valid until the next message is written.
+// busyReply returns the reply to a rejected request. The reply contains BUSY and the time after which
+// the client may retry, in milliseconds, rounded up. The returned slice is valid until the server
+// writes its next message.
 func (s *Server) busyReply(retryAfter time.Duration) []byte {
 	s.writeBuffer = append(s.writeBuffer[:0], "-BUSY "...)
 	s.writeBuffer = strconv.AppendInt(s.writeBuffer, int64((retryAfter+time.Millisecond-1)/time.Millisecond), 10)
@@ -70,7 +72,8 @@
 	return s.writeBuffer
 }
 
-// failureReply returns the reply to a failed request. It is valid until the next message is written.
+// failureReply returns the reply to a failed request. The returned slice is valid until the server
+// writes its next message.
 func (s *Server) failureReply(timedOut bool) []byte {
 	text := "ERR failed"
 	if timedOut {
--- a/respserver/requests_test.go
+++ b/respserver/requests_test.go
@@ -11,7 +11,7 @@
 	"chalkstand/fake/respnode"
 )
 
-// Each command gets its reply, and an object command reaches the node with its own arguments.
+// The server replies to each command, and it sends object commands to the node with their arguments.
 func TestCommands(t *testing.T) {
 	f := startFixture(t, 256)
 	c := f.client()
@@ -28,28 +28,30 @@
 	c.expectReply(replyTo("2"))
 	commands := f.node.Commands()
 	if len(commands) != 2 {
-		t.Fatalf("%d commands at the node, want 2", len(commands))
+		t.Fatalf("the node received %d commands, want 2", len(commands))
 	}
 	get, put := commands[0], commands[1]
 	if put[0] != "OBJ.PUT" || len(put[4]) != 64<<10 {
-		t.Errorf("at the node: %q with %d bytes", put[0], len(put[4]))
+		t.Errorf("the node received %q with %d bytes, want OBJ.PUT with 64 KiB", put[0], len(put[4]))
 	}
 	if get[1] != pieceID || get[2] != "1" {
-		t.Errorf("at the node: %q", get[:3])
+		t.Errorf("the node received %q, want the piece and id of the request", get[:3])
 	}
 	timeoutMS := 0
 	format := "c=read,t=gold,d=%d,volume=00000003b4d60021,units=2,shard=0,hosts=1"
 	if _, err := fmt.Sscanf(get[3], format, &timeoutMS); err != nil || timeoutMS < 1 || timeoutMS > 2500 {
-		t.Errorf("at the node: %q", get[3])
+		t.Errorf("the node received the fields %q, want those of the request with d from 1 to 2500", get[3])
 	}
 }
 
-// The commands of a connection run concurrently, and their replies come in the order of the commands.
+// The server runs the commands of a connection concurrently and sends the replies in the order of the
+// commands.
 func TestPipelinedRepliesInOrder(t *testing.T) {
 	f := startFixture(t, 256)
 	c := f.client()
 	f.node.SetNext(respnode.Behavior{Hang: true}, respnode.Behavior{})
-	// A request that is not idempotent: a read would be retried once the next has overtaken it.
+	// The first request is not idempotent. The server would retry a read after the second request has
+	// overtaken it.
 	c.send(respnode.Command("OBJ.PUT", pieceID, "slow", fieldList("c", "c=write", "d", "d=400"), "body"))
 	f.waitForCommands(1)
 	c.send(getCommand("quick") + respnode.Command("PING"))
@@ -59,7 +61,7 @@
 	c.expectReply("+PONG")
 }
 
-// A command that can't be executed gets an error and does not reach a node.
+// The server replies with an error to an invalid command and does not send it to a node.
 func TestInvalidCommands(t *testing.T) {
 	f := startFixture(t, 256)
 	getWith := func(fields ...string) string {
@@ -95,7 +97,7 @@
 	f.expectCommands(0)
 }
 
-// The id of an open request is rejected for another, and the first request is not affected.
+// The server rejects a request with the id of an open request. The open request is not affected.
 func TestDuplicateRequestID(t *testing.T) {
 	f := startFixture(t, 256)
 	f.node.SetDefault(respnode.Behavior{Delay: 100 * time.Millisecond})
@@ -105,12 +107,12 @@
 	b.send(getCommand("same"))
 	b.expectReply("-ERR id")
 	a.expectReply(replyTo("same"))
-	b.send(getCommand("same")) // the first has ended
+	b.send(getCommand("same")) // the first request has ended, so its id is free
 	b.expectReply(replyTo("same"))
 }
 
-// A churn of nodes, volumes, connections and requests leaves nothing behind: the heap is as large
-// after many of them as after some.
+// The server releases the memory of replaced nodes, old volumes, closed connections and finished
+// requests. The heap must not grow by more than 256 KiB between 100 and 700 rounds of changes.
 func TestChurn(t *testing.T) {
 	f := startFixture(t, 256)
 	f.waitFor(func() bool { return f.discovery.Send("") > 0 })
@@ -123,23 +125,23 @@
 		f.waitOnLoop(func() bool { return f.server.ClientCount() == 0 })
 	}
 	churn(100)
-	some := f.heapBytes()
+	before := f.heapBytes()
 	churn(600)
-	many := f.heapBytes()
-	t.Logf("%.0f KiB after 100 rounds, %.0f KiB after 700", some/1024, many/1024)
-	if many > some+256<<10 {
-		t.Error("the heap grows")
+	after := f.heapBytes()
+	t.Logf("heap: %.0f KiB after 100 rounds, %.0f KiB after 700", before/1024, after/1024)
+	if after > before+256<<10 {
+		t.Error("the heap grew by more than 256 KiB between 100 and 700 rounds")
 	}
 	f.expectNothingRetained()
 	f.server.RunOnLoop(func() {
 		if n := f.server.NodeConnCount(); n > 8 {
-			t.Errorf("%d connections to nodes are open, want 8 at most", n)
+			t.Errorf("got %d open connections to nodes, want at most 8", n)
 		}
 	})
 }
 
-// churnRound replaces the node of the previous version and sends requests of new volumes on a new
-// connection.
+// churnRound replaces the node of the previous version with a new node. It then sends requests for new
+// volumes on a new client connection.
 func (f *fixture) churnRound(version int) {
 	f.t.Helper()
 	added := readyEndpoint(fmt.Sprintf("s%d", version), f.node)
@@ -147,21 +149,22 @@
 	removed := fakediscovery.Endpoint{ID: fmt.Sprintf("s%d", version-1), Addr: f.node.Addr(), State: "Gone"}
 	f.discovery.Send(fakediscovery.Document(version, false, added, removed))
 	f.waitOnLoop(func() bool { return f.server.EndpointVersion() == int64(version) })
-	c := f.dial() // without a cleanup function, which would grow the heap
+	c := f.dial() // f.client would register a cleanup function each time, which grows the heap
 	for range 3 {
 		id := f.nextID()
 		volume := fmt.Sprintf("volume=%016x", f.lastID)
 		c.send(respnode.Command("OBJ.GET", pieceID, id, fieldList("volume", volume)))
 		got, err := respnode.ReadReply(c.in)
 		if err != nil || !strings.HasPrefix(got, "$") && !strings.HasPrefix(got, "-BUSY") {
-			f.t.Fatalf("%q, %v", got, err)
+			f.t.Fatalf("got reply %q (error %v), want a value or BUSY", got, err)
 		}
 	}
 	closeOrFail(f.t, c)
-	f.server.AdvanceClock(time.Second) // volumes are forgotten after half a minute
+	f.server.AdvanceClock(time.Second) // the dispatcher forgets a volume after half a minute without requests
 }
 
-// heapBytes returns the size of the live heap without the commands that the node records.
+// heapBytes returns the size of the live heap in bytes. It first clears the commands that the node has
+// recorded, so that they do not count.
 func (f *fixture) heapBytes() float64 {
 	var stats runtime.MemStats
 	f.node.ClearCommands()
--- a/respserver/server.go
+++ b/respserver/server.go
@@ -1,8 +1,8 @@
-// Package respserver is the RESP2 server of the platform's protocol: clients send object commands
-// in RESP2, and storage nodes speak RESP2, too. One event loop owns the sockets, the
-// forwarder and the dispatcher, so that no request crosses goroutines. The server moves bytes and
-// reports events to the forwarder; the dispatcher behind it decides what is sent, queued, rejected
-// or retried, and which nodes are healthy.
+// Package respserver implements the RESP2 server of the platform's protocol. Clients send object
+// commands in RESP2, and the server forwards them to storage nodes in RESP2. One event loop owns the
+// sockets, the forwarder and the dispatcher, so that no request moves between goroutines. The server
+// transfers bytes and reports events to the forwarder. The forwarder's dispatcher decides which
+// requests are sent, queued, rejected or retried, and which nodes are healthy.
 package respserver
 
 import (
@@ -23,21 +23,21 @@
 	"chalkstand/internal/resp"
 )
 
-// Weights of the event loop's flows.
+// The event loop shares its time between the flows by these weights.
 const (
 	newConnsFlowWeight = 2
 	clientsFlowWeight  = 4
 	nodesFlowWeight    = 16
 )
 
-// sweepInterval is how often the time-outs of client connections are checked.
+// sweepInterval is the time between two checks of the timeouts of client connections.
 const sweepInterval = 20 * time.Millisecond
 
-// noTimer is the time of a timer that is not set.
+// noTimer is the value of forwarderTimer while no timer is set.
 const noTimer = time.Duration(math.MaxInt64)
 
-// Server is a running RESP2 server with its dispatcher. All its fields belong to its event loop.
-// Times are durations since the Unix epoch, as now returns them.
+// Server is an RESP2 server with its dispatcher. Only the goroutine of the event loop uses its
+// fields. Times are durations since the Unix epoch, as returned by now.
 type Server struct {
 	cfg       Config
 	log       *zap.Logger
@@ -45,40 +45,41 @@
 	loop      *eventloop.Loop
 	forwarder *forwarder.Forwarder
 	startTime time.Time
-	epoch     time.Duration // Unix time of startTime
+	epoch     time.Duration // startTime as a duration since the Unix epoch
 
-	events         []forwarder.Event // not yet handled, the oldest first
+	events         []forwarder.Event // events that wait for the forwarder, oldest first
 	handlingEvents bool
 	forwarderTimer time.Duration
 	nextSweep      time.Duration
 
 	nodeConns          map[forwarder.ConnID]*nodeConn
-	dials              []*nodeConn // being opened, the oldest first
+	dials              []*nodeConn // connections that are being opened, oldest first
 	clients            []*client
 	requests           map[dispatch.RequestID]*request
 	requestsByClientID map[string]*request
 	lastRequestID      dispatch.RequestID
-	retainedBytes      int // of the arguments of open requests and of replies queued behind earlier ones
+	retainedBytes      int // bytes of the arguments of open requests and of replies that wait for earlier replies
 	maxRetainedBytes   int
 
-	args        [][]byte   // reused for each command
-	nodeReply   resp.Reply // reused for each reply of a node
-	writeBuffer []byte     // reused for each message that is written
+	args        [][]byte   // arguments of the current command; the slice is reused for each command
+	nodeReply   resp.Reply // current reply of a node; the value is reused for each reply
+	writeBuffer []byte     // message that is being written; the buffer is reused for each message
 
 	flows struct{ newConns, clients, nodes *eventloop.Flow }
 
 	discoveryAddr   netip.AddrPort
 	endpointVersion int64
 	watch           *watch
-	previousWatch   *watch // at the previous address, until watch has received an update
+	previousWatch   *watch // watch at the previous address; it stays open until watch has received an update
 
 	shuttingDown     bool
 	shutdownStarted  time.Duration
-	listenerClosedAt time.Duration // in a graceful shutdown; 0 while the listener is open
-	stopped          bool          // the event loop is being stopped
+	listenerClosedAt time.Duration // time at which a graceful shutdown closed the listener; 0 while it is open
+	stopped          bool          // whether the server has started to stop the event loop
 }
 
-// New opens the listener and the event loop of a server. Run serves on them.
+// New opens the listener and the event loop of a server. The server handles no connection until Run
+// is called.
 func New(cfg Config, log *zap.Logger) (*Server, error) {
 	fwd, err := forwarder.New(cfg.forwarderConfig())
 	if err != nil {
@@ -115,14 +116,14 @@
 	return s, nil
 }
 
-// listen opens the listening socket on the event loop.
+// listen opens the listening socket and adds it to the event loop.
 func (s *Server) listen() error {
 	var config net.ListenConfig
 	ln, err := config.Listen(context.Background(), "tcp", s.cfg.Listen.String())
 	if err != nil {
 		return err
 	}
-	fd, err := eventloop.Detach(ln.(*net.TCPListener)) // a duplicate, so that ln can be closed
+	fd, err := eventloop.Detach(ln.(*net.TCPListener)) // fd is a duplicate, so closing ln does not affect it
 	if err := errors.Join(err, ln.Close()); err != nil {
 		return err
 	}
@@ -134,18 +135,19 @@
 func (s *Server) Run() error {
 	s.handle(forwarder.EndpointUpdate{Kind: dispatch.Cached, Nodes: s.cfg.Known.Nodes})
 	err := s.loop.Run()
-	s.closeWatches() // nothing else touches them: the loop has ended
+	s.closeWatches() // the event loop has ended, so no other goroutine uses the watches
 	return err
 }
 
-// Addr returns the address on which the server listens.
+// Addr returns the configured listening address.
 func (s *Server) Addr() string { return s.cfg.Listen.String() }
 
-// now returns the Unix time at the server's start, advanced by the monotonic clock.
+// now returns the current time as a duration since the Unix epoch. It adds the monotonic time since
+// startTime to epoch, so changes of the system clock have no effect.
 func (s *Server) now() time.Duration { return s.epoch + time.Since(s.startTime) }
 
-// handle passes an event to the forwarder and performs the actions that it returns, in order. An
-// event that arises while an action is performed is handled after the present one.
+// handle passes an event to the forwarder and performs the returned actions in order. If an action
+// causes another event, handle queues that event and processes it after the current one.
 func (s *Server) handle(event forwarder.Event) {
 	s.events = append(s.events, event)
 	if s.handlingEvents {
@@ -164,7 +166,7 @@
 	s.handlingEvents = false
 }
 
-// perform carries out an action of the forwarder.
+// perform performs one action of the forwarder.
 func (s *Server) perform(action forwarder.Action) {
 	switch a := action.(type) {
 	case forwarder.Dial:
@@ -200,7 +202,7 @@
 	}
 }
 
-// nextTimer returns the next time at which onTimer is to be called, by the event loop's clock.
+// nextTimer returns the time on the event loop's clock at which the loop must call onTimer next.
 func (s *Server) nextTimer() (time.Duration, bool) {
 	at := min(s.forwarderTimer, s.nextSweep)
 	if len(s.dials) > 0 {
@@ -209,7 +211,8 @@
 	return max(at-s.epoch, 0), true
 }
 
-// onTimer is called by the event loop at the time that nextTimer returned, or later.
+// onTimer runs the work that is due. The event loop calls it at or after the time that nextTimer
+// returned.
 func (s *Server) onTimer(time.Duration) {
 	now := s.now()
 	s.expireDials(now)
@@ -223,7 +226,7 @@
 	}
 }
 
-// sweep closes the client connections whose time is over and advances a graceful shutdown.
+// sweep closes the client connections that have reached a timeout and advances a graceful shutdown.
 func (s *Server) sweep(now time.Duration) {
 	s.sweepClients(now)
 	if s.shuttingDown {
--- a/respserver/shutdown.go
+++ b/respserver/shutdown.go
@@ -10,20 +10,22 @@
 	"chalkstand/internal/resp"
 )
 
-// Times of a graceful shutdown. The platform terminates a server by force no sooner than the longest
-// deadline of a request class, at most maxTerminationDelay, plus terminationMargin after it asked for
-// the shutdown. Requests that are open then are lost, unless they came within about the grace period.
+// These times control a graceful shutdown. After the platform has asked for a shutdown, it waits for
+// the longest deadline of a request class, at most maxTerminationDelay, plus terminationMargin, before
+// it may terminate the server by force. A forced termination loses the open requests, unless they
+// arrived within about the grace period.
 const (
-	shutdownGracePeriod = 500 * time.Millisecond // clients still open connections for up to 0.4 s
+	shutdownGracePeriod = 500 * time.Millisecond // clients open new connections for up to 0.4 s after the request
 	maxTerminationDelay = 3 * time.Second
 	terminationMargin   = 700 * time.Millisecond
-	failRequestsBefore  = 200 * time.Millisecond // the forced termination, all open requests fail
-	stopBefore          = 50 * time.Millisecond  // the forced termination, the event loop stops
+	failRequestsBefore  = 200 * time.Millisecond // all open requests fail this long before the forced termination
+	stopBefore          = 50 * time.Millisecond  // the event loop stops this long before the forced termination
 )
 
-// Shutdown starts a graceful shutdown and returns at once. The server goes on serving for the grace
-// period, then starts no further request, replies to those that are open, closes each connection
-// after its last reply, and stops: Run returns. Further calls have no effect.
+// Shutdown starts a graceful shutdown and returns at once. The server continues to serve during the
+// grace period. Then it starts no further request, replies to the open requests and closes each
+// connection after its last reply. Run returns when the shutdown is complete. Further calls of
+// Shutdown have no effect.
 func (s *Server) Shutdown() {
 	s.loop.Post(func() {
 		if !s.shuttingDown {
@@ -33,8 +35,8 @@
 	})
 }
 
-// forcedTermination returns the earliest time at which the platform terminates a server that is
-// shutting down.
+// forcedTermination returns the earliest time at which the platform may terminate the server by force
+// during a shutdown.
 func (s *Server) forcedTermination() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range s.cfg.Settings.Dispatch.Classes {
@@ -43,7 +45,7 @@
 	return s.shutdownStarted + min(longest, maxTerminationDelay) + terminationMargin
 }
 
-// advanceShutdown does the next steps of a graceful shutdown. It is called by each sweep.
+// advanceShutdown performs the steps of a graceful shutdown that are due. Each sweep calls it.
 func (s *Server) advanceShutdown(now time.Duration) {
 	if now < s.shutdownStarted+shutdownGracePeriod || s.stopped {
 		return
@@ -53,7 +55,7 @@
 		s.loop.StopListening()
 	}
 	if now < s.listenerClosedAt+sweepInterval {
-		return // connections accepted at the last moment are read first
+		return // connections that were accepted just before the listener closed must be read first
 	}
 	forcedTermination := s.forcedTermination()
 	overdue := now > forcedTermination-failRequestsBefore
@@ -61,7 +63,8 @@
 		s.failOpenRequests()
 	}
 	for _, cl := range slices.Clone(s.clients) {
-		// A paused connection has commands that were read and not yet started: they are started first.
+		// A paused connection may hold commands that were read but not started. It is drained only after
+		// these commands have started, unless the shutdown is overdue.
 		if !cl.draining && (overdue || !cl.conn.Paused()) {
 			cl.drain()
 		}
@@ -70,11 +73,11 @@
 		s.stopped = true
 		s.log.Info("graceful shutdown completed",
 			zap.Int("open_requests", len(s.requests)), zap.Int("connections", len(s.clients)))
-		go s.loop.Stop() // it waits for the loop, on which this runs
+		go s.loop.Stop() // Stop waits for the loop, so a call on the loop itself would deadlock
 	}
 }
 
-// failOpenRequests gives all open requests their final reply shortly before the forced termination.
+// failOpenRequests gives all open requests an error reply shortly before the forced termination.
 func (s *Server) failOpenRequests() {
 	for _, cl := range slices.Clone(s.clients) {
 		for _, pending := range slices.Clone(cl.pipeline) {
--- a/respserver/shutdown_test.go
+++ b/respserver/shutdown_test.go
@@ -9,20 +9,21 @@
 	"chalkstand/fake/respnode"
 )
 
-// Clock advances of a graceful shutdown.
+// The tests advance the server's clock by these durations to reach the phases of a graceful shutdown.
 const (
-	pastGracePeriod = 600 * time.Millisecond // the listener is closed
-	pastAcceptQueue = 100 * time.Millisecond // after that, connections are drained
+	pastGracePeriod = 600 * time.Millisecond // until after the server has closed the listener
+	pastAcceptQueue = 100 * time.Millisecond // from then until the server has drained its connections
 )
 
-// passGracePeriod advances a graceful shutdown until idle connections are half-closed.
+// passGracePeriod advances the clock until a graceful shutdown has half-closed idle connections.
 func (f *fixture) passGracePeriod() {
 	f.t.Helper()
 	f.advance(pastGracePeriod)
 	f.advance(pastAcceptQueue)
 }
 
-// A graceful shutdown replies to open requests, serves clients that still come, and stops.
+// During a graceful shutdown, the server replies to open requests and serves clients that connect
+// within the grace period. Then it stops.
 func TestShutdown(t *testing.T) {
 	f := startFixture(t, 256)
 	f.node.SetDefault(respnode.Behavior{Delay: 700 * time.Millisecond})
@@ -41,8 +42,9 @@
 	f.waitForStop()
 }
 
-// A client with a request open at all times is closed too: what was read is replied to, commands
-// behind it are not started, and its connection ends in order.
+// A graceful shutdown also closes the connection of a client that always has an open request. The
+// server replies to the commands that it has read and does not start later ones. The client reads an
+// end of file.
 func TestShutdownWithBusyClient(t *testing.T) {
 	f := startFixture(t, 256)
 	f.node.SetDefault(respnode.Behavior{Delay: 50 * time.Millisecond})
@@ -52,28 +54,28 @@
 	f.server.Shutdown()
 	sent := 1
 	for replies := 0; ; replies++ {
-		_, _ = c.Write([]byte(getCommand(f.nextID()))) // behind an open request; it may cross the close
+		_, _ = c.Write([]byte(getCommand(f.nextID()))) // fails if the server has closed the connection
 		sent++
 		got, err := respnode.ReadReply(c.in)
 		if err != nil {
 			break
 		}
 		if got[0] != '$' {
-			t.Fatalf("reply %d: %q", replies, got)
+			t.Fatalf("reply %d: got %q, want a bulk string", replies, got)
 		}
 		if sent > 1000 {
-			t.Fatal("the connection stays open")
+			t.Fatal("the connection is still open after 1000 commands, want it closed by the shutdown")
 		}
 	}
 	f.waitForStop()
 	if commands := f.node.Commands(); len(commands) >= sent {
-		t.Errorf("%d commands at the node of %d that were sent: what crossed the close was started",
+		t.Errorf("the node received %d commands of %d, want fewer: the server started a command after the close",
 			len(commands), sent)
 	}
 }
 
-// What is open shortly before the forced termination gets its final reply, and a command behind the
-// grace period is not started.
+// Requests that are still open shortly before the forced termination get a final reply. The server
+// does not start a command that arrives after the grace period.
 func TestShutdownWithHungNode(t *testing.T) {
 	f := startFixture(t, 256)
 	f.node.SetDefault(respnode.Behavior{Hang: true})
@@ -86,7 +88,7 @@
 	f.advance(pastGracePeriod)
 	f.advance(50 * time.Millisecond)
 	c.send(getCommand("late"))
-	f.advance(2900 * time.Millisecond) // the forced termination is 3.7 s after the start
+	f.advance(2900 * time.Millisecond) // the forced termination is 3.7 s after the start of the shutdown
 	c.expectReply("-ERR failed")
 	c.expectReply("+PONG")
 	c.expectClosed()
@@ -95,8 +97,9 @@
 	f.expectCommands(1)
 }
 
-// A connection that is paused, as its client does not read, is not half-closed before its commands that were read
-// are started: they would be dropped without a reply.
+// The server pauses a connection whose client does not read its replies. A graceful shutdown must not
+// half-close this connection before the commands that the server has read are started, because these
+// commands would get no reply.
 func TestShutdownWaitsForPausedClient(t *testing.T) {
 	f := startFixture(t, 256)
 	c := f.client()
@@ -113,13 +116,14 @@
 	f.waitForStop()
 }
 
-// Connections in the accept queue when the listener closes are accepted and served.
+// The server accepts and serves the connections that are in the accept queue when it closes the
+// listener.
 func TestShutdownServesAcceptQueue(t *testing.T) {
 	f := startFixture(t, 256)
 	f.server.Shutdown()
 	f.server.AdvanceClock(490 * time.Millisecond)
 	var late *client
-	f.server.RunOnLoop(func() { // it connects while the event loop stands still
+	f.server.RunOnLoop(func() { // the client connects while the event loop is blocked
 		late = f.client()
 		late.send(getCommand("late"))
 		f.server.EndGracePeriod()
@@ -130,20 +134,21 @@
 	f.waitForStop()
 }
 
-// A client that reads slowly gets whole replies and an orderly end.
+// During a graceful shutdown, a client that reads slowly still gets complete replies and an end of
+// file.
 func TestShutdownWithSlowReader(t *testing.T) {
 	f := startFixture(t, 256)
 	c := f.slowReader()
 	f.server.Shutdown()
 	f.passGracePeriod()
-	f.advance(time.Second) // beyond the linger time-out
+	f.advance(time.Second) // longer than the linger timeout
 	n, err := io.Copy(io.Discard, c.in)
 	if size := int64(len(largeValue)); n%size != 0 || n == 0 || err != nil {
-		t.Errorf("%d bytes in replies of %d (%v)", n, size, err)
+		t.Errorf("got %d bytes, want a positive multiple of the reply size %d (error %v, want none)", n, size, err)
 	}
 }
 
-// Input on a connection that was half-closed is read and discarded.
+// The server reads and discards input on a connection that it has half-closed.
 func TestInputAfterHalfCloseDiscarded(t *testing.T) {
 	f := startFixture(t, 256)
 	c := f.client()
@@ -151,21 +156,21 @@
 	f.server.Shutdown()
 	f.passGracePeriod()
 	if _, err := c.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Fatalf("the connection ends with %v, want EOF", err)
+		t.Fatalf("read after the half-close: got %v, want EOF", err)
 	}
 	c.send(getCommand("late"))
 	f.waitOnLoop(func() bool { return f.server.ClientCount() == 0 || f.server.ClientInputRead() })
 	f.server.RunOnLoop(func() {
 		if n := f.server.ClientCount(); n != 1 {
-			t.Errorf("%d connections, want 1: input was left unread, and the close reset the connection", n)
+			t.Errorf("got %d connections, want 1: the server left input unread, and the close reset the connection", n)
 		}
 		if f.server.StartedRequests() > 0 {
-			t.Error("the command was started")
+			t.Error("the server started a command that arrived after the half-close")
 		}
 	})
 }
 
-// No discovery watch is opened during a graceful shutdown.
+// The server opens no discovery watch during a graceful shutdown.
 func TestNoWatchDuringShutdown(t *testing.T) {
 	f := startFixture(t, 256)
 	f.sendUpdate(f.discovery, "")
@@ -175,11 +180,12 @@
 	f.server.AdvanceClock(time.Second) // the dispatcher polls again
 	f.waitForStop()
 	if calls := f.discovery.Calls(); len(calls) != 1 {
-		t.Errorf("%d calls to discovery, want 1", len(calls))
+		t.Errorf("got %d calls to discovery, want 1", len(calls))
 	}
 }
 
-// A second SIGTERM does not start the graceful shutdown anew, and SIGHUP during it opens no watch.
+// A second call of Shutdown, as after a second SIGTERM, does not restart the graceful shutdown. A call
+// of Reload during the shutdown, as after a SIGHUP, opens no watch.
 func TestSignalsDuringShutdown(t *testing.T) {
 	f := startFixture(t, 256)
 	f.sendUpdate(f.discovery, "")
@@ -189,19 +195,19 @@
 	f.server.AdvanceClock(300 * time.Millisecond)
 	f.server.Shutdown()
 	moved := startDiscovery(t)
-	f.server.Reload(f.movedTo(moved.Addr()))
+	f.server.Reload(f.withDiscovery(moved.Addr()))
 	f.server.RunOnLoop(func() {
 		second = f.server.ShutdownStarted()
 		if !f.server.WatchOpen() {
-			t.Error("the open watch was closed")
+			t.Error("Reload during the shutdown closed the open watch")
 		}
 	})
 	if first == 0 || second != first {
-		t.Errorf("the shutdown started at %v and then at %v", first, second)
+		t.Errorf("start of the shutdown: got %v, then %v after the second call, want the same time, not 0", first, second)
 	}
 	f.server.AdvanceClock(500 * time.Millisecond)
 	f.waitForStop()
 	if calls := moved.Calls(); len(calls) > 0 {
-		t.Errorf("%d calls at the new address, want none", len(calls))
+		t.Errorf("got %d calls to discovery at the new address, want none", len(calls))
 	}
 }
--- a/respserver/watch.go
+++ b/respserver/watch.go
@@ -12,10 +12,11 @@
 	"chalkstand/internal/endpoints"
 )
 
-// Time-outs of a discovery watch. An update has to be applied 6 s after discovery had it and could be
-// reached, and 6 s after the watch fell silent that would have delivered it. Discovery responds within
-// 2 s or not at all and sends an empty line every 2 s; the dispatcher waits up to 0.75 s before it polls
-// after a watch that had received an update, and up to 3 s otherwise.
+// These timeouts apply to a discovery watch. The server must apply an update at most 6 s after a
+// reachable discovery publishes it, and at most 6 s after the watch that should have delivered it falls
+// silent. Discovery responds within 2 s or not at all, and it sends an empty line every 2 s. After a
+// watch ends, the dispatcher waits up to 0.75 s before it polls again if the watch had received an
+// update, and up to 3 s otherwise.
 const (
 	discoveryResponseTimeout = 2500 * time.Millisecond
 	discoverySilenceTimeout  = 2700 * time.Millisecond
@@ -24,11 +25,12 @@
 // watch is an open discovery watch.
 type watch struct {
 	cancel   context.CancelFunc
-	ended    <-chan struct{} // closed when its goroutine has ended
-	received bool            // an endpoint list
+	ended    <-chan struct{} // closed when the goroutine of the watch has ended
+	received bool            // whether the watch has received an endpoint list
 }
 
-// openWatch opens a discovery watch from the known version on, unless one is open.
+// openWatch opens a discovery watch that starts at the known version. It does nothing if a watch is
+// open or the server is shutting down.
 func (s *Server) openWatch() {
 	if s.watch != nil || s.shuttingDown {
 		return
@@ -46,9 +48,9 @@
 		func(err error) { s.loop.Post(func() { s.watchClosed(w, err) }) })
 }
 
-// applyEndpoints applies an endpoint list that a watch has received. A list older than the known
-// version is stale, unless it is a snapshot and the first list of its watch: discovery at a new
-// address may be behind.
+// applyEndpoints applies an endpoint list that a watch has received. It ignores a list that is older
+// than the known version, unless the list is a snapshot and the first list of its watch: discovery at
+// a new address may have older data than the previous one.
 func (s *Server) applyEndpoints(w *watch, list endpoints.Document) {
 	if w != s.watch && w != s.previousWatch {
 		return
@@ -73,7 +75,7 @@
 	s.handle(forwarder.EndpointUpdate{Kind: kind, Nodes: list.Nodes})
 }
 
-// watchClosed is called when a watch has ended by itself.
+// watchClosed handles the end of a watch that the server has not canceled.
 func (s *Server) watchClosed(w *watch, err error) {
 	w.cancel()
 	switch w {
@@ -86,7 +88,7 @@
 	}
 }
 
-// closeWatches ends the open watches and waits for them.
+// closeWatches cancels the open watches and waits until their goroutines have ended.
 func (s *Server) closeWatches() {
 	for _, w := range []*watch{s.watch, s.previousWatch} {
 		if w != nil {
@@ -96,8 +98,9 @@
 	}
 }
 
-// Reload applies the part of a new configuration that may change at run time: the address of
-// discovery. The watch there is opened while the previous one is still open.
+// Reload applies the address of discovery from a new configuration. It ignores all other fields,
+// which cannot change at run time. The server opens a watch at the new address before it closes the
+// previous watch.
 func (s *Server) Reload(cfg Config) {
 	s.loop.Post(func() {
 		if cfg.Discovery == s.discoveryAddr || s.shuttingDown {
@@ -110,8 +113,9 @@
 	})
 }
 
-// retireWatch makes the open watch the previous one. If there is a previous one already, the one that
-// has received a list is kept and the other is closed.
+// retireWatch makes the current watch the previous watch. If there already is a previous watch, it
+// keeps the current one if that has received an endpoint list, and otherwise the older one. It closes
+// the other watch.
 func (s *Server) retireWatch() {
 	if s.watch == nil {
 		return
--- a/respserver/watch_test.go
+++ b/respserver/watch_test.go
@@ -11,7 +11,7 @@
 	"chalkstand/respserver"
 )
 
-// expectRequestsReach sends requests until one has reached a node. Some may fail meanwhile.
+// expectRequestsReach sends requests until one of them has reached a node. Earlier requests may fail.
 func (f *fixture) expectRequestsReach(node *respnode.Node) {
 	f.t.Helper()
 	before := len(node.Commands())
@@ -25,13 +25,13 @@
 			return
 		}
 		if time.Now().After(end) {
-			f.t.Fatal("no request reaches the node: the endpoint list was not applied")
+			f.t.Fatal("timed out waiting for a request to reach the node: the server has not applied the endpoint list")
 		}
 	}
 }
 
-// Updates are applied, failures of discovery survived, and after a change of its address discovery is
-// polled there from the known version on.
+// The server applies updates of the endpoint list and tolerates failures of discovery. After a change
+// of the address of discovery, the server opens a watch there that starts at the known version.
 func TestDiscovery(t *testing.T) {
 	f := startFixture(t, 256)
 	second := startNode(t)
@@ -41,7 +41,7 @@
 	f.sendUpdate(f.discovery, fakediscovery.Document(42, false, draining, readyEndpoint("s2", second)))
 	f.expectRequestsReach(second)
 	gone := fakediscovery.Endpoint{ID: "s2", Addr: second.Addr(), State: "Gone"}
-	f.sendUpdate(f.discovery, fakediscovery.Document(7, false, gone)) // stale
+	f.sendUpdate(f.discovery, fakediscovery.Document(7, false, gone)) // version 7 is stale
 	f.expectRequestsReach(second)
 	f.discovery.FailCalls(1)
 	f.sendUpdate(f.discovery, "{bad")
@@ -52,7 +52,7 @@
 	f.sendUpdate(moved, fakediscovery.Document(43, true, ready))
 	f.expectRequestsReach(f.node)
 	if calls := moved.Calls(); len(calls) != 1 || calls[0] != "42" {
-		t.Errorf("polled from the versions %q, want 42", calls)
+		t.Errorf("the server opened watches that start at the versions %q, want one at 42", calls)
 	}
 }
 
@@ -70,7 +70,7 @@
 	return cfg
 }
 
-// silentDiscovery returns an address where connections are opened and nothing is sent.
+// silentDiscovery returns an address that accepts connections and never sends a byte.
 func silentDiscovery(t *testing.T) string {
 	t.Helper()
 	ln := listen(t)
@@ -78,14 +78,14 @@
 	return ln.Addr().String()
 }
 
-// The address of discovery changes twice, to where there is no response: the watch that has received
-// an update stays open.
+// The address of discovery changes twice to addresses that never respond. The server keeps the watch
+// that has received an update open.
 func TestDiscoveryAddressChangesTwice(t *testing.T) {
 	f := startFixture(t, 256)
 	f.sendUpdate(f.discovery, fakediscovery.Document(42, true, readyEndpoint("s1", f.node)))
 	f.waitOnLoop(func() bool { return f.server.EndpointVersion() == 42 })
 	for range 2 {
-		f.server.Reload(f.movedTo(silentDiscovery(t)))
+		f.server.Reload(f.withDiscovery(silentDiscovery(t)))
 	}
 	f.server.RunOnLoop(func() {})
 	draining := fakediscovery.Endpoint{ID: "s1", Addr: f.node.Addr(), State: "Terminating"}
@@ -93,12 +93,13 @@
 	f.waitOnLoop(func() bool { return f.server.EndpointVersion() == 43 })
 }
 
-// The address of discovery changes while the first watch is being opened: the new address is polled at
-// once, and after its first update the close of the previous watch has no effect.
+// The address of discovery changes while the server opens its first watch. The server opens a watch at
+// the new address at once. After the first update from there, the end of the previous watch has no
+// effect.
 func TestDiscoveryAddressChangesDuringFirstWatch(t *testing.T) {
 	f := startFixture(t, 256)
 	moved := startDiscovery(t)
-	f.server.Reload(f.movedTo(moved.Addr()))
+	f.server.Reload(f.withDiscovery(moved.Addr()))
 	f.sendUpdate(moved, fakediscovery.Document(43, true, readyEndpoint("s1", f.node)))
 	f.waitOnLoop(func() bool { return f.server.EndpointVersion() == 43 })
 	f.discovery.CloseWatches()
@@ -106,6 +107,6 @@
 	c.send(getCommand("1"))
 	c.expectReply(replyTo("1"))
 	if calls := moved.Calls(); len(calls) != 1 {
-		t.Errorf("%d calls at the new address, want 1", len(calls))
+		t.Errorf("got %d calls to discovery at the new address, want 1", len(calls))
 	}
 }
