--- a/internal/eventloop/batch_test.go
+++ b/internal/eventloop/batch_test.go
@@ -6,9 +6,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// A posted function runs behind the batch of events that its wake-up came in: one that closes a connection and opens
-// another would otherwise have a later event of the batch, for the old descriptor, noted for the new connection.
-func TestPostedCallsRunBehindTheirBatch(t *testing.T) {
+// A posted function runs after the batch of events that contains its wake-up. Otherwise, if the function closed a
+// connection and opened another with the same descriptor, the loop would record a later event of the old connection
+// for the new one.
+func TestPostedCallsRunAfterTheirBatch(t *testing.T) {
 	l, err := NewLoop(0)
 	if err != nil {
 		t.Fatal(err)
@@ -28,7 +29,7 @@
 	var next *Conn
 	l.Post(func() {
 		previous.Close()
-		if err := unix.Dup3(newFD, oldFD, unix.O_CLOEXEC); err != nil { // it gets the number that is free now
+		if err := unix.Dup3(newFD, oldFD, unix.O_CLOEXEC); err != nil { // the socket gets the number of the closed one
 			t.Error(err)
 		}
 		closeFD(newFD)
@@ -40,9 +41,9 @@
 	l.handleEvent(unix.EpollEvent{Fd: int32(oldFD), Events: unix.EPOLLRDHUP})
 	l.runDeferred()
 	if next == nil || next.FD() != oldFD {
-		t.Fatalf("the posted function did not open a connection on descriptor %d", oldFD)
+		t.Fatalf("the posted function opened no connection on descriptor %d, want one", oldFD)
 	}
 	if next.PeerClosed() {
-		t.Error("an event of the old connection was noted for the new one")
+		t.Error("the loop recorded an event of the old connection for the new one")
 	}
 }
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -8,51 +8,51 @@
 	"golang.org/x/sys/unix"
 )
 
-// ReadSize is the most that one read takes from a socket, in bytes. It is also
-// the most that a paused sink makes a stream hold (see Conn.Pending).
+// ReadSize is the maximum number of bytes that one read takes from a socket. It is also the maximum
+// number of bytes that a stream has to buffer after its destination stops reading (see Conn.Pending).
 const ReadSize = 32 << 10
 
-// Conn is a socket on a loop. A listening socket and a task that runs in slices are represented
-// by a Conn, too, as they wait for time slices in the same way; handlers never see those.
+// Conn is a socket on a loop. A Conn also represents a listening socket or a task that runs in time
+// slices, because these wait for time slices in the same way. Handlers never receive such a Conn.
 type Conn struct {
 	Handler Handler
 
 	loop    *Loop
-	fd      int    // -1 once closed
+	fd      int    // descriptor of the socket; -1 after the close and for tasks
 	input   []byte // received bytes that the handler has not consumed
-	output  []byte // bytes to be written
-	written int    // bytes of output that the kernel has taken
+	output  []byte // bytes that Write has buffered
+	written int    // number of bytes of output that the kernel has accepted
 
 	flow          *Flow
-	queuedAt      time.Duration // when it began to wait for a time slice
-	sliceWait     time.Duration // wait for the present time slice, or the last
-	rateLimitWait time.Duration // part of sliceWait that is due to the flow's rate limit
+	queuedAt      time.Duration // time at which the connection began to wait for a time slice
+	sliceWait     time.Duration // duration of the wait for the current or the last time slice
+	rateLimitWait time.Duration // part of sliceWait that the flow's rate limit caused
 
-	accept       func(fd int, sa unix.Sockaddr) // of a listening socket only
-	acceptFailed bool                           // accepting failed for want of descriptors or memory
-	task         *task                          // of a task only
+	accept       func(fd int, sa unix.Sockaddr) // callback of a listening socket; nil for other sockets
+	acceptFailed bool                           // whether accept failed for lack of descriptors or memory
+	task         *task                          // task that runs in time slices; nil for sockets
 
-	connecting      bool // until the kernel reports whether the connect succeeded
-	starting        bool // what comes next begins something new
+	connecting      bool // whether the kernel has yet to report the result of the connect
+	starting        bool // whether the next input begins a new unit of work, such as a request
 	paused          bool
-	closeAfterFlush bool // close once the output is written
-	endAfterFlush   bool // shut down the writing side once the output is written
-	queued          bool // waits for a time slice
-	redeliver       bool // input is to be passed to the handler again
-	readable        bool // as last reported by the kernel
-	writable        bool // reported since the last flush
-	readInterest    bool // the handler waits for OnReadable
-	peerClosed      bool // an end of file is to be read behind the bytes
+	closeAfterFlush bool // whether to close the connection after the output is written
+	endAfterFlush   bool // whether to send an end of file after the output is written
+	queued          bool // whether the connection waits for a time slice
+	redeliver       bool // whether to pass the kept input to the handler again
+	readable        bool // whether the socket may have input to read
+	writable        bool // whether the kernel has reported room for output since the last flush
+	readInterest    bool // whether the handler waits for OnReadable
+	peerClosed      bool // whether the kernel has reported that the peer closed its side
 }
 
-// Add puts a connected, non-blocking socket on the loop, which takes it over. The error is
-// ErrEnded, or that of a system call; fd is closed then. On the loop only.
+// Add puts a connected, non-blocking socket on the loop, which takes ownership of fd. If Add fails, it
+// closes fd and returns ErrEnded or the error of a system call. It must be called on the loop.
 func (l *Loop) Add(fd int, h Handler) (*Conn, error) {
 	if l.ended {
 		closeFD(fd)
 		return nil, ErrEnded
 	}
-	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // fails on Unix sockets, which need it not
+	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // fails on Unix sockets, which do not need it
 	c := &Conn{Handler: h, loop: l, fd: fd, flow: l.defaultFlow}
 	if err := watch(l.epollFD, fd, connInterest); err != nil {
 		closeFD(fd)
@@ -63,48 +63,50 @@
 	return c, nil
 }
 
-// Loop returns the connection's loop.
+// Loop returns the loop that runs the connection.
 func (c *Conn) Loop() *Loop { return c.loop }
 
-// FD returns the socket's descriptor; -1 once closed.
+// FD returns the socket's descriptor, or -1 if the connection is closed.
 func (c *Conn) FD() int { return c.fd }
 
-// AssignFlow charges the connection's time slices to a flow, from the next one on.
+// AssignFlow assigns the connection to a flow. The loop charges the connection's next and later time
+// slices to this flow.
 func (c *Conn) AssignFlow(f *Flow) { c.flow = f }
 
-// SetStarting sets whether what comes next on the connection begins something new or is part of
-// what is in progress, from its next time slice on. Within a flow, the latter goes first.
-func (c *Conn) SetStarting(yes bool) { c.starting = yes }
+// SetStarting sets whether the next input of the connection begins a new unit of work, such as a
+// request, or continues one in progress. The setting applies from the next time slice. Within a flow,
+// connections with work in progress get their time slices first.
+func (c *Conn) SetStarting(starting bool) { c.starting = starting }
 
-// SetReceiveBuffer bounds how many bytes the kernel holds for reading, so that the peer of a
-// paused connection is held back early. It is a hint: a failure is ignored.
+// SetReceiveBuffer limits how many unread bytes the kernel buffers, so that TCP flow control stops
+// the peer of a paused connection early. SetReceiveBuffer ignores a failure, because the limit is only
+// a hint.
 func (c *Conn) SetReceiveBuffer(bytes int) {
 	if c.fd >= 0 {
 		_ = unix.SetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_RCVBUF, bytes)
 	}
 }
 
-// Queued reports whether the connection has something to do and waits for a time slice.
+// Queued reports whether the connection has work to do and waits for a time slice.
 func (c *Conn) Queued() bool { return c.queued }
 
-// SliceWait returns how long the connection waited for the present time slice.
+// SliceWait returns how long the connection waited for its current time slice.
 func (c *Conn) SliceWait() time.Duration { return c.sliceWait }
 
-// RateLimitWait returns the part of SliceWait that was due to the rate limit of the connection's
-// flow.
+// RateLimitWait returns the part of SliceWait that the rate limit of the connection's flow caused.
 func (c *Conn) RateLimitWait() time.Duration { return c.rateLimitWait }
 
-// PeerClosed reports whether the peer has closed its side, though bytes that it sent before may
-// not have been read.
+// PeerClosed reports whether the peer has closed its side of the connection. Bytes that the peer sent
+// before may still be unread.
 func (c *Conn) PeerClosed() bool { return c.peerClosed }
 
-// Open reports whether the connection can still be written to.
+// Open reports whether the connection is neither closed nor about to be closed.
 func (c *Conn) Open() bool { return c.fd >= 0 && !c.closeAfterFlush }
 
 // Buffered returns how many received bytes the handler has not consumed.
 func (c *Conn) Buffered() int { return len(c.input) }
 
-// RemoteAddr returns the address of the peer; the zero Addr where there is none.
+// RemoteAddr returns the IP address of the peer, or the zero Addr if the peer has none.
 func (c *Conn) RemoteAddr() netip.Addr {
 	sa, err := unix.Getpeername(c.fd)
 	if err != nil {
@@ -113,7 +115,7 @@
 	return AddrOf(sa)
 }
 
-// AddrOf returns a socket address's IP address; the zero Addr where it has none.
+// AddrOf returns the IP address of a socket address, or the zero Addr if it has none.
 func AddrOf(sa unix.Sockaddr) netip.Addr {
 	switch sa := sa.(type) {
 	case *unix.SockaddrInet4:
@@ -124,15 +126,17 @@
 	return netip.Addr{}
 }
 
-// Pause stops reading. The peer is held back by TCP flow control once the receive buffer is full.
+// Pause stops reading from the connection. When the receive buffer is full, TCP flow control stops the
+// peer.
 func (c *Conn) Pause() {
 	c.paused = true
 }
 
-// Paused reports whether reading is stopped.
+// Paused reports whether reading from the connection is stopped.
 func (c *Conn) Paused() bool { return c.paused }
 
-// Resume starts reading again. Bytes that were not consumed are passed to the handler first.
+// Resume starts reading from the connection again. It first passes the bytes that the handler has not
+// consumed to the handler again.
 func (c *Conn) Resume() {
 	if c.fd < 0 || !c.paused {
 		return
@@ -142,7 +146,8 @@
 	c.loop.schedule(c)
 }
 
-// Redeliver passes the bytes that were not consumed to the handler again, in a time slice.
+// Redeliver schedules a time slice that passes the bytes that the handler has not consumed to the
+// handler again.
 func (c *Conn) Redeliver() {
 	if len(c.input) > 0 {
 		c.redeliver = true
@@ -150,18 +155,18 @@
 	}
 }
 
-// Readable reports whether there is something to pass to the handler. If not, OnReadable is
-// called when there is; the handler has to be a ReadableHandler.
+// Readable reports whether the connection may have input for the handler. If it returns false, the
+// loop calls OnReadable as soon as there is input. The handler must be a ReadableHandler.
 func (c *Conn) Readable() bool {
 	c.readInterest = c.fd >= 0 && !c.readable && len(c.input) == 0
 	return !c.readInterest
 }
 
-// WantsRead reports whether the handler waits for OnReadable.
+// WantsRead reports whether the handler waits for a call of OnReadable.
 func (c *Conn) WantsRead() bool { return c.readInterest }
 
-// NoUnreadInput reports whether nothing has come that the handler has not been passed, an end of
-// file included. It asks the kernel, which may know more than it has reported to the loop.
+// NoUnreadInput reports whether the handler has received and consumed all input, including an end of
+// file. It asks the kernel, which may hold input that it has not yet reported to the loop.
 func (c *Conn) NoUnreadInput() bool {
 	if c.fd < 0 || c.peerClosed || len(c.input) > 0 {
 		return false
@@ -171,7 +176,8 @@
 	return err == unix.EAGAIN
 }
 
-// read reads up to limit bytes, in whole reads, and returns how many came.
+// read reads from the socket until it has read at least limit bytes or can read no more, and passes
+// the bytes to the handler. It returns the number of bytes read.
 func (c *Conn) read(limit int) (sum int) {
 	for sum < limit && c.readable && !c.paused && !c.closeAfterFlush && c.fd >= 0 {
 		n, err := unix.Read(c.fd, c.loop.readBuffer[:])
@@ -189,24 +195,24 @@
 			return sum
 		}
 		sum += n
-		// A short read has emptied the socket: the kernel reports what comes later. The end of
-		// file has been reported already, so it has to be read for.
+		// A short read has emptied the socket, and the kernel reports later input as a new event. It
+		// reports an end of file only once, so after that report the loop must read until the end.
 		c.readable = n == ReadSize || c.peerClosed
 		c.deliver(c.loop.readBuffer[:n])
 	}
 	return sum
 }
 
-// deliver passes the kept input and the fresh bytes to the handler and keeps what it does not
-// consume.
-func (c *Conn) deliver(fresh []byte) {
-	b := fresh
+// deliver passes the kept input and the received bytes to the handler. It keeps the bytes that the
+// handler does not consume.
+func (c *Conn) deliver(received []byte) {
+	b := received
 	if len(c.input) > 0 {
-		c.input = append(c.input, fresh...)
+		c.input = append(c.input, received...)
 		b = c.input
 	}
 	consumed := 0
-	// A failed write sets closeAfterFlush: nothing more is passed to the handler then.
+	// A failed write sets closeAfterFlush. After that, the handler gets no more input.
 	for consumed < len(b) && c.fd >= 0 && !c.paused && !c.closeAfterFlush {
 		n := c.Handler.OnData(c, b[consumed:])
 		if n == 0 {
--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -9,9 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// echo sends back what it receives and pauses its connection while that waits to be written.
+// echo sends received bytes back and pauses its connection while bytes wait to be written.
 type echo struct {
-	maxHeld int // bytes
+	maxHeld int // maximum number of bytes in the connection's buffers
 	closed  chan error
 }
 
@@ -26,7 +26,8 @@
 func (e *echo) OnDrained(c *Conn)          { c.Resume() }
 func (e *echo) OnClose(_ *Conn, err error) { e.closed <- err }
 
-// A peer that sends and does not read is held back, and what is buffered is bounded.
+// The loop stops reading from a peer that sends without reading, so that the connection buffers at
+// most 2*ReadSize bytes.
 func TestBackPressure(t *testing.T) {
 	h := &echo{closed: make(chan error, 1)}
 	c := dialTCP(t, listen(t, h))
@@ -38,20 +39,20 @@
 	}()
 	got := make([]byte, len(data))
 	if _, err := io.ReadFull(c, got); err != nil || !bytes.Equal(got, data) {
-		t.Fatal("what came back differs", err)
+		t.Fatal("the echoed bytes differ from the sent bytes, or the read failed with error", err)
 	}
 	if err := errors.Join(<-written, c.Close()); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-h.closed; !errors.Is(err, ErrPeerClosed) || errors.Unwrap(err) != nil {
-		t.Fatalf("closed with %v, want ErrPeerClosed itself", err)
+		t.Fatalf("OnClose got error %v, want ErrPeerClosed, not wrapped", err)
 	}
 	if h.maxHeld > 2*ReadSize {
-		t.Fatalf("%d bytes held", h.maxHeld)
+		t.Fatalf("the connection buffered up to %d bytes, want at most 2*ReadSize", h.maxHeld)
 	}
 }
 
-// readableWaiter counts calls of OnReadable.
+// readableWaiter sends a value on readable for each call of OnReadable.
 type readableWaiter struct {
 	consumer
 	readable chan struct{}
@@ -59,7 +60,7 @@
 
 func (h *readableWaiter) OnReadable(*Conn) { h.readable <- struct{}{} }
 
-// The handler of a paused connection is notified of the next bytes, once.
+// The loop notifies the handler of a paused connection exactly once when the next bytes arrive.
 func TestReadable(t *testing.T) {
 	l := newLoop(t)
 	fd, peer := socketPair(t)
@@ -81,20 +82,21 @@
 		ready <- c.Readable()
 	})
 	if <-ready {
-		t.Fatal("readable, with nothing sent")
+		t.Fatal("Readable before the peer sent a byte: got true, want false")
 	}
 	writeFD(t, peer, []byte("a"))
 	<-h.readable
 	writeFD(t, peer, []byte("b"))
 	l.Post(func() { ready <- c.Readable() })
 	if !<-ready || len(h.readable) != 0 {
-		t.Fatal("not readable, or notified twice")
+		t.Fatal("after the second byte: got Readable false or a second OnReadable, want true and one call in all")
 	}
 	l.Post(c.Resume)
 	<-h.done
 }
 
-// byteAnswerer consumes one byte a call and answers it after its peer has reset the connection.
+// byteAnswerer consumes one byte per call of OnData and writes a byte back. The first call waits until
+// the peer has reset the connection.
 type byteAnswerer struct {
 	calls  int
 	within chan struct{}
@@ -104,7 +106,8 @@
 func (h *byteAnswerer) OnData(c *Conn, _ []byte) int {
 	if h.calls++; h.calls == 1 {
 		close(h.within)
-		// Waits for the reset, at most 20 s; the write's failure is what the test checks.
+		// The call waits for the reset for at most 20 s. Its result does not matter, because the test
+		// checks that the write after it fails.
 		_, _ = unix.Poll([]unix.PollFd{{Fd: int32(c.FD())}}, 20_000)
 	}
 	c.Write([]byte("x"))
@@ -113,7 +116,7 @@
 func (h *byteAnswerer) OnDrained(*Conn)            {}
 func (h *byteAnswerer) OnClose(_ *Conn, err error) { h.closed <- err }
 
-// After a write has failed, nothing more of what was read is passed to the handler.
+// After a failed write, the loop passes no further bytes to the handler.
 func TestNoDataAfterFailedWrite(t *testing.T) {
 	h := &byteAnswerer{within: make(chan struct{}), closed: make(chan error, 1)}
 	c := dialTCP(t, listen(t, h))
@@ -125,6 +128,6 @@
 		t.Fatal(err)
 	}
 	if err := <-h.closed; err == nil || h.calls != 1 {
-		t.Errorf("%d calls, closed with %v", h.calls, err)
+		t.Errorf("got %d calls of OnData and error %v in OnClose, want 1 call and an error", h.calls, err)
 	}
 }
--- a/internal/eventloop/dialer.go
+++ b/internal/eventloop/dialer.go
@@ -11,9 +11,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Connect opens a TCP connection on the loop itself, without a goroutine and with a single
-// descriptor. It calls OnOpen, or OnClose with the reason of the failure. The caller bounds how
-// long that takes, by Close. On the loop only.
+// Connect starts to open a TCP connection on the loop itself, without a goroutine and with a single
+// descriptor. The loop calls OnOpen when the connection is established, or OnClose with the error when
+// it fails. Connect has no timeout: the caller calls Close to give up. It must be called on the loop.
 func (l *Loop) Connect(to netip.AddrPort, h ConnectHandler) (*Conn, error) {
 	family, sa := sockaddrOf(to)
 	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
@@ -31,7 +31,7 @@
 	return c, err
 }
 
-// sockaddrOf returns an address in the kernel's form, with its address family.
+// sockaddrOf converts an address to a socket address and its address family.
 func sockaddrOf(to netip.AddrPort) (family int, sa unix.Sockaddr) {
 	if to.Addr().Unmap().Is4() {
 		return unix.AF_INET, &unix.SockaddrInet4{Port: int(to.Port()), Addr: to.Addr().Unmap().As4()}
@@ -39,7 +39,8 @@
 	return unix.AF_INET6, &unix.SockaddrInet6{Port: int(to.Port()), Addr: to.Addr().As16()}
 }
 
-// finishConnect asks the kernel how a connect in progress has ended.
+// finishConnect asks the kernel for the result of a connect. It calls OnOpen on success and closes the
+// connection on failure.
 func (c *Conn) finishConnect() {
 	code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && code != 0 {
@@ -53,9 +54,9 @@
 	c.Handler.(ConnectHandler).OnOpen(c)
 }
 
-// Dial connects in the background, within timeout, and calls done on the loop with the socket
-// or an error. Where the loop ends first, the socket is closed and done is not called. It resolves
-// host names, which Connect does not.
+// Dial connects to addr in the background, with a timeout, and calls done on the loop with the socket
+// or an error. If the loop ends first, Dial closes the socket and does not call done. Unlike Connect,
+// Dial resolves host names.
 func (l *Loop) Dial(addr string, timeout time.Duration, done func(fd int, err error)) {
 	go func() {
 		fd, err := dial(addr, timeout)
@@ -74,18 +75,18 @@
 	if err != nil {
 		return -1, err
 	}
-	defer func() { _ = conn.Close() }() // the duplicate lives on
+	defer func() { _ = conn.Close() }() // the duplicate that Detach returns stays open
 	return Detach(conn.(*net.TCPConn))
 }
 
-// Detach duplicates the descriptor of a net.Conn or net.Listener, non-blocking, for use on a loop.
-// The caller closes the original.
+// Detach returns a non-blocking duplicate of the descriptor of a net.Conn or net.Listener, for use on
+// a loop. The caller closes the original.
 func Detach(from interface{ File() (*os.File, error) }) (int, error) {
 	f, err := from.File()
 	if err != nil {
 		return -1, err
 	}
-	defer func() { _ = f.Close() }() // the duplicate lives on
+	defer func() { _ = f.Close() }() // the duplicate fd stays open
 	fd, err := unix.FcntlInt(f.Fd(), unix.F_DUPFD_CLOEXEC, 0)
 	runtime.KeepAlive(f)
 	if err != nil {
--- a/internal/eventloop/end_test.go
+++ b/internal/eventloop/end_test.go
@@ -13,8 +13,8 @@
 	"chalkstand/internal/testfd"
 )
 
-// A loop that ends while a dial is in progress does not leak the dial's socket.
-func TestDialClosesItsSocketWhereTheLoopEnds(t *testing.T) {
+// A loop that ends while a dial is in progress does not leak the socket of the dial.
+func TestDialClosesItsSocketWhenTheLoopEnds(t *testing.T) {
 	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -41,7 +41,7 @@
 	testfd.Await(t, before)
 }
 
-// Of a posted call exactly one function is called, whenever the loop ends.
+// PostOrDrop calls exactly one of its two functions, no matter when the loop ends.
 func TestPostOrDropCallsOneFunction(t *testing.T) {
 	for range 200 {
 		l, err := NewLoop(0)
@@ -65,14 +65,14 @@
 			t.Fatal(err)
 		}
 		if run.Load()+dropped.Load() != calls {
-			t.Fatalf("%d run and %d dropped of %d", run.Load(), dropped.Load(), calls)
+			t.Fatalf("posted calls: got %d run and %d dropped, want %d in all", run.Load(), dropped.Load(), calls)
 		}
 	}
 }
 
-// What is put on a loop that ends is closed: a connection that is opened while others are closed
-// would be left open.
-func TestEndedLoopTakesNothing(t *testing.T) {
+// A loop that has ended rejects and closes each socket that is added to it. Otherwise a connection that
+// is opened while the loop closes its other connections would stay open.
+func TestEndedLoopRejectsSockets(t *testing.T) {
 	before := testfd.Count(t)
 	l, err := NewLoop(0)
 	if err != nil {
@@ -87,16 +87,16 @@
 			t.Fatal(err)
 		}
 		if _, err := l.Add(fds[0], nil); !errors.Is(err, ErrEnded) {
-			t.Errorf("Add: %v", err)
+			t.Errorf("Add on an ended loop: got error %v, want ErrEnded", err)
 		}
 		if _, err := l.Listen(fds[1], nil, nil); !errors.Is(err, ErrEnded) {
-			t.Errorf("Listen: %v", err)
+			t.Errorf("Listen on an ended loop: got error %v, want ErrEnded", err)
 		}
 	}
 	testfd.Await(t, before)
 }
 
-// A loop on which Run was never called leaves no descriptor open, and drops what was posted.
+// Close on a loop that never ran closes all descriptors and drops the posted functions.
 func TestCloseWithoutRun(t *testing.T) {
 	before := testfd.Count(t)
 	l, err := NewLoop(0)
@@ -108,22 +108,22 @@
 		t.Fatal(err)
 	}
 	dropped := false
-	l.PostOrDrop(func() { t.Error("run") }, func() { dropped = true })
+	l.PostOrDrop(func() { t.Error("Close ran a posted function, want it dropped") }, func() { dropped = true })
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if !dropped {
-		t.Error("not dropped")
+		t.Error("Close did not drop the posted function")
 	}
-	testfd.Await(t, before+1) // the peer is closed with the test
+	testfd.Await(t, before+1) // the peer's socket stays open until the test ends
 }
 
-// A listener that is closed accepts nothing more; the others of its loop do.
+// A closed listener accepts no more connections. The other listeners on its loop still accept them.
 func TestListenerClose(t *testing.T) {
 	l := newLoop(t)
 	flow := make(chan *Flow, 1)
 	l.Post(func() { flow <- l.Flow("(new)", fairshare.FlowConfig{}, nil) })
-	newcomers := <-flow
+	newConns := <-flow
 	var addrs []string
 	var listeners []*Listener
 	for range 2 {
@@ -137,7 +137,7 @@
 		}
 		opened := make(chan *Listener, 1)
 		l.Post(func() {
-			listener, err := l.Listen(fd, newcomers, func(fd int, _ unix.Sockaddr) { closeFD(fd) })
+			listener, err := l.Listen(fd, newConns, func(fd int, _ unix.Sockaddr) { closeFD(fd) })
 			if err != nil {
 				t.Error(err)
 			}
@@ -154,7 +154,7 @@
 	<-closed
 	if c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addrs[0]); err == nil {
 		c.Close()
-		t.Error("the closed listener accepts")
+		t.Error("dial to the closed listener: got no error, want one")
 	}
 	dialTCP(t, addrs[1])
 }
--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -2,39 +2,41 @@
 
 import "errors"
 
-// ErrPeerClosed is passed to OnClose, as it is, when the peer closed the connection in order.
+// ErrPeerClosed is the error, never wrapped, that OnClose receives when the peer has closed the
+// connection with an end of file.
 var ErrPeerClosed = errors.New("connection closed by peer")
 
-// Handler handles the events of one connection. All calls are made on the connection's loop.
+// Handler handles the events of one connection. The loop calls all its methods on the goroutine of
+// the connection's loop.
 type Handler interface {
-	// OnData is called with all bytes that have not been consumed yet and returns how many
-	// of them it consumed. The rest is kept and passed again together with the bytes that
-	// come next, or after Resume or Redeliver.
+	// OnData receives all bytes that the handler has not consumed yet and returns how many of
+	// them it consumes. The connection keeps the rest. It passes the rest again together with
+	// the next received bytes, or after Resume or Redeliver.
 	OnData(c *Conn, b []byte) int
-	// OnDrained is called when all pending output has been written to the socket.
+	// OnDrained is called when the connection has written all pending output to the socket.
 	OnDrained(c *Conn)
-	// OnClose is the last call. err is nil when the connection was closed on this side.
+	// OnClose is the last call to the handler. err is nil if this side closed the connection.
 	OnClose(c *Conn, err error)
 }
 
-// PeerCloseHandler is a Handler that is notified as soon as the peer has closed its side, also
-// while the connection is paused or waits for a time slice. Bytes that the peer sent before
-// may still be unread.
+// PeerCloseHandler is a Handler that the loop notifies as soon as the peer has closed its side of
+// the connection, even if the connection is paused or waits for a time slice. The connection may
+// still have unread bytes that the peer sent before.
 type PeerCloseHandler interface {
 	Handler
 	// OnPeerClosed is called once, while the connection is still open on this side.
 	OnPeerClosed(c *Conn)
 }
 
-// ReadableHandler is a Handler that uses Conn.Readable.
+// ReadableHandler is the Handler of a connection on which Conn.Readable is called.
 type ReadableHandler interface {
 	Handler
-	// OnReadable is called when there is something to read on a connection whose Readable
-	// has returned false.
+	// OnReadable is called when a connection has input after its Readable method has returned
+	// false.
 	OnReadable(c *Conn)
 }
 
-// ConnectHandler is a Handler that uses Loop.Connect.
+// ConnectHandler is the Handler of a connection that Loop.Connect opens.
 type ConnectHandler interface {
 	Handler
 	// OnOpen is called when the connection is established.
--- a/internal/eventloop/history.go
+++ b/internal/eventloop/history.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// historySize is how many runs of time slices a loop remembers. Consecutive slices of one flow
-// are one run.
+// historySize is the number of runs that a loop remembers. A run consists of consecutive time slices
+// of one flow.
 const historySize = 512
 
-// history is a ring of the last runs of time slices on a loop.
+// history is a ring buffer of the last runs on a loop.
 type history struct {
 	runs [historySize]run
 	last int // index of the newest run
 }
 
-// run is consecutive time slices of one flow.
+// run is a series of consecutive time slices of one flow.
 type run struct {
 	flow       *Flow
 	begin, end time.Duration
-	work       time.Duration // of the time between, without polling for events
+	work       time.Duration // total duration of the run's time slices, without polling for events
 }
 
-// add records a time slice.
+// add records a time slice of a flow in the history.
 func (h *history) add(f *Flow, begin, end time.Duration) {
 	r := &h.runs[h.last]
 	if r.flow == f {
@@ -31,7 +31,8 @@
 	h.runs[h.last] = run{flow: f, begin: begin, end: end, work: end - begin}
 }
 
-// workSince returns the part of a run's work after a time, as if the work were spread evenly.
+// workSince returns the part of a run's work that was done after a time. It assumes that the work is
+// spread evenly over the run.
 func (r *run) workSince(from time.Duration) time.Duration {
 	if r.begin >= from {
 		return r.work
@@ -39,19 +40,19 @@
 	return time.Duration(float64(r.work) * float64(r.end-from) / float64(r.end-r.begin))
 }
 
-// SliceUsage is the time of a loop that a flow used.
+// SliceUsage is the time on a loop that a flow used.
 type SliceUsage struct {
 	Flow *Flow
 	Time time.Duration
 }
 
-// maxFlowsReported is how many flows WaitedBehind distinguishes. The usage of further flows is
-// left out.
+// maxFlowsReported is the maximum number of flows that WaitedBehind reports. It omits the usage of
+// further flows.
 const maxFlowsReported = 8
 
-// WaitedBehind appends which flows used the loop while the connection waited for its present time
-// slice. The sum is at most SliceWait: polling for events takes time too, and of a long wait
-// behind many flows only the last runs are remembered.
+// WaitedBehind appends to a slice how long each flow used the loop while the connection waited for its
+// current time slice. The sum of these times is at most SliceWait. It may be less, because polling for
+// events takes time and the loop remembers only the last runs.
 func (c *Conn) WaitedBehind(to []SliceUsage) []SliceUsage {
 	l := c.loop
 	from := l.now - c.sliceWait
@@ -66,7 +67,8 @@
 	return to
 }
 
-// addUsage adds a flow's time to the entries from index first on.
+// addUsage adds a flow's time to its entry in to, or appends an entry for the flow. It considers only
+// the entries from index first.
 func addUsage(to []SliceUsage, first int, f *Flow, d time.Duration) []SliceUsage {
 	for i := first; i < len(to); i++ {
 		if to[i].Flow == f {
--- a/internal/eventloop/kit_test.go
+++ b/internal/eventloop/kit_test.go
@@ -9,7 +9,7 @@
 	"chalkstand/fairshare"
 )
 
-// runLoop runs a loop until the test ends, and checks that it ends without an error.
+// runLoop runs a loop until the test ends and checks that Run returns no error.
 func runLoop(t *testing.T, l *Loop) {
 	t.Helper()
 	result := make(chan error, 1)
@@ -33,7 +33,8 @@
 	return l
 }
 
-// listen runs a loop that accepts connections for h, and returns its address.
+// listen runs a loop that accepts connections and handles them with h. It returns the listening
+// address.
 func listen(t *testing.T, h Handler) string {
 	t.Helper()
 	l := newLoop(t)
@@ -62,18 +63,18 @@
 	return addr
 }
 
-// dialTCP connects to an address; the connection is closed with the test.
+// dialTCP connects to an address. The connection is closed when the test ends.
 func dialTCP(t *testing.T, addr string) *net.TCPConn {
 	t.Helper()
 	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = c.Close() }) // some tests close it before
+	t.Cleanup(func() { _ = c.Close() }) // Close fails if the test has already closed the connection
 	return c.(*net.TCPConn)
 }
 
-// socketPair returns a socket for a loop, and its peer, which is closed with the test.
+// socketPair returns a socket for a loop and its peer. The peer is closed when the test ends.
 func socketPair(t *testing.T) (fd, peer int) {
 	t.Helper()
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
@@ -92,6 +93,6 @@
 func writeFD(t *testing.T, fd int, b []byte) {
 	t.Helper()
 	if n, err := unix.Write(fd, b); n != len(b) {
-		t.Fatalf("%d of %d bytes written: %v", n, len(b), err)
+		t.Fatalf("wrote %d bytes, want %d (error %v)", n, len(b), err)
 	}
 }
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// acceptBatch bounds how many connections are accepted in one time slice.
+// acceptBatch is the maximum number of connections that a listener accepts in one time slice.
 const acceptBatch = 4
 
 // Listener is a listening socket on a loop.
@@ -14,10 +14,11 @@
 	conn *Conn
 }
 
-// Listen accepts connections on fd, a listening socket that the loop takes over. accept owns the
-// descriptors that it is called with. Accepting takes time slices that are charged to flow f: a
-// client that opens connections without end gets no more of the loop than that flow. The error is
-// ErrEnded, or that of a system call; fd is closed then. On the loop only.
+// Listen accepts connections on fd, a listening socket of which the loop takes ownership. The loop
+// calls accept with each new connection, and accept takes ownership of that descriptor. The loop
+// charges the time slices for accepting connections to flow f, so that a client that opens many
+// connections uses no more of the loop than the share of this flow. If Listen fails, it closes fd and
+// returns ErrEnded or the error of a system call. It must be called on the loop.
 func (l *Loop) Listen(fd int, f *Flow, accept func(fd int, sa unix.Sockaddr)) (*Listener, error) {
 	if l.ended {
 		closeFD(fd)
@@ -36,12 +37,13 @@
 	return &Listener{conn: c}, nil
 }
 
-// Close closes the socket, if it is open. Connections in its accept queue are accepted before, as
-// the close would reset them. On the loop only.
+// Close closes the listening socket if it is open. It first accepts the connections in the accept
+// queue, because closing the socket would reset them. It must be called on the loop.
 func (ln *Listener) Close() { ln.conn.stopListening() }
 
-// RetryAccept accepts again on listening sockets where accepting failed for want of descriptors
-// or memory. The kernel does not report again what waits there. On the loop only.
+// RetryAccept tries to accept connections again on the listening sockets on which accept failed for
+// lack of descriptors or memory. The kernel does not report the connections in their accept queues a
+// second time. RetryAccept must be called on the loop.
 func (l *Loop) RetryAccept() {
 	for _, c := range l.listeners {
 		if c.acceptFailed {
@@ -52,14 +54,15 @@
 	}
 }
 
-// StopListening closes all listening sockets, as Listener.Close does. On the loop only.
+// StopListening closes all listening sockets as Listener.Close does. It must be called on the loop.
 func (l *Loop) StopListening() {
 	for _, c := range l.listeners {
 		c.stopListening()
 	}
 }
 
-// stopListening accepts what is in the accept queue of a listening socket and closes it.
+// stopListening accepts the connections in the accept queue of a listening socket and closes the
+// socket.
 func (c *Conn) stopListening() {
 	if c.fd < 0 {
 		return
@@ -70,7 +73,7 @@
 	c.closeListener()
 }
 
-// closeListener closes a listening socket.
+// closeListener closes a listening socket and removes it from the loop.
 func (c *Conn) closeListener() {
 	delete(c.loop.listeners, c.fd)
 	closeFD(c.fd)
@@ -85,7 +88,7 @@
 		case nil:
 			c.accept(fd, sa)
 		case unix.EINTR, unix.ECONNABORTED:
-			// That peer has left; the next one may be in the queue.
+			// A signal interrupted the call, or the peer has left. The queue may hold more connections.
 		default:
 			c.readable = false
 			c.acceptFailed = err != unix.EAGAIN
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,7 +1,7 @@
-// Package eventloop runs sockets on epoll event loops. Reading can be paused, the amount of
-// unwritten output is known, and package fairshare decides which connection has the next time
-// slice (docs/design/fair-sharing.md). Each loop is one goroutine; all methods of its connections
-// are to be called on it.
+// Package eventloop runs sockets on epoll event loops. A connection can pause reading and reports how
+// much output is unwritten. Package fairshare decides which connection gets the next time slice
+// (docs/design/fair-sharing.md). Each loop runs on one goroutine, and all methods of its connections
+// must be called on that goroutine.
 package eventloop
 
 import (
@@ -18,72 +18,73 @@
 	"chalkstand/fairshare"
 )
 
-// maxEvents is how many events one poll returns at most.
+// maxEvents is the maximum number of events that one poll returns.
 const maxEvents = 256
 
-// Options are a loop's settings.
+// Options holds the settings of a loop.
 type Options struct {
 	FairShare    fairshare.Config
-	Quantum      int                  // bytes that one time slice reads at most, in whole reads
-	PollInterval time.Duration        // how long connections are served between two polls for events
-	Now          func() time.Duration // the clock; nil: time since the loop was made
+	Quantum      int                  // bytes after which a time slice starts no further read
+	PollInterval time.Duration        // time for which the loop serves connections between two polls for events
+	Now          func() time.Duration // clock of the loop; nil selects the time since the loop was created
 }
 
-// DefaultOptions are the options of NewLoop.
+// DefaultOptions holds the options that NewLoop uses.
 var DefaultOptions = Options{
 	FairShare:    fairshare.Config{Window: 20 * time.Millisecond, Flows: 4096},
 	Quantum:      64 << 10,
 	PollInterval: 200 * time.Microsecond,
 }
 
-// check returns an error for options that no loop can run with.
+// check returns an error if the options are invalid.
 func (o *Options) check() error {
 	if o.Quantum < 1 || o.PollInterval <= 0 {
-		return fmt.Errorf("eventloop: quantum of %d bytes and slice of %v, want more than 0", o.Quantum, o.PollInterval)
+		return fmt.Errorf("eventloop: quantum %d bytes and poll interval %v must be greater than 0", o.Quantum, o.PollInterval)
 	}
 	return nil
 }
 
-// ErrEnded means that a loop has ended, so that nothing can be put on it.
+// ErrEnded means that a loop has ended and accepts no further sockets.
 var ErrEnded = errors.New("eventloop: the loop has ended")
 
-// Loop is one event loop.
+// Loop is an event loop that serves the connections, listening sockets and tasks on it.
 type Loop struct {
 	Index int
 
 	options    Options
 	clock      func() time.Duration
-	now        time.Duration // the clock when the last events came or the last time slice ended
+	now        time.Duration // time of the last poll or of the end of the last time slice
 	epollFD    int
-	wakeFD     int // an eventfd, which Post writes to
+	wakeFD     int // eventfd to which Post writes to wake the loop
 	events     [maxEvents]unix.EpollEvent
-	conns      map[int]*Conn // by descriptor
-	listeners  map[int]*Conn // by descriptor
+	conns      map[int]*Conn // connections by descriptor
+	listeners  map[int]*Conn // listening sockets by descriptor
 	tasks      map[*task]struct{}
 	readBuffer [ReadSize]byte
 	deferred   []func()
 	timer      timer
-	stopping   bool // on the loop
-	ended      bool // on the loop: it closes what it holds
+	stopping   bool // whether Run must return; only the loop's goroutine uses it
+	ended      bool // whether the loop accepts no further sockets; only the loop's goroutine uses it
 
 	scheduler   *fairshare.Scheduler[*Conn]
-	defaultFlow *Flow // of connections to which none was assigned
+	defaultFlow *Flow // flow of the connections that AssignFlow has not assigned to a flow
 	lastSync    time.Duration
 	history     history
 
 	mu      sync.Mutex
 	posted  []postedCall
-	spare   []postedCall // a buffer for posted; on the loop it needs no lock
-	stopped bool         // nothing may wake the loop any more
+	spare   []postedCall // empty buffer that replaces posted when the loop takes the posted calls
+	stopped bool         // whether the loop accepts no further posted calls
 
 	done      chan struct{} // closed when Run returns
 	connCount atomic.Int64
 }
 
-// NewLoop opens a loop with the default options; Run runs it.
+// NewLoop opens a loop with the default options. The caller then calls Run.
 func NewLoop(index int) (*Loop, error) { return NewLoopWith(index, DefaultOptions) }
 
-// NewLoopWith opens a loop. index is its number among the loops that share flows' usage, from 0.
+// NewLoopWith opens a loop with the given options. index is the number of the loop, from 0, among the
+// loops that share the usage of their flows.
 func NewLoopWith(index int, o Options) (*Loop, error) {
 	scheduler, err := fairshare.New[*Conn](o.FairShare, index)
 	if err != nil {
@@ -116,7 +117,7 @@
 	return l, nil
 }
 
-// openPoller opens an epoll instance and an eventfd that wakes it.
+// openPoller opens an epoll instance and an eventfd that can wake it.
 func openPoller() (epollFD, wakeFD int, err error) {
 	epollFD, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
@@ -135,7 +136,7 @@
 	return epollFD, wakeFD, nil
 }
 
-// Run handles events until Stop. It has to be called on a goroutine of its own.
+// Run handles events until Stop is called. The caller must run it on a separate goroutine.
 func (l *Loop) Run() error {
 	defer close(l.done)
 	var err error
@@ -153,13 +154,14 @@
 		l.runSlices()
 	}
 	l.closeAll()
-	// A function posted from here on would never run, and a wake-up would go to a descriptor
-	// that may be another file's by then.
+	// A function that is posted after this point would never run. The write that wakes the loop would
+	// go to a descriptor number that another file may have by then.
 	l.dropPosted()
 	return errors.Join(err, l.closePoller())
 }
 
-// closeAll ends connections, tasks and listening sockets. Nothing can be put on the loop any more.
+// closeAll closes all connections and listening sockets and stops all tasks. After that, the loop
+// accepts no further sockets.
 func (l *Loop) closeAll() {
 	l.ended = true
 	for _, c := range l.conns {
@@ -172,29 +174,29 @@
 	}
 }
 
-// closePoller closes the loop's own descriptors.
+// closePoller closes the epoll instance and the eventfd of the loop.
 func (l *Loop) closePoller() error {
 	return errors.Join(unix.Close(l.epollFD), unix.Close(l.wakeFD))
 }
 
-// Close closes a loop on which Run was not called, and what was put on it. A loop that runs is
-// ended by Stop.
+// Close closes a loop on which Run was never called, together with its sockets. Stop ends a running
+// loop.
 func (l *Loop) Close() error {
 	l.closeAll()
 	l.dropPosted()
 	return l.closePoller()
 }
 
-// Stop ends the loop, closing its connections, and waits for it.
+// Stop ends the loop, which closes its connections, and waits until Run has returned.
 func (l *Loop) Stop() {
 	l.Post(func() { l.stopping = true })
 	<-l.done
 }
 
-// wait polls for events and returns how many there are. It does not block while time slices can
-// be given; else it blocks until there is an event, a rate limit ends, or the timer is due.
+// wait polls for events and returns their number. It does not block while a connection is ready for a
+// time slice. Otherwise it blocks until an event occurs, a rate limit ends or the timer is due.
 func (l *Loop) wait() (int, error) {
-	runtime.Gosched() // a loop that is never idle must let others run that share its core
+	runtime.Gosched() // a loop that is never idle must yield to other goroutines on the same core
 	n, err := l.poll(0)
 	if n != 0 || err != nil || l.scheduler.Ready() || l.stopping {
 		return n, err
@@ -206,16 +208,18 @@
 			return 0, nil
 		}
 	}
-	l.syncUsage(0) // other loops need it before this one sleeps
+	l.syncUsage(0) // other loops need this loop's usage before it sleeps
 	return l.poll(timeout)
 }
 
-// handleEvent notes what a socket can do. The work itself waits for a time slice.
+// handleEvent records whether a socket is readable, writable or closed by its peer, and schedules the
+// socket. The reads and writes themselves wait for a time slice.
 func (l *Loop) handleEvent(ev unix.EpollEvent) {
 	fd := int(ev.Fd)
 	if fd == l.wakeFD {
-		// Posted functions may close a descriptor and open another of the same number. They run
-		// after the batch, or a later event of it would be noted for the wrong connection.
+		// Posted functions may close a descriptor and open another with the same number. They run
+		// after all events of this poll. Otherwise a later event of the old descriptor would be
+		// recorded for the new connection.
 		l.Defer(l.runPosted)
 		return
 	}
@@ -243,7 +247,8 @@
 	l.schedule(c)
 }
 
-// notifyPeerClosed calls OnPeerClosed after the present batch of events, if the handler has it.
+// notifyPeerClosed calls OnPeerClosed after the current batch of events if the connection's handler is
+// a PeerCloseHandler.
 func (l *Loop) notifyPeerClosed(c *Conn) {
 	h, ok := c.Handler.(PeerCloseHandler)
 	if !ok || c.connecting {
@@ -256,10 +261,10 @@
 	})
 }
 
-// Conns returns how many connections the loop holds. It may be called from any goroutine.
+// Conns returns the number of connections on the loop. It may be called on any goroutine.
 func (l *Loop) Conns() int { return int(l.connCount.Load()) }
 
-// EachConn calls f for every connection. On the loop only.
+// EachConn calls f for every connection of the loop. It must be called on the loop.
 func (l *Loop) EachConn(f func(*Conn)) {
 	for _, c := range l.conns {
 		f(c)
--- a/internal/eventloop/schedule.go
+++ b/internal/eventloop/schedule.go
@@ -6,28 +6,29 @@
 	"chalkstand/fairshare"
 )
 
-// syncInterval is how often a loop exchanges the flows' usage with the other loops.
+// syncInterval is the time between two exchanges of the flows' usage with the other loops.
 const syncInterval = time.Millisecond
 
-// Flow is a volume's flow on a loop, to which time slices are charged.
+// Flow is a flow on a loop, such as that of a volume. The loop charges time slices to flows.
 type Flow = fairshare.Flow[*Conn]
 
-// Flow returns the flow of a name, and makes it if there is none. usage, which may be nil, joins
-// it with the flows of other loops. On the loop only, as all that concerns flows.
+// Flow returns the flow with the given name and creates it if it does not exist. usage, which may be
+// nil, connects the flow with the flows of other loops. All functions for flows must be called on the
+// loop.
 func (l *Loop) Flow(name string, cfg fairshare.FlowConfig, usage *fairshare.SharedUsage) *Flow {
 	return l.scheduler.Flow(l.clock(), name, cfg, usage)
 }
 
-// Flows calls f for every flow.
+// Flows calls f for every flow of the loop.
 func (l *Loop) Flows(f func(*Flow)) { l.scheduler.Flows(f) }
 
-// Delay returns how long the rate limit of a flow delays what comes now, where each item that
-// waits before it takes so many bytes.
+// Delay returns how long the rate limit of a flow delays an item that arrives now. It assumes that
+// each item that already waits in the flow uses bytesEach bytes.
 func (l *Loop) Delay(f *Flow, bytesEach int) time.Duration {
 	return l.scheduler.Delay(l.clock(), f, bytesEach)
 }
 
-// schedule queues a connection for a time slice, if it has something to do.
+// schedule queues a connection for a time slice if the connection has work to do.
 func (l *Loop) schedule(c *Conn) {
 	if c.queued || !c.runnable() {
 		return
@@ -41,7 +42,7 @@
 	}
 }
 
-// runnable reports whether a time slice would make progress.
+// runnable reports whether the connection would make progress in a time slice.
 func (c *Conn) runnable() bool {
 	switch {
 	case c.connecting:
@@ -56,9 +57,10 @@
 	return !c.paused && (c.readable || c.redeliver && len(c.input) > 0)
 }
 
-// runSlices gives time slices to connections until Options.Slice has passed or none is left.
+// runSlices gives time slices to connections until Options.PollInterval has passed or no connection
+// waits for one.
 func (l *Loop) runSlices() {
-	for began := l.now; l.now-began < l.options.PollInterval; {
+	for start := l.now; l.now-start < l.options.PollInterval; {
 		c, f, ok := l.scheduler.Next(l.now)
 		if !ok {
 			break
@@ -78,8 +80,8 @@
 	l.syncUsage(syncInterval)
 }
 
-// runSlice does what a connection has to do, within the loop's quantum, and returns how many
-// bytes were read.
+// runSlice does the pending work of a connection within the loop's quantum. It returns the number of
+// bytes that it has read.
 func (c *Conn) runSlice() int {
 	switch {
 	case c.task != nil:
@@ -107,7 +109,8 @@
 	return c.read(c.loop.options.Quantum)
 }
 
-// syncUsage exchanges the flows' usage with the other loops, at most once per interval.
+// syncUsage exchanges the flows' usage with the other loops if at least interval has passed since the
+// last exchange.
 func (l *Loop) syncUsage(interval time.Duration) {
 	if l.now-l.lastSync >= interval {
 		l.lastSync = l.now
--- a/internal/eventloop/schedule_test.go
+++ b/internal/eventloop/schedule_test.go
@@ -7,13 +7,13 @@
 	"chalkstand/fairshare"
 )
 
-// consumer consumes all data, logs its name at each call and signals done when all that it
-// expects has come.
+// consumer is a handler that consumes all input and appends its name to log for each call of OnData. It
+// signals done when it has received all expected bytes.
 type consumer struct {
 	name      string
 	log       *[]string
 	done      chan struct{}
-	remaining int // bytes
+	remaining int // expected bytes that have not arrived yet
 }
 
 func (h *consumer) OnData(_ *Conn, b []byte) int {
@@ -26,11 +26,12 @@
 func (h *consumer) OnDrained(*Conn)      {}
 func (h *consumer) OnClose(*Conn, error) {}
 
-// Time slices are shared by the weights of flows, however many connections a flow has.
+// The loop shares time slices between flows by their weights, independent of the number of connections
+// of each flow.
 func TestSlicesByFlow(t *testing.T) {
 	o := DefaultOptions
 	o.Quantum = ReadSize
-	o.FairShare.ByteTime = 1000 // the bytes decide, not how long a slice took
+	o.FairShare.ByteTime = 1000 // the cost of the bytes exceeds that of the time, so timing does not affect the test
 	l, err := NewLoopWith(0, o)
 	if err != nil {
 		t.Fatal(err)
@@ -40,7 +41,7 @@
 	done := make(chan struct{}, crowd+1)
 	add := func(name string) {
 		fd, peer := socketPair(t)
-		for range slicesEach { // all is there before the loop runs
+		for range slicesEach { // all bytes are in the socket before the loop runs
 			writeFD(t, peer, make([]byte, ReadSize))
 		}
 		h := &consumer{name: name, log: &log, done: done, remaining: slicesEach * ReadSize}
@@ -60,7 +61,7 @@
 	}
 	l.Stop()
 	if len(log) != (crowd+1)*slicesEach {
-		t.Fatalf("%d slices", len(log))
+		t.Fatalf("got %d slices, want slicesEach per connection", len(log))
 	}
 	last := slices.Index(log, "one")
 	for i, name := range log {
@@ -69,11 +70,11 @@
 		}
 	}
 	if last > 2*slicesEach {
-		t.Errorf("one beside a crowd had its last of %d slices as number %d: %v", slicesEach, last+1, log)
+		t.Errorf("the last of %d slices of flow \"one\" is number %d, want at most 2*slicesEach+1: %v", slicesEach, last+1, log)
 	}
 }
 
-// recorder sends its name when it gets data.
+// recorder is a handler that sends its name on delivered for each call of OnData.
 type recorder struct {
 	name      string
 	delivered chan string
@@ -83,8 +84,8 @@
 func (r recorder) OnDrained(*Conn)              {}
 func (r recorder) OnClose(*Conn, error)         {}
 
-// Of two connections of a flow that become readable at the same time, the one in progress goes
-// first, though the other's bytes came first.
+// Two connections of a flow become readable at the same time. The loop serves the connection with work
+// in progress first, although the bytes of the other connection arrived earlier.
 func TestInProgressBeforeStarting(t *testing.T) {
 	l := newLoop(t)
 	delivered := make(chan string, 2)
@@ -114,6 +115,6 @@
 	}
 	close(release)
 	if first := <-delivered; first != "in progress" {
-		t.Errorf("%s was delivered first", first)
+		t.Errorf("first delivery: got connection %q, want \"in progress\"", first)
 	}
 }
--- a/internal/eventloop/tasks.go
+++ b/internal/eventloop/tasks.go
@@ -8,27 +8,28 @@
 	"golang.org/x/sys/unix"
 )
 
-// postedCall is a function that waits to be run on the loop.
+// postedCall is a function that waits for its turn on the loop.
 type postedCall struct {
 	run  func()
-	drop func() // called in the place of run where the loop ends first; may be nil
+	drop func() // called instead of run if the loop ends first; may be nil
 }
 
-// Post runs f on the loop, after what was posted before. It may be called from any goroutine.
-// Where the loop has ended, or ends before it is f's turn, f is dropped: whoever waits for f, or has
-// given it something to own, uses PostOrDrop.
+// Post runs f on the loop, after all functions that were posted earlier. It may be called on any
+// goroutine. If the loop has ended, or ends before f's turn, f never runs. A caller that waits for f or
+// passes a resource to f must use PostOrDrop instead.
 func (l *Loop) Post(f func()) { l.PostOrDrop(f, nil) }
 
-// PostOrDrop calls exactly one of two functions: run on the loop, as Post does, or drop where the
-// loop has ended or ends before. drop is called on the caller's goroutine or on the loop's. It may
-// be called from any goroutine.
+// PostOrDrop calls exactly one of two functions. It runs run on the loop as Post does. If the loop has
+// ended, or ends before run's turn, it calls drop instead, on the caller's goroutine or on the loop's.
+// PostOrDrop may be called on any goroutine.
 func (l *Loop) PostOrDrop(run, drop func()) {
 	if !l.enqueue(postedCall{run, drop}) && drop != nil {
 		drop()
 	}
 }
 
-// enqueue appends a call to those that wait, and reports whether the loop has not ended.
+// enqueue appends a call to the posted calls and wakes the loop. It returns false if the loop has
+// ended and accepts no calls.
 func (l *Loop) enqueue(call postedCall) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -37,19 +38,20 @@
 	}
 	l.posted = append(l.posted, call)
 	if len(l.posted) == 1 {
-		// It fails only where the counter would overflow, and then the loop is about to wake.
+		// The write fails only if the eventfd's counter would overflow. The loop wakes up in that case
+		// too, because the counter is not 0.
 		_, _ = unix.Write(l.wakeFD, wakeIncrement)
 	}
 	return true
 }
 
-// wakeIncrement is what Post adds to the eventfd's counter.
+// wakeIncrement is the value that enqueue adds to the eventfd's counter, in the kernel's byte order.
 var wakeIncrement = binary.NativeEndian.AppendUint64(nil, 1)
 
 // runPosted resets the eventfd and runs the posted functions.
 func (l *Loop) runPosted() {
 	var counter [8]byte
-	_, _ = unix.Read(l.wakeFD, counter[:]) // the counter's value does not matter
+	_, _ = unix.Read(l.wakeFD, counter[:]) // the read resets the counter, whose value is not needed
 	l.mu.Lock()
 	posted := l.posted
 	l.posted = l.spare[:0]
@@ -62,10 +64,10 @@
 	l.mu.Lock()
 	l.spare = posted
 	l.mu.Unlock()
-	l.now = l.clock() // the time that these took is charged to no flow
+	l.now = l.clock() // the time of the posted functions is charged to no flow
 }
 
-// dropPosted ends the acceptance of posted calls and drops those that wait.
+// dropPosted makes the loop reject further posted calls and drops the calls that still wait.
 func (l *Loop) dropPosted() {
 	l.mu.Lock()
 	posted := l.posted
@@ -79,10 +81,11 @@
 	}
 }
 
-// Defer runs f on the loop after the present event. On the loop only.
+// Defer runs f on the loop after the current batch of events, time slice or posted function. It must
+// be called on the loop.
 func (l *Loop) Defer(f func()) { l.deferred = append(l.deferred, f) }
 
-// runDeferred runs the deferred functions, those that they defer included.
+// runDeferred runs the deferred functions, including the functions that these defer in turn.
 func (l *Loop) runDeferred() {
 	for len(l.deferred) > 0 {
 		f := l.deferred[0]
@@ -92,19 +95,19 @@
 	l.deferred = nil
 }
 
-// timer is the caller's one timer of a loop.
+// timer holds the callbacks of the timer that SetTimer sets on a loop.
 type timer struct {
 	next func() (time.Duration, bool)
 	fire func(now time.Duration)
 }
 
-// SetTimer calls fire when the time that next returns has come; next returns false where no
-// time is set. It has to be called before Run.
+// SetTimer sets the timer of the loop. The loop calls fire at or after the time that next returns. If
+// next returns false, no timer is set. SetTimer must be called before Run.
 func (l *Loop) SetTimer(next func() (time.Duration, bool), fire func(now time.Duration)) {
 	l.timer = timer{next, fire}
 }
 
-// fireTimer calls the timer's callback if it is due.
+// fireTimer calls the timer's fire callback if the timer is due.
 func (l *Loop) fireTimer() {
 	if l.timer.next == nil {
 		return
@@ -114,8 +117,8 @@
 	}
 }
 
-// nextWake returns when a rate limit or the timer has something to do next; false where
-// nothing is due.
+// nextWake returns the earlier of the next end of a rate limit and the timer's time. It returns false
+// if there is neither.
 func (l *Loop) nextWake() (time.Duration, bool) {
 	at, ok := l.scheduler.NextWake()
 	if l.timer.next == nil {
@@ -127,38 +130,38 @@
 	return at, ok
 }
 
-// task is a coroutine that runs in time slices, as connections do.
+// task is a coroutine that runs in time slices like a connection.
 type task struct {
 	next func() (struct{}, bool)
 	stop func()
 }
 
-// RunInSlices runs f on the loop in time slices that are charged to a flow, after the present event.
-// f calls pause often: it returns true when f is to go on, and false when the loop has ended
-// and f is to return. Between two slices others have theirs, so that state which f relies
-// on may have changed. On the loop only.
+// RunInSlices runs f on the loop in time slices that the loop charges to a flow. The first slice
+// starts after the current event. f must call pause often. pause returns true if f must continue, and
+// false if the loop has ended and f must return. Other connections and tasks run between two slices of
+// f, so state that f uses may have changed when pause returns. RunInSlices must be called on the loop.
 //
-// f runs as a coroutine of the loop: never in parallel with anything else on it.
+// f runs as a coroutine of the loop, and never in parallel with other code on the loop.
 func (l *Loop) RunInSlices(flow *Flow, f func(pause func() bool)) {
-	began := time.Duration(0)
+	sliceStart := time.Duration(0)
 	t := &task{}
 	t.next, t.stop = iter.Pull(func(yield func(struct{}) bool) {
 		f(func() bool {
-			if l.clock()-began < l.options.PollInterval {
+			if l.clock()-sliceStart < l.options.PollInterval {
 				return true
 			}
 			more := yield(struct{}{})
-			began = l.now
+			sliceStart = l.now
 			return more
 		})
 	})
 	l.tasks[t] = struct{}{}
 	c := &Conn{loop: l, fd: -1, flow: flow, task: t}
 	l.Defer(func() { l.schedule(c) })
-	began = l.now
+	sliceStart = l.now
 }
 
-// resumeTask runs a task for one time slice.
+// resumeTask runs a task for one time slice and removes it from the loop if it has finished.
 func (c *Conn) resumeTask() {
 	if _, more := c.task.next(); !more {
 		delete(c.loop.tasks, c.task)
@@ -166,7 +169,7 @@
 	}
 }
 
-// stopTasks makes the pause of all unfinished tasks return false.
+// stopTasks stops all unfinished tasks: the pause function of each task returns false.
 func (l *Loop) stopTasks() {
 	for t := range l.tasks {
 		t.stop()
--- a/internal/eventloop/tasks_test.go
+++ b/internal/eventloop/tasks_test.go
@@ -7,9 +7,10 @@
 	"chalkstand/fairshare"
 )
 
-// Tasks share time slices by the weights of their flows, and are stopped with the loop.
+// The loop shares time slices between tasks by the weights of their flows, and it stops unfinished
+// tasks when it ends.
 func TestTasksShareSlices(t *testing.T) {
-	var clock time.Duration // advanced by the tasks
+	var clock time.Duration // the tasks advance this clock
 	o := DefaultOptions
 	o.Now = func() time.Duration { return clock }
 	l, err := NewLoopWith(0, o)
@@ -39,6 +40,6 @@
 		t.Fatal(err)
 	}
 	if !<-stopped || light < 98 || light > 102 {
-		t.Errorf("%d slices of the light task beside %d of the heavy one", light, heavy)
+		t.Errorf("got %d slices of the light task for %d of the heavy one, want 98 to 102 and a stopped task", light, heavy)
 	}
 }
--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -6,11 +6,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Pending returns how many bytes wait to be written.
+// Pending returns the number of buffered bytes that the kernel has not accepted yet.
 func (c *Conn) Pending() int { return len(c.output) - c.written }
 
-// Unacknowledged returns how many bytes the kernel holds that the peer has not
-// acknowledged; 0 where the kernel does not say.
+// Unacknowledged returns the number of bytes in the kernel that the peer has not acknowledged. It
+// returns 0 if the kernel does not report the number.
 func (c *Conn) Unacknowledged() int {
 	if c.fd < 0 {
 		return 0
@@ -22,8 +22,8 @@
 	return n
 }
 
-// Write sends b and keeps a copy of what the socket does not take. The sender
-// watches Pending, stops its source, and goes on at OnDrained.
+// Write sends b and keeps a copy of the bytes that the kernel does not accept. To limit the size of
+// this copy, the caller checks Pending, stops writing while it is large, and continues in OnDrained.
 func (c *Conn) Write(b []byte) {
 	if c.fd < 0 || c.closeAfterFlush || c.endAfterFlush {
 		return
@@ -44,20 +44,21 @@
 	}
 }
 
-// failWrite closes the connection after the present event, so that OnClose is never called
-// within a handler's call of Write.
+// failWrite closes the connection after the current event, because OnClose must never be called while
+// a handler is inside Write.
 func (c *Conn) failWrite(err error) {
 	c.closeAfterFlush = true
 	c.dropOutput()
 	c.loop.Defer(func() { c.close(err) })
 }
 
-// flush writes the pending output. It reports whether the connection is still open.
+// flush writes pending output until the kernel accepts no more. It reports whether the connection is
+// still open.
 func (c *Conn) flush() bool {
 	for c.Pending() > 0 {
 		n, err := unix.Write(c.fd, c.output[c.written:])
 		if err == unix.EAGAIN || err == unix.EINTR {
-			return true // the kernel reports when there is room
+			return true // the kernel reports when it can accept more output
 		}
 		if err != nil {
 			c.close(os.NewSyscallError("write", err))
@@ -68,7 +69,7 @@
 	if c.output == nil {
 		return true
 	}
-	c.dropOutput() // an idle connection holds no buffer
+	c.dropOutput() // an idle connection keeps no buffer
 	if c.closeAfterFlush {
 		c.close(nil)
 		return false
@@ -80,18 +81,18 @@
 	return c.fd >= 0
 }
 
-// dropOutput releases the output buffer.
+// dropOutput discards the pending output and releases its buffer.
 func (c *Conn) dropOutput() {
 	c.output = nil
 	c.written = 0
 }
 
-// shutdownWrite sends an end of file. It fails only where the connection has failed already, and
-// then the next read returns the reason.
+// shutdownWrite sends an end of file. It ignores errors: the call fails only if the connection has
+// already failed, and then the next read returns the error.
 func (c *Conn) shutdownWrite() { _ = unix.Shutdown(c.fd, unix.SHUT_WR) }
 
-// CloseWrite half-closes the connection: it sends an end of file once all output is written.
-// Reading goes on.
+// CloseWrite half-closes the connection: it sends an end of file after all output is written. The
+// connection continues to read.
 func (c *Conn) CloseWrite() {
 	if c.fd < 0 || c.endAfterFlush {
 		return
@@ -102,10 +103,10 @@
 	}
 }
 
-// Close closes the connection at once and drops pending output.
+// Close closes the connection at once and discards pending output.
 func (c *Conn) Close() { c.close(nil) }
 
-// CloseAfterWrite closes the connection once all output is written, and reads nothing more.
+// CloseAfterWrite stops reading and closes the connection after all output is written.
 func (c *Conn) CloseAfterWrite() {
 	if c.fd < 0 {
 		return
@@ -119,16 +120,17 @@
 	c.paused = true
 }
 
-// Reset closes the connection with a TCP reset, so that the peer sees an error and no end of file.
+// Reset closes the connection with a TCP reset, so that the peer reads an error and not an end of
+// file.
 func (c *Conn) Reset() {
 	if c.fd >= 0 {
-		// Without the option the close is an orderly one, which is the next best.
+		// If setting the option fails, the peer reads an end of file instead of an error.
 		_ = unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 		c.close(nil)
 	}
 }
 
-// close closes the socket and calls OnClose, once.
+// close closes the socket and calls OnClose. Further calls have no effect.
 func (c *Conn) close(err error) {
 	if c.fd < 0 {
 		return
