--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,6 +1,6 @@
 // Package discovery watches the list of storage nodes that the platform's discovery service
-// publishes. A watch is one HTTP call: it passes on each document as it comes and reports its end
-// once. When to open the next one is the caller's to decide.
+// publishes. A watch is one HTTP call. It passes each document to its caller as soon as the document
+// arrives, and it reports its own end once. The caller decides when to open the next watch.
 package discovery
 
 import (
@@ -16,43 +16,44 @@
 	"chalkstand/internal/endpoints"
 )
 
-// Buffers and bounds of a watch's HTTP call, in bytes. Documents are small and rare, and there
-// is one watch at a time.
+// These constants set the buffer sizes and the header limit of a watch's HTTP call, in bytes. Small
+// values suffice, because documents are small and rare and there is one watch at a time.
 const (
 	maxHeaderBytes  = 16 << 10
 	readBufferSize  = 4 << 10
 	writeBufferSize = 1 << 10
 )
 
-// Reasons of a watch's end. A watch may end with other errors, too: of the network, or of a
-// document that cannot be parsed.
+// A watch ends with one of these errors, with a network error, or with the error for a document that
+// cannot be parsed.
 var (
-	// ErrSilent means that nothing came for too long: the service's machine may have failed.
-	ErrSilent = errors.New("the watch fell silent")
-	// ErrEnded means that the service ended the watch in order.
-	ErrEnded = errors.New("the watch ended")
+	// ErrSilent means that the watch received no data for too long. The service's machine may have
+	// failed.
+	ErrSilent = errors.New("discovery: the watch received no data in time")
+	// ErrEnded means that the service ended the response to the watch with an end of file.
+	ErrEnded = errors.New("discovery: the service ended the watch")
 	// ErrTooLarge means that a document has more than endpoints.MaxDocument bytes.
-	ErrTooLarge = fmt.Errorf("discovery: a document of over %d bytes", endpoints.MaxDocument)
+	ErrTooLarge = fmt.Errorf("discovery: a document must have at most %d bytes", endpoints.MaxDocument)
 )
 
-// StatusError means that the service responded with another status than 200.
+// StatusError means that the service responded with a status other than 200.
 type StatusError struct {
-	Status string // code and reason phrase
+	Status string // status code and reason phrase of the response
 }
 
-func (e *StatusError) Error() string { return "discovery answered " + e.Status }
+func (e *StatusError) Error() string { return "discovery: expected status 200, got " + e.Status }
 
-// Options are the settings of a watch.
+// Options holds the settings of a watch.
 type Options struct {
 	Names           endpoints.Names
-	ResponseTimeout time.Duration // until the response's headers are there
-	SilenceTimeout  time.Duration // without a byte, or from a document's first to its last
+	ResponseTimeout time.Duration // maximum time until the response headers arrive
+	SilenceTimeout  time.Duration // maximum time without a byte, and from the first byte of a document to its last
 }
 
-// Watch watches the service at addr from a version on; below 0, from a snapshot on. It returns
-// at once. On a goroutine of the watch, onDocument is called for each document, and then onEnd
-// once with the reason, unless ctx has ended: that ends the watch and its goroutine silently. The
-// channel that it returns is closed when the goroutine has ended.
+// Watch opens a watch of the service at addr and returns at once. The watch starts at version since,
+// or with a snapshot if since is below 0. On its own goroutine, the watch calls onDocument for each
+// document and then onEnd once with the reason for its end. When ctx ends, the watch and its goroutine
+// end without a call of onEnd. Watch returns a channel that is closed when the goroutine has ended.
 func Watch(
 	ctx context.Context, addr string, since int64, o Options,
 	onDocument func(endpoints.Document), onEnd func(error),
@@ -68,12 +69,13 @@
 	return ended
 }
 
-// run makes the call and reads documents until the watch ends. The error is never nil.
+// run makes the HTTP call and reads documents until the watch ends. It returns the reason for the end,
+// which is never nil.
 func run(ctx context.Context, addr string, since int64, o Options, onDocument func(endpoints.Document)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(o.ResponseTimeout, func() { cancel(ErrSilent) })
-	defer silence.Stop()
+	silenceTimer := time.AfterFunc(o.ResponseTimeout, func() { cancel(ErrSilent) })
+	defer silenceTimer.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, watchURL(addr, since), nil)
 	if err != nil {
 		return err
@@ -84,16 +86,17 @@
 	if err != nil {
 		return causeOf(ctx, err)
 	}
-	defer func() { _ = resp.Body.Close() }() // the call is over, whatever it returns
+	defer func() { _ = resp.Body.Close() }() // an error does not matter after the end of the call
 	if resp.StatusCode != http.StatusOK {
 		return &StatusError{Status: resp.Status}
 	}
-	silence.Reset(o.SilenceTimeout)
-	body := &documentReader{r: resp.Body, timer: silence, timeout: o.SilenceTimeout}
+	silenceTimer.Reset(o.SilenceTimeout)
+	body := &documentReader{r: resp.Body, timer: silenceTimer, timeout: o.SilenceTimeout}
 	return readDocuments(ctx, body, o.Names, onDocument)
 }
 
-// watchURL returns the URL of a watch.
+// watchURL returns the URL of a watch that starts at version since, or with a snapshot if since is
+// below 0.
 func watchURL(addr string, since int64) string {
 	if since < 0 {
 		return fmt.Sprintf("http://%s/api/targets?follow=1", addr)
@@ -101,7 +104,7 @@
 	return fmt.Sprintf("http://%s/api/targets?follow=1&since=%d", addr, since)
 }
 
-// newTransport returns a transport for a single call.
+// newTransport returns an HTTP transport for a single call.
 func newTransport(o Options) *http.Transport {
 	return &http.Transport{
 		DisableKeepAlives:      true,
@@ -113,8 +116,8 @@
 	}
 }
 
-// readDocuments passes on documents until there is an error, which it returns. A document may
-// span any number of lines.
+// readDocuments passes documents to onDocument until an error occurs, and returns the error. A document
+// may span any number of lines.
 func readDocuments(
 	ctx context.Context, body *documentReader, names endpoints.Names, onDocument func(endpoints.Document),
 ) error {
@@ -137,7 +140,7 @@
 	}
 }
 
-// causeOf returns why ctx has ended, or err if it has not.
+// causeOf returns the cause of the end of ctx, or err if ctx has not ended.
 func causeOf(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
--- a/internal/discovery/reader.go
+++ b/internal/discovery/reader.go
@@ -8,19 +8,19 @@
 	"chalkstand/internal/endpoints"
 )
 
-// documentReader reads a watch's stream of documents and restarts its silence timer. White space
-// between documents shows that the service is there; a document that has begun has to end within
-// the timeout, and within the bound on its size.
+// documentReader reads the response body of a watch and restarts the watch's silence timer. White space
+// between documents restarts the timer, because it shows that the service is alive. After the first
+// byte of a document, the whole document must arrive within the timeout and within the maximum size.
 type documentReader struct {
 	r          io.Reader
 	timer      *time.Timer
 	timeout    time.Duration
-	inDocument bool // a document has begun
-	size       int  // bytes since the last document ended
+	inDocument bool // whether the first byte of a document has arrived
+	size       int  // number of bytes that were read from the current document
 }
 
-// Read implements io.Reader. It restarts the timer where nothing but white space has come since
-// the last document.
+// Read implements io.Reader. It restarts the timer when it reads bytes, unless earlier reads have
+// already begun a document.
 func (d *documentReader) Read(p []byte) (int, error) {
 	n, err := d.r.Read(p)
 	if n > 0 && !d.inDocument {
@@ -37,8 +37,8 @@
 	return n, err
 }
 
-// documentEnded is called when a document is whole. Bytes that were read after it may be the
-// beginning of the next one, whose time counts from the next read.
+// documentEnded restarts the timer after a complete document. The reader may already have read the
+// beginning of the next document. The timeout of that document then starts at the next read.
 func (d *documentReader) documentEnded() {
 	d.timer.Reset(d.timeout)
 	d.inDocument = false
