--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -1,5 +1,5 @@
-// Package endpoints parses the documents of the platform's discovery service: lists of storage
-// nodes and changes to them. It does no I/O.
+// Package endpoints parses the documents of the platform's discovery service. A document is a list of
+// storage nodes or a list of changes to it. The package does no I/O.
 package endpoints
 
 import (
@@ -15,18 +15,18 @@
 	"chalkstand/forwarder"
 )
 
-// Bounds of a document.
+// A document must stay within these bounds.
 const (
-	MaxDocument = 4 << 20 // bytes
+	MaxDocument = 4 << 20 // maximum size of a document in bytes
 	maxNodes    = 16384
-	maxID       = 256     // bytes
-	maxShard    = 1 << 24 // the largest number
-	maxStarted  = 1e15    // milliseconds since the Unix epoch
+	maxID       = 256     // maximum length of a node's ID in bytes
+	maxShard    = 1 << 24 // largest shard number
+	maxStarted  = 1e15    // latest start time in milliseconds since the Unix epoch
 )
 
 // FormatError means that a document does not have the expected form.
 type FormatError struct {
-	Field    string // as in "servers[3].id"; empty for the document as a whole
+	Field    string // path of the field, such as "servers[3].id"; empty for the whole document
 	Expected string
 	Got      string
 }
@@ -39,25 +39,26 @@
 	return text + "expected " + e.Expected + ", got " + e.Got
 }
 
-// Names are the names of zones and machine kinds; the number of each is its index.
+// Names holds the names of zones and machine kinds. The number of a zone or kind is the index of its
+// name.
 type Names struct{ Zones, Kinds []string }
 
-// Document is a list of nodes: all of them in a snapshot, else those that have changed since an
-// earlier version.
+// Document is a list of nodes. A snapshot contains all nodes. Any other document contains the nodes
+// that have changed since an earlier version.
 type Document struct {
 	Version  int64
 	Snapshot bool
 	Nodes    []forwarder.Node
 }
 
-// documentJSON is a document as it is sent.
+// documentJSON is the JSON form of a document.
 type documentJSON struct {
 	Version *int64       `json:"version"`
 	Full    bool         `json:"full"`
 	Servers []serverJSON `json:"servers"`
 }
 
-// serverJSON is a storage node as it is sent.
+// serverJSON is the JSON form of a storage node.
 type serverJSON struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
@@ -68,16 +69,16 @@
 	StartedMS float64 `json:"started_ms"`
 }
 
-// nodeStates maps the names of states that are sent.
+// nodeStates maps the names of node states in documents to the dispatcher's states.
 var nodeStates = map[string]dispatch.NodeState{
 	"Ready":       dispatch.Ready,
 	"Terminating": dispatch.Draining,
 	"Gone":        dispatch.Removed,
 }
 
-// Parse parses a document. An invalid entry makes the whole document invalid: a list without it
-// would be another list. The error is a *FormatError, or one of package json. Start times are
-// since the Unix epoch.
+// Parse parses a document. It rejects the whole document if one entry is invalid, because a list
+// without that entry would be a different list. It returns a *FormatError or wraps an error of package
+// json. The start times of the returned nodes are durations since the Unix epoch.
 func Parse(text []byte, names Names) (Document, error) {
 	if len(text) > MaxDocument {
 		return Document{}, &FormatError{
@@ -87,7 +88,7 @@
 	}
 	var d documentJSON
 	if err := json.Unmarshal(text, &d); err != nil {
-		return Document{}, fmt.Errorf("discovery: %w", err)
+		return Document{}, fmt.Errorf("discovery: invalid document: %w", err)
 	}
 	if d.Version == nil {
 		return Document{}, &FormatError{Field: "version", Expected: "a number", Got: "none"}
@@ -111,7 +112,7 @@
 	return out, nil
 }
 
-// node returns the node that an entry describes, or the first of its fields that is invalid.
+// node returns the node that an entry describes, or an error for the first invalid field.
 func (s *serverJSON) node(names Names) (forwarder.Node, *FormatError) {
 	state, known := nodeStates[s.State]
 	if err := s.check(state, known); err != nil {
@@ -130,7 +131,7 @@
 	}, nil
 }
 
-// check returns the first field that is invalid. A removed node needs no address.
+// check returns an error for the first invalid field, or nil. A removed node needs no address.
 func (s *serverJSON) check(state dispatch.NodeState, known bool) *FormatError {
 	switch {
 	case s.ID == "" || len(s.ID) > maxID:
@@ -138,9 +139,9 @@
 	case !known:
 		return &FormatError{"state", "Ready, Terminating or Gone", fmt.Sprintf("%q", s.State)}
 	case s.StartedMS < 0 || s.StartedMS > maxStarted:
-		return &FormatError{"started_ms", "Unix time in milliseconds", fmt.Sprintf("%g", s.StartedMS)}
+		return &FormatError{"started_ms", "a Unix time from 0 to 1e15 milliseconds", fmt.Sprintf("%g", s.StartedMS)}
 	case s.Cell < int(dispatch.AnyShard) || s.Cell > maxShard:
-		return &FormatError{"cell", "a shard", strconv.Itoa(s.Cell)}
+		return &FormatError{"cell", "a shard number from -1 to 2^24", strconv.Itoa(s.Cell)}
 	}
 	if state == dispatch.Removed {
 		return nil
@@ -151,7 +152,7 @@
 	return nil
 }
 
-// indexOrLen returns a name's index; len(names) for all names that are not in the list.
+// indexOrLen returns the index of a name in names, or len(names) if names does not contain it.
 func indexOrLen(names []string, name string) int {
 	if i := slices.Index(names, name); i >= 0 {
 		return i
@@ -159,14 +160,15 @@
 	return len(names)
 }
 
-// zoneNumber returns a zone's number. One that the settings do not name has a number of its own
-// beyond theirs, as what may be retried within a zone must not be retried in another.
+// zoneNumber returns the number of a zone. If the settings do not name the zone, its number is a hash of
+// the name beyond the numbers of the named zones. Unnamed zones need distinct numbers, because some
+// requests may be retried only within their zone.
 func zoneNumber(names []string, name string) int {
 	i := indexOrLen(names, name)
 	if i < len(names) {
 		return i
 	}
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(name)) // a hash.Hash never returns an error
+	_, _ = h.Write([]byte(name)) // Write on a hash.Hash never returns an error
 	return i + int(h.Sum32())
 }
