--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -1,8 +1,9 @@
-// Package signals delivers the signals that steer a server process: SIGHUP, which reloads its configuration, and
-// SIGTERM and SIGINT, which stop it.
+// Package signals delivers the signals that control a server process. SIGHUP reloads its configuration, and
+// SIGTERM and SIGINT stop it.
 //
-// It catches them from its own initialization on, before main and most other packages: a signal that comes while
-// the program starts is kept for Listen and does not end the process by its default action.
+// The package catches these signals from its own initialization on, before main and most other packages run. It
+// keeps a signal that arrives while the program starts for Listen, so that the signal does not end the process by
+// its default action.
 package signals
 
 import (
@@ -11,15 +12,16 @@
 	"syscall"
 )
 
-// Listener receives signals, each kind on a channel of its own with room for one, so that a series of one kind
-// never displaces the other. Signals of a kind that come before the last one was received count as one.
+// Listener receives signals on a separate channel for each kind, so that a series of signals of one kind never
+// displaces a signal of the other kind. Each channel holds one signal. Further signals of a kind are dropped until
+// the program has received the first one.
 type Listener struct {
-	Reload chan os.Signal // SIGHUP
-	Stop   chan os.Signal // SIGTERM and SIGINT
+	Reload chan os.Signal // receives SIGHUP
+	Stop   chan os.Signal // receives SIGTERM and SIGINT
 }
 
-// atStart receives the signals until Listen or Release is called.
-var atStart = register()
+// startupListener receives the signals until Listen or Release is called.
+var startupListener = register()
 
 func register() *Listener {
 	l := &Listener{Reload: make(chan os.Signal, 1), Stop: make(chan os.Signal, 1)}
@@ -28,18 +30,19 @@
 	return l
 }
 
-// Listen returns a listener with the signals that have come since the program started, unless an earlier call
-// has returned them, and those to come. The caller closes it.
+// Listen returns a listener for the signals that arrive from now on. The listener also receives the signals that
+// have arrived since the program started, unless an earlier call of Listen has received them. The caller must close
+// the listener.
 func Listen() *Listener {
 	l := register()
-	atStart.Close()
-	forward(atStart.Reload, l.Reload)
-	forward(atStart.Stop, l.Stop)
+	startupListener.Close()
+	forward(startupListener.Reload, l.Reload)
+	forward(startupListener.Stop, l.Stop)
 	return l
 }
 
-// forward passes on the signal that is pending in a channel, if there is one. Where one is pending in the other
-// channel already, both count as one.
+// forward moves the pending signal of one channel, if any, to another channel. If the other channel already has a
+// pending signal, forward drops the moved one.
 func forward(from, to chan os.Signal) {
 	select {
 	case s := <-from:
@@ -51,21 +54,21 @@
 	}
 }
 
-// Release restores the default actions, for programs that are not servers. A signal that has come since the
-// program started takes effect now.
+// Release restores the default actions of the signals, for programs that are not servers. It sends each signal that
+// has arrived since the program started to the process again, so that its default action takes effect.
 func Release() {
-	atStart.Close()
-	for _, pending := range []chan os.Signal{atStart.Reload, atStart.Stop} {
+	startupListener.Close()
+	for _, pending := range []chan os.Signal{startupListener.Reload, startupListener.Stop} {
 		select {
 		case s := <-pending:
-			_ = syscall.Kill(os.Getpid(), s.(syscall.Signal)) // it cannot fail for the own process
+			_ = syscall.Kill(os.Getpid(), s.(syscall.Signal)) // a process can always signal itself
 		default:
 		}
 	}
 }
 
-// Close stops the delivery. Where no other listener is open, the default actions are restored: a signal then
-// ends the process.
+// Close stops the delivery of signals to the listener. If no other listener is open, Close restores the default
+// actions, so that the next signal ends the process.
 func (l *Listener) Close() {
 	signal.Stop(l.Reload)
 	signal.Stop(l.Stop)
