--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -1,5 +1,6 @@
-// Package timerqueue holds timers in the order in which they fall due. Timers of one moment
-// fire in the order in which they were added. It reads no clock: the caller passes the time.
+// Package timerqueue provides a queue of timers in the order of their due times. Timers with the same
+// due time fire in the order in which they were added. The package reads no clock: the caller passes
+// the current time.
 package timerqueue
 
 import (
@@ -7,29 +8,29 @@
 	"time"
 )
 
-// Timer is an entry of a Queue.
+// Timer is an entry of a Queue with a value and a due time.
 type Timer[T any] struct {
 	Value T
 
 	at    time.Duration
 	seq   uint64
-	index int // in the heap; -1 once it has fired or was removed
+	index int // position in the heap; -1 after the timer has fired or was removed
 }
 
-// At returns when the timer is due.
+// At returns the due time of the timer.
 func (t *Timer[T]) At() time.Duration { return t.at }
 
 // Queue is a queue of timers. Its zero value is empty and ready to use. It is not safe for
 // concurrent use.
 type Queue[T any] struct {
 	timers timerHeap[T]
-	seq    uint64 // of the last timer added
+	seq    uint64 // sequence number of the last timer that was added
 }
 
-// Len returns how many timers are pending.
+// Len returns the number of pending timers.
 func (q *Queue[T]) Len() int { return len(q.timers) }
 
-// Add adds a timer that is due at a time.
+// Add adds a timer that is due at the given time.
 func (q *Queue[T]) Add(at time.Duration, value T) *Timer[T] {
 	q.seq++
 	t := &Timer[T]{Value: value, at: at, seq: q.seq}
@@ -37,15 +38,15 @@
 	return t
 }
 
-// Remove takes a timer out before it fires. A timer that is nil, has fired, or was removed
-// before, is left alone.
+// Remove removes a pending timer from the queue. It does nothing if the timer is nil, has fired or was
+// already removed.
 func (q *Queue[T]) Remove(t *Timer[T]) {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&q.timers, t.index)
 	}
 }
 
-// Next returns when the first timer is due; false where none is pending.
+// Next returns the due time of the first timer. It returns false if no timer is pending.
 func (q *Queue[T]) Next() (time.Duration, bool) {
 	if len(q.timers) == 0 {
 		return 0, false
@@ -53,7 +54,8 @@
 	return q.timers[0].at, true
 }
 
-// PopDue takes the first timer out if it is due by now, and returns its value.
+// PopDue removes the first timer from the queue and returns its value if the timer is due at or before
+// now.
 func (q *Queue[T]) PopDue(now time.Duration) (value T, due bool) {
 	if len(q.timers) == 0 || q.timers[0].at > now {
 		return value, false
@@ -61,7 +63,7 @@
 	return heap.Pop(&q.timers).(*Timer[T]).Value, true
 }
 
-// timerHeap implements heap.Interface.
+// timerHeap implements heap.Interface. It orders timers by due time and then by sequence number.
 type timerHeap[T any] []*Timer[T]
 
 func (h timerHeap[T]) Len() int { return len(h) }
--- a/internal/timerqueue/timerqueue_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-func drain(q *Queue[int], now time.Duration) []int {
+// popAllDue removes all timers that are due at or before now and returns their values in order.
+func popAllDue(q *Queue[int], now time.Duration) []int {
 	var out []int
 	for {
 		v, due := q.PopDue(now)
@@ -24,19 +25,19 @@
 		q.Add(at, i)
 	}
 	if at, ok := q.Next(); !ok || at != 10 {
-		t.Errorf("next at %v, %v", at, ok)
+		t.Errorf("Next: got due time %v and %v, want 10 and true", at, ok)
 	}
-	if got := drain(&q, 20); !slices.Equal(got, []int{1, 3, 2}) {
-		t.Errorf("due by 20: %v", got)
+	if got := popAllDue(&q, 20); !slices.Equal(got, []int{1, 3, 2}) {
+		t.Errorf("values due by 20: got %v, want 1, 3 and 2", got)
 	}
-	if got := drain(&q, 29); got != nil {
-		t.Errorf("due by 29: %v", got)
+	if got := popAllDue(&q, 29); got != nil {
+		t.Errorf("values due by 29: got %v, want none", got)
 	}
-	if got := drain(&q, 30); !slices.Equal(got, []int{0}) {
-		t.Errorf("due by 30: %v", got)
+	if got := popAllDue(&q, 30); !slices.Equal(got, []int{0}) {
+		t.Errorf("values due by 30: got %v, want 0", got)
 	}
 	if _, ok := q.Next(); ok || q.Len() != 0 {
-		t.Error("not empty at the end")
+		t.Error("the queue is not empty after all timers have fired")
 	}
 }
 
@@ -46,16 +47,16 @@
 	q.Remove(nil)
 	q.Remove(a)
 	q.Remove(a)
-	if got := drain(&q, 5); !slices.Equal(got, []int{2}) {
-		t.Errorf("%v", got)
+	if got := popAllDue(&q, 5); !slices.Equal(got, []int{2}) {
+		t.Errorf("values after the removal of the first timer: got %v, want 2", got)
 	}
-	q.Remove(b) // has fired
+	q.Remove(b) // b has fired, so Remove must do nothing
 	if q.Len() != 0 || b.At() != 2 {
-		t.Errorf("%d timers, at %v", q.Len(), b.At())
+		t.Errorf("got %d pending timers and due time %v of the fired timer, want 0 and 2", q.Len(), b.At())
 	}
 }
 
-// Random additions and removals fire in the order of a sorted list.
+// After random additions and removals, the timers fire in the order of a stably sorted list.
 func TestAgainstSortedList(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var q Queue[int]
@@ -79,7 +80,7 @@
 	for _, e := range list {
 		want = append(want, e.value)
 	}
-	if got := drain(&q, 50); !slices.Equal(got, want) {
-		t.Errorf("%v\nwant\n%v", got, want)
+	if got := popAllDue(&q, 50); !slices.Equal(got, want) {
+		t.Errorf("values in the order of firing: got\n%v\nwant\n%v", got, want)
 	}
 }
