--- a/respserver/clients.go
+++ b/respserver/clients.go
@@ -119,8 +119,9 @@
 	return len(cl.pipeline) == 0 && cl.conn.Pending() == 0 && cl.conn.NoUnreadInput()
 }
 
-// OnData reads one command. If the client's input is discarded, OnData pauses the connection until
-// the next sweep, because reading at full speed would take CPU time from other connections.
+// OnData reads one command. If the client's input is discarded, OnData drops the bytes and pauses the
+// connection until the next sweep, because reading at full speed would take CPU time from other
+// connections.
 func (cl *client) OnData(conn *eventloop.Conn, b []byte) int {
 	s := cl.server
 	cl.lastReceived = s.now()
@@ -256,7 +257,7 @@
 }
 
 // drain closes the connection after the server has replied to all commands that it has read. The
-// server starts no further command: the client sends it again on another connection.
+// server starts no further command. The client sends such a command again on another connection.
 func (cl *client) drain() {
 	cl.draining = true
 	cl.conn.Pause()
--- a/respserver/clients_test.go
+++ b/respserver/clients_test.go
@@ -191,7 +191,7 @@
 	c.expectReply(replyTo("last"))
 }
 
-// The server closes the connection of a client that sends no whole command within 3 s.
+// The server closes a connection within 3 s if its client sends no whole command.
 func TestSilentClientsClosed(t *testing.T) {
 	f := startFixture(t, 256)
 	start := time.Now()
--- a/respserver/config.go
+++ b/respserver/config.go
@@ -24,7 +24,7 @@
 	Cores     float64
 	MemoryMB  float64
 	Sockets   int                // maximum number of file descriptors
-	Known     endpoints.Document // endpoint list at startup; its version is -1 if the configuration has none
+	Known     endpoints.Document // endpoint list at startup; its version is -1 if the configuration omits it
 	Settings  simwire.Settings
 }
 
--- a/respserver/config_test.go
+++ b/respserver/config_test.go
@@ -33,7 +33,7 @@
 			_, err := respserver.ParseConfig([]byte(strings.Replace(valid, c.text, c.replacement, 1)))
 			var configErr *respserver.ConfigError
 			if !errors.As(err, &configErr) || configErr.Field != c.field || !strings.Contains(err.Error(), c.message) {
-				t.Errorf("%s in place of %s: got error %v, want another field or message", c.replacement, c.text, err)
+				t.Errorf("%s in place of %s: got error %v, want the field and message of the test case", c.replacement, c.text, err)
 			}
 		})
 	}
--- a/respserver/fixture_test.go
+++ b/respserver/fixture_test.go
@@ -129,7 +129,7 @@
 	}
 }
 
-// waitOnLoop evaluates a condition on the event loop until it holds.
+// waitOnLoop evaluates a condition on the event loop repeatedly until the condition holds.
 func (f *fixture) waitOnLoop(condition func() bool) {
 	f.t.Helper()
 	f.waitFor(func() (holds bool) {
@@ -208,7 +208,7 @@
 func (f *fixture) client() *client {
 	f.t.Helper()
 	c := f.dial()
-	f.t.Cleanup(func() { _ = c.Close() }) // the test may have closed it
+	f.t.Cleanup(func() { _ = c.Close() }) // Close fails if the test has already closed the connection
 	return c
 }
 
--- a/respserver/nodes.go
+++ b/respserver/nodes.go
@@ -65,7 +65,7 @@
 func (c *nodeConn) send(req *request, deadline time.Duration) {
 	s := c.server
 	if c.used && !c.conn.NoUnreadInput() {
-		c.lose(forwarder.ConnectionLost{Conn: c.id, Stale: true})
+		c.closeLost(forwarder.ConnectionLost{Conn: c.id, Stale: true})
 		return
 	}
 	c.request = req
@@ -75,8 +75,8 @@
 	c.requestWritten = c.conn.Open() && c.conn.Pending() == 0
 }
 
-// lose closes the connection and reports its loss to the forwarder.
-func (c *nodeConn) lose(event forwarder.ConnectionLost) {
+// closeLost closes the connection and reports its loss to the forwarder.
+func (c *nodeConn) closeLost(event forwarder.ConnectionLost) {
 	delete(c.server.nodeConns, c.id)
 	c.request = nil
 	c.conn.Close()
@@ -95,12 +95,12 @@
 func (c *nodeConn) OnData(_ *eventloop.Conn, b []byte) int {
 	s := c.server
 	if c.request == nil {
-		c.lose(forwarder.ConnectionLost{Conn: c.id})
+		c.closeLost(forwarder.ConnectionLost{Conn: c.id})
 		return 0
 	}
 	n, err := s.nodeReply.Read(b)
 	if err != nil {
-		c.lose(forwarder.ConnectionLost{Conn: c.id})
+		c.closeLost(forwarder.ConnectionLost{Conn: c.id})
 		return 0
 	}
 	if n == 0 {
@@ -108,7 +108,7 @@
 	}
 	value, info, ok := objectcommand.ParseReply(&s.nodeReply)
 	if !ok {
-		c.lose(forwarder.ConnectionLost{Conn: c.id})
+		c.closeLost(forwarder.ConnectionLost{Conn: c.id})
 		return 0
 	}
 	reuse := n == len(b) && c.requestWritten && !c.conn.PeerClosed()
@@ -125,8 +125,8 @@
 // OnDrained records that the kernel has accepted the whole request.
 func (c *nodeConn) OnDrained(*eventloop.Conn) { c.requestWritten = true }
 
-// OnClose reports to the forwarder that the connection is closed, unless the server has closed and
-// removed it itself.
+// OnClose reports the close of the connection to the forwarder, unless the server itself has closed the
+// connection.
 func (c *nodeConn) OnClose(*eventloop.Conn, error) {
 	s := c.server
 	if s.nodeConns[c.id] != c {
--- a/respserver/nodes_test.go
+++ b/respserver/nodes_test.go
@@ -149,7 +149,7 @@
 
 // The server closes a connection if a read contains bytes after a reply. This is the first of its
 // three checks for input that does not belong to a reply. Each check has its own test.
-func TestInputBehindReplyInSameRead(t *testing.T) {
+func TestInputAfterReplyInSameRead(t *testing.T) {
 	expectConnClosedAfter(t, "*3\r\n$4\r\ngood\r\n$-1\r\n$-1\r\n"+secondReply, "$good")
 }
 
--- a/respserver/requests_test.go
+++ b/respserver/requests_test.go
@@ -50,8 +50,8 @@
 	f := startFixture(t, 256)
 	c := f.client()
 	f.node.SetNext(respnode.Behavior{Hang: true}, respnode.Behavior{})
-	// The first request is not idempotent. The server would retry a read after the second request has
-	// overtaken it.
+	// The first request is a write, which is not idempotent. The server would retry a read that a later
+	// request has overtaken.
 	c.send(respnode.Command("OBJ.PUT", pieceID, "slow", fieldList("c", "c=write", "d", "d=400"), "body"))
 	f.waitForCommands(1)
 	c.send(getCommand("quick") + respnode.Command("PING"))
--- a/respserver/server.go
+++ b/respserver/server.go
@@ -36,8 +36,8 @@
 // noTimer is the value of forwarderTimer while no timer is set.
 const noTimer = time.Duration(math.MaxInt64)
 
-// Server is an RESP2 server with its dispatcher. Only the goroutine of the event loop uses its
-// fields. Times are durations since the Unix epoch, as returned by now.
+// Server is a RESP2 server with its dispatcher. While Run is running, only the goroutine of the event
+// loop uses the fields. Times are durations since the Unix epoch, as returned by now.
 type Server struct {
 	cfg       Config
 	log       *zap.Logger
--- a/respserver/shutdown.go
+++ b/respserver/shutdown.go
@@ -12,10 +12,10 @@
 
 // These times control a graceful shutdown. After the platform has asked for a shutdown, it waits for
 // the longest deadline of a request class, at most maxTerminationDelay, plus terminationMargin, before
-// it may terminate the server by force. A forced termination loses the open requests, unless they
-// arrived within about the grace period.
+// it may terminate the server by force. A forced termination loses the open requests. Requests that
+// arrived within about the grace period have normally ended by then.
 const (
-	shutdownGracePeriod = 500 * time.Millisecond // clients open new connections for up to 0.4 s after the request
+	shutdownGracePeriod = 500 * time.Millisecond // clients open connections for up to 0.4 s after the start
 	maxTerminationDelay = 3 * time.Second
 	terminationMargin   = 700 * time.Millisecond
 	failRequestsBefore  = 200 * time.Millisecond // all open requests fail this long before the forced termination
--- a/respserver/shutdown_test.go
+++ b/respserver/shutdown_test.go
@@ -54,7 +54,7 @@
 	f.server.Shutdown()
 	sent := 1
 	for replies := 0; ; replies++ {
-		_, _ = c.Write([]byte(getCommand(f.nextID()))) // fails if the server has closed the connection
+		_, _ = c.Write([]byte(getCommand(f.nextID()))) // the write fails after the server has closed the connection
 		sent++
 		got, err := respnode.ReadReply(c.in)
 		if err != nil {
@@ -177,7 +177,7 @@
 	f.server.Shutdown()
 	f.discovery.CloseWatches()
 	f.waitOnLoop(func() bool { return !f.server.WatchOpen() })
-	f.server.AdvanceClock(time.Second) // the dispatcher polls again
+	f.server.AdvanceClock(time.Second) // the dispatcher asks for a new watch
 	f.waitForStop()
 	if calls := f.discovery.Calls(); len(calls) != 1 {
 		t.Errorf("got %d calls to discovery, want 1", len(calls))
--- a/respserver/watch.go
+++ b/respserver/watch.go
@@ -12,11 +12,11 @@
 	"chalkstand/internal/endpoints"
 )
 
-// These timeouts apply to a discovery watch. The server must apply an update at most 6 s after a
-// reachable discovery publishes it, and at most 6 s after the watch that should have delivered it falls
-// silent. Discovery responds within 2 s or not at all, and it sends an empty line every 2 s. After a
-// watch ends, the dispatcher waits up to 0.75 s before it polls again if the watch had received an
-// update, and up to 3 s otherwise.
+// These timeouts apply to a discovery watch. The server must apply an update at most 6 s after
+// discovery has the update and is reachable. It must also apply the update at most 6 s after the
+// watch that should have delivered the update falls silent. Discovery responds within 2 s or not at
+// all, and it sends an empty line every 2 s. After a watch ends, the dispatcher waits up to 0.75 s
+// before it polls again if the watch had received an update, and up to 3 s otherwise.
 const (
 	discoveryResponseTimeout = 2500 * time.Millisecond
 	discoverySilenceTimeout  = 2700 * time.Millisecond
@@ -113,9 +113,9 @@
 	})
 }
 
-// retireWatch makes the current watch the previous watch. If there already is a previous watch, it
-// keeps the current one if that has received an endpoint list, and otherwise the older one. It closes
-// the other watch.
+// retireWatch makes the current watch the previous watch. If there already is a previous watch, only
+// one of the two stays open: the current watch if it has received an endpoint list, and otherwise the
+// previous watch.
 func (s *Server) retireWatch() {
 	if s.watch == nil {
 		return
