--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -135,8 +135,8 @@
 // Paused reports whether reading from the connection is stopped.
 func (c *Conn) Paused() bool { return c.paused }
 
-// Resume starts reading from the connection again. It first passes the bytes that the handler has not
-// consumed to the handler again.
+// Resume starts reading from the connection again. The handler first receives again the bytes that it
+// has not consumed.
 func (c *Conn) Resume() {
 	if c.fd < 0 || !c.paused {
 		return
@@ -146,8 +146,8 @@
 	c.loop.schedule(c)
 }
 
-// Redeliver schedules a time slice that passes the bytes that the handler has not consumed to the
-// handler again.
+// Redeliver schedules a time slice in which the handler receives again the bytes that it has not
+// consumed.
 func (c *Conn) Redeliver() {
 	if len(c.input) > 0 {
 		c.redeliver = true
@@ -155,8 +155,9 @@
 	}
 }
 
-// Readable reports whether the connection may have input for the handler. If it returns false, the
-// loop calls OnReadable as soon as there is input. The handler must be a ReadableHandler.
+// Readable reports whether the connection may have input for the handler or is closed. If Readable
+// returns false, the loop calls OnReadable as soon as there is input. The handler must be a
+// ReadableHandler.
 func (c *Conn) Readable() bool {
 	c.readInterest = c.fd >= 0 && !c.readable && len(c.input) == 0
 	return !c.readInterest
@@ -165,8 +166,9 @@
 // WantsRead reports whether the handler waits for a call of OnReadable.
 func (c *Conn) WantsRead() bool { return c.readInterest }
 
-// NoUnreadInput reports whether the handler has received and consumed all input, including an end of
-// file. It asks the kernel, which may hold input that it has not yet reported to the loop.
+// NoUnreadInput reports whether the connection is open, the handler has consumed all input and the peer
+// has sent no end of file. It asks the kernel, which may hold input that it has not yet reported to the
+// loop.
 func (c *Conn) NoUnreadInput() bool {
 	if c.fd < 0 || c.peerClosed || len(c.input) > 0 {
 		return false
--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -95,17 +95,17 @@
 	<-h.done
 }
 
-// byteAnswerer consumes one byte per call of OnData and writes a byte back. The first call waits until
+// byteResponder consumes one byte per call of OnData and writes a byte back. The first call waits until
 // the peer has reset the connection.
-type byteAnswerer struct {
-	calls  int
-	within chan struct{}
-	closed chan error
+type byteResponder struct {
+	calls    int
+	inOnData chan struct{}
+	closed   chan error
 }
 
-func (h *byteAnswerer) OnData(c *Conn, _ []byte) int {
+func (h *byteResponder) OnData(c *Conn, _ []byte) int {
 	if h.calls++; h.calls == 1 {
-		close(h.within)
+		close(h.inOnData)
 		// The call waits for the reset for at most 20 s. Its result does not matter, because the test
 		// checks that the write after it fails.
 		_, _ = unix.Poll([]unix.PollFd{{Fd: int32(c.FD())}}, 20_000)
@@ -113,17 +113,17 @@
 	c.Write([]byte("x"))
 	return 1
 }
-func (h *byteAnswerer) OnDrained(*Conn)            {}
-func (h *byteAnswerer) OnClose(_ *Conn, err error) { h.closed <- err }
+func (h *byteResponder) OnDrained(*Conn)            {}
+func (h *byteResponder) OnClose(_ *Conn, err error) { h.closed <- err }
 
 // After a failed write, the loop passes no further bytes to the handler.
 func TestNoDataAfterFailedWrite(t *testing.T) {
-	h := &byteAnswerer{within: make(chan struct{}), closed: make(chan error, 1)}
+	h := &byteResponder{inOnData: make(chan struct{}), closed: make(chan error, 1)}
 	c := dialTCP(t, listen(t, h))
 	if _, err := c.Write([]byte("abc")); err != nil {
 		t.Fatal(err)
 	}
-	<-h.within
+	<-h.inOnData
 	if err := errors.Join(c.SetLinger(0), c.Close()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -2,8 +2,8 @@
 
 import "errors"
 
-// ErrPeerClosed is the error, never wrapped, that OnClose receives when the peer has closed the
-// connection with an end of file.
+// ErrPeerClosed is passed to OnClose when the peer has closed the connection with an end of file. It is
+// never wrapped in another error.
 var ErrPeerClosed = errors.New("connection closed by peer")
 
 // Handler handles the events of one connection. The loop calls all its methods on the goroutine of
--- a/internal/eventloop/history.go
+++ b/internal/eventloop/history.go
@@ -46,8 +46,8 @@
 	Time time.Duration
 }
 
-// maxFlowsReported is the maximum number of flows that WaitedBehind reports. It omits the usage of
-// further flows.
+// maxFlowsReported is the maximum number of flows that WaitedBehind reports. WaitedBehind omits the
+// usage of further flows.
 const maxFlowsReported = 8
 
 // WaitedBehind appends to a slice how long each flow used the loop while the connection waited for its
--- a/internal/eventloop/history_test.go
+++ b/internal/eventloop/history_test.go
@@ -38,6 +38,6 @@
 		sum += x.Time
 	}
 	if len(got) != maxFlowsReported || sum > historySize*us {
-		t.Errorf("after many runs: got %d flows with a sum of %v, want maxFlowsReported and at most historySize µs", len(got), sum)
+		t.Errorf("many runs: got %d flows and a sum of %v, want maxFlowsReported and at most historySize µs", len(got), sum)
 	}
 }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -24,7 +24,7 @@
 // Options holds the settings of a loop.
 type Options struct {
 	FairShare    fairshare.Config
-	Quantum      int                  // bytes after which a time slice starts no further read
+	Quantum      int                  // a time slice starts no further read after this many bytes
 	PollInterval time.Duration        // time for which the loop serves connections between two polls for events
 	Now          func() time.Duration // clock of the loop; nil selects the time since the loop was created
 }
@@ -201,7 +201,7 @@
 	if n != 0 || err != nil || l.scheduler.Ready() || l.stopping {
 		return n, err
 	}
-	timeout := -1 // milliseconds
+	timeout := -1 // in milliseconds; -1 waits without a time limit
 	if at, ok := l.nextWake(); ok {
 		timeout = int((at - l.clock() + time.Millisecond - 1) / time.Millisecond)
 		if timeout <= 0 {
--- a/internal/eventloop/schedule_test.go
+++ b/internal/eventloop/schedule_test.go
@@ -70,7 +70,7 @@
 		}
 	}
 	if last > 2*slicesEach {
-		t.Errorf("the last of %d slices of flow \"one\" is number %d, want at most 2*slicesEach+1: %v", slicesEach, last+1, log)
+		t.Errorf("the last of %d slices of flow one is number %d, want at most 2*slicesEach+1: %v", slicesEach, last+1, log)
 	}
 }
 
--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -1,9 +1,9 @@
 // Package signals delivers the signals that control a server process. SIGHUP reloads its configuration, and
 // SIGTERM and SIGINT stop it.
 //
-// The package catches these signals from its own initialization on, before main and most other packages run. It
-// keeps a signal that arrives while the program starts for Listen, so that the signal does not end the process by
-// its default action.
+// The package catches these signals from its own initialization on, before main and most other packages run. A
+// signal that arrives while the program starts does not end the process by its default action. The package keeps
+// the signal for Listen.
 package signals
 
 import (
