--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// A burst of requests with a long objective waits in its own flow, also where the concurrency
-// limit is one: it blocks no other volume. One with the tightest objective is rejected.
+// A burst of requests with a long latency objective is queued even if the concurrency limit is
+// one, because the queue of its flow delays no other volume. A burst of requests with the
+// tightest objective is rejected in part.
 func TestLongObjectiveWaitsInItsFlow(t *testing.T) {
 	cfg := testConfig()
 	cfg.DispatcherCount = 40
@@ -30,26 +31,26 @@
 		}
 		allQueued := slices.Equal(got, []outcome{sent, pending, pending, pending})
 		if allQueued != want {
-			t.Errorf("class %d: %v", class, got)
+			t.Errorf("outcomes of a burst of class %d: got %v, want all but the first queued only with the long objective", class, got)
 		}
 	}
 }
 
-// Clients that give up early and retry at once are rejected at once, and take no place, reserve
-// or retry budget from others.
+// The requests of clients that give up early and retry at once are rejected at once. They must
+// not take queue places, reserve or retry budget from other requests.
 func TestImpatientClientsTakeNothingFromOthers(t *testing.T) {
 	r := newRig(t, testConfig())
-	id, acts := r.request(Request{Shard: 0, Plan: unlimitedPlan}) // shows the timeout of clients of the class
-	expectOutcome(t, "patient", acts, id, sent)
+	id, acts := r.request(Request{Shard: 0, Plan: unlimitedPlan}) // teaches the dispatcher the usual timeout of the class
+	expectOutcome(t, "client with the usual timeout", acts, id, sent)
 	r.complete(id, 0, OK)
 	r.request(Request{Shard: 0, Plan: unlimitedPlan, Volume: "w"})
 	v := r.d.volumes["v"]
 	reserve := v.reserve
 	for range 15 {
 		id, acts := r.request(Request{Shard: 0, Plan: unlimitedPlan, Timeout: 60 * ms})
-		expectOutcome(t, "impatient", acts, id, rejected)
+		expectOutcome(t, "client with a short timeout", acts, id, rejected)
 	}
 	if v.reserve != reserve || v.queuedUnits != 0 || len(r.d.budgetRetries) != 0 {
-		t.Errorf("reserve %g, was %g; %g units queued", v.reserve, reserve, v.queuedUnits)
+		t.Errorf("after rejected requests: got reserve %g, want %g; got %g units queued, want 0; want no retries in the budget", v.reserve, reserve, v.queuedUnits)
 	}
 }
--- a/dispatch/cancelbudget_test.go
+++ b/dispatch/cancelbudget_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// Canceled attempts are retried: the dispatcher does not cancel more attempts than the retry
-// budget has room for, as the requests beyond it are rejected although their responses may
-// still come.
+// The dispatcher must not cancel more attempts than the retry budget can retry. A request whose
+// attempt was canceled beyond the budget would be rejected, although its response might still
+// have arrived.
 func TestCanceledAttemptsFitTheRetryBudget(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[idempotentClass].LatencyObjective = 1000 * ms
@@ -25,11 +25,11 @@
 	canceled := canceledRequests(r.complete(c, 0, OK))
 	canceled = append(canceled, canceledRequests(r.complete(d, 0, OK))...)
 	if len(canceled) > 1 {
-		t.Errorf("canceled attempts of %v (sent %d and %d), the budget has room for 1 retry", canceled, a, b)
+		t.Errorf("got canceled attempts of requests %v out of %d and %d, want at most 1 because the budget has room for 1 retry", canceled, a, b)
 	}
 	for _, id := range canceled {
 		acts := r.complete(id, 0, Canceled)
 		acts = append(acts, r.advance(1*ms)...)
-		expectOutcome(t, "after the cancel", acts, id, sent)
+		expectOutcome(t, "retry after the cancellation", acts, id, sent)
 	}
 }
--- a/dispatch/checker_test.go
+++ b/dispatch/checker_test.go
@@ -6,39 +6,42 @@
 	"time"
 )
 
-// checker checks the invariants of dispatchers from their events and actions alone. It shares no
-// code and no state with them.
+// checker checks the invariants of dispatchers from their events and actions alone. It shares
+// no code and no state with the dispatchers.
 type checker struct {
 	cfg            Config
-	slack          time.Duration     // for an answer after the deadline
-	violations     map[string]string // first violation by invariant
+	slack          time.Duration     // how long after its deadline a request may be answered
+	violations     map[string]string // the first violation of each invariant
 	instances      []*instance
 	buckets        map[VolumeID]*bucket
-	sentToStarting map[NodeID][]sentUnits // to nodes that have just started
-	served         map[NodeID][]sentUnits // by them
-	nodes          map[NodeID]Node        // actual state
+	sentToStarting map[NodeID][]sentUnits // units sent to nodes that have just started
+	served         map[NodeID][]sentUnits // units that each node has served
+	nodes          map[NodeID]Node        // the actual state of each node
 }
 
-// bucket is the token bucket of a volume's rate limit.
+// bucket is the token bucket that the checker keeps for a volume's rate limit.
 type bucket struct {
 	level float64
 	at    time.Duration
 }
 
+// sentUnits records the cost of a request and when it was sent or served.
 type sentUnits struct {
 	at    time.Duration
 	units float64
 }
 
-// instance is a dispatcher from its start to its restart.
+// instance holds what the checker has observed of a dispatcher since its start. A restarted
+// dispatcher is a new instance.
 type instance struct {
-	notReadySince map[NodeID]time.Duration // by its own endpoint updates
+	notReadySince map[NodeID]time.Duration // by the endpoint updates that this dispatcher received
 	requests      map[RequestID]*requestRecord
 	byKey         map[string][]*requestRecord
 	arrivals      []time.Duration
 	retries       []time.Duration
 }
 
+// requestRecord holds what the checker has observed of a request.
 type requestRecord struct {
 	request        Request
 	arrivedAt      time.Duration
@@ -53,7 +56,8 @@
 	quiescentAt    time.Duration
 }
 
-// drainGrace is the time in which a node that is not ready may still be sent requests.
+// drainGrace is how long a dispatcher may still send requests to a node after an update has
+// reported that the node is not ready.
 const drainGrace = 100 * ms
 
 func newChecker(cfg Config) *checker {
@@ -69,8 +73,8 @@
 	}
 }
 
-// violate records a violation of an invariant.
-func (c *checker) violate(rule, format string, args ...any) {
+// recordViolation records a violation of the invariant rule, unless one is recorded already.
+func (c *checker) recordViolation(rule, format string, args ...any) {
 	if c.violations[rule] == "" {
 		c.violations[rule] = fmt.Sprintf(format, args...)
 	}
@@ -163,7 +167,7 @@
 		harmless := class.Idempotency == Idempotent ||
 			class.Idempotency == Deduplicated && class.DedupScope == DedupEverywhere
 		if (r.ambiguous || r.outstanding) && !harmless {
-			c.violate("idempotency", "request %d rejected though it may have been executed", a.ID)
+			c.recordViolation("idempotency", "request %d was rejected although it may have been executed", a.ID)
 		}
 	case Fail:
 		c.checkAnswer(in.requests[a.ID], a.ID)
@@ -172,7 +176,7 @@
 
 func (c *checker) checkAnswer(r *requestRecord, id RequestID) {
 	if r == nil || r.answered {
-		c.violate("answer", "request %d is unknown or answered twice", id)
+		c.recordViolation("answer", "request %d was answered although it is unknown or already answered", id)
 		return
 	}
 	r.answered = true
@@ -181,19 +185,19 @@
 func (c *checker) checkAttempt(in *instance, now time.Duration, a SendAttempt) {
 	r := in.requests[a.ID]
 	if r == nil || r.answered {
-		c.violate("answer", "request %d sent after its answer", a.ID)
+		c.recordViolation("answer", "request %d was sent although it is unknown or already answered", a.ID)
 		return
 	}
 	class := c.cfg.Classes[r.request.Class]
 	n := c.nodes[a.Node]
 	if r.outstanding {
-		c.violate("idempotency", "request %d has two attempts in flight", a.ID)
+		c.recordViolation("idempotency", "request %d has two attempts in flight, at most one is allowed", a.ID)
 	}
 	if r.ambiguous && !mayRepeat(r, class, n, now) {
-		c.violate("idempotency", "request %d sent again though it may have been executed", a.ID)
+		c.recordViolation("idempotency", "request %d was sent again although it may have been executed", a.ID)
 	}
 	if since, ok := in.notReadySince[a.Node]; ok && now > since+drainGrace {
-		c.violate("drain", "request %d sent to %s, %v after it was not ready", a.ID, a.Node, now-since)
+		c.recordViolation("drain", "request %d was sent to node %s %v after the node stopped being ready", a.ID, a.Node, now-since)
 	}
 	c.checkOrder(in, now, r, class)
 	if r.attempts > 0 {
@@ -208,7 +212,7 @@
 	r.node = a.Node
 }
 
-// mayRepeat reports whether a request that may have been executed may be sent to n.
+// mayRepeat reports whether a request that may already have been executed may be sent to n.
 func mayRepeat(r *requestRecord, class Class, n Node, now time.Duration) bool {
 	switch class.Idempotency {
 	case NonIdempotent:
@@ -226,7 +230,7 @@
 	retries := countSince(in.retries, now-budget.Window)
 	requests := countSince(in.arrivals, now-budget.Window)
 	if float64(retries) > budget.MinRetries+budget.Ratio*float64(requests) {
-		c.violate("budget", "%d retries", retries)
+		c.recordViolation("budget", "%d retries in one window exceed the retry budget", retries)
 	}
 }
 
@@ -248,7 +252,7 @@
 			break
 		}
 		if !earlier.answered || earlier.outstanding || now < earlier.quiescentAt {
-			c.violate("order", "request %d sent before %d was completed", r.request.ID, earlier.request.ID)
+			c.recordViolation("order", "request %d was sent before the earlier request %d of its key was completed", r.request.ID, earlier.request.ID)
 		}
 	}
 }
@@ -266,15 +270,16 @@
 	b.level = min(plan.Burst, b.level+plan.RateLimit*(now-b.at).Seconds()) - q.Units
 	b.at = now
 	if b.level < -plan.Slack-1e-6 {
-		c.violate("limit", "volume %s at %.2f, slack %.2f", q.Volume, b.level, plan.Slack)
+		c.recordViolation("limit", "the token bucket of volume %s is at %.2f, below the permitted slack of %.2f", q.Volume, b.level, plan.Slack)
 	}
 }
 
-// nodeCapacity is the capacity of a warm node of the simulation, units per second: above that of
-// the slowest machine, which SlowStart.InitialUnits follows from.
+// nodeCapacity is the capacity of a fully warm node in the simulation, in units per second. It
+// is higher than the capacity of the slowest machine, from which SlowStart.InitialUnits is
+// derived.
 const nodeCapacity = 60.0
 
-// capacity returns the capacity of n, units per second.
+// capacity returns the capacity of node n at the time now, in units per second.
 func (c *checker) capacity(n Node, now time.Duration) float64 {
 	r := c.cfg.SlowStart
 	if n.Started == 0 || now-n.Started > r.WarmUp {
@@ -284,8 +289,9 @@
 	return nodeCapacity * (r.InitialCapacity + (1-r.InitialCapacity)*progress)
 }
 
-// checkSlowStart bounds the units that all dispatchers send to a starting node by the overload
-// factor times its capacity, plus one largest request.
+// checkSlowStart checks the units that all dispatchers together send to a starting node in one
+// window. The limit is the overload factor times the node's capacity, plus the cost of one
+// largest request.
 func (c *checker) checkSlowStart(now time.Duration, n Node, units float64) {
 	r := c.cfg.SlowStart
 	if n.Started == 0 || now-n.Started > r.WarmUp {
@@ -295,7 +301,7 @@
 	from := max(now-r.Window, n.Started)
 	limit := r.OverloadFactor*c.capacity(n, now)*r.Window.Seconds() + c.cfg.MaxUnits
 	if sum := unitsSince(c.sentToStarting[n.ID], from); sum > limit+1e-6 {
-		c.violate("slow start", "%.0f units to %s, limit %.1f", sum, n.ID, limit)
+		c.recordViolation("slow start", "%.0f units sent to starting node %s in one window, limit %.1f", sum, n.ID, limit)
 	}
 }
 
@@ -306,7 +312,7 @@
 	return sum
 }
 
-// checkOverdue looks for requests without an answer after their deadline.
+// checkOverdue records a violation for each request that has no answer after its deadline.
 func (c *checker) checkOverdue(now time.Duration) {
 	for _, in := range c.instances {
 		if in == nil {
@@ -314,7 +320,7 @@
 		}
 		for id, r := range in.requests {
 			if !r.answered && now > r.arrivedAt+r.request.Timeout+c.slack {
-				c.violate("answer", "request %d overdue", id)
+				c.recordViolation("answer", "request %d has no answer after its deadline", id)
 			}
 		}
 	}
--- a/dispatch/config_test.go
+++ b/dispatch/config_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestNewReturnsConfigError(t *testing.T) {
-	for field, spoil := range map[string]func(*Config){
+	for field, modify := range map[string]func(*Config){
 		"DispatcherCount":             func(c *Config) { c.DispatcherCount = 0 },
 		"DispatcherIndex":             func(c *Config) { c.DispatcherIndex = 2 },
 		"Classes":                     func(c *Config) { c.Classes = nil },
@@ -32,21 +32,21 @@
 	} {
 		t.Run(field, func(t *testing.T) {
 			cfg := testConfig()
-			spoil(&cfg)
+			modify(&cfg)
 			_, err := New(cfg, 1)
 			var invalid *ConfigError
 			if !errors.As(err, &invalid) || invalid.Field != field {
-				t.Fatalf("error %v, want a ConfigError of %s", err, field)
+				t.Fatalf("New with an invalid field: got error %v, want a ConfigError for field %s", err, field)
 			}
 			if !strings.Contains(err.Error(), field+": expected ") {
-				t.Errorf("text %q does not say what is expected of %s", err, field)
+				t.Errorf("got error text %q, want it to say which values are expected for %s", err, field)
 			}
 		})
 	}
 }
 
-// Numbers that are negative, infinite or not a number are rejected in every field: they would turn off a rule, or
-// spread through sums that never recover.
+// New rejects a value that is negative, infinite or NaN in every numeric field. Such a value
+// would disable a rule, or spread through sums that never recover.
 func TestNewRejectsNumbersThatAreNotFinite(t *testing.T) {
 	for field, number := range map[string]func(*Config) *float64{
 		"MeanUnits":                 func(c *Config) *float64 { return &c.MeanUnits },
@@ -70,18 +70,18 @@
 			_, err := New(cfg, 1)
 			var invalid *ConfigError
 			if !errors.As(err, &invalid) || invalid.Field != field {
-				t.Errorf("%s of %g: %v", field, x, err)
+				t.Errorf("New with field %s set to %g: got error %v, want a ConfigError for the field", field, x, err)
 			}
 		}
 	}
 }
 
-// Figures from outside that are not finite change nothing.
+// Events with figures that are infinite or NaN must not change any state.
 func TestEventsWithNumbersThatAreNotFinite(t *testing.T) {
 	r := newRig(t, testConfig())
 	for _, x := range []float64{math.NaN(), math.Inf(1), math.Inf(-1)} {
 		id, acts := r.request(Request{Shard: 0, Units: x})
-		expectOutcome(t, "a request", acts, id, rejected)
+		expectOutcome(t, "request of a cost that is not finite", acts, id, rejected)
 		id, _ = r.request(Request{Shard: 0, Plan: unlimitedPlan})
 		volume := r.d.requests[id].volume
 		reserve, tokens := volume.reserve, volume.tokens
@@ -91,22 +91,23 @@
 			QuotaUsage: x, PeerUnits: x, LoadReport: LoadReport{"inflight": x},
 		})
 		if volume.reserve != reserve || volume.tokens != tokens || volume.quotaUsage != 0 {
-			t.Errorf("%g: reserve %g from %g, tokens %g from %g, usage %g",
+			t.Errorf("after figures of %g: got reserve %g, want %g; got tokens %g, want %g; got quota usage %g, want 0",
 				x, volume.reserve, reserve, volume.tokens, tokens, volume.quotaUsage)
 		}
 		if delay := r.d.expectedDelay(r.d.nodes["n0"]); delay < 0 || delay > time.Second {
-			t.Errorf("%g: expected delay %v", x, delay)
+			t.Errorf("after figures of %g: got expected delay %v, want 0 to 1 s", x, delay)
 		}
 	}
 }
 
-// Settings and requests at the ends of their ranges are accepted or rejected, never a panic.
+// Settings and requests at the limits of their ranges are accepted or rejected, and never cause
+// a panic.
 func TestExtremeSettingsAndRequests(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		spoil func(*Config)
-		ask   Request
-		want  outcome
+		name   string
+		modify func(*Config)
+		ask    Request
+		want   outcome
 	}{
 		{"one dispatcher", func(c *Config) { c.DispatcherCount = 1 }, Request{Shard: 0}, sent},
 		{"no mean or largest cost", func(c *Config) { c.MeanUnits, c.MaxUnits = 0, 0 }, Request{Shard: 0}, sent},
@@ -127,7 +128,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := testConfig()
-			c.spoil(&cfg)
+			c.modify(&cfg)
 			id, acts := newRig(t, cfg).request(c.ask)
 			expectOutcome(t, c.name, acts, id, c.want)
 		})
@@ -136,7 +137,7 @@
 		r := newRig(t, testConfig())
 		id, _ := r.request(Request{Shard: 0})
 		if acts := r.handle(Request{ID: id, Shard: 0, Units: 1, Timeout: time.Second}); len(acts) > 0 {
-			t.Errorf("actions for the duplicate: %v", acts)
+			t.Errorf("got actions %v for a duplicate request, want none", acts)
 		}
 	})
 }
--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The cost of a decision grows with the logarithm of the backlog and not with the number of
-// nodes.
+// BenchmarkDecision measures the cost of a decision. The cost should grow with the logarithm of
+// the backlog, and not with the number of nodes.
 func BenchmarkDecision(b *testing.B) {
 	for _, nodes := range []int{10, 1000} {
 		for _, backlog := range []int{0, 100, 10000} {
@@ -49,7 +49,8 @@
 	}
 }
 
-// State is bounded: unused keys, idle volumes and replaced nodes are forgotten.
+// The state of a dispatcher must stay bounded: it deletes unused keys, idle volumes and
+// replaced nodes.
 func TestStateIsBounded(t *testing.T) {
 	r := newRig(t, testConfig())
 	for i := range 20000 {
@@ -66,7 +67,7 @@
 	d := r.d
 	if len(d.requests) > 50 || len(d.keyQueues) > 50 || len(d.volumes) > 4000 || len(d.nodes) > 5 || d.timers.Len() > 500 ||
 		len(d.budgetRequests) > 300 || len(d.nodeOrder) > 5 {
-		t.Errorf("kept: %d requests, %d keys, %d volumes, %d nodes, %d timers, %d budget requests", len(d.requests), len(d.keyQueues),
+		t.Errorf("got more state than expected: %d requests, %d keys, %d volumes, %d nodes, %d timers, %d budget requests; want at most 50, 50, 4000, 5, 500 and 300", len(d.requests), len(d.keyQueues),
 			len(d.volumes), len(d.nodes), d.timers.Len(), len(d.budgetRequests))
 	}
 }
--- a/dispatch/endpoints_test.go
+++ b/dispatch/endpoints_test.go
@@ -18,10 +18,10 @@
 				r.updateEndpoints(Snapshot, Node{ID: "n1", Shard: 1})
 			}
 			id, acts := r.request(Request{Shard: 0})
-			expectOutcome(t, "no node serves it", acts, id, rejected)
+			expectOutcome(t, "shard without a ready node", acts, id, rejected)
 			r.updateEndpoints(Delta, Node{ID: "n2", Shard: 0})
 			id, acts = r.request(Request{Shard: 0})
-			expectOutcome(t, "a successor", acts, id, sent)
+			expectOutcome(t, "shard with a new node", acts, id, sent)
 		})
 	}
 	t.Run("queued requests move to the successor", func(t *testing.T) {
@@ -30,15 +30,15 @@
 			r.request(Request{Shard: 0, Plan: unlimitedPlan})
 		}
 		id, acts := r.request(Request{Shard: 0, Plan: unlimitedPlan})
-		expectOutcome(t, "at the concurrency limit", acts, id, pending)
+		expectOutcome(t, "request at the concurrency limit", acts, id, pending)
 		acts = r.updateEndpoints(Delta, Node{ID: "n0", Shard: 0, State: Draining}, Node{ID: "n2", Shard: 0})
-		expectOutcome(t, "successor", acts, id, sent)
+		expectOutcome(t, "queued request after the new node is ready", acts, id, sent)
 	})
 	t.Run("an empty snapshot rejects requests", func(t *testing.T) {
 		r := newRig(t, testConfig())
 		r.updateEndpoints(Snapshot)
 		id, acts := r.request(Request{Shard: AnyShard})
-		expectOutcome(t, "no nodes", acts, id, rejected)
+		expectOutcome(t, "request without any node", acts, id, rejected)
 	})
 }
 
@@ -58,23 +58,25 @@
 		return false
 	}
 	if !watched(d.Handle(time.Hour, EndpointUpdate{Kind: Cached})) {
-		t.Fatal("discovery not called at the start")
+		t.Fatal("got no Watch action at the first event, want one")
 	}
 	now := time.Hour
-	// A change is binding 6 s after discovery is reachable, of which a call may take 2.5 s, and 6 s
-	// after a watch became silent, which is detected after 2.7 s.
+	// Dispatchers must apply a change of the node list within 6 s after discovery becomes
+	// reachable, and a call to discovery may take 2.5 s of that time. They must also apply it
+	// within 6 s after a watch becomes silent, which is detected after 2.7 s. The delays below
+	// stay within these limits.
 	for range 3 {
 		longest := 750 * ms
 		for range 20 {
 			if watched(d.Handle(now, EndpointUpdate{Kind: PollFailed})) {
-				t.Fatal("called again at once after a failure")
+				t.Fatal("got a Watch action at once after a failed call, want it after a delay")
 			}
 			if now += longest; !watched(d.Handle(now, TimerFired{"wake"})) {
-				t.Fatalf("not called again %v after a failure", longest)
+				t.Fatalf("got no Watch action %v after a failed call, want one by then", longest)
 			}
 			longest = 3 * time.Second
 		}
-		d.Handle(now, EndpointUpdate{Kind: Delta}) // resets the delay
+		d.Handle(now, EndpointUpdate{Kind: Delta}) // a successful call resets the delay
 	}
 }
 
@@ -85,7 +87,7 @@
 	}
 	r.updateEndpoints(Delta, Node{ID: "n0", Shard: 9, Kind: 3})
 	id, acts := r.request(Request{Shard: 0, Plan: unlimitedPlan})
-	expectOutcome(t, "its old shard", acts, id, rejected)
+	expectOutcome(t, "request for the old shard of the node", acts, id, rejected)
 	for id, q := range r.d.requests {
 		if q.outstanding {
 			r.complete(id, 0, OK)
@@ -93,9 +95,9 @@
 	}
 	for _, a := range r.advance(time.Second) {
 		if a, ok := a.(SendAttempt); ok {
-			t.Errorf("request %d of the old shard sent to the node", a.ID)
+			t.Errorf("got request %d of the old shard sent to the node, want none sent", a.ID)
 		}
 	}
 	id, acts = r.request(Request{Shard: 9, Plan: unlimitedPlan})
-	expectOutcome(t, "its new shard", acts, id, sent)
+	expectOutcome(t, "request for the new shard of the node", acts, id, sent)
 }
--- a/dispatch/example_test.go
+++ b/dispatch/example_test.go
@@ -8,7 +8,7 @@
 )
 
 // A dispatcher takes events and returns actions. The caller supplies the time, which may start
-// anywhere and never goes back.
+// at any value and never goes back.
 func Example() {
 	d, err := dispatch.New(dispatch.Config{
 		DispatcherIndex: 0,
@@ -39,7 +39,7 @@
 			case dispatch.Fail:
 				fmt.Printf("fail %d\n", a.ID)
 			case dispatch.SetTimer:
-				// Call Handle(a.At, dispatch.TimerFired{Token: a.Token}) when it is due.
+				// The caller calls Handle(a.At, dispatch.TimerFired{Token: a.Token}) when the timer is due.
 			}
 		}
 	}
--- a/dispatch/fairqueue_test.go
+++ b/dispatch/fairqueue_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// queueRig queues requests of volumes at one node without admission.
+// queueRig is a test rig that queues requests of volumes at one node without admission.
 type queueRig struct {
 	d *Dispatcher
 	n *node
@@ -40,7 +40,7 @@
 	return r
 }
 
-// release releases the request with the lowest start tag.
+// release removes the request with the lowest start tag from the queue, as if it were sent.
 func (q *queueRig) release() *request {
 	f := q.n.flows[0]
 	r := f.requests[0]
@@ -50,7 +50,8 @@
 	return r
 }
 
-// The tags of a small example: S = max(v, F of the last), F = S + c/φ.
+// This small example checks the tags S = max(v, F of the last request) and F = S + c/φ. The
+// comments show the tags that each request should get.
 func TestTags(t *testing.T) {
 	q := newQueueRig(t)
 	a, b := q.volume("a", 1), q.volume("b", 2)
@@ -66,18 +67,19 @@
 		q.release()
 	}
 	if want := []string{"a0", "b0", "a2", "b2", "b3"}; !slices.Equal(got, want) {
-		t.Errorf("released as %q, want %q", got, want)
+		t.Errorf("volumes and start tags in the order of release: got %q, want %q", got, want)
 	}
 	if q.n.virtualTime != 3 {
-		t.Errorf("virtual time %g, want 3, the last start tag", q.n.virtualTime)
+		t.Errorf("virtual time after the last release: got %g, want 3, the last start tag", q.n.virtualTime)
 	}
-	q.enqueue(a, 1) // F of the last 3, v 3
+	q.enqueue(a, 1) // the last request has F 3, and the virtual time v is 3
 	if s := q.n.flows[0].startTag; s != 3 {
-		t.Errorf("start tag after idle %g, want 3", s)
+		t.Errorf("start tag after an idle period: got %g, want 3", s)
 	}
 }
 
-// The counter-example of the paper's section 3: a small weight has no effect after it was raised.
+// This is the counterexample in section 3 of the paper. Once a small weight has been raised,
+// its old value must not affect the tags any more.
 func TestWeightChangeRecomputesTags(t *testing.T) {
 	q := newQueueRig(t)
 	f, g := q.volume("f", 0.01), q.volume("g", 0.99)
@@ -85,38 +87,39 @@
 		q.enqueue(f, 1)
 		q.enqueue(g, 1)
 	}
-	q.release() // f: S 0, F 100
-	q.release() // g: S 0
-	q.release() // g: S 1.01
+	q.release() // releases a request of f with S 0, F 100
+	q.release() // releases a request of g with S 0
+	q.release() // releases a request of g with S 1.01
 	f.setWeight(0.5)
 	g.setWeight(0.5)
-	// Last request of f: S 0, F 0+1/0.5 = 2; S of its next max(v, 2) = 2.
+	// The last released request of f now has S 0 and F 0+1/0.5 = 2, so the next request of f has S
+	// max(v, 2) = 2.
 	if ff := q.d.flowFor(f, q.n); math.Abs(ff.startTag-2) > 1e-9 {
-		t.Errorf("f's start after the change = %g, want 2", ff.startTag)
+		t.Errorf("start tag of f after the weight change: got %g, want 2", ff.startTag)
 	}
-	// Last request of g: S 1.0101, F 3.0101.
+	// The last released request of g now has S 1.0101 and F 3.0101.
 	if gf := q.d.flowFor(g, q.n); math.Abs(gf.startTag-(1/0.99+2)) > 1e-9 {
-		t.Errorf("g's start after the change = %g, want %g", gf.startTag, 1/0.99+2)
+		t.Errorf("start tag of g after the weight change: got %g, want %g", gf.startTag, 1/0.99+2)
 	}
 }
 
-// A queued request that leaves unsent leaves no trace in later tags.
+// A request that leaves the queue unsent must not affect the tags of later requests.
 func TestUnsentRequestLeavesNoTrace(t *testing.T) {
 	q := newQueueRig(t)
 	a := q.volume("a", 1)
 	first, big, last := q.enqueue(a, 1), q.enqueue(a, 8), q.enqueue(a, 1)
 	q.d.dequeue(big)
 	if q.release() != first || q.n.flows[0].startTag != 1 {
-		t.Fatalf("start of the last = %g, want 1, the finish tag of the first", q.n.flows[0].startTag)
+		t.Fatalf("start tag of the last request: got %g, want 1, the finish tag of the first", q.n.flows[0].startTag)
 	}
 	if q.release() != last {
-		t.Error("the last did not follow the first")
+		t.Error("got another request released after the first, want the last one")
 	}
 }
 
-// The paper's theorem 5: over intervals with changing weights and concurrency limits, the
-// service over weight of two backlogged flows differs by no more than (D+1)(c_f/φ_f + c_g/φ_g)
-// in each interval.
+// This test checks theorem 5 of the paper in intervals with different weights and concurrency
+// limits. In each interval, the normalized service (service divided by weight) of two
+// backlogged flows f and g differs by at most (D+1)(c_f/φ_f + c_g/φ_g).
 func TestFairnessBound(t *testing.T) {
 	for seed := range uint64(20) {
 		q, rng := newQueueRig(t), rand.New(rand.NewPCG(seed, 1))
@@ -140,18 +143,19 @@
 			}
 			bound := float64(limit+1) * (maxCost/f.weight + maxCost/g.weight)
 			if diff := math.Abs(wf/f.weight - wg/g.weight); diff > bound {
-				t.Fatalf("seed %d interval %d: %.2f apart, bound %.2f", seed, i, diff, bound)
+				t.Fatalf("seed %d, interval %d: difference of normalized service: got %.2f, want at most %.2f", seed, i, diff, bound)
 			}
-			// Without requests in flight the bound of start-time fair queuing holds too.
+			// The bound of plain start-time fair queuing also holds, because no requests are in flight.
 			if diff := math.Abs(wf/f.weight - wg/g.weight); diff > 2*(maxCost/f.weight+maxCost/g.weight) {
-				t.Fatalf("seed %d interval %d: %.2f apart, bound without concurrency %.2f", seed, i, diff, 2*(maxCost/f.weight+maxCost/g.weight))
+				t.Fatalf("seed %d, interval %d: difference of normalized service without concurrency: got %.2f, want at most %.2f", seed, i, diff, 2*(maxCost/f.weight+maxCost/g.weight))
 			}
 		}
 	}
 }
 
-// A cost correction changes the tags of the volume's flow: a volume whose requests cost eight
-// times the declared units gets an eighth of the sends, one whose requests cost less gets more.
+// A cost correction changes the tags of the volume's flow. A volume whose requests cost eight
+// times the declared units gets an eighth of the other volume's sends. A volume whose requests
+// cost less than declared gets more sends.
 func TestCostCorrectionChangesShare(t *testing.T) {
 	for _, c := range []struct{ correction, want float64 }{{7, 1.0 / 8}, {0, 1}, {-0.75, 4}} {
 		q := newQueueRig(t)
@@ -171,7 +175,7 @@
 			}
 		}
 		if got := sent[0] / sent[1]; math.Abs(got/c.want-1) > 0.1 {
-			t.Errorf("%+g units a request: %.3f of the other's sends, want %.3f", c.correction, got, c.want)
+			t.Errorf("correction of %+g units per request: got %.3f times the other volume's sends, want %.3f", c.correction, got, c.want)
 		}
 	}
 }
--- a/dispatch/helpers_test.go
+++ b/dispatch/helpers_test.go
@@ -7,20 +7,20 @@
 
 const ms = time.Millisecond
 
-// The classes of testConfig.
+// These constants are indexes into Config.Classes of testConfig.
 const (
 	idempotentClass = iota
 	deduplicatedClass
 	nonIdempotentClass
 )
 
-// The plans of testConfig.
+// These constants are indexes into Config.Plans of testConfig.
 const (
 	limitedPlan = iota
 	unlimitedPlan
 )
 
-// testConfig returns settings with every rule on.
+// testConfig returns settings in which every rule is enabled.
 func testConfig() Config {
 	return Config{
 		DispatcherIndex: 0,
@@ -73,7 +73,7 @@
 	}
 }
 
-// rig runs a dispatcher with two nodes, n0 of shard 0 and n1 of shard 1.
+// rig is a test rig: a dispatcher with two nodes, n0 for shard 0 and n1 for shard 1.
 type rig struct {
 	t   *testing.T
 	d   *Dispatcher
@@ -89,7 +89,7 @@
 	}
 	r := &rig{t: t, d: d, now: time.Hour}
 	r.updateEndpoints(Cached, Node{ID: "n0", Shard: 0}, Node{ID: "n1", Shard: 1})
-	r.now += 20 * time.Second // the shares of rate limits have filled
+	r.now += 20 * time.Second // the shares of the token buckets are full after 20 s
 	r.handle(TimerFired{"wake"})
 	return r
 }
@@ -100,7 +100,8 @@
 	return r.handle(EndpointUpdate{Kind: k, Nodes: ns})
 }
 
-// request sends a request, filling what the test leaves out.
+// request passes q to the dispatcher as a new request, with defaults for the fields that the
+// test leaves empty. It returns the ID of the request and the resulting actions.
 func (r *rig) request(q Request) (RequestID, []Action) {
 	r.id++
 	q.ID = r.id
@@ -119,13 +120,13 @@
 	return q.ID, r.handle(q)
 }
 
-// advance moves the clock and fires the timer.
+// advance moves the clock forward by dt and fires the dispatcher's timer.
 func (r *rig) advance(dt time.Duration) []Action {
 	r.now += dt
 	return r.handle(TimerFired{"wake"})
 }
 
-// complete ends an attempt. The client gets its answer where the result is OK.
+// complete ends an attempt with the given result. The client gets its answer if the result is OK.
 func (r *rig) complete(id RequestID, attempt int, result AttemptResult) []Action {
 	return r.handle(AttemptCompleted{
 		ID:        id,
@@ -136,6 +137,7 @@
 	})
 }
 
+// sentRequests returns the IDs of the requests that acts send to a node.
 func sentRequests(acts []Action) (ids []RequestID) {
 	for _, a := range acts {
 		if a, ok := a.(SendAttempt); ok {
@@ -145,17 +147,17 @@
 	return ids
 }
 
-// outcome is what the actions of one event mean for a request.
+// outcome says what happened to a request in the actions that follow one event.
 type outcome string
 
 const (
-	pending  outcome = "pending" // no action
+	pending  outcome = "pending" // no action concerns the request
 	sent     outcome = "sent"
 	rejected outcome = "rejected"
 	failed   outcome = "failed"
 )
 
-// outcomeOf returns the last outcome for a request among actions.
+// outcomeOf returns the outcome of a request by the last of the given actions that concerns it.
 func outcomeOf(actions []Action, id RequestID) outcome {
 	last := pending
 	for _, a := range actions {
@@ -177,9 +179,10 @@
 	return last
 }
 
-func expectOutcome(t *testing.T, what string, actions []Action, id RequestID, want outcome) {
+// expectOutcome checks the outcome of a request. step names the step of the test in the failure message.
+func expectOutcome(t *testing.T, step string, actions []Action, id RequestID, want outcome) {
 	t.Helper()
 	if got := outcomeOf(actions, id); got != want {
-		t.Errorf("%s: %s, want %s (%v)", what, got, want, actions)
+		t.Errorf("%s: got outcome %s, want %s (actions: %v)", step, got, want, actions)
 	}
 }
--- a/dispatch/latency_test.go
+++ b/dispatch/latency_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The requests in flight that a node reports bound the delay that one response shows. An
-// implausible report counts as none.
+// The number of requests in flight that a node reports bounds the delay that one response
+// shows. An implausible report is ignored.
 func TestLoadReportBoundsDelay(t *testing.T) {
 	delayAfter := func(report LoadReport, latency time.Duration) time.Duration {
 		r := newRig(t, testConfig())
@@ -21,17 +21,17 @@
 	}
 	alone := delayAfter(nil, 150*ms)
 	if few := delayAfter(LoadReport{"inflight": 1}, 150*ms); few >= alone/2 {
-		t.Errorf("delay %v with one in flight, %v without a report", few, alone)
+		t.Errorf("delay with one request in flight: got %v, want less than half of %v, the delay without a report", few, alone)
 	}
 	if idle := delayAfter(LoadReport{"inflight": 0}, 150*ms); idle > ms {
-		t.Errorf("delay %v at an idle node", idle)
+		t.Errorf("delay with no request in flight: got %v, want at most 1 ms", idle)
 	}
 	if many := delayAfter(LoadReport{"inflight": 50}, 10*ms); many < 20*ms {
-		t.Errorf("delay %v with 50 in flight", many)
+		t.Errorf("delay with 50 requests in flight: got %v, want at least 20 ms", many)
 	}
 	for _, bad := range []LoadReport{{"inflight": -3}, {"inflight": math.NaN()}, {"inflight": math.Inf(1)}, {"other": 7}, {}} {
 		if got := delayAfter(bad, 150*ms); got != alone {
-			t.Errorf("%v: delay %v, want %v as without a report", bad, got, alone)
+			t.Errorf("delay with the implausible report %v: got %v, want %v as without a report", bad, got, alone)
 		}
 	}
 }
@@ -43,14 +43,14 @@
 		r.complete(id, 0, OK)
 	}
 	r.request(Request{Shard: 0, Plan: unlimitedPlan})
-	r.advance(400 * ms) // no response for twice the objective
+	r.advance(400 * ms) // the node does not respond for twice the latency objective
 	id, acts := r.request(Request{Shard: 0, Plan: unlimitedPlan})
-	expectOutcome(t, "a probe", acts, id, sent)
+	expectOutcome(t, "probe of a silent node", acts, id, sent)
 	id, acts = r.request(Request{Shard: 0, Plan: unlimitedPlan})
-	expectOutcome(t, "a silent node", acts, id, rejected)
+	expectOutcome(t, "request beside the probe of a silent node", acts, id, rejected)
 	r.advance(400 * ms)
 	id, acts = r.request(Request{Shard: 0, Plan: unlimitedPlan})
-	expectOutcome(t, "a node that does not respond to the probe", acts, id, rejected)
+	expectOutcome(t, "request to a node that does not respond to the probe", acts, id, rejected)
 	id, acts = r.request(Request{Shard: 1, Plan: unlimitedPlan})
-	expectOutcome(t, "another node", acts, id, sent)
+	expectOutcome(t, "request to another node", acts, id, sent)
 }
--- a/dispatch/loss_test.go
+++ b/dispatch/loss_test.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// canceledRequests returns the IDs of the requests whose attempts acts cancel.
 func canceledRequests(acts []Action) (ids []RequestID) {
 	for _, a := range acts {
 		if c, ok := a.(CancelAttempt); ok {
@@ -14,7 +15,8 @@
 	return ids
 }
 
-// observeResponses has n0 answer a few requests, so that its service time is known.
+// observeResponses lets n0 answer a few requests, so that the dispatcher knows its service
+// time.
 func observeResponses(r *rig) {
 	for range 4 {
 		id, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
@@ -22,11 +24,12 @@
 	}
 }
 
-// The age of an attempt does not count as delay once its node has answered a later one promptly.
+// The age of an attempt must not count as delay once its node has promptly answered an attempt
+// that was sent later.
 func TestOvertakenAttemptIsNoDelay(t *testing.T) {
 	r := newRig(t, testConfig())
 	observeResponses(r)
-	r.request(Request{Shard: 0, Plan: unlimitedPlan, Class: nonIdempotentClass}) // its response is lost
+	r.request(Request{Shard: 0, Plan: unlimitedPlan, Class: nonIdempotentClass}) // the response to this request is lost
 	r.advance(1 * ms)
 	later, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 	r.advance(5 * ms)
@@ -34,11 +37,12 @@
 	r.advance(400 * ms)
 	for range 2 {
 		id, acts := r.request(Request{Shard: 0, Plan: unlimitedPlan})
-		expectOutcome(t, "after a lost response", acts, id, sent)
+		expectOutcome(t, "request after a lost response", acts, id, sent)
 	}
 }
 
-// A late response overtakes nothing: the node is slow.
+// A late response to a later attempt must not make an earlier attempt count as lost, because it
+// shows that the node is slow.
 func TestLateResponseOvertakesNothing(t *testing.T) {
 	r := newRig(t, testConfig())
 	observeResponses(r)
@@ -48,15 +52,16 @@
 	r.advance(150 * ms)
 	acts := r.handle(AttemptCompleted{ID: later, Result: OK, Responded: true, Latency: 150 * ms})
 	if got := canceledRequests(acts); len(got) > 0 {
-		t.Errorf("canceled %v after a slow response", got)
+		t.Errorf("got canceled attempts of requests %v after a slow response, want none", got)
 	}
 	if n := r.d.nodes["n0"]; n.lastPromptSentAt > r.d.requests[first].sentAt {
-		t.Error("a slow response counts as prompt")
+		t.Error("got a slow response counted as prompt, want it counted as late")
 	}
 }
 
-// An overtaken attempt is canceled once, where its class may be repeated, while a retry can
-// complete within the objective.
+// An attempt is overtaken when its node promptly answers an attempt that was sent later. The
+// dispatcher cancels an overtaken attempt once, if its class may be repeated and a retry can
+// complete within the latency objective.
 func TestOvertakenAttemptIsCanceled(t *testing.T) {
 	for _, c := range []struct {
 		class Class
@@ -74,11 +79,11 @@
 		lost, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 		r.advance(60 * ms)
 		later, acts := r.request(Request{Shard: 0, Plan: unlimitedPlan})
-		expectOutcome(t, "a second request", acts, later, sent)
+		expectOutcome(t, "second request", acts, later, sent)
 		r.advance(5 * ms)
 		acts = r.complete(later, 0, OK)
 		if got := canceledRequests(acts); (len(got) == 1 && got[0] == lost) != c.want {
-			t.Errorf("%s: canceled %v, want %v", c.class.Name, got, c.want)
+			t.Errorf("class %s: got canceled attempts of requests %v, want the overtaken one canceled: %v", c.class.Name, got, c.want)
 		}
 		if !c.want {
 			continue
@@ -86,21 +91,22 @@
 		third, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 		r.advance(5 * ms)
 		if got := canceledRequests(r.complete(third, 0, OK)); len(got) > 0 {
-			t.Errorf("%s: canceled twice", c.class.Name)
+			t.Errorf("class %s: got the attempt canceled twice, want once", c.class.Name)
 		}
 		before := r.d.lossRate
 		r.complete(lost, 0, Canceled)
-		expectOutcome(t, "the retry", r.advance(1*ms), lost, sent)
+		expectOutcome(t, "retry after the cancellation", r.advance(1*ms), lost, sent)
 		id, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 		r.advance(5 * ms)
 		r.complete(id, 0, OK)
 		if r.d.lossRate <= before {
-			t.Errorf("%s: the response does not count as lost", c.class.Name)
+			t.Errorf("class %s: got an unchanged loss rate, want the response counted as lost", c.class.Name)
 		}
 	}
 }
 
-// Beyond the retry budget an overtaken attempt stays in flight: canceled, it could only fail.
+// An overtaken attempt must stay in flight if the retry budget has no room for a retry. If it
+// were canceled, the request could only fail.
 func TestOvertakenAttemptIsKeptBeyondBudget(t *testing.T) {
 	cfg := testConfig()
 	cfg.RetryBudget.MinRetries = 0
@@ -112,29 +118,30 @@
 	later, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 	r.advance(5 * ms)
 	if got := canceledRequests(r.complete(later, 0, OK)); len(got) > 0 {
-		t.Errorf("canceled: %v", got)
+		t.Errorf("got canceled attempts of requests %v without a retry budget, want none", got)
 	}
 }
 
-// loseResponse has a request to n0 time out.
+// loseResponse sends a request to n0 that times out.
 func loseResponse(r *rig) {
 	id, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 	r.now += time.Second
 	r.complete(id, 0, TimedOut)
 }
 
-// answerPromptly has n0 answer a request, which must have been sent without an early deadline.
+// answerPromptly lets n0 answer a request promptly. It checks that the request was sent without
+// an early deadline.
 func answerPromptly(t *testing.T, r *rig) {
 	t.Helper()
 	id, acts := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 	if sentDeadline(t, acts) != 0 {
-		t.Error("early deadline without a loss rate")
+		t.Error("got an early deadline while the loss rate is 0, want none")
 	}
 	r.now += 5 * ms
 	r.complete(id, 0, OK)
 }
 
-// sentDeadline returns the deadline of the first attempt among actions.
+// sentDeadline returns the deadline of the first attempt that acts send.
 func sentDeadline(t *testing.T, acts []Action) time.Duration {
 	t.Helper()
 	for _, a := range acts {
@@ -142,29 +149,30 @@
 			return a.Deadline
 		}
 	}
-	t.Fatal("nothing sent")
+	t.Fatal("got no attempt sent, want one")
 	return 0
 }
 
-// Once responses are known to be lost, a lost one costs a timeout within the objective.
+// Once the dispatcher has detected lost responses, it sends attempts with an early deadline. A
+// request with a lost response can then be retried within its latency objective.
 func TestLossRateSetsEarlyDeadlines(t *testing.T) {
 	r := newRig(t, testConfig())
 	answerPromptly(t, r)
 	loseResponse(r)
 	if r.d.lossRate != 0 {
-		t.Error("a timeout alone counts as a lost response")
+		t.Error("got a timeout alone counted as a lost response, want loss rate 0")
 	}
 	r.now += 3 * time.Second
 	answerPromptly(t, r)
 	id, acts := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 	deadline := sentDeadline(t, acts)
 	if deadline <= r.now || deadline >= r.now+200*ms {
-		t.Fatalf("ends after %v, want within the objective", deadline-r.now)
+		t.Fatalf("deadline of the attempt: got %v after sending, want within the objective of 200 ms", deadline-r.now)
 	}
 	r.now = deadline
 	acts = append(r.complete(id, 0, TimedOut), r.advance(0)...)
 	acts = append(acts, r.advance(ms)...)
-	expectOutcome(t, "a lost response, in time for a retry", acts, id, sent)
+	expectOutcome(t, "retry after a lost response", acts, id, sent)
 }
 
 func TestLossRateIgnoresSlowNodes(t *testing.T) {
@@ -175,6 +183,6 @@
 	r.now += 900 * ms
 	r.handle(AttemptCompleted{ID: id, Result: OK, Responded: true, Latency: 900 * ms})
 	if r.d.lossRate != 0 {
-		t.Error("the timeout of a slow node counts as a lost response")
+		t.Error("got the timeout of a slow node counted as a lost response, want loss rate 0")
 	}
 }
--- a/dispatch/ordering_test.go
+++ b/dispatch/ordering_test.go
@@ -8,23 +8,23 @@
 		return r.request(Request{Shard: 0, Class: deduplicatedClass, Key: key, Plan: unlimitedPlan})
 	}
 	a, acts := put("k")
-	expectOutcome(t, "first", acts, a, sent)
+	expectOutcome(t, "first request of the key", acts, a, sent)
 	b, acts := put("k")
-	expectOutcome(t, "second waits for its turn", acts, b, pending)
+	expectOutcome(t, "second request of the key while the first is in flight", acts, b, pending)
 	c, acts := put("other")
-	expectOutcome(t, "another key", acts, c, sent)
+	expectOutcome(t, "request of another key", acts, c, sent)
 	r.complete(c, 0, OK)
-	expectOutcome(t, "second has its turn", r.complete(a, 0, OK), b, sent)
+	expectOutcome(t, "second request after the first is complete", r.complete(a, 0, OK), b, sent)
 	r.now += 10 * ms
 	e, _ := put("k")
 	acts = r.handle(ClientCanceled{b})
-	expectOutcome(t, "the client of the first canceled; its attempt is in flight", acts, e, pending)
+	expectOutcome(t, "third request while the canceled second request has an attempt in flight", acts, e, pending)
 	acts = r.complete(b, 0, Canceled)
-	expectOutcome(t, "the key is not quiescent after an ambiguous attempt", acts, e, pending)
-	expectOutcome(t, "not yet quiescent", r.advance(149*ms), e, pending)
-	expectOutcome(t, "quiescent", r.advance(ms), e, sent)
+	expectOutcome(t, "third request directly after the ambiguous attempt", acts, e, pending)
+	expectOutcome(t, "third request 149 ms after the ambiguous attempt", r.advance(149*ms), e, pending)
+	expectOutcome(t, "third request 150 ms after the ambiguous attempt", r.advance(ms), e, sent)
 	r.complete(e, 0, OK)
 	if len(r.d.keyQueues) != 0 {
-		t.Errorf("%d key queues kept", len(r.d.keyQueues))
+		t.Errorf("got %d key queues after all requests are complete, want 0", len(r.d.keyQueues))
 	}
 }
--- a/dispatch/queuetime_test.go
+++ b/dispatch/queuetime_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// timedRig runs a dispatcher with one class and fires its timers when they are due.
+// timedRig is a test rig: a dispatcher with one class of requests whose timers fire when they
+// are due.
 type timedRig struct {
 	d        *Dispatcher
 	now      time.Duration
@@ -15,7 +16,7 @@
 	rejected map[RequestID]QueueTime
 }
 
-// noTimer is later than every timer.
+// noTimer is the value of wakeAt if no timer is set. It is later than every timer.
 const noTimer = 1 << 62
 
 func newTimedRig(t *testing.T, cfg Config) *timedRig {
@@ -69,8 +70,8 @@
 	r.handle(AttemptCompleted{ID: id, Attempt: 0, Node: "a", Result: result, Responded: true, Latency: 20 * ms})
 }
 
-// firstSentBefore returns the request with the lowest ID among those in flight that were sent by
-// a time.
+// firstSentBefore returns the lowest ID among the requests in flight that were sent no later
+// than the time at.
 func (r *timedRig) firstSentBefore(at time.Duration) (first RequestID, ok bool) {
 	for id := range r.sent {
 		if r.sentAt[id] <= at && (!ok || id < first) {
@@ -89,22 +90,22 @@
 		r.request(i+1, "v")
 	}
 	if len(r.sent) != minConcurrency {
-		t.Fatalf("%d sent", len(r.sent))
+		t.Fatalf("got %d requests sent at once, want the minimum concurrency", len(r.sent))
 	}
 	r.advanceTo(30 * ms)
 	r.complete(1, OK)
 	if got := r.sent[5].QueueTime; got != (QueueTime{Concurrency: 30 * ms}) || r.sent[1].QueueTime != (QueueTime{}) {
-		t.Fatalf("%+v", got)
+		t.Fatalf("queue time of request 5: got %+v, want 30 ms of concurrency; request 1 must have none", got)
 	}
 }
 
 func TestQueueTimeOfRateLimit(t *testing.T) {
 	r := newTimedRig(t, Config{Plans: []Plan{{Weight: 1, Reserve: 1000, Price: 1, RateLimit: 10, Burst: 4, Slack: 1}}})
 	r.handle(EndpointUpdate{Kind: Snapshot, Nodes: []Node{{ID: "a"}}})
-	r.request(1, "v") // the bucket starts empty
+	r.request(1, "v") // waits, because the token bucket starts empty
 	r.advanceTo(time.Second)
 	if got := r.sent[1].QueueTime; got.RateLimit != r.sentAt[1] || got.RateLimit < 90*ms || got.Concurrency != 0 {
-		t.Fatalf("sent at %v, %+v", r.sentAt[1], got)
+		t.Fatalf("request sent at %v: got queue time %+v, want all of it from the rate limit and at least 90 ms", r.sentAt[1], got)
 	}
 }
 
@@ -126,7 +127,7 @@
 	slowStart := time.Duration(0)
 	for id, a := range r.sent {
 		if a.QueueTime.RateLimit != 0 || a.QueueTime.Ejected != 0 {
-			t.Fatalf("%d: %+v", id, a.QueueTime)
+			t.Fatalf("request %d: got queue time %+v, want none from rate limit and ejection", id, a.QueueTime)
 		}
 		slowStart += a.QueueTime.SlowStart
 	}
@@ -134,9 +135,9 @@
 		slowStart += queueTime.SlowStart
 	}
 	if slowStart < 50*ms {
-		t.Fatalf("%v of slow start; sent %d, rejected %d", slowStart, len(r.sent), len(r.rejected))
+		t.Fatalf("queue time from slow start: got %v in total, want at least 50 ms; %d requests sent, %d rejected", slowStart, len(r.sent), len(r.rejected))
 	}
-	// A warm node adds none.
+	// Requests to a node that has warmed up must have no queue time from slow start.
 	for id := RequestID(1); id <= 4; id++ {
 		if _, ok := r.sent[id]; ok {
 			r.complete(id, OK)
@@ -151,12 +152,13 @@
 	r.complete(11, OK)
 	for id := RequestID(10); id < 16; id++ {
 		if a, ok := r.sent[id]; !ok || a.QueueTime.SlowStart != 0 {
-			t.Fatalf("%d at the warm node: %+v", id, r.sent[id])
+			t.Fatalf("request %d to the warm node: got attempt %+v, want it sent without queue time from slow start", id, r.sent[id])
 		}
 	}
 }
 
-// Whatever blocks a request, the parts of its queue time sum to the time that it was queued.
+// The parts of the queue time must add up to the time for which the request was queued,
+// whatever blocked it.
 func TestQueueTimePartsSumToWait(t *testing.T) {
 	r := newTimedRig(t, Config{
 		Plans: []Plan{{Weight: 1, Reserve: 1000, Price: 1, RateLimit: 80, Burst: 8, Slack: 1}},
@@ -183,16 +185,16 @@
 		parts := r.sent[done].QueueTime
 		sum := parts.Concurrency + parts.RateLimit + parts.SlowStart + parts.Ejected
 		if want := r.sentAt[done] - arrivedAt[done]; sum != want {
-			t.Fatalf("%d: parts %+v sum to %v, it waited %v", done, parts, sum, want)
+			t.Fatalf("request %d: parts of the queue time %+v: got sum %v, want %v", done, parts, sum, want)
 		}
 		result := OK
 		if done%60 > 56 {
-			result = TimedOut // three in a row eject the node
+			result = TimedOut // three consecutive timeouts eject the node
 		}
 		delete(r.sent, done)
 		r.complete(done, result)
 	}
 	if len(r.sentAt) < 30 {
-		t.Fatalf("only %d sent", len(r.sentAt))
+		t.Fatalf("got %d requests sent, want at least 30", len(r.sentAt))
 	}
 }
--- a/dispatch/quota_test.go
+++ b/dispatch/quota_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// A correction is charged to rate limit and reserve. An implausible one changes nothing.
+// A cost correction is charged to the rate limit and the reserve of the volume. An implausible
+// correction changes nothing.
 func TestCostCorrectionChargesQuota(t *testing.T) {
 	r := newRig(t, testConfig())
 	r.request(Request{Shard: 0, Plan: limitedPlan})
@@ -19,15 +20,15 @@
 	r.handle(CostCorrection{Volume: "v", Node: "none", Units: 1})
 	r.handle(CostCorrection{Volume: "none", Node: "n0", Units: 1})
 	if v.tokens != tokens || v.reserve != reserve {
-		t.Errorf("tokens %g from %g, reserve %g from %g", v.tokens, tokens, v.reserve, reserve)
+		t.Errorf("after implausible corrections: got tokens %g, want %g; got reserve %g, want %g", v.tokens, tokens, v.reserve, reserve)
 	}
 	r.handle(CostCorrection{Volume: "v", Node: "n0", Units: 3})
 	if math.Abs(v.tokens-(tokens-3)) > 1e-9 || math.Abs(v.reserve-(reserve-3)) > 1e-9 {
-		t.Errorf("tokens %g from %g, reserve %g from %g, want 3 less", v.tokens, tokens, v.reserve, reserve)
+		t.Errorf("after a correction of 3 units: got tokens %g from %g, reserve %g from %g, want 3 less of each", v.tokens, tokens, v.reserve, reserve)
 	}
 	r.handle(CostCorrection{Volume: "v", Node: "n0", Units: -8})
 	if v.tokens > v.tokenCapacity() {
-		t.Errorf("more tokens than the bucket holds")
+		t.Errorf("got more tokens than the bucket can hold after a refund, want at most its capacity")
 	}
 }
 
@@ -42,31 +43,32 @@
 		}
 	}
 	if share := (40.0 + 8) / 2; units > share || units < share-4 {
-		t.Errorf("%g units at once, want nearly this dispatcher's share %g", units, share)
+		t.Errorf("units sent at once: got %g, want nearly this dispatcher's share %g", units, share)
 	}
 	id, acts := r.request(Request{Shard: 0, Plan: limitedPlan, Units: 30, Dispatchers: 2})
-	expectOutcome(t, "more than the bucket can hold", acts, id, rejected)
+	expectOutcome(t, "request that costs more than the bucket can hold", acts, id, rejected)
 	t.Run("a restarted dispatcher starts without tokens", func(t *testing.T) {
 		d, _ := New(testConfig(), 1)
 		d.Handle(time.Hour, EndpointUpdate{Kind: Cached, Nodes: []Node{{ID: "n0"}}})
 		acts := d.Handle(time.Hour, Request{ID: 1, Volume: "v", Units: 1, Dispatchers: 1, Timeout: time.Second})
-		expectOutcome(t, "at once", acts, 1, pending)
+		expectOutcome(t, "request at the start, with an empty bucket", acts, 1, pending)
 		acts = d.Handle(time.Hour+40*ms, TimerFired{"wake"})
-		expectOutcome(t, "once the rate has added a unit", acts, 1, sent)
+		expectOutcome(t, "request after the rate limit has added a unit", acts, 1, sent)
 	})
 	t.Run("fewer dispatchers do not enlarge the share", func(t *testing.T) {
 		r := newRig(t, testConfig())
 		r.request(Request{Volume: "w", Dispatchers: 4, Shard: 0})
 		r.request(Request{Volume: "w", Dispatchers: 1, Shard: 0})
 		if h := r.d.volumes["w"].dispatchers; h != 4 {
-			t.Errorf("%d dispatchers, want 4", h)
+			t.Errorf("number of dispatchers of the volume: got %d, want 4", h)
 		}
 	})
 }
 
-// A volume may report more dispatchers than the deployment has.
+// A volume may report more dispatchers than are configured. The rate limit must then be divided
+// by the reported number.
 func TestRateLimitWithMoreDispatchersThanConfigured(t *testing.T) {
-	r := newRig(t, testConfig()) // limit 30, burst and slack 48, in 12 shares
+	r := newRig(t, testConfig()) // rate limit 30; burst plus slack is 48, divided into 12 shares
 	units := 0.0
 	for range 40 {
 		id, _ := r.request(Request{Shard: 0, Dispatchers: 12})
@@ -76,6 +78,6 @@
 		}
 	}
 	if units > 48.0/12 {
-		t.Errorf("%g units at once, want at most a twelfth of the bucket", units)
+		t.Errorf("units sent at once: got %g, want at most a twelfth of the bucket", units)
 	}
 }
--- a/dispatch/request_test.go
+++ b/dispatch/request_test.go
@@ -8,23 +8,23 @@
 func TestRequestIsAnsweredOnce(t *testing.T) {
 	r := newRig(t, testConfig())
 	id, acts := r.request(Request{Shard: 0})
-	expectOutcome(t, "idle node", acts, id, sent)
+	expectOutcome(t, "request to an idle node", acts, id, sent)
 	r.now += time.Second
-	expectOutcome(t, "timeout at the deadline", r.complete(id, 0, TimedOut), id, rejected)
+	expectOutcome(t, "request after a timeout at its deadline", r.complete(id, 0, TimedOut), id, rejected)
 	if acts := r.complete(id, 0, OK); len(sentRequests(acts)) > 0 {
-		t.Error("sent after the answer")
+		t.Error("got a request sent after its final answer, want nothing sent")
 	}
 	id, acts = r.request(Request{Shard: 7})
-	expectOutcome(t, "a shard without a node", acts, id, rejected)
+	expectOutcome(t, "request for a shard without a node", acts, id, rejected)
 	id, _ = r.request(Request{Shard: 0})
 	r.handle(ClientCanceled{id})
 	if acts := r.complete(id, 0, Rejected); outcomeOf(acts, id) != pending {
-		t.Errorf("answered a client that canceled: %v", acts)
+		t.Errorf("got an answer after the client canceled, want none (actions: %v)", acts)
 	}
-	r.handle(ClientCanceled{999}) // unknown
+	r.handle(ClientCanceled{999}) // the request is unknown
 	r.complete(999, 0, OK)
 	if len(r.d.requests) != 0 {
-		t.Errorf("%d completed requests kept", len(r.d.requests))
+		t.Errorf("got %d records of completed requests, want 0", len(r.d.requests))
 	}
 }
 
@@ -42,12 +42,12 @@
 		}
 	}
 	if waiting == 0 {
-		t.Fatal("nothing queued at the concurrency limit")
+		t.Fatal("got no request queued at the concurrency limit, want some")
 	}
 	r.advance(200 * ms)
 	for id, q := range r.d.requests {
 		if q.state == queued {
-			t.Errorf("request %d still queued at its objective", id)
+			t.Errorf("got request %d still queued at its objective, want it answered", id)
 		}
 	}
 }
@@ -58,14 +58,14 @@
 	r.now += 10 * ms
 	r.complete(id, 0, TimedOut)
 	acts := r.advance(ms)
-	expectOutcome(t, "retried", acts, id, sent)
-	expectOutcome(t, "a second completion of the first attempt", r.complete(id, 0, OK), id, pending)
+	expectOutcome(t, "retry after a timeout", acts, id, sent)
+	expectOutcome(t, "request after a second completion of its first attempt", r.complete(id, 0, OK), id, pending)
 	if q := r.d.requests[id]; q == nil || !q.outstanding {
-		t.Error("the second attempt is no longer outstanding")
+		t.Error("got the second attempt ended by a duplicate completion, want it outstanding")
 	}
 	r.complete(id, 1, OK)
 	r.complete(id, 1, OK)
 	if len(r.d.requests) != 0 || r.d.nodes["n0"].inFlight != 0 {
-		t.Errorf("%d requests, %d in flight", len(r.d.requests), r.d.nodes["n0"].inFlight)
+		t.Errorf("got %d request records and %d requests in flight, want 0 of each", len(r.d.requests), r.d.nodes["n0"].inFlight)
 	}
 }
--- a/dispatch/retry_test.go
+++ b/dispatch/retry_test.go
@@ -27,14 +27,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(t, testConfig())
 			id, acts := r.request(Request{Shard: 0, Class: c.class, Plan: unlimitedPlan})
-			expectOutcome(t, "first", acts, id, sent)
+			expectOutcome(t, "first attempt", acts, id, sent)
 			r.now += 10 * ms
 			acts = r.complete(id, 0, c.result)
 			if c.delay > 0 {
-				expectOutcome(t, "before the retry delay", acts, id, pending)
+				expectOutcome(t, "request before the retry delay has passed", acts, id, pending)
 				acts = r.advance(c.delay)
 			}
-			expectOutcome(t, "then", acts, id, c.want)
+			expectOutcome(t, "request after the failed attempt", acts, id, c.want)
 		})
 	}
 	t.Run("deduplicated stays in its scope and window", func(t *testing.T) {
@@ -46,21 +46,21 @@
 			ambiguousSince: r.d.now,
 			ambiguousShard: 0,
 		}
-		for range 40 { // room in the budget
+		for range 40 { // make room in the retry budget
 			r.d.budgetRequests = append(r.d.budgetRequests, r.d.now)
 		}
 		if !r.d.mayRetry(q, r.d.nodes["n0"]) || r.d.mayRetry(q, r.d.nodes["n1"]) {
-			t.Error("want a retry at the same shard only")
+			t.Error("got a retry refused at the same shard or permitted at another, want it at the same shard only")
 		}
 		r.d.now += 800 * ms
 		if r.d.mayRetry(q, r.d.nodes["n0"]) {
-			t.Error("retried at the end of the window")
+			t.Error("got a retry permitted at the end of the deduplication window, want it refused")
 		}
 	})
 }
 
 func TestRetryBudget(t *testing.T) {
-	r := newRig(t, testConfig()) // 2 and 10 %
+	r := newRig(t, testConfig()) // the retry budget is 2 plus 10 % of the requests
 	retries := 0
 	for range 10 {
 		id, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
@@ -70,8 +70,8 @@
 			r.complete(a, 1, OK)
 		}
 	}
-	if retries != 3 { // 2 and 10 % of 10
-		t.Errorf("%d retries for 10 requests, want 3", retries)
+	if retries != 3 { // 2 plus 10 % of 10 requests
+		t.Errorf("retries for 10 requests: got %d, want 3", retries)
 	}
 	cfg := testConfig()
 	cfg.RetryBudget = RetryBudget{}
@@ -80,7 +80,7 @@
 		id, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 		r.complete(id, 0, ServerError)
 		acts := r.advance(retryDelay)
-		expectOutcome(t, "no budget", acts, id, sent)
+		expectOutcome(t, "retry without a retry budget", acts, id, sent)
 		r.complete(id, 1, OK)
 	}
 }
--- a/dispatch/retryclaim_test.go
+++ b/dispatch/retryclaim_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// oneRetryRig returns a rig whose budget has room for one retry, with the service time of n0 known.
+// oneRetryRig returns a rig whose retry budget has room for one retry. The dispatcher knows the
+// service time of n0.
 func oneRetryRig(t *testing.T) *rig {
 	t.Helper()
 	cfg := testConfig()
@@ -18,42 +19,44 @@
 	return r
 }
 
-// An attempt is not canceled for a retry whose room in the budget a request in backoff needs.
+// The dispatcher must not cancel an attempt if a request in backoff needs the last place in the
+// retry budget.
 func TestBackoffHoldsRoomInTheRetryBudget(t *testing.T) {
 	r := oneRetryRig(t)
 	slow, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 	r.advance(60 * ms)
 	other, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 	reset, _ := r.request(Request{Shard: 1, Plan: unlimitedPlan})
-	expectOutcome(t, "after the reset", r.complete(reset, 0, ConnectionReset), reset, pending)
+	expectOutcome(t, "request during its backoff", r.complete(reset, 0, ConnectionReset), reset, pending)
 	r.advance(2 * ms)
 	if canceled := canceledRequests(r.complete(other, 0, OK)); len(canceled) > 0 {
-		t.Errorf("canceled %v (sent %d), the room for 1 retry is reserved", canceled, slow)
+		t.Errorf("got canceled attempts of requests %v (request %d is slow), want none because the only retry is claimed", canceled, slow)
 	}
-	expectOutcome(t, "after the backoff", r.advance(retryDelay), reset, sent)
+	expectOutcome(t, "retry after the backoff", r.advance(retryDelay), reset, sent)
 }
 
-// A claim ends with its request or its retry, so that it does not take room from others for good.
+// A claim on the retry budget ends when its request ends or its retry is sent. Otherwise it
+// would reduce the budget of other requests forever.
 func TestRetryClaimEndsWithItsRequest(t *testing.T) {
 	r := oneRetryRig(t)
 	canceled, _ := r.request(Request{Shard: 1, Plan: unlimitedPlan})
 	r.complete(canceled, 0, ConnectionReset)
 	if r.d.scheduledRetries != 1 {
-		t.Fatalf("%d claims for a request in backoff", r.d.scheduledRetries)
+		t.Fatalf("got %d claims for a request in backoff, want 1", r.d.scheduledRetries)
 	}
 	r.handle(ClientCanceled{ID: canceled})
 	if r.d.scheduledRetries != 0 {
-		t.Fatalf("%d claims without a request", r.d.scheduledRetries)
+		t.Fatalf("got %d claims after the client canceled, want 0", r.d.scheduledRetries)
 	}
 	id, _ := r.request(Request{Shard: 1, Plan: unlimitedPlan})
 	r.complete(id, 0, ConnectionReset)
-	expectOutcome(t, "after the backoff", r.advance(retryDelay), id, sent)
+	expectOutcome(t, "retry after the backoff", r.advance(retryDelay), id, sent)
 	if r.d.scheduledRetries != 0 {
-		t.Errorf("%d claims after the retry was sent", r.d.scheduledRetries)
+		t.Errorf("got %d claims after the retry was sent, want 0", r.d.scheduledRetries)
 	}
 }
 
-// The room reserved for a canceled attempt is free again when its client cancels the request.
+// The reservation for the retry of a canceled attempt ends when the client cancels the request.
 func TestReservedRetryEndsWithItsRequest(t *testing.T) {
 	r := oneRetryRig(t)
 	slow, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
@@ -61,13 +64,13 @@
 	other, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 	r.advance(2 * ms)
 	if canceled := canceledRequests(r.complete(other, 0, OK)); len(canceled) != 1 || r.d.reservedRetries != 1 {
-		t.Fatalf("canceled %v with %d reservations, want %d alone", canceled, r.d.reservedRetries, slow)
+		t.Fatalf("got canceled attempts of requests %v with %d reservations, want 1 reservation for request %d alone", canceled, r.d.reservedRetries, slow)
 	}
 	reset, _ := r.request(Request{Shard: 1, Plan: unlimitedPlan})
-	expectOutcome(t, "a retry beside the reservation", r.complete(reset, 0, ConnectionReset), reset, rejected)
+	expectOutcome(t, "request that needs the reserved retry", r.complete(reset, 0, ConnectionReset), reset, rejected)
 	r.handle(ClientCanceled{ID: slow})
 	r.complete(slow, 0, Canceled)
 	if r.d.reservedRetries != 0 {
-		t.Errorf("%d reservations without a request", r.d.reservedRetries)
+		t.Errorf("got %d reservations after the request has ended, want 0", r.d.reservedRetries)
 	}
 }
--- a/dispatch/simulation_test.go
+++ b/dispatch/simulation_test.go
@@ -11,17 +11,17 @@
 	"time"
 )
 
-// scheduledEvent is an event for a dispatcher, or a call, at a time.
+// scheduledEvent is an event for a dispatcher, or a function call, that is due at a given time.
 type scheduledEvent struct {
 	at          time.Duration
 	sequence    int
-	dispatcher  int // negative: call
-	incarnation int // of the dispatcher; events for an earlier one are dropped
+	dispatcher  int // index of the dispatcher; negative for a function call
+	incarnation int // incarnation of the dispatcher; events for an earlier incarnation are dropped
 	event       Event
 	call        func()
 }
 
-// eventQueue implements heap.Interface.
+// eventQueue implements heap.Interface. The first event is the one that is due next.
 type eventQueue []*scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
@@ -41,14 +41,14 @@
 	return last
 }
 
-// simulation feeds dispatchers a random valid sequence of events.
+// simulation passes a random valid sequence of events to dispatchers.
 type simulation struct {
 	rng                  *rand.Rand
-	config               Config        // of the dispatchers
-	actual               Config        // of the checker
-	hideDrains           bool          // dispatchers see every node as ready
-	earlyBy              time.Duration // the checker expects answers so much earlier
-	lossRate             float64       // share of responses that are lost
+	config               Config        // settings of the dispatchers
+	checkerConfig        Config        // settings of the checker and of the clients
+	hideDrains           bool          // whether dispatchers see every node as ready
+	slackReduction       time.Duration // how much earlier than usual the checker expects answers
+	lossRate             float64       // share of the responses that are lost
 	dispatchersPerVolume int
 	now                  time.Duration
 	queue                eventQueue
@@ -60,10 +60,10 @@
 	nextID               RequestID
 	nodes                []Node
 	actions              int
-	actionHash           hash.Hash64 // of all actions, in order
+	actionHash           hash.Hash64 // hash of all actions, in order
 }
 
-// schedule adds an event for a dispatcher, or a call where dispatcher is negative.
+// schedule adds an event for a dispatcher, or a function call if dispatcher is negative.
 func (s *simulation) schedule(delay time.Duration, dispatcher int, e Event, call func()) {
 	s.sequence++
 	scheduled := &scheduledEvent{
@@ -79,7 +79,7 @@
 	heap.Push(&s.queue, scheduled)
 }
 
-// start starts or restarts a dispatcher.
+// start starts dispatcher i, or restarts it without its state.
 func (s *simulation) start(i int) {
 	cfg := s.config
 	cfg.DispatcherIndex = i
@@ -94,7 +94,7 @@
 	s.deliver(i, EndpointUpdate{Kind: Cached, Nodes: slices.Clone(s.nodes)})
 }
 
-// deliver hands an event to a dispatcher and performs its actions.
+// deliver passes an event to dispatcher i and performs the resulting actions.
 func (s *simulation) deliver(i int, e Event) {
 	s.checker.observeEvent(i, s.now, e)
 	if update, ok := e.(EndpointUpdate); ok && s.hideDrains {
@@ -117,7 +117,8 @@
 	}
 }
 
-// completeAttempt draws how an attempt ends. The checker's record gives its deadline.
+// completeAttempt chooses at random how an attempt ends and schedules its completion. The
+// checker's record of the request contains its deadline.
 func (s *simulation) completeAttempt(i int, a SendAttempt) {
 	attempt := s.attempts[i][a.ID]
 	s.attempts[i][a.ID]++
@@ -134,7 +135,7 @@
 	case x < 0.25+s.lossRate:
 		latency = time.Hour
 	case unitsSince(s.checker.served[a.Node], s.now-time.Second) >= s.checker.capacity(s.checker.nodes[a.Node], s.now):
-		result = Rejected // no node serves more than its capacity
+		result = Rejected // the node is at its capacity
 	}
 	if latency >= remaining {
 		result = TimedOut
@@ -147,12 +148,12 @@
 	}, nil)
 }
 
-// sendRequest draws a request to a dispatcher.
+// sendRequest passes a random request to dispatcher i.
 func (s *simulation) sendRequest(i int) {
 	s.nextID++
 	volume := i/s.dispatchersPerVolume*2 + s.rng.IntN(2)
 	q := Request{
-		ID: s.nextID, Class: s.rng.IntN(len(s.actual.Classes)), Plan: volume % 2, Volume: VolumeID(fmt.Sprint("v", volume)),
+		ID: s.nextID, Class: s.rng.IntN(len(s.checkerConfig.Classes)), Plan: volume % 2, Volume: VolumeID(fmt.Sprint("v", volume)),
 		Units: float64(1 + s.rng.IntN(8)), Dispatchers: s.dispatchersPerVolume, Shard: Shard(s.rng.IntN(3)),
 	}
 	if s.rng.IntN(8) == 0 {
@@ -161,14 +162,14 @@
 	if s.rng.IntN(2) == 0 {
 		q.Key = fmt.Sprint("k", s.rng.IntN(3))
 	}
-	q.Timeout = s.actual.Classes[q.Class].Deadline
+	q.Timeout = s.checkerConfig.Classes[q.Class].Deadline
 	s.deliver(i, q)
 	if s.rng.IntN(50) == 0 {
 		s.schedule(time.Duration(s.rng.IntN(100))*ms, i, ClientCanceled{q.ID}, nil)
 	}
 }
 
-// changeNode drains, removes or starts a node and notifies every dispatcher.
+// changeNode drains, removes or starts a random node and notifies every dispatcher.
 func (s *simulation) changeNode() {
 	i := s.rng.IntN(len(s.nodes))
 	n := &s.nodes[i]
@@ -185,15 +186,16 @@
 	}
 }
 
-// run runs heavy random traffic for a while and returns the violations by invariant.
+// run simulates heavy random traffic for the given duration. It returns the first violation of
+// each invariant.
 func (s *simulation) run(length time.Duration) map[string]string {
 	s.now = time.Hour
 	end := s.now + length
-	s.dispatchers = make([]*Dispatcher, s.actual.DispatcherCount)
-	s.incarnations = make([]int, s.actual.DispatcherCount)
-	s.attempts = make([]map[RequestID]int, s.actual.DispatcherCount)
-	s.checker = newChecker(s.actual)
-	s.checker.slack -= s.earlyBy
+	s.dispatchers = make([]*Dispatcher, s.checkerConfig.DispatcherCount)
+	s.incarnations = make([]int, s.checkerConfig.DispatcherCount)
+	s.attempts = make([]map[RequestID]int, s.checkerConfig.DispatcherCount)
+	s.checker = newChecker(s.checkerConfig)
+	s.checker.slack -= s.slackReduction
 	for i := range 3 {
 		n := Node{ID: NodeID(fmt.Sprint("n", i)), Shard: Shard(i)}
 		s.nodes = append(s.nodes, n)
@@ -242,16 +244,16 @@
 	return newLargeSimulation(seed, 3, 3)
 }
 
-// newLargeSimulation returns a simulation whose dispatchers share two volumes per group of
-// perVolume.
+// newLargeSimulation returns a simulation in which each group of perVolume dispatchers serves
+// two volumes.
 func newLargeSimulation(seed uint64, dispatchers, perVolume int) *simulation {
 	cfg := testConfig()
 	cfg.DispatcherCount = dispatchers
-	cfg.MeanUnits = 4.5 // as drawn by sendRequest
+	cfg.MeanUnits = 4.5 // the mean of the costs from 1 to 8 that sendRequest chooses
 	return &simulation{
 		rng:                  rand.New(rand.NewPCG(seed, 7)),
 		config:               cfg,
-		actual:               cfg,
+		checkerConfig:        cfg,
 		lossRate:             0.03,
 		dispatchersPerVolume: perVolume,
 		actionHash:           fnv.New64a(),
@@ -262,30 +264,31 @@
 	for seed := range uint64(4) {
 		s := newSimulation(seed)
 		if violations := s.run(30 * time.Second); len(violations) > 0 {
-			t.Errorf("seed %d: %v", seed, violations)
+			t.Errorf("seed %d: got violations %v, want none", seed, violations)
 		}
 		if s.actions < 1000 {
-			t.Errorf("seed %d: only %d actions", seed, s.actions)
+			t.Errorf("seed %d: got %d actions, want at least 1000", seed, s.actions)
 		}
 	}
 }
 
-// Many dispatchers with little traffic each, many lost responses, and restarts.
+// This test runs many dispatchers that each have little traffic, lose many responses and
+// restart.
 func TestManyDispatchersKeepInvariants(t *testing.T) {
 	for seed := range uint64(2) {
 		s := newLargeSimulation(seed, 160, 4)
 		s.lossRate = 0.2
 		if violations := s.run(40 * time.Second); len(violations) > 0 {
-			t.Errorf("seed %d: %v", seed, violations)
+			t.Errorf("seed %d: got violations %v, want none", seed, violations)
 		}
 		if s.actions < 1000 {
-			t.Errorf("seed %d: only %d actions", seed, s.actions)
+			t.Errorf("seed %d: got %d actions, want at least 1000", seed, s.actions)
 		}
 	}
 }
 
-// The checker finds a violation of each invariant when its guard is disabled, here by hiding the
-// setting or the event that the guard depends on.
+// The checker must find a violation of an invariant when the dispatchers do not enforce it.
+// Each case hides the setting or event from the dispatchers that the enforcement depends on.
 func TestCheckerFindsMissingGuard(t *testing.T) {
 	for invariant, disable := range map[string]func(*simulation){
 		"idempotency": func(s *simulation) {
@@ -299,7 +302,7 @@
 		"budget": func(s *simulation) {
 			s.config.RetryBudget = RetryBudget{}
 			s.config.Classes = slices.Clone(s.config.Classes)
-			for i := range s.config.Classes { // leaves time for retries
+			for i := range s.config.Classes { // a long objective leaves time for retries
 				s.config.Classes[i].LatencyObjective = time.Minute
 			}
 		},
@@ -311,18 +314,18 @@
 		},
 		"answer": func(s *simulation) {
 			s.config.Classes = slices.Clone(s.config.Classes)
-			for i := range s.config.Classes { // the dispatcher expects patient clients
-				s.actual.Classes[i].Deadline = 50 * ms
+			for i := range s.config.Classes { // the clients give up earlier than the dispatcher expects
+				s.checkerConfig.Classes[i].Deadline = 50 * ms
 				s.config.Classes[i].LatencyObjective = time.Hour
 			}
-			s.earlyBy = 57 * ms
+			s.slackReduction = 57 * ms
 		},
 	} {
 		s := newSimulation(1)
-		s.actual.Classes = slices.Clone(s.actual.Classes)
+		s.checkerConfig.Classes = slices.Clone(s.checkerConfig.Classes)
 		disable(s)
 		if violations := s.run(30 * time.Second); violations[invariant] == "" {
-			t.Errorf("%s: no violation without its guard (found %v)", invariant, violations)
+			t.Errorf("%s: got no violation of this invariant without its guard, want one (violations found: %v)", invariant, violations)
 		}
 	}
 }
@@ -333,9 +336,9 @@
 		s.run(20 * time.Second)
 	}
 	if a.actions != b.actions || a.actions == 0 || a.actionHash.Sum64() != b.actionHash.Sum64() {
-		t.Errorf("%d and %d actions of the same events, or other ones", a.actions, b.actions)
+		t.Errorf("got %d and %d actions for the same events, want the same actions and at least one", a.actions, b.actions)
 	}
 	if a.actionHash.Sum64() == other.actionHash.Sum64() {
-		t.Error("other events have the same actions: the comparison is void")
+		t.Error("got the same actions for different events, want different actions")
 	}
 }
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// Throughputs of the tests, units.
+// These constants are the throughputs that the tests use, in units.
 const (
-	usualThroughput = 40.0                             // per second, of a shard before its node starts
-	evenShare       = 20.0 / 2 * slowStartSafetyFactor // per window, of what every starting node tolerates
+	usualThroughput = 40.0                             // per second, served by the shard before its node starts
+	evenShare       = 20.0 / 2 * slowStartSafetyFactor // per window, this dispatcher's share of SlowStart.InitialUnits
 )
 
-// newSlowStartRig returns a rig whose node n0 has just started, after its shard had a throughput.
+// newSlowStartRig returns a rig whose node n0 has just started. Before that, the shard of n0
+// had the given throughput.
 func newSlowStartRig(t *testing.T, throughput float64) *rig {
 	t.Helper()
 	r := newRig(t, testConfig())
@@ -23,7 +24,8 @@
 	return r
 }
 
-// unitsSent sends requests to n0 for a while and returns the units of those that reach it.
+// unitsSent passes requests for n0 to the dispatcher for a while. It returns the units of those
+// that are sent to n0.
 func unitsSent(r *rig, length time.Duration) (units float64) {
 	for end := r.now + length; r.now < end; {
 		_, acts := r.request(Request{Shard: 0, Plan: unlimitedPlan, Units: 3})
@@ -39,12 +41,12 @@
 func TestSlowStartBoundsUnits(t *testing.T) {
 	units := unitsSent(newSlowStartRig(t, 0), 3*time.Second)
 	if units > 3*1.5*evenShare+6 || units == 0 {
-		t.Errorf("%g units without history, want above 0 and at most the even share", units)
+		t.Errorf("units sent without history: got %g, want above 0 and at most the even share", units)
 	}
 	most := evenShare + usualThroughput*2.5*0.2*slowStartSafetyFactor
 	units = unitsSent(newSlowStartRig(t, usualThroughput), time.Second)
 	if units > most+6 || units < most/2 {
-		t.Errorf("%g units in the first second, want about %g by the shard's usual throughput", units, most)
+		t.Errorf("units sent in the first second: got %g, want about %g by the shard's usual throughput", units, most)
 	}
 }
 
@@ -52,7 +54,7 @@
 	r := newRig(t, testConfig())
 	r.updateEndpoints(Delta, Node{ID: "n0", Shard: 0, Started: r.now - 12*time.Second})
 	id, acts := r.request(Request{Shard: 0, Units: 8, Plan: unlimitedPlan})
-	expectOutcome(t, "a warm node", acts, id, sent)
+	expectOutcome(t, "request to a warm node", acts, id, sent)
 }
 
 func TestUsualThroughputOutlivesNodeAndDecays(t *testing.T) {
@@ -61,12 +63,12 @@
 		Node{ID: "n0", Shard: 0, State: Removed}, Node{ID: "n9", Shard: 0, Started: r.now})
 	got := r.d.usualThroughput(r.d.nodes["n9"])
 	if got < usualThroughput*0.99 || got > usualThroughput*1.01 {
-		t.Errorf("%g, want %g", got, usualThroughput)
+		t.Errorf("usual throughput at the new node: got %g, want %g", got, usualThroughput)
 	}
 	r.now += shardThroughputWindow
 	r.handle(TimerFired{"wake"})
 	if got := r.d.usualThroughput(r.d.nodes["n9"]); got > usualThroughput/2 {
-		t.Errorf("%g one window later", got)
+		t.Errorf("usual throughput one window later: got %g, want at most half of the earlier one", got)
 	}
 }
 
@@ -84,7 +86,7 @@
 		meanDebt += d.nodes["n0"].slowStartDebt / seeds
 	}
 	if meanDebt < 0.7 || meanDebt > 1.3 {
-		t.Errorf("a mean debt of %g units, want half a mean request", meanDebt)
+		t.Errorf("mean debt of restarted dispatchers: got %g units, want half a mean request", meanDebt)
 	}
 }
 
@@ -101,7 +103,7 @@
 			r := newSlowStartRig(t, usualThroughput)
 			n := r.d.nodes["n0"]
 			r.d.slowStartReadyAt(n, 0)
-			n.slowStartDebt = -0.5 // paid in advance: less than a mean request
+			n.slowStartDebt = -0.5 // less than a mean request is paid in advance
 			id, _ := r.request(Request{Shard: 1, Plan: unlimitedPlan})
 			r.complete(id, 0, OK)
 			if c.reserve < 0 {
@@ -115,10 +117,10 @@
 
 func TestSlowStartAmongManyDispatchers(t *testing.T) {
 	cfg := testConfig()
-	cfg.DispatcherCount = 200 // above SlowStart.InitialUnits
+	cfg.DispatcherCount = 200 // more than SlowStart.InitialUnits
 	r := newRig(t, cfg)
 	r.updateEndpoints(Delta, Node{ID: "n0", Shard: 0, Started: r.now})
 	if units := unitsSent(r, time.Second); units > 3 {
-		t.Errorf("%g units without history, want one request at most", units)
+		t.Errorf("units sent without history: got %g, want at most one request", units)
 	}
 }
--- a/dispatch/timers_test.go
+++ b/dispatch/timers_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A completed request leaves no timer until its objective: with long objectives the timer queue
-// would hold every request of the last minutes.
+// A completed request must not leave a timer behind until its latency objective. With long
+// objectives, the timer queue would otherwise hold every request of the last minutes.
 func TestAnsweredRequestsLeaveNoTimers(t *testing.T) {
 	d, err := New(Config{
 		DispatcherCount: 1,
@@ -38,6 +38,6 @@
 		})
 	}
 	if n := d.timers.Len(); n > 10 {
-		t.Fatalf("%d timers pending", n)
+		t.Fatalf("got %d pending timers after all requests are complete, want at most 10", n)
 	}
 }
--- a/dispatch/weights_test.go
+++ b/dispatch/weights_test.go
@@ -8,12 +8,12 @@
 func TestWeightController(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		usage []float64 // one figure before each interval
+		usage []float64 // one usage figure before each interval
 		want  float64
 	}{
-		{"no figure keeps it", []float64{0, 0}, 3},
+		{"no figure keeps the weight", []float64{0, 0}, 3},
 		{"a figure is 1 + percent", []float64{101}, 3},
-		{"double usage halves it", []float64{201}, 1.5},
+		{"double usage halves the weight", []float64{201}, 1.5},
 		{"one figure acts once", []float64{201, 0, 0}, 1.5},
 		{"lower bound", []float64{1001, 1001}, 3 * minWeightFactor},
 		{"upper bound", []float64{2, 2}, 3 * maxWeightFactor},
@@ -29,7 +29,7 @@
 				r.advance(controllerInterval)
 			}
 			if math.Abs(v.weight-c.want) > 1e-9 {
-				t.Errorf("weight %g, want %g", v.weight, c.want)
+				t.Errorf("weight after the figures: got %g, want %g", v.weight, c.want)
 			}
 		})
 	}
@@ -44,6 +44,6 @@
 	r.advance(controllerInterval)
 	weight := r.d.volumes["v"].weight
 	if r.advance(controllerInterval); r.d.volumes["v"].weight != weight || weight >= 3 {
-		t.Errorf("weight %g, then %g: want one step down from 3", weight, r.d.volumes["v"].weight)
+		t.Errorf("weight after two intervals: got %g, then %g, want one step down from 3", weight, r.d.volumes["v"].weight)
 	}
 }
