--- a/dispatch/actions.go
+++ b/dispatch/actions.go
@@ -12,7 +12,7 @@
 type SendAttempt struct {
 	ID        RequestID
 	Node      NodeID
-	Deadline  time.Duration // 0 means the client's own deadline
+	Deadline  time.Duration // end of the attempt; 0 means the client's own deadline
 	QueueTime QueueTime
 }
 
@@ -54,8 +54,8 @@
 
 // QueueTime is the time that a request has spent in the queues of nodes, since its arrival or
 // since the end of its last attempt. Each field holds the time with one cause. QueueTime does
-// not include the time that the request has waited for earlier requests of its key, for
-// quiescence or for a retry.
+// not include the time spent waiting for earlier requests of the same key, for quiescence or
+// for a retry.
 type QueueTime struct {
 	Concurrency time.Duration // time blocked by the concurrency limit of the node
 	RateLimit   time.Duration // time blocked by the rate limit of the volume
--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -22,7 +22,8 @@
 	basePriorityShare = 0.5
 	minPriority       = 1e-9 // avoids a division by 0 if every priority is 0
 
-	// placementJitter is the largest random part of the cost by which chooseNode compares nodes.
+	// placementJitter is the largest random increase of the cost by which chooseNode compares
+	// nodes, as a share of that cost.
 	placementJitter = 0.1
 )
 
@@ -39,8 +40,8 @@
 	d.admit(r, n)
 }
 
-// chooseNode returns the node that is expected to complete r first, if every node may serve r.
-// It returns nil if no node is available.
+// chooseNode returns the node that is expected to complete r first, or nil if no node is
+// available. It considers every node, so the caller must ensure that r does not need a shard.
 func (d *Dispatcher) chooseNode(r *request) *node {
 	var best *node
 	bestCost := math.Inf(1)
@@ -101,9 +102,9 @@
 	d.enqueue(r, n, false)
 }
 
-// mayProbe reports whether a request may be sent to n although the estimates speak against it.
-// Such a probe renews the estimates. A probe is allowed if this dispatcher has no request in
-// flight at n, or only one that has been silent for so long that its response may be lost.
+// mayProbe reports whether a request may be sent to n even if the estimates for n would prevent
+// it. Such a probe renews the estimates. A probe is allowed if this dispatcher has no request
+// in flight at n, or only one that has been silent for so long that its response may be lost.
 //
 // With more than maxConcurrency/minConcurrency dispatchers, their minimum concurrencies add up
 // to more than maxConcurrency. Each dispatcher then leaves a gap between its probes. The gap is
--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// A burst of requests with a long latency objective is queued even if the concurrency limit is
-// one, because the queue of its flow delays no other volume. A burst of requests with the
-// tightest objective is rejected in part.
+// TestLongObjectiveWaitsInItsFlow checks that a burst of requests with a long latency objective
+// is queued even if the concurrency limit is one, because the queue of its flow delays no other
+// volume. Some requests of a burst with the tightest objective are rejected.
 func TestLongObjectiveWaitsInItsFlow(t *testing.T) {
 	cfg := testConfig()
 	cfg.DispatcherCount = 40
@@ -36,11 +36,12 @@
 	}
 }
 
-// The requests of clients that give up early and retry at once are rejected at once. They must
-// not take queue places, reserve or retry budget from other requests.
+// TestImpatientClientsTakeNothingFromOthers checks that requests of clients that give up early
+// and retry at once are rejected at once. Such requests must not take queue places, reserve or
+// retry budget from other requests.
 func TestImpatientClientsTakeNothingFromOthers(t *testing.T) {
 	r := newRig(t, testConfig())
-	id, acts := r.request(Request{Shard: 0, Plan: unlimitedPlan}) // teaches the dispatcher the usual timeout of the class
+	id, acts := r.request(Request{Shard: 0, Plan: unlimitedPlan}) // shows the dispatcher the usual timeout of the class
 	expectOutcome(t, "client with the usual timeout", acts, id, sent)
 	r.complete(id, 0, OK)
 	r.request(Request{Shard: 0, Plan: unlimitedPlan, Volume: "w"})
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -95,13 +95,14 @@
 	d.scheduleRetry(r, n, e.Result)
 }
 
-// maybeExecuted reports whether the node may have executed a request whose attempt ended with a.
+// maybeExecuted reports whether the node may have executed a request whose attempt ended with
+// the result a.
 func (a AttemptResult) maybeExecuted() bool {
 	return a != Rejected && a != ConnectFailed && a != NotSent
 }
 
 // maybeRunning reports whether the node may still be executing a request whose attempt ended
-// with a.
+// with the result a.
 func (a AttemptResult) maybeRunning() bool {
 	return a == TimedOut || a == ConnectionReset || a == Canceled
 }
--- a/dispatch/cancelbudget_test.go
+++ b/dispatch/cancelbudget_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// The dispatcher must not cancel more attempts than the retry budget can retry. A request whose
-// attempt was canceled beyond the budget would be rejected, although its response might still
-// have arrived.
+// TestCanceledAttemptsFitTheRetryBudget checks that the dispatcher does not cancel more
+// attempts than the retry budget can retry. A request whose attempt was canceled beyond the
+// budget would be rejected, although its response might still have arrived.
 func TestCanceledAttemptsFitTheRetryBudget(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[idempotentClass].LatencyObjective = 1000 * ms
--- a/dispatch/checker_test.go
+++ b/dispatch/checker_test.go
@@ -34,7 +34,7 @@
 // instance holds what the checker has observed of a dispatcher since its start. A restarted
 // dispatcher is a new instance.
 type instance struct {
-	notReadySince map[NodeID]time.Duration // by the endpoint updates that this dispatcher received
+	notReadySince map[NodeID]time.Duration // when an endpoint update first reported a node as not ready
 	requests      map[RequestID]*requestRecord
 	byKey         map[string][]*requestRecord
 	arrivals      []time.Duration
@@ -73,7 +73,7 @@
 	}
 }
 
-// recordViolation records a violation of an invariant, unless one is recorded already.
+// recordViolation records a violation of an invariant, unless it already has one for that invariant.
 func (c *checker) recordViolation(invariant, format string, args ...any) {
 	if c.violations[invariant] == "" {
 		c.violations[invariant] = fmt.Sprintf(format, args...)
--- a/dispatch/concurrency.go
+++ b/dispatch/concurrency.go
@@ -11,6 +11,8 @@
 )
 
 const (
+	// The concurrency limit of a node without congestion is at most maxConcurrency. It is at
+	// least minConcurrency, unless there are too many dispatchers for that.
 	minConcurrency = 4
 	maxConcurrency = 32
 
--- a/dispatch/concurrency_test.go
+++ b/dispatch/concurrency_test.go
@@ -33,9 +33,10 @@
 	}
 }
 
-// With many dispatchers, the concurrency limit starts at one. Four requests from each
-// dispatcher would overload a node before any dispatcher sees the overload. At a node without
-// congestion the limit is one higher, until a response shows congestion.
+// TestConcurrencyFloorAmongManyDispatchers checks that the concurrency limit starts at one if
+// there are many dispatchers. Four requests from each dispatcher would overload a node before
+// any dispatcher sees the overload. At a node without congestion the limit is one higher, until
+// a response shows congestion.
 func TestConcurrencyFloorAmongManyDispatchers(t *testing.T) {
 	for dispatchers, floor := range map[int]int{1: 4, 8: 4, 10: 3, 40: 1, 200: 1} {
 		cfg := testConfig()
--- a/dispatch/config.go
+++ b/dispatch/config.go
@@ -20,8 +20,8 @@
 	MaxAttempts    int           // largest number of attempts of one request; 0 means no limit
 	RoundTrip      time.Duration // allowance for one network round trip
 
-	Classes []Class // indexed by Request.Class
-	Plans   []Plan  // indexed by Request.Plan
+	Classes []Class // settings of the classes, indexed by Request.Class
+	Plans   []Plan  // settings of the plans, indexed by Request.Plan
 
 	MeanUnits float64 // mean cost of a request, in units
 	MaxUnits  float64 // cost of the largest request, in units
@@ -35,7 +35,7 @@
 type Class struct {
 	Name             string
 	LatencyObjective time.Duration // target for the time to the final answer
-	Deadline         time.Duration // timeout of the clients
+	Deadline         time.Duration // time after which a client gives up
 	PriorityWeight   float64       // value of an answer within the latency objective
 	Idempotency      Idempotency
 	// DedupScope and DedupWindow say among which nodes and for how long repeats of a request
@@ -55,15 +55,14 @@
 	NonIdempotent                    // a request must not be executed twice
 )
 
-// DedupScope is the set of nodes that together recognize and drop the repeats of a Deduplicated
-// request.
+// DedupScope says at which nodes the repeat of a Deduplicated request is recognized and dropped.
 type DedupScope int
 
 // These are the deduplication scopes, from the widest to the narrowest.
 const (
-	DedupEverywhere DedupScope = iota // all nodes together
-	DedupPerZone                      // the nodes of each zone
-	DedupPerShard                     // the nodes of each shard
+	DedupEverywhere DedupScope = iota // repeats are dropped at every node
+	DedupPerZone                      // repeats are dropped at nodes of the same zone
+	DedupPerShard                     // repeats are dropped at nodes of the same shard
 )
 
 // Plan is the service plan of a volume. Its rates apply to the total over all dispatchers and
@@ -72,8 +71,8 @@
 	Name      string
 	Reserve   float64 // reserved throughput, in units per second
 	Weight    float64 // fair-queuing weight, greater than 0
-	Price     float64 // factor in the value of an answer to the plan's requests
-	RateLimit float64 // units per second; 0 means unlimited
+	Price     float64 // multiplies the value of answers to the plan's requests
+	RateLimit float64 // rate limit, in units per second; 0 means unlimited
 	Burst     float64 // capacity of the rate limit's token bucket, in units
 	Slack     float64 // units by which the token bucket may be overdrawn
 }
@@ -93,7 +92,7 @@
 type RetryBudget struct {
 	MinRetries float64
 	Ratio      float64
-	Window     time.Duration // 0 disables the retry budget
+	Window     time.Duration // length of the interval; 0 disables the retry budget
 }
 
 // ConfigError is the error for a field of Config whose value New does not accept.
--- a/dispatch/config_test.go
+++ b/dispatch/config_test.go
@@ -45,8 +45,9 @@
 	}
 }
 
-// New rejects a value that is negative, infinite or NaN in every numeric field. Such a value
-// would disable a rule, or spread through sums that never recover.
+// TestNewRejectsNumbersThatAreNotFinite checks that New rejects negative, infinite and NaN
+// values in every numeric field. Such a value would disable a rule, or spread through sums that
+// never recover.
 func TestNewRejectsNumbersThatAreNotFinite(t *testing.T) {
 	for field, number := range map[string]func(*Config) *float64{
 		"MeanUnits":                 func(c *Config) *float64 { return &c.MeanUnits },
@@ -76,7 +77,8 @@
 	}
 }
 
-// Events with figures that are infinite or NaN must not change any state.
+// TestEventsWithNumbersThatAreNotFinite checks that infinite and NaN figures in events do not
+// change any state.
 func TestEventsWithNumbersThatAreNotFinite(t *testing.T) {
 	r := newRig(t, testConfig())
 	for _, x := range []float64{math.NaN(), math.Inf(1), math.Inf(-1)} {
@@ -100,8 +102,8 @@
 	}
 }
 
-// Settings and requests at the limits of their ranges are accepted or rejected, and never cause
-// a panic.
+// TestExtremeSettingsAndRequests checks that settings and requests at the limits of their
+// ranges are accepted or rejected, and never cause a panic.
 func TestExtremeSettingsAndRequests(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -2,7 +2,8 @@
 // sent next, to which node, and which requests are rejected.
 //
 // A Dispatcher is a deterministic state machine: Handle takes the time and an event and returns
-// actions. It performs no I/O and reads no clock; it draws random numbers only from its seed.
+// actions. A Dispatcher performs no I/O, reads no clock and draws random numbers only from its
+// seed.
 //
 // A Dispatcher schedules requests by C-SFQ(D) (Karlsson, Karamanolis and Chase, "Controllable
 // Fair Queuing for Service Utilities", HPL-2005-21). Each node has one start-time fair queue
@@ -90,8 +91,8 @@
 }
 
 // Handle applies the event ev at the time now. It returns the resulting actions, which the
-// caller must perform in order. If now is before the time of an earlier event, it counts as the
-// time of that event.
+// caller must perform in order. If now is earlier than the time of a previous event, Handle uses
+// that previous time.
 func (d *Dispatcher) Handle(now time.Duration, ev Event) []Action {
 	d.actions = nil
 	d.now = max(now, d.now)
--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// The state of a dispatcher must stay bounded: it deletes unused keys, idle volumes and
-// replaced nodes.
+// TestStateIsBounded checks that a dispatcher deletes unused keys, idle volumes and replaced
+// nodes, so that its state stays bounded.
 func TestStateIsBounded(t *testing.T) {
 	r := newRig(t, testConfig())
 	for i := range 20000 {
--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -16,14 +16,14 @@
 	// minPollJitter and minPollJitter+1.
 	minPollDelay          = 500 * time.Millisecond
 	maxPollDelay          = 2 * time.Second
-	maxPollDelayDoublings = 8 // largest number of doublings
+	maxPollDelayDoublings = 8 // largest number of doublings of the delay
 	minPollJitter         = 0.5
 )
 
 // node holds what this dispatcher knows about a storage node.
 type node struct {
 	Node
-	listed bool // false once the dispatcher has deleted the removed node
+	listed bool // true until the dispatcher deletes the node after its removal
 
 	// The file fairqueue.go owns the following fields.
 	flows            flowHeap // flows whose head request may be sent
@@ -35,7 +35,7 @@
 
 	// The file attempts.go owns the following fields.
 	inFlight         int
-	inFlightRequests []*request    // in the order sent; may contain requests whose attempt has ended
+	inFlightRequests []*request    // requests in the order sent; some attempts may have ended
 	lastSentAt       time.Duration // when the last attempt was sent
 
 	// The file loss.go owns the following fields.
@@ -44,13 +44,13 @@
 	lastUnansweredSentAt time.Duration // send time of the latest attempt without a response
 
 	// The file concurrency.go owns the following field.
-	completions decayingSum // number of served responses
+	completions decayingSum // decaying number of served responses
 
 	// The file latency.go owns the following fields.
 	uncongestedResponses int     // consecutive responses without congestion
 	delay                float64 // expected delay beyond the service time, in seconds
 	delayUpdatedAt       time.Duration
-	secondsPerUnit       float64 // service time per unit without congestion; 0 means unknown
+	secondsPerUnit       float64 // service time of a unit without congestion; 0 means unknown
 
 	// The file outlier.go owns the following fields.
 	consecutiveFailures int
--- a/dispatch/events.go
+++ b/dispatch/events.go
@@ -69,7 +69,7 @@
 	Class       int // index into Config.Classes
 	Plan        int // index into Config.Plans
 	Volume      VolumeID
-	Key         string // "" means no key
+	Key         string // requests with the same key may have to keep order; "" means no key
 	Shard       Shard
 	Units       float64       // cost of the request
 	Dispatchers int           // number of dispatchers that serve the volume
--- a/dispatch/fairqueue_test.go
+++ b/dispatch/fairqueue_test.go
@@ -50,16 +50,16 @@
 	return r
 }
 
-// This small example checks the tags S = max(v, F of the last request) and F = S + c/φ. The
-// comments show the tags that each request should get.
+// TestStartTags checks the tags of a small example. The start tag is S = max(v, F of the last
+// request) for virtual time v. The finish tag is F = S + c/φ for cost c and weight φ.
 func TestStartTags(t *testing.T) {
 	q := newQueueRig(t)
 	a, b := q.volume("a", 1), q.volume("b", 2)
-	q.enqueue(a, 2) // S 0, F 2
-	q.enqueue(a, 1) // S 2, F 3
-	q.enqueue(b, 4) // S 0, F 2
-	q.enqueue(b, 2) // S 2, F 3
-	q.enqueue(b, 2) // S 3, F 4
+	q.enqueue(a, 2) // gets start tag 0 and finish tag 2
+	q.enqueue(a, 1) // gets start tag 2 and finish tag 3
+	q.enqueue(b, 4) // gets start tag 0 and finish tag 2
+	q.enqueue(b, 2) // gets start tag 2 and finish tag 3
+	q.enqueue(b, 2) // gets start tag 3 and finish tag 4
 	var got []string
 	for len(q.n.flows) > 0 {
 		f := q.n.flows[0]
@@ -72,14 +72,14 @@
 	if q.n.virtualTime != 3 {
 		t.Errorf("virtual time after the last release: got %g, want 3, the last start tag", q.n.virtualTime)
 	}
-	q.enqueue(a, 1) // the last request has F 3, and the virtual time v is 3
+	q.enqueue(a, 1) // the last finish tag and the virtual time are both 3
 	if s := q.n.flows[0].startTag; s != 3 {
 		t.Errorf("start tag after an idle period: got %g, want 3", s)
 	}
 }
 
-// This is the counterexample in section 3 of the paper. Once a small weight has been raised,
-// its old value must not affect the tags any more.
+// TestWeightChangeRecomputesTags runs the counterexample in section 3 of the paper. Once a
+// small weight has been raised, its old value must not affect the tags any more.
 func TestWeightChangeRecomputesTags(t *testing.T) {
 	q := newQueueRig(t)
 	f, g := q.volume("f", 0.01), q.volume("g", 0.99)
@@ -87,23 +87,24 @@
 		q.enqueue(f, 1)
 		q.enqueue(g, 1)
 	}
-	q.release() // releases a request of f with S 0, F 100
-	q.release() // releases a request of g with S 0
-	q.release() // releases a request of g with S 1.01
+	q.release() // releases a request of f with start tag 0 and finish tag 100
+	q.release() // releases a request of g with start tag 0
+	q.release() // releases a request of g with start tag 1.01
 	f.setWeight(0.5)
 	g.setWeight(0.5)
-	// The last released request of f now has S 0 and F 0+1/0.5 = 2, so the next request of f has S
-	// max(v, 2) = 2.
+	// The last released request of f now has start tag 0 and finish tag 0+1/0.5 = 2. The next
+	// request of f therefore has start tag max(v, 2) = 2, where v is the virtual time.
 	if flowF := q.d.flowFor(f, q.n); math.Abs(flowF.startTag-2) > 1e-9 {
 		t.Errorf("start tag of f after the weight change: got %g, want 2", flowF.startTag)
 	}
-	// The last released request of g now has S 1.0101 and F 3.0101.
+	// The last released request of g now has start tag 1.0101 and finish tag 3.0101.
 	if flowG := q.d.flowFor(g, q.n); math.Abs(flowG.startTag-(1/0.99+2)) > 1e-9 {
 		t.Errorf("start tag of g after the weight change: got %g, want %g", flowG.startTag, 1/0.99+2)
 	}
 }
 
-// A request that leaves the queue unsent must not affect the tags of later requests.
+// TestUnsentRequestDoesNotAffectTags checks that a request that leaves the queue unsent does
+// not affect the tags of later requests.
 func TestUnsentRequestDoesNotAffectTags(t *testing.T) {
 	q := newQueueRig(t)
 	a := q.volume("a", 1)
@@ -117,8 +118,8 @@
 	}
 }
 
-// This test checks theorem 5 of the paper in intervals with different weights and concurrency
-// limits. In each interval, the normalized service (service divided by weight) of two
+// TestFairnessBound checks theorem 5 of the paper in intervals with different weights and
+// concurrency limits. In each interval, the normalized service (service divided by weight) of two
 // backlogged flows f and g differs by at most (D+1)(c_f/φ_f + c_g/φ_g).
 func TestFairnessBound(t *testing.T) {
 	for seed := range uint64(20) {
@@ -153,9 +154,9 @@
 	}
 }
 
-// A cost correction changes the tags of the volume's flow. A volume whose requests cost eight
-// times the declared units gets an eighth of the other volume's sends. A volume whose requests
-// cost less than declared gets more sends.
+// TestCostCorrectionChangesShare checks that a cost correction changes the tags of the volume's
+// flow. A volume whose requests cost eight times the declared units gets an eighth of the other
+// volume's sends. A volume whose requests cost less than declared gets more sends.
 func TestCostCorrectionChangesShare(t *testing.T) {
 	for _, c := range []struct{ correction, want float64 }{{7, 1.0 / 8}, {0, 1}, {-0.75, 4}} {
 		q := newQueueRig(t)
--- a/dispatch/helpers_test.go
+++ b/dispatch/helpers_test.go
@@ -157,7 +157,7 @@
 	failed   outcome = "failed"
 )
 
-// outcomeOf returns the outcome of a request by the last of the given actions that concerns it.
+// outcomeOf returns the outcome of a request, which the last action for the request decides.
 func outcomeOf(actions []Action, id RequestID) outcome {
 	last := pending
 	for _, a := range actions {
@@ -179,7 +179,8 @@
 	return last
 }
 
-// expectOutcome checks the outcome of a request. step names the step of the test in the failure message.
+// expectOutcome checks the outcome of a request. The failure message names the step of the
+// test.
 func expectOutcome(t *testing.T, step string, actions []Action, id RequestID, want outcome) {
 	t.Helper()
 	if got := outcomeOf(actions, id); got != want {
--- a/dispatch/latency_test.go
+++ b/dispatch/latency_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The number of requests in flight that a node reports bounds the delay that one response
-// shows. An implausible report is ignored.
+// TestLoadReportBoundsDelay checks that the reported number of requests in flight at a node
+// bounds the delay that one response shows. An implausible report is ignored.
 func TestLoadReportBoundsDelay(t *testing.T) {
 	delayAfter := func(report LoadReport, latency time.Duration) time.Duration {
 		r := newRig(t, testConfig())
--- a/dispatch/loss.go
+++ b/dispatch/loss.go
@@ -17,10 +17,10 @@
 	lateAttemptFactor = 4.0
 )
 
-// overtaken reports whether the response to the last attempt of r counts as lost. This is so if
-// n has promptly answered an attempt that was sent later, and r takes longer than the delay and
-// its service time explain. The result is wrong for a node that works only in part or serves
-// requests out of order.
+// overtaken reports whether the response to the last attempt of r counts as lost. This is true
+// if n has promptly answered an attempt that was sent later, and the attempt of r has taken
+// longer than the delay plus lateAttemptFactor times its service time. The result is wrong for
+// a node that works only in part or serves requests out of order.
 func (d *Dispatcher) overtaken(r *request, n *node, delay time.Duration) bool {
 	return r.sentAt < n.lastPromptSentAt && d.now-r.sentAt > delay+n.serviceTime(lateAttemptFactor*r.Units)
 }
--- a/dispatch/loss_test.go
+++ b/dispatch/loss_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// The age of an attempt must not count as delay once its node has promptly answered an attempt
-// that was sent later.
+// TestOvertakenAttemptDoesNotCountAsDelay checks that the age of an attempt does not count as
+// delay once its node has promptly answered an attempt that was sent later.
 func TestOvertakenAttemptDoesNotCountAsDelay(t *testing.T) {
 	r := newRig(t, testConfig())
 	observeResponses(r)
@@ -41,8 +41,8 @@
 	}
 }
 
-// A late response to a later attempt must not make an earlier attempt count as lost, because it
-// shows that the node is slow.
+// TestLateResponseDoesNotOvertake checks that a late response to a later attempt does not make
+// an earlier attempt count as lost, because a late response shows that the node is slow.
 func TestLateResponseDoesNotOvertake(t *testing.T) {
 	r := newRig(t, testConfig())
 	observeResponses(r)
@@ -59,9 +59,10 @@
 	}
 }
 
-// An attempt is overtaken when its node promptly answers an attempt that was sent later. The
-// dispatcher cancels an overtaken attempt once, if its class may be repeated and a retry can
-// complete within the latency objective.
+// TestOvertakenAttemptIsCanceled checks when an overtaken attempt is canceled. An attempt is
+// overtaken when its node promptly answers an attempt that was sent later. The dispatcher
+// cancels it once, if its class may be repeated and a retry can complete within the latency
+// objective.
 func TestOvertakenAttemptIsCanceled(t *testing.T) {
 	for _, c := range []struct {
 		class Class
@@ -105,8 +106,9 @@
 	}
 }
 
-// An overtaken attempt must stay in flight if the retry budget has no room for a retry. If it
-// were canceled, the request could only fail.
+// TestOvertakenAttemptIsNotCanceledWithoutBudget checks that an overtaken attempt stays in
+// flight if the retry budget has no room for a retry. If the attempt were canceled, the request
+// could only fail.
 func TestOvertakenAttemptIsNotCanceledWithoutBudget(t *testing.T) {
 	cfg := testConfig()
 	cfg.RetryBudget.MinRetries = 0
@@ -153,8 +155,9 @@
 	return 0
 }
 
-// Once the dispatcher has detected lost responses, it sends attempts with an early deadline. A
-// request with a lost response can then be retried within its latency objective.
+// TestLossRateSetsEarlyDeadlines checks that the dispatcher sends attempts with an early
+// deadline once it has detected lost responses. A request with a lost response can then be
+// retried within its latency objective.
 func TestLossRateSetsEarlyDeadlines(t *testing.T) {
 	r := newRig(t, testConfig())
 	answerPromptly(t, r)
--- a/dispatch/outlier.go
+++ b/dispatch/outlier.go
@@ -15,7 +15,7 @@
 	// minEjectionJitter+ejectionJitterRange.
 	minEjection          = 100 * time.Millisecond
 	maxEjection          = 2 * time.Second
-	maxEjectionDoublings = 8 // largest number of doublings
+	maxEjectionDoublings = 8 // largest number of doublings of the duration
 	minEjectionJitter    = 0.75
 	ejectionJitterRange  = 0.5
 )
--- a/dispatch/queuetime_test.go
+++ b/dispatch/queuetime_test.go
@@ -102,7 +102,7 @@
 func TestQueueTimeOfRateLimit(t *testing.T) {
 	r := newTimedRig(t, Config{Plans: []Plan{{Weight: 1, Reserve: 1000, Price: 1, RateLimit: 10, Burst: 4, Slack: 1}}})
 	r.handle(EndpointUpdate{Kind: Snapshot, Nodes: []Node{{ID: "a"}}})
-	r.request(1, "v") // waits, because the token bucket starts empty
+	r.request(1, "v") // this request waits, because the token bucket starts empty
 	r.advanceTo(time.Second)
 	if got := r.sent[1].QueueTime; got.RateLimit != r.sentAt[1] || got.RateLimit < 90*ms || got.Concurrency != 0 {
 		t.Fatalf("request sent at %v: got queue time %+v, want all of it from the rate limit and at least 90 ms", r.sentAt[1], got)
@@ -157,8 +157,8 @@
 	}
 }
 
-// The parts of the queue time must add up to the time for which the request was queued,
-// whatever blocked it.
+// TestQueueTimePartsSumToWait checks that the parts of the queue time add up to the time for
+// which the request was queued, whatever blocked it.
 func TestQueueTimePartsSumToWait(t *testing.T) {
 	r := newTimedRig(t, Config{
 		Plans: []Plan{{Weight: 1, Reserve: 1000, Price: 1, RateLimit: 80, Burst: 8, Slack: 1}},
--- a/dispatch/quota_test.go
+++ b/dispatch/quota_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A cost correction is charged to the rate limit and the reserve of the volume. An implausible
-// correction changes nothing.
+// TestCostCorrectionChargesQuota checks that a cost correction is charged to the rate limit and
+// the reserve of the volume. An implausible correction changes nothing.
 func TestCostCorrectionChargesQuota(t *testing.T) {
 	r := newRig(t, testConfig())
 	r.request(Request{Shard: 0, Plan: limitedPlan})
@@ -65,8 +65,9 @@
 	})
 }
 
-// A volume may report more dispatchers than are configured. The rate limit must then be divided
-// by the reported number.
+// TestRateLimitWithMoreDispatchersThanConfigured checks that the rate limit is divided by the
+// number of dispatchers that requests report for a volume, even if fewer dispatchers are
+// configured.
 func TestRateLimitWithMoreDispatchersThanConfigured(t *testing.T) {
 	r := newRig(t, testConfig()) // rate limit 30; burst plus slack is 48, divided into 12 shares
 	units := 0.0
--- a/dispatch/retryclaim_test.go
+++ b/dispatch/retryclaim_test.go
@@ -19,8 +19,8 @@
 	return r
 }
 
-// The dispatcher must not cancel an attempt if a request in backoff needs the last place in the
-// retry budget.
+// TestBackoffHoldsRoomInTheRetryBudget checks that the dispatcher does not cancel an attempt if
+// a request in backoff needs the last retry that the budget allows.
 func TestBackoffHoldsRoomInTheRetryBudget(t *testing.T) {
 	r := oneRetryRig(t)
 	slow, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
@@ -35,8 +35,9 @@
 	expectOutcome(t, "retry after the backoff", r.advance(retryDelay), reset, sent)
 }
 
-// A claim on the retry budget ends when its request ends or its retry is sent. Otherwise it
-// would reduce the budget of other requests forever.
+// TestRetryClaimEndsWithItsRequest checks that a claim on the retry budget ends when its
+// request ends or its retry is sent. A claim without an end would reduce the budget of other
+// requests forever.
 func TestRetryClaimEndsWithItsRequest(t *testing.T) {
 	r := oneRetryRig(t)
 	canceled, _ := r.request(Request{Shard: 1, Plan: unlimitedPlan})
@@ -56,7 +57,8 @@
 	}
 }
 
-// The reservation for the retry of a canceled attempt ends when the client cancels the request.
+// TestReservedRetryEndsWithItsRequest checks that the reservation for the retry of a canceled
+// attempt ends when the client cancels the request.
 func TestReservedRetryEndsWithItsRequest(t *testing.T) {
 	r := oneRetryRig(t)
 	slow, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
--- a/dispatch/simulation_test.go
+++ b/dispatch/simulation_test.go
@@ -272,8 +272,8 @@
 	}
 }
 
-// This test runs many dispatchers that each have little traffic, lose many responses and
-// restart.
+// TestManyDispatchersKeepInvariants checks the invariants with many dispatchers that each have
+// little traffic, lose many responses and restart.
 func TestManyDispatchersKeepInvariants(t *testing.T) {
 	for seed := range uint64(2) {
 		s := newLargeSimulation(seed, 160, 4)
@@ -287,8 +287,9 @@
 	}
 }
 
-// The checker must find a violation of an invariant when the dispatchers do not enforce it.
-// Each case hides the setting or event from the dispatchers that the enforcement depends on.
+// TestCheckerFindsMissingGuard checks that the checker finds a violation of each invariant that
+// the dispatchers do not enforce. Each case hides from the dispatchers the setting or event
+// that they need to enforce the invariant.
 func TestCheckerFindsMissingGuard(t *testing.T) {
 	for invariant, disable := range map[string]func(*simulation){
 		"idempotency": func(s *simulation) {
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// These constants are the throughputs that the tests use, in units.
+// These constants are the throughputs that the tests use.
 const (
-	usualThroughput = 40.0                             // per second, served by the shard before its node starts
-	evenShare       = 20.0 / 2 * slowStartSafetyFactor // per window, this dispatcher's share of SlowStart.InitialUnits
+	usualThroughput = 40.0                             // units per second that the shard served before its node started
+	evenShare       = 20.0 / 2 * slowStartSafetyFactor // units per window from this dispatcher's share of InitialUnits
 )
 
 // newSlowStartRig returns a rig whose node n0 has just started. Before that, the shard of n0
@@ -103,7 +103,7 @@
 			r := newSlowStartRig(t, usualThroughput)
 			n := r.d.nodes["n0"]
 			r.d.slowStartReadyAt(n, 0)
-			n.slowStartDebt = -0.5 // less than a mean request is paid in advance
+			n.slowStartDebt = -0.5 // 0.5 units, less than a mean request, are paid in advance
 			id, _ := r.request(Request{Shard: 1, Plan: unlimitedPlan})
 			r.complete(id, 0, OK)
 			if c.reserve < 0 {
--- a/dispatch/timers.go
+++ b/dispatch/timers.go
@@ -23,7 +23,7 @@
 	pollTimer                        // call discovery again
 )
 
-// timerEvent is the kind of a timer with the object that the timer concerns. The fields for
+// timerEvent holds the kind of a timer and the object that the timer concerns. The fields for
 // other objects are nil.
 type timerEvent struct {
 	kind     timerKind
--- a/dispatch/timers_test.go
+++ b/dispatch/timers_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// A completed request must not leave a timer behind until its latency objective. With long
-// objectives, the timer queue would otherwise hold every request of the last minutes.
+// TestAnsweredRequestsLeaveNoTimers checks that a completed request leaves no timer behind
+// until its latency objective. With long objectives, such timers would keep every request of
+// the last minutes in the timer queue.
 func TestAnsweredRequestsLeaveNoTimers(t *testing.T) {
 	d, err := New(Config{
 		DispatcherCount: 1,
--- a/dispatch/volumes.go
+++ b/dispatch/volumes.go
@@ -23,7 +23,7 @@
 	dispatchers int // largest reported number of dispatchers that serve the volume
 
 	// The file weights.go owns the following fields.
-	weight     float64 // φ in the paper
+	weight     float64 // weight in the fair queues; φ in the paper
 	quotaUsage float64 // latest usage figure if it is not yet applied to weight; 0 means none
 
 	// The file quota.go owns the following fields.
