--- a/attribution/aggregator.go
+++ b/attribution/aggregator.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// Aggregator keeps the latency attribution of one gateway over sliding windows, in memory that
-// does not grow with the number of volumes. A request is added to the finest slot; a slot that
-// is closed is merged as a whole into the next coarser one. It is not safe for concurrent use.
+// Aggregator holds the latency attribution of one gateway over sliding windows. Its memory does not
+// grow with the number of volumes. Add adds each request to a slot of the finest resolution. When a
+// slot is closed, the aggregator merges it into the next coarser slot. An Aggregator is not safe for
+// concurrent use.
 //
-// A level is an index into the resolutions, 0 being the finest.
+// A level is an index into the resolutions. Level 0 is the finest.
 type Aggregator struct {
 	cfg    Config
 	levels [][]*slot
-	// onClose, if not nil, is called with each slot of the distribution level when it closes.
+	// onClose, if not nil, is called for each slot of the distribution level when the slot closes.
 	onClose func(level int, s *slot)
 }
 
-// NewAggregator returns an empty aggregator, or an error if the configuration is invalid.
+// NewAggregator returns an empty aggregator. It returns an error if the configuration is invalid.
 func NewAggregator(cfg Config) (*Aggregator, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -30,8 +31,8 @@
 	return a, nil
 }
 
-// Add adds a request to the slots of its end: the finest, and each coarser one where the finer
-// is closed already.
+// Add adds a request to the finest slot that contains the request's end. If that slot is closed
+// already, Add also adds the request to coarser slots, up to the first one that is open.
 func (a *Aggregator) Add(e Entry) {
 	for level := range a.levels {
 		s := a.slotAt(level, e.Ended)
@@ -63,7 +64,7 @@
 	}
 }
 
-// Advance closes the slots that ended longer ago than the settling time.
+// Advance closes the slots that ended at least the settling time before now.
 func (a *Aggregator) Advance(now time.Duration) {
 	for level, r := range a.cfg.Resolutions[:len(a.cfg.Resolutions)-1] {
 		var due []*slot
@@ -79,8 +80,8 @@
 	}
 }
 
-// Correct applies a correction. It returns in how many resolutions the request's slot was held,
-// and whether one of them had been closed; such a slot is marked as corrected.
+// Correct applies a correction to the slots that contain the request. It returns the number of
+// these slots, and whether one of them was closed before. It marks closed slots as corrected.
 func (a *Aggregator) Correct(c Correction) (held int, late bool) {
 	for level := range a.levels {
 		s := a.lookup(level, c.Ended)
@@ -113,8 +114,8 @@
 	return held, late
 }
 
-// Window returns the sum of the slots in the last span, by the finest resolution that reaches so
-// far back. It returns false when none does.
+// Window returns the sum of the slots in the last span before now. It uses the finest resolution
+// whose ring covers the span. It returns false if no resolution covers the span.
 func (a *Aggregator) Window(now, span time.Duration) (Window, bool) {
 	level, ok := a.finestLevel(span)
 	if !ok {
@@ -125,7 +126,7 @@
 	for i := a.slotIndex(level, from); i <= a.slotIndex(level, now); i++ {
 		a.mergeInto(level, i, sum)
 	}
-	if coarse := a.distributionLevel(); level < coarse { // only whole slots there have distributions
+	if coarse := a.distributionLevel(); level < coarse { // finer levels have no distributions
 		for i := a.slotIndex(coarse, from); i <= a.slotIndex(coarse, now); i++ {
 			if s := a.lookup(coarse, time.Duration(i)*a.cfg.Resolutions[coarse].Slot); s != nil {
 				sum.mergeDistributions(s, a.cfg.Distributions)
@@ -136,8 +137,8 @@
 	return sum.window(from/r.Slot*r.Slot, now, r.Slot), true
 }
 
-// Slots returns the slots of the last span that have requests, one by one, by the finest
-// resolution that reaches so far back. It returns false when none does.
+// Slots returns one window for each slot in the last span before now that has requests. It uses the
+// finest resolution whose ring covers the span. It returns false if no resolution covers the span.
 func (a *Aggregator) Slots(now, span time.Duration) ([]Window, bool) {
 	level, ok := a.finestLevel(span)
 	if !ok {
@@ -163,13 +164,13 @@
 	return out, true
 }
 
-// MaxSpan returns the longest span that Over covers.
+// MaxSpan returns the longest span that Window and Slots accept.
 func (a *Aggregator) MaxSpan() time.Duration {
 	r := a.cfg.Resolutions[len(a.cfg.Resolutions)-1]
 	return r.Slot * time.Duration(r.Slots-1)
 }
 
-// distributionLevel is the finest level that has distributions.
+// distributionLevel returns the finest level whose slots have distributions.
 func (a *Aggregator) distributionLevel() int { return min(1, len(a.levels)-1) }
 
 func (a *Aggregator) newSlot(index int64) *slot {
@@ -180,7 +181,8 @@
 	return int64(max(at, 0) / a.cfg.Resolutions[level].Slot)
 }
 
-// lookup returns the slot of a time, nil if there is none.
+// lookup returns the slot of a level that contains a time. It returns nil if the ring does not hold
+// that slot.
 func (a *Aggregator) lookup(level int, at time.Duration) *slot {
 	i := a.slotIndex(level, at)
 	s := a.levels[level][i%int64(len(a.levels[level]))]
@@ -190,8 +192,9 @@
 	return s
 }
 
-// slotAt returns the slot of a time, which it creates if there is none, in the place of an
-// older one. It returns nil if the time is older than what the ring holds.
+// slotAt returns the slot of a level that contains a time. If the slot does not exist, slotAt closes
+// the older slot in its place of the ring and replaces it. It returns nil if the ring has replaced
+// the slot by a newer one.
 func (a *Aggregator) slotAt(level int, at time.Duration) *slot {
 	i := a.slotIndex(level, at)
 	place := &a.levels[level][i%int64(len(a.levels[level]))]
@@ -215,8 +218,8 @@
 	return s
 }
 
-// closeSlot closes a slot and merges it into the next coarser one, and into those above as long
-// as they are closed already.
+// closeSlot closes a slot and merges it into the next coarser one. If the coarser slot is closed
+// already, closeSlot continues with the next level, up to the first slot that is open.
 func (a *Aggregator) closeSlot(level int, s *slot) {
 	if s.closed {
 		return
@@ -229,8 +232,8 @@
 		h.pack()
 	}
 	at := time.Duration(s.index) * a.cfg.Resolutions[level].Slot
-	for up := level + 1; up < len(a.levels); up++ {
-		coarser := a.slotAt(up, at)
+	for coarserLevel := level + 1; coarserLevel < len(a.levels); coarserLevel++ {
+		coarser := a.slotAt(coarserLevel, at)
 		if coarser == nil {
 			continue
 		}
@@ -241,7 +244,7 @@
 	}
 }
 
-// finestLevel returns the finest level whose ring covers a span, false if none does.
+// finestLevel returns the finest level whose ring covers a span. It returns false if no level does.
 func (a *Aggregator) finestLevel(span time.Duration) (int, bool) {
 	for level, r := range a.cfg.Resolutions {
 		if span > 0 && span <= r.Slot*time.Duration(r.Slots-1) {
@@ -251,7 +254,8 @@
 	return 0, false
 }
 
-// mergeInto adds a slot to sum, with the finer slots of the same time that are not closed yet.
+// mergeInto merges a slot into sum. It also merges the finer slots of the same time that are still
+// open, because they have not been merged into coarser slots yet.
 func (a *Aggregator) mergeInto(level int, index int64, sum *slot) {
 	length := a.cfg.Resolutions[level].Slot
 	from := time.Duration(index) * length
@@ -267,8 +271,9 @@
 	}
 }
 
-// attachDistributions gives a window that is too fine to have distributions those of the coarser
-// slot whose last window it is, so that a sum over the windows contains them once.
+// attachDistributions copies the distributions of a coarser slot to a window that is too fine to
+// have its own. The caller passes the last window within the coarser slot, so that a sum over all
+// windows contains the distributions only once.
 func (a *Aggregator) attachDistributions(w *Window) {
 	if s := a.lookup(a.distributionLevel(), w.From); s != nil {
 		w.Distributions = s.distributionList()
--- a/attribution/bins.go
+++ b/attribution/bins.go
@@ -2,10 +2,10 @@
 
 import "github.com/HdrHistogram/hdrhistogram-go"
 
-// Bins are the buckets of an HDR histogram that are not empty.
+// Bins holds the buckets of an HDR histogram that are not empty.
 type Bins struct {
-	At []uint16 `json:"at"` // indexes of the buckets, ascending
-	N  []int64  `json:"n"`  // their counts
+	At []uint16 `json:"at"` // bucket indexes, ascending
+	N  []int64  `json:"n"`  // count of the bucket with the index at the same position in At
 }
 
 func binsOf(h *hdrhistogram.Histogram) Bins {
@@ -18,8 +18,8 @@
 	return b
 }
 
-// Histogram returns a histogram of microseconds with the buckets' counts. Buckets out of its
-// range are left out.
+// Histogram returns a histogram of times in microseconds that has the counts of the buckets. It
+// ignores buckets whose index is out of the histogram's range.
 func (b Bins) Histogram() *hdrhistogram.Histogram {
 	h := newHistogram()
 	s := h.Export()
@@ -31,7 +31,7 @@
 	return hdrhistogram.Import(s)
 }
 
-// Count returns the number of values.
+// Count returns the sum of the counts of all buckets.
 func (b Bins) Count() int64 {
 	var n int64
 	for _, x := range b.N {
@@ -45,7 +45,7 @@
 	b.N = append(b.N, n)
 }
 
-// plus returns the sum of two lists of buckets.
+// plus returns the buckets of both lists and adds the counts of buckets that are in both.
 func (b Bins) plus(o Bins) Bins {
 	room := len(b.At) + len(o.At)
 	out := Bins{At: make([]uint16, 0, room), N: make([]int64, 0, room)}
@@ -67,7 +67,7 @@
 	return out
 }
 
-// negate changes the sign of the counts in place and returns the buckets.
+// negate changes the sign of every count in place and returns b.
 func (b Bins) negate() Bins {
 	for i := range b.N {
 		b.N[i] = -b.N[i]
@@ -75,7 +75,7 @@
 	return b
 }
 
-// withoutEmpty returns the buckets whose counts are above 0.
+// withoutEmpty returns a copy that holds only the buckets whose counts are above 0.
 func (b Bins) withoutEmpty() Bins {
 	var out Bins
 	for i, n := range b.N {
--- a/attribution/boundedmap.go
+++ b/attribution/boundedmap.go
@@ -1,10 +1,10 @@
 package attribution
 
-// boundedMap is a map with a fixed capacity: a new key replaces the oldest one.
+// boundedMap is a map with a fixed capacity. When it is full, a new key replaces the oldest one.
 type boundedMap[K comparable, V any] struct {
 	entries []boundedMapEntry[K, V]
-	index   map[K]int // into entries
-	next    int       // entry that the next new key takes
+	index   map[K]int // maps a key to its index in entries
+	next    int       // index in entries that the next new key gets
 }
 
 type boundedMapEntry[K comparable, V any] struct {
@@ -17,7 +17,8 @@
 	return &boundedMap[K, V]{entries: make([]boundedMapEntry[K, V], capacity), index: map[K]int{}}
 }
 
-// put stores a value. It returns the value that was evicted for it, if one was.
+// put stores a value under a key. If this evicts the value of another key, put returns the evicted
+// value and true.
 func (m *boundedMap[K, V]) put(key K, v V) (evicted V, ok bool) {
 	if i, found := m.index[key]; found {
 		m.entries[i].val = v
@@ -33,7 +34,7 @@
 	return evicted, ok
 }
 
-// take removes a key and returns its value.
+// take removes a key and returns its value. It returns false if the map does not contain the key.
 func (m *boundedMap[K, V]) take(key K) (v V, ok bool) {
 	i, ok := m.index[key]
 	if !ok {
--- a/attribution/clientspan.go
+++ b/attribution/clientspan.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// ClientSpan is the span of a client's request, which may need several requests to nodes, one
-// after the other or concurrently. A moment is attributed as a request to a node attributes it,
-// or else to the client span's own component. Where several requests to nodes overlap, each
-// moment counts once: for the one that ended first.
+// ClientSpan attributes the time of a client's request, which may need several requests to nodes,
+// one after the other or concurrently. While a request to a node is in progress, the client span
+// takes over the attribution of that request. At other times it uses its own current component.
+// Where several requests to nodes overlap, only the request that ended first counts.
 type ClientSpan struct {
 	span       Span
 	behind     []Contribution
 	unreported []Unreported
 }
 
-// StartClientSpan starts a client span in a component.
+// StartClientSpan returns a client span that starts now, in component c.
 func StartClientSpan(now time.Duration, c Component) ClientSpan {
 	return ClientSpan{span: StartSpan(now, c)}
 }
 
-// WaitedBehind sets which volumes the span has waited behind so far.
+// WaitedBehind replaces the list of volumes that the span has waited behind so far.
 func (s *ClientSpan) WaitedBehind(behind []Contribution) { s.behind = behind }
 
-// Enter switches to another component.
+// Enter attributes the time since the last change to the current component, then makes c the
+// current component.
 func (s *ClientSpan) Enter(now time.Duration, c Component) { s.span.Enter(now, c) }
 
-// Include adds a request to a node that has ended. The time before it stays with the current
-// component; the time after it belongs to the gateway.
+// Include adds the attribution of a request to a node that has ended. The time before that
+// request stays with the current component. The time after it is attributed to Gateway.
 func (s *ClientSpan) Include(e *Entry) {
 	s.span.Enter(e.Started, s.span.component)
 	part, whole := e.Ended-s.span.lastChange, e.Ended-e.Started
@@ -49,9 +50,10 @@
 	s.includeUnreported(e.Unreported, parts[NodeUnknown])
 }
 
-// includeUnreported adds attempts without a report, whose times together are at most unknown.
+// includeUnreported adds attempts whose nodes have not reported yet. It shortens their times so
+// that the sum is at most unknown.
 func (s *ClientSpan) includeUnreported(attempts []Unreported, unknown time.Duration) {
-	if s.unreported == nil && len(attempts) == 1 && attempts[0].Unknown <= unknown { // the usual case: no copy
+	if s.unreported == nil && len(attempts) == 1 && attempts[0].Unknown <= unknown { // common case, needs no copy
 		s.unreported = attempts[:1:1]
 		return
 	}
@@ -63,7 +65,7 @@
 	}
 }
 
-// End ends the span and returns its entry, whose parts sum to its duration.
+// End ends the span and returns its entry. The parts of the entry sum to the span's duration.
 func (s *ClientSpan) End(now time.Duration, volume string, o Outcome) Entry {
 	s.span.Enter(now, Gateway)
 	e := s.span.Finish(volume, o)
@@ -72,8 +74,8 @@
 	return e
 }
 
-// scaleEntry returns an entry's times in the proportion part/whole. The breakdown sums to part
-// exactly; the rounding error goes to the largest component.
+// scaleEntry returns the breakdown and contributions of an entry, multiplied by part/whole. The
+// breakdown sums to part exactly, because the largest component absorbs the rounding error.
 func scaleEntry(e *Entry, part, whole time.Duration) (Breakdown, []Contribution) {
 	f := float64(part) / float64(whole)
 	var scaled Breakdown
--- a/attribution/collector.go
+++ b/attribution/collector.go
@@ -6,59 +6,59 @@
 	"time"
 )
 
-// Collector aggregates a gateway's requests and matches late reports with them. It takes events
-// with the time and returns actions; it is not safe for concurrent use.
+// Collector aggregates the requests of a gateway and matches late reports with them. It receives
+// events with their times and returns actions. It is not safe for concurrent use.
 type Collector struct {
 	aggregator   *Aggregator
 	now          time.Duration
 	unreported   *boundedMap[attemptKey, pendingReport] // attempts whose nodes have not reported
-	earlyReports *boundedMap[attemptKey, NodeReport]    // reports whose requests are not entered yet
+	earlyReports *boundedMap[attemptKey, NodeReport]    // reports that arrived before the entry of their request
 	counts       Counts
 	actions      []Action
 }
 
-// CollectorConfig bounds a collector.
+// CollectorConfig configures the aggregator of a collector and bounds the collector's memory.
 type CollectorConfig struct {
 	Config
-	Late  int // attempts of ended requests that are kept for late reports
-	Early int // reports that are kept until their request ends
+	Late  int // maximum number of attempts of ended requests that wait for late reports
+	Early int // maximum number of reports that wait for the end of their request
 }
 
-// DefaultCollectorConfig returns the defaults.
+// DefaultCollectorConfig returns the default configuration of a collector.
 func DefaultCollectorConfig() CollectorConfig {
 	return CollectorConfig{Config: DefaultConfig(), Late: 8192, Early: 1024}
 }
 
-// Counts are a collector's counters since its start.
+// Counts holds the counters of a collector since its start.
 type Counts struct {
 	Entered      int64 `json:"entered"`
-	Unreported   int64 `json:"untold"`    // attempts whose nodes had not reported by the request's end
-	ReportedLate int64 `json:"told_late"` // of these, reported since
-	Corrected    int64 `json:"corrected"` // of these, in slots that had been closed
-	Unplaced     int64 `json:"unplaced"`  // reports whose request is unknown or forgotten
-	Overdue      int64 `json:"overdue"`   // entries of slots that had been closed, and perhaps saved
-	Lost         int64 `json:"lost"`      // entries dropped on the way to the collector
+	Unreported   int64 `json:"untold"`    // attempts whose node had not reported when the request ended
+	ReportedLate int64 `json:"told_late"` // attempts in Unreported whose node has reported since
+	Corrected    int64 `json:"corrected"` // attempts in ReportedLate that corrected a closed slot
+	Unplaced     int64 `json:"unplaced"`  // reports dropped because their request is unknown or no longer kept
+	Overdue      int64 `json:"overdue"`   // entries added to a slot that was closed and may have been saved
+	Lost         int64 `json:"lost"`      // entries that the gateway dropped before they reached the collector
 }
 
 type attemptKey struct {
-	call    uint64
+	request uint64
 	attempt int
 }
 
-// pendingReport is an attempt that a late report can still correct.
+// pendingReport holds the data of an attempt whose request has ended and whose node may still report.
 type pendingReport struct {
 	volume    string
 	ended     time.Duration
 	unknown   time.Duration
-	remaining *time.Duration // the request's whole time in NodeUnknown, shared by its attempts
+	remaining *time.Duration // the request's remaining time in NodeUnknown, shared by all its attempts
 	ahead     []InFlightUnits
 }
 
-// NewCollector returns a collector with an empty aggregator, or an error if the configuration is
-// invalid.
+// NewCollector returns a collector with an empty aggregator. It returns an error if the
+// configuration is invalid.
 func NewCollector(cfg CollectorConfig) (*Collector, error) {
 	if cfg.Late < 1 || cfg.Early < 1 {
-		return nil, errors.New("attribution: want room for at least 1 late and 1 early report")
+		return nil, errors.New("attribution: the limits for late and early reports must be at least 1")
 	}
 	a, err := NewAggregator(cfg.Config)
 	if err != nil {
@@ -77,14 +77,14 @@
 	return c, nil
 }
 
-// Aggregator returns the aggregator, which may be read between events.
+// Aggregator returns the collector's aggregator. Callers may read it between calls of Handle.
 func (c *Collector) Aggregator() *Aggregator { return c.aggregator }
 
-// Counts returns the counters.
+// Counts returns the current values of the counters.
 func (c *Collector) Counts() Counts { return c.counts }
 
-// Handle processes an event and returns the resulting actions, which are valid until the next
-// call.
+// Handle processes an event and returns the resulting actions. The returned slice is valid until
+// the next call.
 func (c *Collector) Handle(now time.Duration, ev Event) []Action {
 	c.actions = c.actions[:0]
 	c.now = max(now, c.now)
@@ -105,8 +105,9 @@
 	return c.actions
 }
 
-// addEntry adds a request to the aggregator. Reports that arrived before it are applied to the
-// entry itself; its other attempts without a report are kept for late ones.
+// addEntry adds a request to the aggregator. First it applies the reports that arrived before the
+// entry. It keeps the remaining attempts without a report, so that late reports can be matched with
+// them.
 func (c *Collector) addEntry(e *Entry) {
 	c.counts.Entered++
 	pending := e.Unreported
@@ -133,8 +134,8 @@
 	}
 }
 
-// applyEarlyReports applies the reports that arrived before their request and returns the
-// attempts that are still without one.
+// applyEarlyReports applies the reports that arrived before the request's entry. It returns the
+// attempts that still have no report.
 func (c *Collector) applyEarlyReports(e *Entry) (pending []Unreported) {
 	for _, u := range e.Unreported {
 		r, ok := c.earlyReports.take(attemptKey{u.Request, u.Attempt})
@@ -142,15 +143,16 @@
 			pending = append(pending, u)
 			continue
 		}
-		queue, work := r.bounded(u.Unknown)
+		queue, service := r.bounded(u.Unknown)
 		e.Move(NodeUnknown, NodeQueue, queue)
-		e.Move(NodeUnknown, NodeService, work)
+		e.Move(NodeUnknown, NodeService, service)
 		e.Behind = append(e.Behind, Divide(u.Ahead, queue)...)
 	}
 	return pending
 }
 
-// applyReport corrects a request's slot by a late report. A repeated report counts once.
+// applyReport corrects the slot of a request according to a late report. A repeated report is
+// applied only once.
 func (c *Collector) applyReport(r NodeReport) {
 	key := attemptKey{r.Request, r.Attempt}
 	p, ok := c.unreported.take(key)
@@ -160,7 +162,7 @@
 		}
 		return
 	}
-	queue, work := r.bounded(p.unknown)
+	queue, service := r.bounded(p.unknown)
 	correction := Correction{
 		Volume: p.volume,
 		Ended:  p.ended,
@@ -168,12 +170,12 @@
 		Had:    *p.remaining,
 		Behind: Divide(p.ahead, queue),
 	}
-	for _, to := range []ComponentTime{{NodeQueue, queue}, {NodeService, work}} {
+	for _, to := range []ComponentTime{{NodeQueue, queue}, {NodeService, service}} {
 		if to.Time > 0 {
 			correction.To = append(correction.To, to)
 		}
 	}
-	*p.remaining -= queue + work
+	*p.remaining -= queue + service
 	c.counts.ReportedLate++
 	if _, late := c.aggregator.Correct(correction); late {
 		c.counts.Corrected++
@@ -183,7 +185,8 @@
 	}
 }
 
-// slotClosed reports whether a SlotClosed was returned for the slot of a time.
+// slotClosed reports whether the collector has returned a SlotClosed for the slot that contains
+// the given time.
 func (c *Collector) slotClosed(at time.Duration) bool {
 	s := c.aggregator.lookup(c.aggregator.distributionLevel(), at)
 	return s != nil && s.closed
--- a/attribution/component.go
+++ b/attribution/component.go
@@ -2,37 +2,38 @@
 
 import "fmt"
 
-// Component is what a moment of a request's time is attributed to. Every moment belongs to
-// exactly one component.
+// Component is the part of the system, or the reason for waiting, that a moment of a request's
+// latency is attributed to. Each moment is attributed to exactly one component.
 type Component uint8
 
-// The components.
+// The components say where a request is or what it waits for.
 const (
-	Gateway            Component = iota // in the gateway itself: parsing, deciding, writing
-	RequestBody                         // receiving its body from the client
-	QueuedUnknown                       // queued for an unknown reason: the client canceled first
-	QueuedBehindOthers                  // queued while requests of other volumes were in flight
-	QueuedBehindOwn                     // queued while requests of its own volume were in flight
-	RateLimited                         // queued by its volume's rate limit
-	SlowStart                           // queued by the slow start of a node
-	Ejected                             // queued by the ejection of a node
-	KeyOrder                            // waiting for earlier writes of its key or the key's quiescence
-	RetryBackoff                        // waiting before a retry
-	FailedAttempts                      // in attempts without a response
-	Dialing                             // waiting for a connection to its node
-	NodeQueue                           // queued at the node, as the node reported
-	NodeService                         // in service at the node, as the node reported
-	NodeUnknown                         // at the node, which has not reported how the time divides
-	ResponseBody                        // forwarding the response from the node
-	SlowClient                          // waiting for the client to read the response
-	EventLoop                           // waiting for a time slice of its event loop
+	Gateway            Component = iota // the gateway parses, schedules or writes the request
+	RequestBody                         // the gateway receives the request body from the client
+	QueuedUnknown                       // queued for an unknown reason, as the client canceled first
+	QueuedBehindOthers                  // queued while requests of other volumes are in flight
+	QueuedBehindOwn                     // queued while requests of its own volume are in flight
+	RateLimited                         // queued because its volume has reached its rate limit
+	SlowStart                           // queued because a node is in slow start
+	Ejected                             // queued because a node is ejected
+	KeyOrder                            // waits for earlier writes to its key, or until its key is quiescent
+	RetryBackoff                        // waits before a retry
+	FailedAttempts                      // spent in attempts that got no response
+	Dialing                             // waits for a connection to its node
+	NodeQueue                           // queued at the node, according to the node's report
+	NodeService                         // in service at the node, according to the node's report
+	NodeUnknown                         // at the node, which has not reported its queue and service times
+	ResponseBody                        // the gateway forwards the response from the node
+	SlowClient                          // waits for the client to read the response
+	EventLoop                           // waits for a time slice of its event loop
 	componentCount
 )
 
 // Components is the number of components.
 const Components = int(componentCount)
 
-// componentNames are the names in logs, reports and JSON, which are a stable interface.
+// componentNames holds the name of each component in logs, reports and JSON. Stored logs contain
+// these names, so they must not change.
 var componentNames = [Components]string{
 	Gateway:            "gateway",
 	RequestBody:        "body_in",
@@ -54,7 +55,7 @@
 	EventLoop:          "loop",
 }
 
-// String returns the component's name in reports.
+// String returns the component's name as reports print it.
 func (c Component) String() string {
 	if c >= componentCount {
 		return "unknown"
@@ -62,7 +63,8 @@
 	return componentNames[c]
 }
 
-// ParseComponent returns the component of a name and reports whether there is one.
+// ParseComponent returns the component with the given name. It returns false if no component has
+// that name.
 func ParseComponent(name string) (Component, bool) {
 	for i, n := range componentNames {
 		if n == name {
@@ -72,10 +74,10 @@
 	return 0, false
 }
 
-// MarshalText implements encoding.TextMarshaler with the component's name.
+// MarshalText implements encoding.TextMarshaler: it returns the component's name.
 func (c Component) MarshalText() ([]byte, error) { return []byte(c.String()), nil }
 
-// UnmarshalText implements encoding.TextUnmarshaler.
+// UnmarshalText implements encoding.TextUnmarshaler: it accepts the name of a component.
 func (c *Component) UnmarshalText(b []byte) error {
 	parsed, ok := ParseComponent(string(b))
 	if !ok {
--- a/attribution/contribution.go
+++ b/attribution/contribution.go
@@ -7,22 +7,23 @@
 	"time"
 )
 
-// Contribution is the part of a wait that is attributed to a volume. The volume is empty where
-// nothing was in flight, or where the history does not reach back.
+// Contribution is the part of a wait that is attributed to one volume. Volume is empty for the
+// time in which no request was in flight, and for the time before the start of the history.
 type Contribution struct {
 	Volume string        `json:"volume"`
 	Time   time.Duration `json:"ns"`
 }
 
-// InFlightUnits is what a volume has in flight at a node, in cost units.
+// InFlightUnits holds the cost units of the requests that one volume has in flight at a node.
 type InFlightUnits struct {
 	Volume string
 	Units  float64
-	count  int // requests in flight
+	count  int // number of requests in flight
 }
 
-// Divide divides a wait among the volumes that were ahead, by their units, as a FIFO queue
-// serves them. The parts sum to d; with nothing ahead, all of it belongs to no volume.
+// Divide divides a wait of length d among the volumes that were ahead in the node's FIFO queue, in
+// proportion to their units. The parts sum to d. If no units were ahead, the whole wait is
+// attributed to no volume.
 func Divide(ahead []InFlightUnits, d time.Duration) []Contribution {
 	if d <= 0 {
 		return nil
@@ -41,14 +42,14 @@
 	return apportion(seconds, 0, d)
 }
 
-// apportion turns seconds by volume into durations that, with the unattributed part, sum to total exactly.
-// The rounding error goes to the largest.
-func apportion(seconds []InFlightUnits, nobody, total time.Duration) []Contribution {
+// apportion converts the seconds of each volume to durations and adds the unattributed part. The
+// result sums to total exactly, because the largest duration absorbs the rounding error.
+func apportion(seconds []InFlightUnits, unattributed, total time.Duration) []Contribution {
 	out := make([]Contribution, 0, len(seconds)+1)
-	if nobody > 0 {
-		out = append(out, Contribution{Time: nobody})
+	if unattributed > 0 {
+		out = append(out, Contribution{Time: unattributed})
 	}
-	rest := total - nobody
+	rest := total - unattributed
 	largest := -1
 	for _, s := range seconds {
 		d := min(time.Duration(s.Units*float64(time.Second)), rest)
@@ -67,7 +68,8 @@
 	return out
 }
 
-// addUnits adds units to a volume in a list sorted by volume and returns the list.
+// addUnits adds units to one volume of a list that is sorted by volume. It inserts the volume if
+// it is missing, and returns the list.
 func addUnits(to []InFlightUnits, volume string, units float64) []InFlightUnits {
 	i, found := slices.BinarySearchFunc(to, volume, compareVolume)
 	if !found {
--- a/attribution/distribution.go
+++ b/attribution/distribution.go
@@ -2,28 +2,29 @@
 
 import "time"
 
-// PercentileError is the relative error that a percentile has at most.
+// PercentileError is the largest relative error of a percentile.
 const PercentileError = 0.01
 
-// Distribution is the distributions of a volume's request times, whole and by component.
+// Distribution holds the distribution of the total times of a volume's requests, and that of
+// their times in each component.
 type Distribution struct {
 	Volume     string          `json:"volume"`
 	Whole      Bins            `json:"whole"`
-	Components map[string]Bins `json:"causes,omitempty"` // by name, without those that took no time
+	Components map[string]Bins `json:"causes,omitempty"` // by component name; components without time are omitted
 }
 
-// Percentile returns the time that a share of the requests, such as 0.99, did not exceed.
+// Percentile returns the time that the given share of the requests, such as 0.99, did not exceed.
 func (d *Distribution) Percentile(share float64) time.Duration {
 	return percentile(d.Whole, d.Whole.Count(), share)
 }
 
-// ComponentPercentile returns the same for the time in one component, over all requests, those
-// without time in it included.
+// ComponentPercentile returns the time in one component that the given share of the requests did
+// not exceed. Requests without time in the component count as 0.
 func (d *Distribution) ComponentPercentile(c Component, share float64) time.Duration {
 	return percentile(d.Components[c.String()], d.Whole.Count(), share)
 }
 
-// percentile is over n values, those that are not in the bins being zero.
+// percentile returns the percentile of n values. Values that are not in the bins count as 0.
 func percentile(b Bins, n int64, share float64) time.Duration {
 	nonzero := b.Count()
 	n = max(n, nonzero)
--- a/attribution/entry.go
+++ b/attribution/entry.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Entry is the latency attribution of a request that has ended.
+// Entry holds the latency attribution of one request that has ended.
 type Entry struct {
 	Volume     string
 	Started    time.Duration
 	Ended      time.Duration
 	Outcome    Outcome
 	Parts      Breakdown
-	Behind     []Contribution // the volumes it waited behind; may contain its own
+	Behind     []Contribution // time that the request waited behind each volume, possibly its own
 	Unreported []Unreported
 }
 
-// Unreported is an attempt whose node has not reported how its time there divides. A later
-// report still can.
+// Unreported describes an attempt whose node has not yet reported its queue and service times.
+// The node may still send the report later.
 type Unreported struct {
 	Request uint64 // number of the request to the node
 	Attempt int
-	Unknown time.Duration   // share of Parts[NodeUnknown]
-	Ahead   []InFlightUnits // what was in flight at the node when the attempt was sent
+	Unknown time.Duration   // the attempt's share of Entry.Parts[NodeUnknown]
+	Ahead   []InFlightUnits // units that each volume had in flight at the node when the attempt was sent
 }
 
-// Move reattributes up to d from one component to another, no more than is there, and returns
-// how much was moved.
+// Move reattributes up to d from one component to another. It moves no more than the first
+// component holds, and returns the time moved.
 func (e *Entry) Move(from, to Component, d time.Duration) time.Duration {
 	d = e.Parts.move(from, to, d)
 	if from == NodeUnknown {
--- a/attribution/histograms.go
+++ b/attribution/histograms.go
@@ -6,27 +6,29 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Parameters of the histograms, which are over microseconds. Two significant digits make a
-// percentile at most PercentileError off. Stored bins depend on all of them.
+// Parameters of the histograms, which record times in microseconds. With 2 significant digits, the
+// relative error of a percentile is at most PercentileError. Stored bins depend on these parameters.
 const (
-	maxRecordedTime   = 30 * time.Minute // longer times are recorded as this
+	maxRecordedTime   = 30 * time.Minute // longer times are recorded as maxRecordedTime
 	significantDigits = 2
 )
 
 const (
-	wholeIndex     = Components // index of the time over all components
+	wholeIndex     = Components // index of the histogram of total times
 	histogramCount = Components + 1
 )
 
-// histogramSet is one volume's distributions in one slot: an HDR histogram for each component
-// and one of the whole time. A request without time in a component is not recorded for it; how
-// many there were follows from the count of the whole.
+// histogramSet holds the distributions of one volume in one slot: one HDR histogram for each
+// component and one for the total time. A request that spent no time in a component is not
+// recorded in the component's histogram. The number of such requests is the difference between
+// the counts of the two histograms.
 type histogramSet struct {
 	live    [histogramCount]*hdrhistogram.Histogram
 	removed [histogramCount]*hdrhistogram.Histogram // values to subtract from live
-	packed  [histogramCount]Bins                    // where live is nil
+	packed  [histogramCount]Bins                    // used for each index where live is nil
 }
 
+// restoreHistogramSet returns a set with the contents of a distribution.
 func restoreHistogramSet(d *Distribution) *histogramSet {
 	h := &histogramSet{}
 	h.packed[wholeIndex] = d.Whole
@@ -38,7 +40,7 @@
 	return h
 }
 
-// distribution returns the set as the distribution of a volume.
+// distribution returns the contents of the set as the distribution of a volume.
 func (h *histogramSet) distribution(volume string) Distribution {
 	d := Distribution{Volume: volume, Whole: h.bins(wholeIndex), Components: map[string]Bins{}}
 	for c := range Components {
@@ -49,7 +51,7 @@
 	return d
 }
 
-// add records a request.
+// add records the total time and the component times of one request.
 func (h *histogramSet) add(parts *Breakdown) {
 	h.record(wholeIndex, parts.Total())
 	for c, t := range parts {
@@ -59,7 +61,8 @@
 	}
 }
 
-// correct replaces a request's time in one component as a late report divides it.
+// correct removes a request's time in one component and records the times in which a late report
+// divides it.
 func (h *histogramSet) correct(c *Correction) {
 	left := c.Had
 	for _, to := range c.To {
@@ -76,7 +79,7 @@
 	}
 }
 
-// merge adds another set.
+// merge adds the values of another set.
 func (h *histogramSet) merge(o *histogramSet) {
 	for i := range histogramCount {
 		b := o.bins(i)
@@ -93,7 +96,7 @@
 	}
 }
 
-// pack replaces the live histograms by the buckets that are not empty.
+// pack replaces each live histogram with its buckets that are not empty, which need less memory.
 func (h *histogramSet) pack() {
 	for i, live := range h.live {
 		if live != nil {
@@ -104,7 +107,8 @@
 	}
 }
 
-// liveHistogram returns a histogram that can be recorded to.
+// liveHistogram returns the i-th histogram in a form that accepts new values. It unpacks the
+// histogram if necessary.
 func (h *histogramSet) liveHistogram(i int) *hdrhistogram.Histogram {
 	if h.live[i] == nil {
 		h.live[i] = h.packed[i].Histogram()
@@ -115,7 +119,8 @@
 
 func (h *histogramSet) record(i int, t time.Duration) { recordTime(h.liveHistogram(i), t) }
 
-// remove takes a recorded value out again, which an HDR histogram itself cannot.
+// remove removes a recorded value. An HDR histogram cannot remove values, so a second histogram
+// counts the removed values.
 func (h *histogramSet) remove(i int, t time.Duration) {
 	h.liveHistogram(i)
 	if h.removed[i] == nil {
@@ -124,6 +129,7 @@
 	recordTime(h.removed[i], t)
 }
 
+// bins returns the buckets of the i-th histogram that are not empty.
 func (h *histogramSet) bins(i int) Bins {
 	if h.live[i] == nil {
 		return h.packed[i]
@@ -139,7 +145,8 @@
 	return hdrhistogram.New(1, maxRecordedTime.Microseconds(), significantDigits)
 }
 
-// recordTime records a time, which it clamps to the histogram's range.
+// recordTime records a time, limited to the histogram's range.
 func recordTime(h *hdrhistogram.Histogram, t time.Duration) {
-	_ = h.RecordValue(min(max(t.Microseconds(), 0), maxRecordedTime.Microseconds())) // fails only out of range
+	// RecordValue returns an error only if the value is out of range.
+	_ = h.RecordValue(min(max(t.Microseconds(), 0), maxRecordedTime.Microseconds()))
 }
--- a/attribution/occupancy.go
+++ b/attribution/occupancy.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// Occupancy records which volumes have requests in flight at one node, so that the time of a
-// queued request can be attributed to them: each moment belongs to the volumes in flight, in
-// proportion to their units.
+// Occupancy records which volumes have requests in flight at one node, so that the waiting time of
+// a queued request can be attributed to them. Each moment is divided among the volumes with
+// requests in flight, in proportion to their units.
 //
-// The history is a bounded number of intervals that grow coarser with age. Within an interval
-// only sums are known, so the two ends of a wait are divided as the whole of their intervals.
-// An interval is at least a quantum long, and mergeFactor times as long in each older level.
+// The history consists of a bounded number of intervals, which are longer the older they are. An
+// interval stores only sums. Where a wait starts or ends within an interval, its share of that
+// interval is divided like the whole interval. An interval is at least one quantum long. Each older
+// level has intervals that are mergeFactor times as long.
 type Occupancy struct {
 	quantum     time.Duration
 	inFlight    []InFlightUnits // sorted by volume
-	accruedTo   []float64       // for each of inFlight: virtual time up to which it is accrued
+	accruedTo   []float64       // virtual time up to which the volume at the same index of inFlight is accrued
 	virtualTime float64         // seconds attributed to each unit in flight
-	totalUnits  float64         // sum over inFlight
+	totalUnits  float64         // sum of the units in inFlight
 	updatedAt   time.Duration
 	current     interval
 	history     [historyLevels][]interval // oldest first in each level
@@ -26,24 +27,25 @@
 const (
 	historyLevels     = 3
 	intervalsPerLevel = 256
-	mergeFactor       = 8 // intervals of one level that become one of the next
+	mergeFactor       = 8 // number of intervals of one level that are merged into one of the next level
 )
 
-// minUnits is the least that a request counts for: one of no units occupies the node too.
+// minUnits is the minimum number of units that a request counts for. A request of 0 units also
+// occupies the node.
 const minUnits = 1e-3
 
-// interval is how a time span divides among volumes.
+// interval holds the division of a time span among volumes.
 type interval struct {
 	from, to time.Duration
-	busy     []InFlightUnits // Units are seconds here; sorted by volume
-	idle     time.Duration   // nothing in flight
+	busy     []InFlightUnits // the field Units holds seconds; sorted by volume
+	idle     time.Duration   // time with no request in flight
 }
 
 // NewOccupancy returns the occupancy of an idle node.
 func NewOccupancy(quantum time.Duration) *Occupancy { return &Occupancy{quantum: quantum} }
 
-// RequestSent records that a request of a volume is in flight from now on. It returns what was in
-// flight before it.
+// RequestSent records that a request of a volume is in flight from now on. It returns the units
+// that each volume had in flight before this request.
 func (o *Occupancy) RequestSent(now time.Duration, volume string, units float64) []InFlightUnits {
 	o.advance(now)
 	ahead := slices.Clone(o.inFlight)
@@ -61,7 +63,7 @@
 	return ahead
 }
 
-// RequestEnded records that a request is no longer in flight.
+// RequestEnded records that a request of a volume is no longer in flight.
 func (o *Occupancy) RequestEnded(now time.Duration, volume string, units float64) {
 	o.advance(now)
 	units = max(units, minUnits)
@@ -77,30 +79,30 @@
 		o.inFlight = slices.Delete(o.inFlight, i, i+1)
 		o.accruedTo = slices.Delete(o.accruedTo, i, i+1)
 	}
-	if len(o.inFlight) == 0 { // rounding errors must not accumulate
+	if len(o.inFlight) == 0 { // reset the sums, so that rounding errors do not accumulate
 		o.totalUnits = 0
 		o.virtualTime = 0
 	}
 }
 
-// Between divides the time from one moment to another among the volumes that were in flight,
-// sorted by volume. The parts sum to to-from exactly.
+// Between divides the time between two moments among the volumes that had requests in flight. The
+// result is sorted by volume, and its times sum to exactly to-from.
 func (o *Occupancy) Between(from, to time.Duration) []Contribution {
 	o.advance(to)
 	if to <= from {
 		return nil
 	}
 	o.accrueAll()
-	var seconds []InFlightUnits // Units are seconds here
-	var nobody, known time.Duration
-	// add adds the share that an interval has of the wait and reports whether an older one
-	// may have more.
+	var seconds []InFlightUnits // the field Units holds seconds
+	var unattributed, known time.Duration
+	// add adds the interval's share of the wait. It reports whether the wait started before the
+	// interval, so that older intervals may have a share too.
 	add := func(v *interval) bool {
 		d := min(v.to, to) - max(v.from, from)
 		if d > 0 {
 			known += d
 			f := d.Seconds() / (v.to - v.from).Seconds()
-			nobody += time.Duration(f * float64(v.idle))
+			unattributed += time.Duration(f * float64(v.idle))
 			for _, b := range v.busy {
 				seconds = addUnits(seconds, b.Volume, f*b.Units)
 			}
@@ -114,11 +116,12 @@
 			more = add(&h[i])
 		}
 	}
-	return apportion(seconds, nobody+to-from-known, to-from)
+	return apportion(seconds, unattributed+to-from-known, to-from)
 }
 
-// advance accounts for the time up to now. A volume's share of it is accrued when its units
-// change or the interval ends, from how far the virtual time has advanced.
+// advance adds the time up to now to the current interval. It advances only the virtual time and
+// the idle time. A volume's own share is accrued from the virtual time when the volume's units
+// change or the interval ends.
 func (o *Occupancy) advance(now time.Duration) {
 	d := now - o.updatedAt
 	if d <= 0 {
@@ -139,7 +142,7 @@
 	o.current = interval{from: now, to: now}
 }
 
-// accrue adds the i-th volume's time since it was last accrued to the current interval.
+// accrue adds the time of the i-th volume since its last accrual to the current interval.
 func (o *Occupancy) accrue(i int) {
 	if d := o.virtualTime - o.accruedTo[i]; d > 0 {
 		o.current.busy = addUnits(o.current.busy, o.inFlight[i].Volume, d*o.inFlight[i].Units)
@@ -153,8 +156,9 @@
 	}
 }
 
-// archive appends an interval to a level of the history. A full level passes its oldest
-// intervals to the next, merged into one; the last level drops them.
+// archive appends an interval to a level of the history. If the level is full, archive first
+// merges its mergeFactor oldest intervals into one and appends that one to the next level. The
+// last level drops its oldest intervals.
 func (o *Occupancy) archive(level int, v interval) {
 	if level == historyLevels {
 		return
--- a/attribution/outcome.go
+++ b/attribution/outcome.go
@@ -1,22 +1,23 @@
 package attribution
 
-// Outcome is how a request ended for its client.
+// Outcome is the way in which a request ended for its client.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of a request, as its client sees them.
 const (
-	Completed Outcome = iota // its node responded
-	Rejected                 // the gateway rejected it; a retry is safe
-	Failed                   // the gateway failed it; whether it was executed is unknown
-	Aborted                  // its response broke off
-	Canceled                 // its client left first
+	Completed Outcome = iota // a node responded
+	Rejected                 // the gateway rejected the request before its execution; a retry is safe
+	Failed                   // the gateway returned an error; whether a node executed the request is unknown
+	Aborted                  // the response ended before it was complete
+	Canceled                 // the client canceled the request
 	outcomeCount
 )
 
 // Outcomes is the number of outcomes.
 const Outcomes = int(outcomeCount)
 
-// outcomeNames are the names in reports, which are a stable interface.
+// outcomeNames holds the name of each outcome in reports. Tools read these names, so they must
+// not change.
 var outcomeNames = [Outcomes]string{
 	Completed: "answered",
 	Rejected:  "refused",
@@ -25,5 +26,5 @@
 	Canceled:  "left",
 }
 
-// String returns the outcome's name in reports.
+// String returns the outcome's name as reports print it.
 func (o Outcome) String() string { return outcomeNames[o] }
--- a/attribution/sketch.go
+++ b/attribution/sketch.go
@@ -6,18 +6,18 @@
 	"slices"
 )
 
-// Sketch keeps the heaviest of many keys in bounded memory, by the Space-Saving algorithm of
-// Metwally, Agrawal and El Abbadi. With a capacity of k keys and a total weight W:
+// Sketch finds the heaviest of many keys in bounded memory. It uses the Space-Saving algorithm of
+// Metwally, Agrawal and El Abbadi. With a capacity of k keys and a total weight W, it guarantees:
 //
-//   - a key's count is never less than its true weight, and at most its Error more;
-//   - no Error is larger than W/k;
-//   - every key whose true weight is above W/k is kept.
+//   - A key's count is at least its true weight, and exceeds it by at most the key's Error.
+//   - No Error is larger than W/k.
+//   - The sketch keeps every key whose true weight is above W/k.
 //
 // With at most k distinct keys, all counts are exact. Weights must not be negative.
 type Sketch[K comparable] struct {
 	capacity  int
-	baseError int64 // upper bound for a key that is not kept, while the sketch is not full
-	total     int64
+	baseError int64 // while the sketch is not full: upper bound for the weight of a key that is not kept
+	total     int64 // sum of the weights of all keys
 	counters  map[K]*counter[K]
 	heap      counterHeap[K]
 	seq       uint64
@@ -26,7 +26,7 @@
 type counter[K comparable] struct {
 	key          K
 	count, error int64
-	seq          uint64 // breaks ties by age, so that no result depends on map order
+	seq          uint64 // breaks ties by age, so that results do not depend on the map's iteration order
 	heapIndex    int
 }
 
@@ -35,7 +35,7 @@
 	return &Sketch[K]{capacity: max(k, 1), counters: make(map[K]*counter[K])}
 }
 
-// Add adds weight to a key. It returns the key that was evicted for it, if one was.
+// Add adds weight to a key. If this evicts another key, Add returns the evicted key and true.
 func (s *Sketch[K]) Add(key K, weight int64) (evicted K, ok bool) {
 	if weight <= 0 {
 		return evicted, false
@@ -51,7 +51,9 @@
 		return evicted, false
 	}
 	s.seq++
-	c := s.heap[0] // the lightest key is evicted; all of its count may have been the new key's
+	// The new key replaces the lightest key and starts with that key's count as its error. The new
+	// key may have been evicted before, with a true weight of up to that count.
+	c := s.heap[0]
 	evicted = c.key
 	delete(s.counters, evicted)
 	c.key = key
@@ -63,7 +65,7 @@
 	return evicted, true
 }
 
-// insert adds a counter for a key that has none.
+// insert adds a counter for a key that does not have one.
 func (s *Sketch[K]) insert(key K, count, err int64) {
 	s.seq++
 	c := &counter[K]{key: key, count: count, error: err, seq: s.seq}
@@ -71,15 +73,15 @@
 	heap.Push(&s.heap, c)
 }
 
-// Item is a key with its count, which is at most Error too high.
+// Item holds a key and its count. The count exceeds the key's true weight by at most Error.
 type Item[K comparable] struct {
 	Key   K     `json:"key"`
 	Count int64 `json:"count"`
 	Error int64 `json:"error,omitempty"`
 }
 
-// Get returns a key's count. For a key that is not kept it is the upper bound of its weight, all
-// of it error.
+// Get returns the count and error of a key. For a key that the sketch does not keep, both are the
+// upper bound of its weight.
 func (s *Sketch[K]) Get(key K) Item[K] {
 	if c := s.counters[key]; c != nil {
 		return Item[K]{Key: key, Count: c.count, Error: c.error}
@@ -87,11 +89,11 @@
 	return Item[K]{Key: key, Count: s.maxUntracked(), Error: s.maxUntracked()}
 }
 
-// Has reports whether a key is kept.
+// Has reports whether the sketch keeps a key.
 func (s *Sketch[K]) Has(key K) bool { return s.counters[key] != nil }
 
-// restore fills an empty sketch with another's items, the upper bound for keys that it did not
-// keep, and the weight of all keys.
+// restore fills an empty sketch with the state of another one: its items, its upper bound for keys
+// that it did not keep, and its total weight.
 func (s *Sketch[K]) restore(items []Item[K], baseError, total int64) {
 	for _, item := range items[:min(len(items), s.capacity)] {
 		s.insert(item.Key, item.Count, item.Error)
@@ -100,13 +102,13 @@
 	s.total = total
 }
 
-// Total returns the weight of all keys together, which is exact.
+// Total returns the exact sum of the weights of all keys.
 func (s *Sketch[K]) Total() int64 { return s.total }
 
-// Len returns the number of keys kept.
+// Len returns the number of keys that the sketch keeps.
 func (s *Sketch[K]) Len() int { return len(s.heap) }
 
-// Top returns up to n keys, the heaviest first.
+// Top returns up to n items, the heaviest first.
 func (s *Sketch[K]) Top(n int) []Item[K] {
 	all := slices.Clone(s.heap)
 	slices.SortFunc(all, func(a, b *counter[K]) int {
@@ -119,9 +121,9 @@
 	return out
 }
 
-// Merge adds all that another sketch holds. The bounds hold for the sum where both have the same
-// capacity: a key that only one of them keeps may have had up to the lightest count of the other,
-// which is added to its count and its error.
+// Merge adds the counts of another sketch. If both sketches have the same capacity, the guarantees
+// also hold for the merged sketch. A key that only one sketch keeps may have a weight of up to
+// maxUntracked in the other one. Merge adds this bound to the key's count and error.
 func (s *Sketch[K]) Merge(o *Sketch[K]) {
 	ours, theirs := s.maxUntracked(), o.maxUntracked()
 	total := s.total + o.total
@@ -159,7 +161,7 @@
 	}
 }
 
-// maxUntracked is the upper bound for the weight of a key that is not kept.
+// maxUntracked returns the upper bound for the weight of a key that the sketch does not keep.
 func (s *Sketch[K]) maxUntracked() int64 {
 	if len(s.heap) < s.capacity {
 		return s.baseError
@@ -167,13 +169,14 @@
 	return max(s.heap[0].count, s.baseError)
 }
 
+// byAge returns all counters, the oldest first.
 func (s *Sketch[K]) byAge() []*counter[K] {
 	all := slices.Clone(s.heap)
 	slices.SortFunc(all, func(a, b *counter[K]) int { return cmp.Compare(a.seq, b.seq) })
 	return all
 }
 
-// counterHeap implements heap.Interface, the lightest counter first.
+// counterHeap implements heap.Interface. The lightest counter is at the top of the heap.
 type counterHeap[K comparable] []*counter[K]
 
 func (h counterHeap[K]) Len() int { return len(h) }
--- a/attribution/slot.go
+++ b/attribution/slot.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// slot is the attribution of one time slot.
+// slot holds the latency attribution of one time slot.
 type slot struct {
-	index         int64 // time of its start, in slot lengths
+	index         int64 // start time of the slot divided by the slot length
 	total         Breakdown
 	requests      int64
 	outcomes      [Outcomes]int64
-	heaviest      *Sketch[string] // volumes by the total time of their requests
+	heaviest      *Sketch[string] // volumes, weighted by the total time of their requests
 	byVolume      map[string]*totals
-	others        totals // of volumes that are no longer among the heaviest
+	others        totals // sum of the volumes that are no longer among the heaviest
 	pairs         *Sketch[Pair]
-	behindOthers  time.Duration // all time behind others, whether its pair is kept or not
-	corrected     bool          // corrected after it was closed
-	closed        bool          // merged into a coarser slot
+	behindOthers  time.Duration // total time of all pairs, including those that the sketch has evicted
+	corrected     bool          // a correction was applied after the slot was closed
+	closed        bool          // the slot has been merged into a coarser one
 	distributions map[string]*histogramSet
 	reserved      []string // volumes for which distributions are reserved
 }
 
-// totals is the attribution of one volume's requests, or of several volumes' together.
+// totals holds the attribution of the requests of one volume, or the sum over several volumes.
 type totals struct {
 	Breakdown
 	requests int64
@@ -51,9 +51,10 @@
 	}
 }
 
-// restoreSlot returns the slot that a window was made of.
+// restoreSlot returns a slot with the contents of a window.
 func restoreSlot(w *Window) *slot {
-	s := newSlot(0, len(w.Volumes)+1, len(w.Pairs)+1) // not full: the sketches' bounds are the window's
+	// The extra capacity leaves the sketches not full, so that the window's error bounds apply to them.
+	s := newSlot(0, len(w.Volumes)+1, len(w.Pairs)+1)
 	s.total = w.All.Parts
 	s.requests = w.All.Requests
 	s.outcomes = w.All.Outcomes
@@ -77,7 +78,7 @@
 	return s
 }
 
-// add adds a request.
+// add adds the attribution of one request to the slot.
 func (s *slot) add(e *Entry) {
 	s.total.Add(&e.Parts)
 	s.requests++
@@ -89,8 +90,8 @@
 	s.addContributions(e.Volume, e.Behind)
 }
 
-// addContributions adds the volumes that a volume waited behind. Time behind itself or behind no
-// known volume makes no pair.
+// addContributions adds the times that a volume waited behind other volumes. It ignores time that
+// the volume waited behind itself or behind no known volume.
 func (s *slot) addContributions(victim string, behind []Contribution) {
 	for _, c := range behind {
 		if c.Volume != victim && c.Volume != "" && c.Time > 0 {
@@ -100,8 +101,9 @@
 	}
 }
 
-// volumeTotals returns the totals of a volume after adding weight to it. A volume that is evicted
-// for it leaves its time with the others, so that nothing is lost from the sum.
+// volumeTotals adds weight to a volume in the sketch and returns the volume's totals. If the sketch
+// evicts another volume, volumeTotals moves the totals of that volume to the others, so that the sum
+// stays complete.
 func (s *slot) volumeTotals(volume string, weight time.Duration) *totals {
 	if evicted, ok := s.heaviest.Add(volume, max(int64(weight), 1)); ok {
 		if v := s.byVolume[evicted]; v != nil {
@@ -117,7 +119,8 @@
 	return v
 }
 
-// correct reattributes time between components, no more than is there.
+// correct reattributes time between components. It moves no more time than the volume has in the
+// component that the correction takes from.
 func (s *slot) correct(c *Correction) {
 	v := s.byVolume[c.Volume]
 	if v == nil {
@@ -131,7 +134,8 @@
 	s.addContributions(c.Volume, c.Behind)
 }
 
-// merge adds all that another slot holds.
+// merge adds the contents of another slot. The result has distributions for at most the given
+// number of volumes.
 func (s *slot) merge(o *slot, distributions int) {
 	s.total.Add(&o.total)
 	s.requests += o.requests
@@ -158,9 +162,9 @@
 	s.mergeDistributions(o, distributions)
 }
 
-// distributionsOf returns a volume's distributions, at most limit volumes having some. They are
-// reserved for the volumes that were heaviest in the slot before; the rest goes to whichever
-// comes first. It returns nil for a volume that gets none.
+// distributionsOf returns the distributions of a volume, or nil if the volume gets none. At most
+// limit volumes have distributions. Places are reserved for the volumes that were heaviest in the
+// previous slot. Other volumes get the remaining places in the order of their first requests.
 func (s *slot) distributionsOf(volume string, limit int) *histogramSet {
 	if h := s.distributions[volume]; h != nil {
 		return h
@@ -168,7 +172,7 @@
 	reserved := 0
 	for _, v := range s.reserved {
 		if v == volume {
-			reserved = -limit // its own reservation
+			reserved = -limit // the volume has a reservation itself
 			break
 		}
 		if s.distributions[v] == nil {
@@ -186,8 +190,8 @@
 	return h
 }
 
-// mergeDistributions adds another slot's distributions and keeps those of the heaviest volumes,
-// at most limit.
+// mergeDistributions adds the distributions of another slot, then keeps only those of the limit
+// heaviest volumes that have distributions.
 func (s *slot) mergeDistributions(o *slot, limit int) {
 	if len(o.distributions) == 0 || limit == 0 {
 		return
@@ -215,7 +219,7 @@
 	}
 }
 
-// window returns the slot's contents as the window of a time.
+// window returns the contents of the slot as a window with the given start, end and slot length.
 func (s *slot) window(from, to, slotLength time.Duration) Window {
 	w := Window{
 		From:      from,
@@ -244,7 +248,7 @@
 	return w
 }
 
-// distributionList returns all distributions, sorted by volume.
+// distributionList returns the distributions of all volumes, sorted by volume.
 func (s *slot) distributionList() []Distribution {
 	var out []Distribution
 	for volume, h := range s.distributions {
