--- a/attribution/collector_test.go
+++ b/attribution/collector_test.go
@@ -25,42 +25,47 @@
 	return c
 }
 
-// unreportedEntry is an entry of 30 ms at its node, which has not reported how they divide.
-func unreportedEntry(volume string, call uint64, ended time.Duration) Entry {
+// unreportedEntry returns an entry that spent 30 ms at its node, which has not reported its queue
+// and service times.
+func unreportedEntry(volume string, request uint64, ended time.Duration) Entry {
 	e := Entry{Volume: volume, Started: ended - 30*ms, Ended: ended}
 	e.Parts[NodeUnknown] = 30 * ms
 	e.Unreported = []Unreported{{
-		Request: call,
+		Request: request,
 		Unknown: 30 * ms,
 		Ahead:   []InFlightUnits{{Volume: "flood", Units: 3}, {Volume: volume, Units: 1}},
 	}}
 	return e
 }
 
-// lateReport is a report for unreportedEntry("v", 7, ...).
+// lateReport is the node's report for the entry that unreportedEntry returns for volume v and
+// request 7.
 var lateReport = NodeReport{Request: 7, Queue: 20 * ms, Service: 8 * ms}
 
-// checkReported checks that the one request of the last 20 seconds is divided as lateReport says.
+// checkReported checks that the only request of the last 20 seconds has the queue and service times
+// of lateReport, and whether its slot is marked as corrected.
 func checkReported(t *testing.T, c *Collector, corrected bool) {
 	t.Helper()
 	w, _ := c.Aggregator().Window(c.now, 20*time.Second)
 	v, _ := w.Summary("v")
 	if v.Parts[NodeQueue] != 20*ms || v.Parts[NodeService] != 8*ms || v.Parts[NodeUnknown] != 2*ms ||
 		w.Corrected != corrected {
-		t.Fatalf("%v, corrected %v", v.Parts, w.Corrected)
+		t.Fatalf("got parts %v, want 20 ms queue, 8 ms service, 2 ms unknown; got corrected %v, want it only after a save",
+			v.Parts, w.Corrected)
 	}
 	if len(w.Pairs) != 1 || w.Pairs[0].Key != (Pair{"v", "flood"}) || time.Duration(w.Pairs[0].Count) != 15*ms {
-		t.Fatalf("%+v", w.Pairs)
+		t.Fatalf("got pairs %+v, want 15 ms of v behind flood", w.Pairs)
 	}
 	d, ok := w.Distribution("v")
 	if !ok || d.ComponentPercentile(NodeQueue, 0.5) < 19*ms ||
 		d.ComponentPercentile(NodeUnknown, 0.5) > 2100*time.Microsecond || d.Components["node_unknown"].Count() != 1 {
-		t.Fatalf("distributions %+v", d)
+		t.Fatalf("got distributions %+v, want the times of the late report", d)
 	}
 }
 
-// A report is matched with its request whenever it arrives: before the entry, after it, after the
-// slot was closed and saved, or never. A repeated one counts once.
+// The collector matches a report with its request, whether the report arrives before the entry,
+// after it, or after the slot was closed and saved. A repeated report counts once, and a report of
+// another attempt changes nothing.
 func TestLateReports(t *testing.T) {
 	t.Run("before the entry", func(t *testing.T) {
 		c := newTestCollector(t, nil)
@@ -74,7 +79,7 @@
 		c.Handle(700*ms, Batch{Reports: []NodeReport{lateReport}})
 		checkReported(t, c, false)
 		if n := c.Counts(); n.Unreported != 1 || n.ReportedLate != 1 || n.Corrected != 0 {
-			t.Fatalf("%+v", n)
+			t.Fatalf("got counts %+v, want 1 unreported, 1 reported late, 0 corrected", n)
 		}
 	})
 	t.Run("after the slot was saved", func(t *testing.T) {
@@ -82,19 +87,19 @@
 		c.Handle(600*ms, Batch{Entries: []Entry{unreportedEntry("v", 7, 550*ms)}})
 		acts := slices.Clone(c.Handle(12*time.Second, Tick{}))
 		if len(acts) != 1 || acts[0].(SlotClosed).Window.All.Parts[NodeUnknown] != 30*ms {
-			t.Fatalf("a slot that closed: %+v", acts)
+			t.Fatalf("got actions %+v, want 1 SlotClosed with 30 ms in NodeUnknown", acts)
 		}
 		saved := acts[0].(SlotClosed).Window
 		acts = c.Handle(13*time.Second, Batch{Reports: []NodeReport{lateReport}})
 		if len(acts) != 1 {
-			t.Fatalf("%+v", acts)
+			t.Fatalf("got actions %+v after the report, want 1", acts)
 		}
 		checkReported(t, c, true)
 		fixed := saved.Apply(acts[0].(SlotCorrected).Correction)
 		w, _ := c.Aggregator().Window(13*time.Second, 20*time.Second)
 		if fixed.All.Parts != w.All.Parts || fixed.Pairs[0] != w.Pairs[0] || !fixed.Corrected ||
 			!reflect.DeepEqual(fixed.Distributions, w.Distributions) {
-			t.Fatalf("the saved slot with its correction is %+v, the aggregator's %+v", fixed, w)
+			t.Fatalf("saved slot with its correction: got %+v, want the aggregator's window %+v", fixed, w)
 		}
 	})
 	t.Run("of another attempt", func(t *testing.T) {
@@ -102,12 +107,12 @@
 		other := NodeReport{Request: 7, Attempt: 1, Service: ms}
 		c.Handle(600*ms, Batch{Entries: []Entry{unreportedEntry("v", 7, 550*ms)}, Reports: []NodeReport{other}})
 		if w, _ := c.Aggregator().Window(c.now, time.Second); w.All.Parts[NodeUnknown] != 30*ms {
-			t.Fatalf("another attempt's report was taken: %v", w.All.Parts)
+			t.Fatalf("got parts %v after the report of another attempt, want 30 ms in NodeUnknown", w.All.Parts)
 		}
 	})
 }
 
-// What a report attributes is bounded by the time that the attempt took.
+// A report attributes no more time to the node's queue and service than the attempt took.
 func TestReportsAreBounded(t *testing.T) {
 	for name, r := range map[string]NodeReport{
 		"too long":              {Request: 7, Queue: time.Hour, Service: time.Hour},
@@ -118,14 +123,14 @@
 			c.Handle(600*ms, Batch{Entries: []Entry{unreportedEntry("v", 7, 550*ms)}, Reports: []NodeReport{r}})
 			w, _ := c.Aggregator().Window(c.now, time.Second)
 			if p := w.All.Parts; p.Total() != 30*ms || p[NodeUnknown] != 0 || p[NodeQueue]+p[NodeService] != 30*ms {
-				t.Fatalf("%+v: %v", r, p)
+				t.Fatalf("report %+v: got parts %v, want 30 ms in NodeQueue and NodeService", r, p)
 			}
 		})
 	}
 }
 
-// Requests that wait for reports are bounded, and so are reports that wait for requests; what is
-// evicted is counted.
+// The collector bounds the number of attempts that wait for reports, and the number of reports that
+// wait for their requests. It counts the reports that it evicts.
 func TestPendingReportsAreBounded(t *testing.T) {
 	c := newTestCollector(t, func(cfg *CollectorConfig) {
 		cfg.Late = 4
@@ -139,12 +144,14 @@
 	}
 	unreported, early := len(c.unreported.index), len(c.earlyReports.index)
 	if n := c.Counts(); n.ReportedLate != 4 || n.Unplaced != 12 || unreported != 0 || early != 4 {
-		t.Fatalf("%+v, %d unreported, %d early", n, unreported, early)
+		t.Fatalf("got %+v, %d unreported, %d early, want 4 reported late, 12 unplaced, 0 unreported, 4 early",
+			n, unreported, early)
 	}
 }
 
-// playRandom plays 3000 random requests and returns the collector with all closed windows.
-func playRandom(t *testing.T, seed uint64) (*Collector, []Window) {
+// runRandomRequests passes 3000 random requests to a collector. It returns the collector and the
+// windows of all closed slots.
+func runRandomRequests(t *testing.T, seed uint64) (*Collector, []Window) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 9))
 	c := newTestCollector(t, func(cfg *CollectorConfig) {
@@ -177,7 +184,7 @@
 	return c, closed
 }
 
-// roundTrip marshals windows as JSON and reads them back.
+// roundTrip marshals windows as JSON and returns the windows that this JSON unmarshals to.
 func roundTrip(t *testing.T, ws []Window) []Window {
 	t.Helper()
 	text, err := json.Marshal(ws)
@@ -191,43 +198,44 @@
 	return read
 }
 
-// The same events give the same windows, and windows that are marshaled, read back and summed
-// give the sums of the aggregator itself.
+// The same events produce the same windows. Windows that are marshaled and unmarshaled have the
+// same sum as the aggregator's own window.
 func TestWindowsRoundTrip(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			c, closed := playRandom(t, seed)
-			_, again := playRandom(t, seed)
+			c, closed := runRandomRequests(t, seed)
+			_, again := runRandomRequests(t, seed)
 			if !reflect.DeepEqual(closed, again) {
-				t.Fatal("the same events gave other windows")
+				t.Fatal("two runs with the same events produced different windows")
 			}
 			checkSums(t, c, roundTrip(t, closed))
 		})
 	}
 }
 
-// checkSums compares a collector of playRandom with its closed windows.
+// checkSums compares the window of a collector that runRandomRequests returned with the sums of the
+// closed windows and of the slots.
 func checkSums(t *testing.T, c *Collector, closed []Window) {
 	t.Helper()
 	sum := Sum(closed, 64, 400, 64)
 	w, ok := c.Aggregator().Window(c.now, 9*time.Minute)
 	if !ok || sum.All.Requests != 3000 || sum.All.Parts.Total() != w.All.Parts.Total() || sum.Behind > w.Behind {
-		t.Fatalf("%+v beside %+v", sum.All, w.All)
+		t.Fatalf("sum of the closed windows: got %+v, want %+v", sum.All, w.All)
 	}
 	total := sum.Others.Parts.Total()
 	for _, v := range sum.Volumes {
 		total += v.Parts.Total()
 	}
 	if total != sum.All.Parts.Total() {
-		t.Fatalf("volumes and others %v of %v", total, sum.All.Parts.Total())
+		t.Fatalf("sum of volumes and others: got %v, want %v", total, sum.All.Parts.Total())
 	}
 	slots, ok := c.Aggregator().Slots(c.now, 4*time.Minute)
 	if !ok || len(slots) < 2 || !reflect.DeepEqual(Sum(slots, 64, 400, 64).All, w.All) {
-		t.Fatalf("%d slots", len(slots))
+		t.Fatalf("got %d slots, want 2 or more whose sum equals the window", len(slots))
 	}
 }
 
-// Pairs of few slots stay exact when slots are summed.
+// Pairs remain exact when Sum adds windows, as long as the windows have few pairs.
 func TestSumOfExactWindowsIsExact(t *testing.T) {
 	c := newTestCollector(t, nil)
 	for i := range 40 {
@@ -239,11 +247,11 @@
 	sum := Sum(ws, 100, 100, 100)
 	want := Item[Pair]{Key: Pair{"v", "flood"}, Count: int64(40 * ms)}
 	if sum.PairError != 0 || len(sum.Pairs) != 1 || sum.Pairs[0] != want || sum.Volumes[0].Missing != 0 {
-		t.Fatalf("%+v", sum)
+		t.Fatalf("got sum %+v, want exactly 40 ms of v behind flood", sum)
 	}
 }
 
-// BenchmarkCollector enters requests of 100,000 volumes.
+// BenchmarkCollector measures adding requests of 100,000 volumes to a collector.
 func BenchmarkCollector(b *testing.B) {
 	c := newTestCollector(b, func(cfg *CollectorConfig) { cfg.Resolutions = DefaultConfig().Resolutions })
 	rng := rand.New(rand.NewPCG(1, 1))
--- a/attribution/distribution_test.go
+++ b/attribution/distribution_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A percentile is at most PercentileError off beside a plain sorted list, zeros included, over
-// slots that were closed, packed and merged.
+// Percentiles differ by at most PercentileError from those of a sorted list of all times, including
+// times of 0. This also holds for slots that were closed, packed and merged.
 func TestPercentilesAgainstSortedList(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	c := newTestCollector(t, nil)
@@ -28,7 +28,7 @@
 	w, _ := c.Aggregator().Window(c.now, 4*time.Minute)
 	d, ok := w.Distribution("v")
 	if !ok {
-		t.Fatal("no distributions")
+		t.Fatal("the window has no distributions for volume v")
 	}
 	slices.Sort(all)
 	slices.Sort(others)
@@ -46,13 +46,13 @@
 			least := lo.Seconds()*(1-PercentileError) - 2e-6
 			most := hi.Seconds()*(1+PercentileError) + 2e-6
 			if x.got.Seconds() < least || x.got.Seconds() > most {
-				t.Errorf("%s, %g: %v, the list says %v to %v", x.name, s, x.got, lo, hi)
+				t.Errorf("%s, share %g: got percentile %v, want %v to %v", x.name, s, x.got, lo, hi)
 			}
 		}
 	}
 }
 
-// Distributions are reserved for the heavy volumes, whichever came first.
+// Heavy volumes get distributions even if requests of light volumes arrive first.
 func TestDistributionsOfTheHeaviest(t *testing.T) {
 	c := newTestCollector(t, func(cfg *CollectorConfig) { cfg.Distributions = 2 })
 	for slot := range 3 {
@@ -69,6 +69,7 @@
 	w, _ := c.Aggregator().Window(c.now, 4*time.Minute)
 	d, ok := w.Distribution("heavy")
 	if len(w.Distributions) > 2 || !ok || d.Whole.Count() < 8 {
-		t.Fatalf("%d distributions, heavy %v: %+v", len(w.Distributions), ok, d.Whole)
+		t.Fatalf("got %d distributions, want at most 2; volume heavy has one: %v, with %+v, want 8 or more requests",
+			len(w.Distributions), ok, d.Whole)
 	}
 }
--- a/attribution/occupancy_test.go
+++ b/attribution/occupancy_test.go
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// occupant is a request that is in flight in the milliseconds from <= t < to.
-type occupant struct {
+// inFlightRequest is a request that is in flight at the milliseconds t with from <= t < to.
+type inFlightRequest struct {
 	volume   string
 	units    float64
 	from, to int
 }
 
-// play records the requests of the milliseconds below end, ends before starts.
-func play(o *Occupancy, reqs []occupant, end int) {
+// replay records the starts and ends of the requests in all milliseconds before end. Within one
+// millisecond it records ends before starts.
+func replay(o *Occupancy, reqs []inFlightRequest, end int) {
 	for at := range end {
 		for _, r := range reqs {
 			if r.to == at {
@@ -31,8 +32,9 @@
 	}
 }
 
-// countMillisecond adds one millisecond to the volumes in flight at it, by their units.
-func countMillisecond(counted map[string]float64, reqs []occupant, at int) {
+// countMillisecond divides the millisecond at among the volumes with requests in flight, in
+// proportion to their units, and adds the shares to counted.
+func countMillisecond(counted map[string]float64, reqs []inFlightRequest, at int) {
 	units := 0.0
 	for _, r := range reqs {
 		if r.from <= at && at < r.to {
@@ -49,32 +51,34 @@
 	}
 }
 
-// A wait is divided as a plain count of every millisecond divides it, and sums exactly.
-func TestOccupancyAgainstPlainCount(t *testing.T) {
+// Between divides a wait in the same way as a simple reference that divides each millisecond on its
+// own. The parts sum exactly to the wait.
+func TestOccupancyMatchesReference(t *testing.T) {
 	const end = 300 // ms
 	for seed := range uint64(100) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 4))
 			o := NewOccupancy(0)
-			var reqs []occupant
+			var reqs []inFlightRequest
 			for range 1 + rng.IntN(60) {
 				from := rng.IntN(end - 1)
-				reqs = append(reqs, occupant{
+				reqs = append(reqs, inFlightRequest{
 					volume: fmt.Sprint("v", rng.IntN(5)),
 					units:  float64(1 + rng.IntN(8)),
 					from:   from,
 					to:     from + 1 + rng.IntN(end-from),
 				})
 			}
-			play(o, reqs, end)
+			replay(o, reqs, end)
 			from := rng.IntN(end)
 			checkBetween(t, o, reqs, from, from+rng.IntN(end-from))
 		})
 	}
 }
 
-// checkBetween compares the division of a wait, in milliseconds, with a plain count.
-func checkBetween(t *testing.T, o *Occupancy, reqs []occupant, from, to int) {
+// checkBetween compares the result of Between with the reference. The bounds of the wait are in
+// milliseconds.
+func checkBetween(t *testing.T, o *Occupancy, reqs []inFlightRequest, from, to int) {
 	t.Helper()
 	want := map[string]float64{}
 	for at := from; at < to; at++ {
@@ -87,17 +91,18 @@
 		got[b.Volume] += float64(b.Time) / float64(ms)
 	}
 	if sum != time.Duration(to-from)*ms {
-		t.Fatalf("parts sum to %v of %v", sum, time.Duration(to-from)*ms)
+		t.Fatalf("sum of the parts: got %v, want %v", sum, time.Duration(to-from)*ms)
 	}
 	for v, w := range want {
 		if d := got[v] - w; d > 0.01 || d < -0.01 {
-			t.Fatalf("%q has %.3f ms, the plain count %.3f", v, got[v], w)
+			t.Fatalf("volume %q: got %.3f ms, want %.3f ms", v, got[v], w)
 		}
 	}
 }
 
-// The history is bounded and grows coarser: over a long time volumes have what they had, within
-// the coarsest interval; what lies before it belongs to no volume.
+// The history has a bounded number of intervals, which are longer the older they are. Over a long
+// time, the times of the volumes are correct within one of the longest intervals. The time before
+// the start of the history is attributed to no volume.
 func TestOccupancyHistoryIsBounded(t *testing.T) {
 	o := NewOccupancy(ms)
 	const n = 200_000
@@ -111,7 +116,7 @@
 		kept += len(h)
 	}
 	if kept > historyLevels*intervalsPerLevel {
-		t.Fatalf("%d intervals", kept)
+		t.Fatalf("got %d intervals in the history, want at most historyLevels*intervalsPerLevel", kept)
 	}
 	parts := func(from, to time.Duration) map[string]time.Duration {
 		m := map[string]time.Duration{}
@@ -121,21 +126,21 @@
 			sum += b.Time
 		}
 		if sum != to-from {
-			t.Fatalf("parts sum to %v of %v", sum, to-from)
+			t.Fatalf("sum of the parts: got %v, want %v", sum, to-from)
 		}
 		return m
 	}
 	end := 2 * n * ms
 	if m := parts(end-10*time.Second, end); m["b"] < 4990*ms || m["b"] > 5010*ms || m["a"] > 0 || m[""] < 4990*ms {
-		t.Fatalf("the last ten seconds: %v", m)
+		t.Fatalf("last 10 s: got %v, want 5 s each of volume b and of idle time", m)
 	}
 	if m := parts(0, end); m["b"] > 13*time.Second || m["a"] > 0 || m[""] < end-27*time.Second {
-		t.Fatalf("all: %v", m)
+		t.Fatalf("whole time: got %v, want at most 13 s of volume b, none of a, the rest unattributed", m)
 	}
 }
 
-// BenchmarkOccupancy measures a request that is sent and ends while so many volumes have
-// requests in flight.
+// BenchmarkOccupancy measures the start and end of one request. The name of each sub-benchmark is
+// the number of volumes that have requests in flight.
 func BenchmarkOccupancy(b *testing.B) {
 	for _, n := range []int{1, 8, 32} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
