--- a/internal/attributionlog/errors.go
+++ b/internal/attributionlog/errors.go
@@ -7,22 +7,23 @@
 	"chalkstand/attribution"
 )
 
-// ErrFormat is returned for a file that is not an attribution log.
+// ErrFormat is the error for a file that is not an attribution log.
 var ErrFormat = errors.New("this is not an attribution log")
 
-// VersionError is returned for a log of another version.
+// VersionError is the error for an attribution log of a version that this program cannot read.
 type VersionError struct {
-	Version string // as it stands in the file
+	Version string // version text in the header of the file
 }
 
 func (e *VersionError) Error() string {
 	return fmt.Sprintf("version %q; this program reads version %d", e.Version, attribution.Version)
 }
 
-// CorruptionError says where a file stops being whole. The records before it can be read.
+// CorruptionError reports that a file is corrupt from a certain offset on. The records before this
+// offset are intact.
 type CorruptionError struct {
 	File   string
-	Offset int64 // in bytes
+	Offset int64 // position of the corrupt record in the file, in bytes
 	Reason string
 }
 
--- a/internal/attributionlog/reader.go
+++ b/internal/attributionlog/reader.go
@@ -13,10 +13,10 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Read returns the records of a log, oldest first, from all its files. Of a corrupt file it
-// returns the records up to the corruption, and the corruption. An error means that the log cannot
-// be read at all: a file cannot be opened, is not a log (ErrFormat), or has another version
-// (*VersionError).
+// Read returns the records of all files of a log, the oldest first. For each corrupt file, it
+// returns the records before the corruption and a *CorruptionError. It returns an error if the log
+// cannot be read at all: a file cannot be opened, is not an attribution log (ErrFormat), or has
+// another version (*VersionError).
 func Read(path string) (recs []Record, corruption []*CorruptionError, err error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, nil, fmt.Errorf("attribution log: %w", err)
@@ -36,7 +36,7 @@
 	return recs, corruption, nil
 }
 
-// oldestFile returns the number of the oldest file of a log.
+// oldestFile returns the number of the oldest file of a log. The newest file has the number 0.
 func oldestFile(path string) int {
 	oldest := 0
 	for {
@@ -47,13 +47,13 @@
 	}
 }
 
-// readFile calls yield with each record of a file.
+// readFile calls yield for each intact record of a file.
 func readFile(name string, yield func(Record)) error {
 	f, err := os.Open(name)
 	if err != nil {
 		return fmt.Errorf("attribution log: %w", err)
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // Close cannot lose data, as the file is only read
 	info, err := f.Stat()
 	if err != nil {
 		return fmt.Errorf("attribution log %s: %w", name, err)
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// scan calls yield with the whole records of a file of a size in bytes and returns where they
-// end.
+// scan reads a file of the given size in bytes and calls yield for each intact record. It returns the
+// offset at which the last intact record ends.
 func scan(r io.Reader, size int64, yield func(Record)) (int64, error) {
 	head := make([]byte, min(int64(len(header())), size))
 	if _, err := io.ReadFull(r, head); err != nil {
@@ -91,7 +91,7 @@
 	return offset, nil
 }
 
-// headerError returns the error for a header that is not of this version.
+// headerError returns the error for a header that differs from the header of this version.
 func headerError(head []byte) error {
 	if len(head) == 0 || bytes.HasPrefix(header(), head) {
 		return &CorruptionError{Offset: 0, Reason: "its first line is cut short"}
@@ -103,8 +103,8 @@
 	return &VersionError{Version: string(bytes.TrimRight(version, "\n"))}
 }
 
-// readRecord reads a record of a file with so many bytes left, and returns its size with its
-// frame.
+// readRecord reads the next record of a file in which the given number of bytes is left. It returns
+// the record and the number of bytes that the record and its frame take.
 func readRecord(r io.Reader, left int64, decoder *zstd.Decoder) (rec Record, n int64, err error) {
 	var frame [frameSize]byte
 	if left < frameSize {
@@ -127,11 +127,11 @@
 	if xxhash.Sum64(body) != binary.LittleEndian.Uint64(frame[lengthSize:]) {
 		return rec, 0, errors.New("a record's checksum does not match")
 	}
-	plain, err := decoder.DecodeAll(body, nil)
+	uncompressed, err := decoder.DecodeAll(body, nil)
 	if err != nil {
 		return rec, 0, fmt.Errorf("a record cannot be decompressed: %w", err)
 	}
-	if err := json.Unmarshal(plain, &rec); err != nil {
+	if err := json.Unmarshal(uncompressed, &rec); err != nil {
 		return rec, 0, fmt.Errorf("a record cannot be read: %w", err)
 	}
 	return rec, frameSize + size, nil
--- a/internal/attributionlog/timeline.go
+++ b/internal/attributionlog/timeline.go
@@ -8,28 +8,30 @@
 	"chalkstand/attribution"
 )
 
-// Timeline is the contents of a log in order of time: the slots of each run, with their
-// corrections applied.
+// Timeline holds the slots of all runs in a log, ordered by time. Corrections have been applied to
+// the slots.
 type Timeline struct {
 	Slots []Slot
-	Notes []string // restarts, steps of the wall clock, corrections without a slot
+	Notes []string // messages about restarts, wall-clock steps, and corrections whose slot is missing
 }
 
-// Slot is one slot, at its time by the wall clock of its run's start.
+// Slot is a window of a run together with its start time. From is the wall-clock time of the start
+// and ignores steps of the clock during the run.
 type Slot struct {
 	Run  attribution.Run
 	From time.Time
 	attribution.Window
 }
 
-// minReportedStep is the smallest step of the wall clock that gets a note.
+// minReportedStep is the smallest step of the wall clock for which NewTimeline adds a note.
 const minReportedStep = time.Second
 
-// NewTimeline orders records.
+// NewTimeline returns the timeline of the records of a log, which must be ordered from the oldest to
+// the newest.
 func NewTimeline(recs []Record) Timeline {
 	var t Timeline
-	slotAt := map[string]map[time.Duration]int{} // index into t.Slots by run and start
-	steps := map[string]time.Duration{}          // by run, as last noted
+	slotAt := map[string]map[time.Duration]int{} // maps run ID and start of a slot to an index into t.Slots
+	steps := map[string]time.Duration{}          // maps run ID to the clock step in the last note on it
 	unplaced := 0
 	for i := range recs {
 		r := &recs[i]
@@ -66,7 +68,9 @@
 	t.Notes = append(t.Notes, fmt.Sprintf(format, args...))
 }
 
-// applyCorrection applies a correction to its slot and reports whether there is one.
+// applyCorrection applies a correction to the slot of the run that contains the request's end. It
+// returns false if there is no such slot. slotAt maps the start of each slot of the run to the
+// slot's index.
 func (t *Timeline) applyCorrection(slotAt map[time.Duration]int, c *attribution.Correction) bool {
 	for from, i := range slotAt {
 		if w := &t.Slots[i].Window; from <= c.Ended && c.Ended < w.To {
@@ -77,7 +81,7 @@
 	return false
 }
 
-// Since returns the slots of the last span before the end of the newest.
+// Since returns the slots that start within the given span before the end of the newest slot.
 func (t *Timeline) Since(span time.Duration) []Slot {
 	if len(t.Slots) == 0 {
 		return nil
--- a/internal/attributionlog/writer.go
+++ b/internal/attributionlog/writer.go
@@ -13,21 +13,22 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Writer appends records to a log. It is not safe for concurrent use.
+// Writer appends records to an attribution log. It is not safe for concurrent use.
 type Writer struct {
 	path        string
 	maxFileSize int64 // bytes
 	maxFiles    int
 	file        *os.File
-	size        int64 // of file, in bytes
+	size        int64 // size of file in bytes
 	encoder     *zstd.Encoder
 	buf         []byte
 }
 
-// Open opens a log for appending. An incomplete record at its end, as a crash leaves it, is cut
-// off. A file has at most maxFileSize bytes, and there are at most maxFiles: path, path.1 (older)
-// and so on. A file that is not a log (ErrFormat) or has another version (*VersionError) is an
-// error and stays as it is.
+// Open opens a log for appending. If a crash left an incomplete record at the end of the file, Open
+// truncates the file before that record. A file has at most maxFileSize bytes. There are at most
+// maxFiles files: path is the newest one, path.1 the next older one, and so on. If the file is not an
+// attribution log or has another version, Open returns ErrFormat or a *VersionError and leaves the
+// file unchanged.
 func Open(path string, maxFileSize int64, maxFiles int) (*Writer, error) {
 	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
 	if err != nil {
@@ -47,7 +48,7 @@
 	}
 	size, err := w.recover(f)
 	if err != nil {
-		_ = f.Close() // err says more
+		_ = f.Close() // the error of recover is the cause, so that of Close is ignored
 		return err
 	}
 	w.file = f
@@ -55,8 +56,8 @@
 	return nil
 }
 
-// recover cuts off what follows the last whole record and returns the size. A file that ends
-// within its header is started anew.
+// recover truncates the file after its last intact record and returns the resulting size. If the
+// file ends within its header, recover replaces its contents with a new header.
 func (w *Writer) recover(f *os.File) (int64, error) {
 	info, err := f.Stat()
 	if err != nil {
@@ -92,14 +93,15 @@
 	return err
 }
 
-// Append writes a record with a single write call. It starts another file where this one is full.
+// Append writes a record with a single write call. If the record does not fit into the current file,
+// Append starts a new file first.
 func (w *Writer) Append(r Record) error {
-	plain, err := json.Marshal(r)
+	uncompressed, err := json.Marshal(r)
 	if err != nil {
 		return fmt.Errorf("attribution log: %w", err)
 	}
 	w.buf = append(w.buf[:0], make([]byte, frameSize)...)
-	w.buf = w.encoder.EncodeAll(plain, w.buf)
+	w.buf = w.encoder.EncodeAll(uncompressed, w.buf)
 	body := w.buf[frameSize:]
 	binary.LittleEndian.PutUint32(w.buf, uint32(len(body)))
 	binary.LittleEndian.PutUint64(w.buf[lengthSize:], xxhash.Sum64(body))
@@ -115,7 +117,8 @@
 	return nil
 }
 
-// rotate starts another file and drops the oldest.
+// rotate increments the numbers of the existing files, removes the oldest file if there are maxFiles,
+// and starts a new file.
 func (w *Writer) rotate() error {
 	if err := w.file.Close(); err != nil {
 		return fmt.Errorf("attribution log: %w", err)
@@ -134,7 +137,7 @@
 	return w.open()
 }
 
-// fileName returns the name of the i-th file, the newest being 0.
+// fileName returns the name of the i-th file of a log. File 0 is the newest one.
 func fileName(path string, i int) string {
 	if i == 0 {
 		return path
@@ -142,7 +145,7 @@
 	return fmt.Sprintf("%s.%d", path, i)
 }
 
-// Close closes the log.
+// Close closes the current file and the encoder. The writer cannot be used afterwards.
 func (w *Writer) Close() error {
 	if err := errors.Join(w.encoder.Close(), w.file.Close()); err != nil {
 		return fmt.Errorf("attribution log: %w", err)
