--- a/internal/attributionlog/log_test.go
+++ b/internal/attributionlog/log_test.go
@@ -16,8 +16,9 @@
 
 var epoch = time.Date(2026, 5, 4, 8, 0, 0, 0, time.UTC)
 
-// slot returns a record of a slot of ten seconds with one volume.
-func slot(run string, i int) Record {
+// slotRecord returns a record of the i-th slot of a run. The slot is 10 seconds long and has i+1
+// requests of one volume.
+func slotRecord(run string, i int) Record {
 	at := time.Duration(i) * 10 * time.Second
 	w := attribution.Window{From: at, To: at + 10*time.Second, Slot: 10 * time.Second}
 	w.All.Requests = int64(i + 1)
@@ -27,6 +28,7 @@
 	return Record{Run: r, Saved: r.At(w.To + time.Second), At: w.To + time.Second, Slot: &w}
 }
 
+// writeLog opens the log at path, appends the records and closes the log.
 func writeLog(tb testing.TB, path string, size int64, files int, recs ...Record) {
 	tb.Helper()
 	w, err := Open(path, size, files)
@@ -59,35 +61,39 @@
 	return b
 }
 
-// A log that was cut anywhere is read up to its last whole record, reports where that ends, and
-// is appended to from there.
+// A log may be truncated at any byte. Read returns the records before the truncation and reports
+// the corruption. A writer appends new records after the last intact one.
 func TestTruncatedAnywhere(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "log")
-	writeLog(t, path, 1<<20, 1, slot("a", 0), slot("a", 1), slot("a", 2))
-	whole := readFileBytes(t, path)
-	for n := range whole {
-		cut := filepath.Join(dir, "cut")
-		writeFile(t, cut, whole[:n])
-		recs, corruption, err := Read(cut)
+	writeLog(t, path, 1<<20, 1, slotRecord("a", 0), slotRecord("a", 1), slotRecord("a", 2))
+	complete := readFileBytes(t, path)
+	for n := range complete {
+		truncated := filepath.Join(dir, "cut")
+		writeFile(t, truncated, complete[:n])
+		recs, corruption, err := Read(truncated)
 		if err != nil {
-			t.Fatalf("%d bytes: %v", n, err)
+			t.Fatalf("log truncated to %d bytes: Read returned error %v, want none", n, err)
 		}
-		had := len(recs)
-		if had > 2 || n > len(header()) && len(corruption) == 0 && !bytes.Equal(whole[:n], whole[:endOf(whole, had)]) {
-			t.Fatalf("%d bytes: %d records, %v", n, had, corruption)
+		intact := len(recs)
+		if intact > 2 || n > len(header()) && len(corruption) == 0 &&
+			!bytes.Equal(complete[:n], complete[:recordEnd(complete, intact)]) {
+			t.Fatalf("log truncated to %d bytes: got %d records, want at most 2; got corruption %v, want it reported",
+				n, intact, corruption)
 		}
-		writeLog(t, cut, 1<<20, 1, slot("b", 7))
-		recs, corruption, err = Read(cut)
-		if err != nil || len(corruption) > 0 || len(recs) != had+1 ||
-			recs[had].Run.ID != "b" || recs[had].Slot.All.Requests != 8 {
-			t.Fatalf("%d bytes, appended to: %d records after %d, %v, %v", n, len(recs), had, corruption, err)
+		writeLog(t, truncated, 1<<20, 1, slotRecord("b", 7))
+		recs, corruption, err = Read(truncated)
+		if err != nil || len(corruption) > 0 || len(recs) != intact+1 ||
+			recs[intact].Run.ID != "b" || recs[intact].Slot.All.Requests != 8 {
+			t.Fatalf("append to log truncated to %d bytes: got %d records, want 1 more than %d; corruption %v, error %v",
+				n, len(recs), intact, corruption, err)
 		}
 	}
 }
 
-// endOf returns the offset at which the n-th record ends.
-func endOf(b []byte, n int) int {
+// recordEnd returns the offset at which the n-th record of a log ends. For n = 0, it returns the end
+// of the header.
+func recordEnd(b []byte, n int) int {
 	at := len(header())
 	for range n {
 		at += frameSize + int(binary.LittleEndian.Uint32(b[at:]))
@@ -95,28 +101,31 @@
 	return at
 }
 
-// A corrupt byte anywhere is found; what lies before its record is read.
+// Read finds a corrupt byte at any offset after the header, and returns the records before the
+// corrupt one.
 func TestCorruptBytes(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
-	writeLog(t, path, 1<<20, 1, slot("a", 0), slot("a", 1))
-	whole := readFileBytes(t, path)
-	for n := len(header()); n < len(whole); n++ {
-		b := bytes.Clone(whole)
+	writeLog(t, path, 1<<20, 1, slotRecord("a", 0), slotRecord("a", 1))
+	complete := readFileBytes(t, path)
+	for n := len(header()); n < len(complete); n++ {
+		b := bytes.Clone(complete)
 		b[n] ^= 0x40
 		writeFile(t, path, b)
 		recs, corruption, err := Read(path)
 		want := 0
-		if n >= endOf(whole, 1) {
+		if n >= recordEnd(complete, 1) {
 			want = 1
 		}
 		if err != nil || len(recs) != want || len(corruption) != 1 ||
-			corruption[0].Offset != int64(endOf(whole, want)) {
-			t.Fatalf("byte %d: %d records, %v, %v", n, len(recs), corruption, err)
+			corruption[0].Offset != int64(recordEnd(complete, want)) {
+			t.Fatalf("byte %d corrupt: got %d records, corruption %v, error %v, want its record reported as corrupt",
+				n, len(recs), corruption, err)
 		}
 	}
 }
 
-// Files that are no log, or have another version, are rejected and stay as they are.
+// Read and Open reject files that are not attribution logs or have another version, and leave them
+// unchanged.
 func TestOtherFormatsAreRejected(t *testing.T) {
 	isVersion2 := func(err error) bool {
 		var e *VersionError
@@ -125,7 +134,7 @@
 	isFormat := func(err error) bool { return errors.Is(err, ErrFormat) }
 	for _, x := range []struct {
 		name, text string
-		is         func(error) bool
+		matches    func(error) bool
 		want       string
 	}{
 		{"version", magic + "2\nxxxxxxxxxxxxxx", isVersion2, `version "2"; this program reads version 1`},
@@ -134,30 +143,30 @@
 		t.Run(x.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "other")
 			writeFile(t, path, []byte(x.text))
-			if _, _, err := Read(path); !x.is(err) || !strings.Contains(err.Error(), x.want) {
-				t.Errorf("read: %v", err)
+			if _, _, err := Read(path); !x.matches(err) || !strings.Contains(err.Error(), x.want) {
+				t.Errorf("Read: got error %v, want one that says which format or version the file has", err)
 			}
-			if _, err := Open(path, 1<<20, 1); !x.is(err) || !strings.Contains(err.Error(), x.want) {
-				t.Errorf("open: %v", err)
+			if _, err := Open(path, 1<<20, 1); !x.matches(err) || !strings.Contains(err.Error(), x.want) {
+				t.Errorf("Open: got error %v, want one that says which format or version the file has", err)
 			}
 			if b := readFileBytes(t, path); string(b) != x.text {
-				t.Errorf("the file was changed to %q", b)
+				t.Errorf("contents after Open: got %q, want them unchanged", b)
 			}
 		})
 	}
 	if _, _, err := Read(filepath.Join(t.TempDir(), "none")); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("no file: %v", err)
+		t.Errorf("Read of a missing file: got error %v, want os.ErrNotExist", err)
 	}
 }
 
-// Files are bounded in size and number; the newest records stay.
+// A writer bounds the size and the number of its files. The files hold the newest records.
 func TestRotation(t *testing.T) {
 	for _, files := range []int{1, 3} {
 		t.Run(fmt.Sprint(files, " files"), func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "log")
 			var recs []Record
 			for i := range 60 {
-				recs = append(recs, slot("a", i))
+				recs = append(recs, slotRecord("a", i))
 			}
 			writeLog(t, path, 2000, files, recs...)
 			checkRotated(t, path, files)
@@ -165,33 +174,35 @@
 	}
 }
 
-// checkRotated checks a log of 60 slots in so many files of at most 2000 bytes.
+// checkRotated checks a log of 60 slots that may have the given number of files, of at most 2000
+// bytes each.
 func checkRotated(t *testing.T, path string, files int) {
 	t.Helper()
 	names, err := filepath.Glob(path + "*")
 	if err != nil || len(names) != files {
-		t.Fatalf("%v, want %d (%v)", names, files, err)
+		t.Fatalf("got files %v, want %d files; error %v", names, files, err)
 	}
 	for _, n := range names {
 		if size := len(readFileBytes(t, n)); size > 2000 {
-			t.Errorf("%s has %d bytes", n, size)
+			t.Errorf("size of %s: got %d bytes, want at most 2000", n, size)
 		}
 	}
 	got, corruption, err := Read(path)
 	if err != nil || len(corruption) > 0 || len(got) < 2*files {
-		t.Fatalf("%d records, %v, %v", len(got), corruption, err)
+		t.Fatalf("got %d records, want at least 2 in each file; corruption %v, error %v", len(got), corruption, err)
 	}
 	for i, r := range got {
 		if r.Slot.All.Requests != int64(60-len(got)+i+1) {
-			t.Fatalf("record %d is of slot %d", i, r.Slot.All.Requests)
+			t.Fatalf("record %d: got %d requests in its slot, want consecutive numbers up to 60", i, r.Slot.All.Requests)
 		}
 	}
 }
 
-// Corrections are applied to their slots; a restart and a step of the wall clock are noted.
+// NewTimeline applies corrections to their slots. It adds notes on a restart, on a step of the wall
+// clock, and on corrections without a slot.
 func TestTimeline(t *testing.T) {
-	fix := Record{
-		Run:   slot("a", 0).Run,
+	correction := Record{
+		Run:   slotRecord("a", 0).Run,
 		Saved: epoch.Add(25 * time.Second),
 		At:    25 * time.Second,
 		Correction: &attribution.Correction{
@@ -202,17 +213,17 @@
 			To:     []attribution.ComponentTime{{Component: attribution.NodeQueue, Time: time.Millisecond}},
 		},
 	}
-	lost := fix
-	lost.Correction = &attribution.Correction{Volume: "v", Ended: time.Hour}
-	stepped := slot("a", 2)
+	unmatched := correction
+	unmatched.Correction = &attribution.Correction{Volume: "v", Ended: time.Hour}
+	stepped := slotRecord("a", 2)
 	stepped.Saved = stepped.Saved.Add(-time.Hour)
-	second := slot("b", 0)
+	second := slotRecord("b", 0)
 	second.Run.Started = epoch.Add(time.Minute)
 	second.Saved = second.Run.At(second.At)
-	l := NewTimeline([]Record{slot("a", 0), slot("a", 1), fix, lost, stepped, second})
+	l := NewTimeline([]Record{slotRecord("a", 0), slotRecord("a", 1), correction, unmatched, stepped, second})
 	if len(l.Slots) != 4 || l.Slots[1].All.Parts[attribution.NodeQueue] != time.Millisecond ||
 		!l.Slots[1].Corrected || l.Slots[0].Corrected {
-		t.Fatalf("%+v", l.Slots)
+		t.Fatalf("got slots %+v, want 4, of which only the second is corrected", l.Slots)
 	}
 	notes := fmt.Sprint(l.Notes)
 	for _, want := range []string{
@@ -221,24 +232,24 @@
 		"1 late reports are of slots that are not in the log",
 	} {
 		if !strings.Contains(notes, want) {
-			t.Errorf("%q is not among %v", want, l.Notes)
+			t.Errorf("no note contains %q: got notes %v", want, l.Notes)
 		}
 	}
 	if s := l.Since(10 * time.Second); len(s) != 1 || s[0].Run.ID != "b" {
-		t.Errorf("the last ten seconds: %+v", s)
+		t.Errorf("Since(10s): got slots %+v, want 1 slot of run b", s)
 	}
 	if s := l.Since(time.Hour); len(s) != 4 {
-		t.Errorf("the last hour: %d slots", len(s))
+		t.Errorf("Since(1h): got %d slots, want 4", len(s))
 	}
 	if s := (&Timeline{}).Since(time.Hour); s != nil {
-		t.Errorf("an empty log: %v", s)
+		t.Errorf("Since of an empty timeline: got %v, want nil", s)
 	}
 }
 
-// Any contents of a file are read or give an error, without a panic.
+// Read returns records or an error for any file contents. It must not panic.
 func FuzzRead(f *testing.F) {
 	path := filepath.Join(f.TempDir(), "log")
-	writeLog(f, path, 1<<20, 1, slot("a", 0))
+	writeLog(f, path, 1<<20, 1, slotRecord("a", 0))
 	b := readFileBytes(f, path)
 	f.Add(b)
 	f.Add(b[:len(b)-3])
