--- a/internal/attributionreport/data.go
+++ b/internal/attributionreport/data.go
@@ -1,5 +1,5 @@
-// Package attributionreport presents latency attribution to people: as tables, as JSON, and as one
-// HTML file with plots.
+// Package attributionreport writes reports on latency attribution for operators: text tables, JSON,
+// and a single HTML file with plots.
 package attributionreport
 
 import (
@@ -11,17 +11,17 @@
 	"chalkstand/internal/attributionlog"
 )
 
-// Data is the input of a report: slots in order of time, and what readers have to know of them.
+// Data is the input of a report.
 type Data struct {
-	Slots  []attributionlog.Slot
-	Notes  []string
-	Counts *attribution.Counts // nil for a log, which has none
+	Slots  []attributionlog.Slot // ordered by time
+	Notes  []string              // messages for the reader, such as a restart of the gateway
+	Counts *attribution.Counts   // nil if the slots come from a log, which does not contain counts
 }
 
-// maxKept is how many volumes, pairs and distributions a sum of slots keeps.
+// maxKept is the maximum number of volumes, of pairs and of distributions in a sum of slots.
 const maxKept = 1024
 
-// Sum returns the sum over all slots.
+// Sum returns the sum of all slots as one window.
 func (d *Data) Sum() attribution.Window {
 	ws := make([]attribution.Window, len(d.Slots))
 	for i, s := range d.Slots {
@@ -30,7 +30,7 @@
 	return attribution.Sum(ws, maxKept, maxKept, maxKept)
 }
 
-// span returns the time that the slots cover, as text.
+// span returns a text with the start, the end and the length of the slots.
 func (d *Data) span() string {
 	if len(d.Slots) == 0 {
 		return "no request in that time"
@@ -40,12 +40,13 @@
 		slotEnd(&last).Format("15:04:05"), last.Slot)
 }
 
+// slotEnd returns the wall-clock time of the end of a slot.
 func slotEnd(s *attributionlog.Slot) time.Time { return s.From.Add(s.To - s.Window.From) }
 
-// UnknownVolumeError is returned for a volume without a summary of its own.
+// UnknownVolumeError is the error for a volume that has no summary of its own in the report.
 type UnknownVolumeError struct {
 	Volume string
-	Known  []string // some that have one
+	Known  []string // some volumes that have a summary
 }
 
 func (e *UnknownVolumeError) Error() string {
@@ -56,7 +57,7 @@
 		e.Volume, strings.Join(e.Known, ", "))
 }
 
-// findVolume returns a volume's summary, or an *UnknownVolumeError.
+// findVolume returns the summary of a volume. It returns an *UnknownVolumeError if there is none.
 func findVolume(w *attribution.Window, volume string) (attribution.VolumeSummary, error) {
 	if v, ok := w.Summary(volume); ok {
 		return v, nil
--- a/internal/attributionreport/html.go
+++ b/internal/attributionreport/html.go
@@ -13,7 +13,7 @@
 	"chalkstand/attribution"
 )
 
-// Sizes of the plots.
+// Sizes of the plots in an HTML report. Plots over time are wide; the others have the square size.
 const (
 	wideWidth    = 26 * vg.Centimeter
 	wideHeight   = 10 * vg.Centimeter
@@ -21,19 +21,21 @@
 	squareHeight = squareWidth * 3 / 4
 )
 
-// Bounds of the report.
+// Limits on the number of volumes in an HTML report.
 const (
-	topVolumes    = 20 // in the table
-	matrixVolumes = 12 // as victims and as culprits
-	reportVolumes = 6  // with a section of their own
+	topVolumes    = 20 // maximum number of volumes in the table
+	matrixVolumes = 12 // maximum number of victims, and of culprits, in the matrix
+	reportVolumes = 6  // maximum number of volumes with a section of their own
 )
 
+// section is a titled plot with optional text below it.
 type section struct {
 	Title string
 	Image template.URL
 	Text  string
 }
 
+// htmlPage is the input of pageTemplate.
 type htmlPage struct {
 	Title    string
 	Span     string
@@ -42,9 +44,9 @@
 	Sections []section
 }
 
-// HTML writes a report as one self-contained file. If volume is not empty it comes first; the
-// heaviest volumes follow. It returns an *UnknownVolumeError for a volume without a summary of its
-// own.
+// HTML writes a report as one self-contained HTML page. The page has sections for the heaviest
+// volumes. If volume is not empty, the section of that volume precedes them. HTML returns an
+// *UnknownVolumeError if volume has no summary of its own.
 func HTML(out io.Writer, d *Data, volume string) error {
 	w := d.Sum()
 	page := htmlPage{Title: "Latency accounts", Span: d.span(), Notes: d.Notes}
@@ -71,7 +73,7 @@
 	return pageTemplate.Execute(out, page)
 }
 
-// addSections adds the plots and the volumes.
+// addSections adds the section of each plot, including one for each of the given volumes.
 func (h *htmlPage) addSections(d *Data, w *attribution.Window, volumes []string) error {
 	p, err := Matrix(w, matrixVolumes)
 	if err != nil {
@@ -102,6 +104,7 @@
 	return h.add("All volumes", "", p, wideWidth, wideHeight)
 }
 
+// addVolume adds a section with the report and the plot of one volume.
 func (h *htmlPage) addVolume(d *Data, volume string) error {
 	var text bytes.Buffer
 	if err := Volume(&text, &Data{Slots: d.Slots}, volume); err != nil {
@@ -114,7 +117,7 @@
 	return h.add("Volume "+volume, text.String(), p, wideWidth, wideHeight)
 }
 
-// add adds a section with a plot, none for a plot of nil.
+// add adds a section with a plot. If the plot is nil, it adds nothing.
 func (h *htmlPage) add(title, text string, p *plot.Plot, width, height vg.Length) error {
 	if p == nil {
 		return nil
--- a/internal/attributionreport/json.go
+++ b/internal/attributionreport/json.go
@@ -7,17 +7,18 @@
 	"chalkstand/attribution"
 )
 
-// Summary is a report as JSON.
+// Summary holds the fields of a JSON report.
 type Summary struct {
 	Notes   []string            `json:"notes,omitempty"`
 	Counts  *attribution.Counts `json:"counts,omitempty"`
 	From    time.Time           `json:"from"`
 	To      time.Time           `json:"to"`
 	Window  attribution.Window  `json:"window"`
-	Volumes []string            `json:"asked,omitempty"` // the volumes that it is limited to
+	Volumes []string            `json:"asked,omitempty"` // the volumes to which the report is limited
 }
 
-// JSON returns what the tables show: the whole sum, or what concerns certain volumes.
+// JSON returns a summary of all slots. If volumes is not empty, the summary contains only the
+// volumes, pairs and distributions that concern one of these volumes.
 func JSON(d *Data, volumes []string) Summary {
 	s := Summary{Notes: d.Notes, Counts: d.Counts, Window: d.Sum(), Volumes: volumes}
 	if n := len(d.Slots); n > 0 {
--- a/internal/attributionreport/matrix.go
+++ b/internal/attributionreport/matrix.go
@@ -15,25 +15,26 @@
 	"chalkstand/attribution"
 )
 
-// matrix is victims by culprits, in seconds.
+// matrix holds how many seconds each victim waited behind each culprit. It implements
+// plotter.GridXYZ with one row for each victim and one column for each culprit.
 type matrix struct {
 	victims, culprits []string
-	seconds           [][]float64 // by victim, then culprit
+	seconds           [][]float64 // indexed by victim, then by culprit
 }
 
-// Dims implements plotter.GridXYZ, as the methods X, Y and Z do.
+// Dims returns the numbers of columns and rows.
 func (m *matrix) Dims() (int, int) { return len(m.culprits), len(m.victims) }
 
-// X returns the coordinate of a culprit.
+// X returns the horizontal coordinate of the culprit in column c.
 func (m *matrix) X(c int) float64 { return float64(c) }
 
-// Y returns the coordinate of a victim.
+// Y returns the vertical coordinate of the victim in row r.
 func (m *matrix) Y(r int) float64 { return float64(r) }
 
-// Z returns for how many seconds a victim waited behind a culprit.
+// Z returns how many seconds the victim in row r waited behind the culprit in column c.
 func (m *matrix) Z(c, r int) float64 { return m.seconds[r][c] }
 
-// max returns the largest Z.
+// max returns the largest value in the matrix.
 func (m *matrix) max() (z float64) {
 	for _, row := range m.seconds {
 		z = max(z, slices.Max(row))
@@ -41,8 +42,8 @@
 	return z
 }
 
-// contributionMatrix returns the pairs of the n volumes that waited most and the n that most was
-// waited behind.
+// contributionMatrix returns a matrix with the n victims that waited longest, and with the n culprits
+// that other volumes waited behind longest.
 func contributionMatrix(w *attribution.Window, n int) *matrix {
 	waited := map[string]time.Duration{}
 	caused := map[string]time.Duration{}
@@ -60,12 +61,12 @@
 			m.seconds[v][c] = time.Duration(p.Count).Seconds()
 		}
 	}
-	slices.Reverse(m.victims) // the heaviest on top
+	slices.Reverse(m.victims) // puts the victim that waited longest in the top row
 	slices.Reverse(m.seconds)
 	return m
 }
 
-// heaviestNames returns up to n names, the one with the most time first.
+// heaviestNames returns up to n names, ordered by time with the largest first.
 func heaviestNames(times map[string]time.Duration, n int) []string {
 	names := slices.SortedFunc(maps.Keys(times), func(a, b string) int {
 		return cmp.Or(cmp.Compare(times[b], times[a]), cmp.Compare(a, b))
@@ -73,7 +74,8 @@
 	return names[:min(n, len(names))]
 }
 
-// Matrix plots which volumes waited behind which, at most n of each. It returns nil if none did.
+// Matrix plots how long victims waited behind culprits, with at most n victims and n culprits. It
+// returns a nil plot if no volume waited behind another.
 func Matrix(w *attribution.Window, n int) (*plot.Plot, error) {
 	m := contributionMatrix(w, n)
 	if len(m.victims) == 0 {
@@ -84,7 +86,7 @@
 	p.X.Label.Text = "culprit"
 	p.Y.Label.Text = "victim"
 	colors := moreland.ExtendedBlackBody().Palette(256).Colors()
-	slices.Reverse(colors) // dark is much
+	slices.Reverse(colors) // larger values get darker colors
 	heat := plotter.NewHeatMap(m, fixedPalette(colors[:220]))
 	heat.Min = 0
 	heat.Max = math.Max(m.max(), 1e-9)
@@ -105,7 +107,8 @@
 	return p, nil
 }
 
-// labels returns the times in the cells, in white above dark seconds, nil if there are none.
+// labels returns labels with the time in each cell that is not 0. Labels are white in cells with more
+// than dark seconds. It returns nil if all cells are 0.
 func (m *matrix) labels(dark float64) (*plotter.Labels, error) {
 	var cells plotter.XYLabels
 	for r := range m.victims {
@@ -134,19 +137,19 @@
 	return labels, nil
 }
 
-// fixedPalette is a palette of given colors.
+// fixedPalette implements palette.Palette with a fixed list of colors.
 type fixedPalette []color.Color
 
-// Colors implements palette.Palette.
+// Colors returns the colors of the palette.
 func (f fixedPalette) Colors() []color.Color { return f }
 
-// maxTickLength is the length in bytes from which a name is cut short.
+// maxTickLength is the maximum length of a name on an axis, in bytes. Longer names are truncated.
 const maxTickLength = 16
 
-// nameTicks are names at 0, 1, 2 and so on.
+// nameTicks implements plot.Ticker with one name at each of the coordinates 0, 1, 2 and so on.
 type nameTicks []string
 
-// Ticks implements plot.Ticker.
+// Ticks returns a tick for each name.
 func (n nameTicks) Ticks(_, _ float64) []plot.Tick {
 	var ts []plot.Tick
 	for i, s := range n {
--- a/internal/attributionreport/plots.go
+++ b/internal/attributionreport/plots.go
@@ -16,8 +16,8 @@
 	"chalkstand/attribution"
 )
 
-// componentColors are the colors of the components: waiting in reds, the node in blues, the gateway
-// and the client in grays and greens.
+// componentColors holds the color of each component in plots. Components of waiting time are mostly
+// red, those of the node are blue, and those of the gateway and the client are gray or green.
 var componentColors = [attribution.Components]color.RGBA{
 	attribution.Gateway:            {140, 140, 140, 255},
 	attribution.RequestBody:        {120, 180, 120, 255},
@@ -39,7 +39,7 @@
 	attribution.EventLoop:          {150, 30, 90, 255},
 }
 
-// lineColors are the colors of the lines of Percentiles, in order.
+// lineColors holds the colors that Percentiles assigns to its lines, in this order.
 var lineColors = []color.RGBA{
 	{200, 30, 40, 255},
 	{30, 60, 140, 255},
@@ -50,14 +50,15 @@
 	{40, 170, 170, 255},
 }
 
-// point is one slot of a plot over time.
+// point holds the data of one slot in a plot over time.
 type point struct {
 	at      time.Time
 	width   time.Duration
 	summary attribution.VolumeSummary
 }
 
-// volumePoints returns a volume's summary in each slot; "" stands for all volumes.
+// volumePoints returns one point for each slot, with the summary of a volume. If volume is "", the
+// points have the summary of all volumes.
 func (d *Data) volumePoints(volume string) []point {
 	var ps []point
 	for _, s := range d.Slots {
@@ -70,11 +71,12 @@
 	return ps
 }
 
-// Stacked plots the mean time of a request over time, stacked by component; volume may be "" for all.
+// Stacked plots the mean latency of a volume's requests over time, as stacked areas of the
+// components. If volume is "", it plots the requests of all volumes.
 func Stacked(d *Data, volume string) (*plot.Plot, error) {
 	ps := d.volumePoints(volume)
 	if len(ps) == 0 {
-		return nil, errors.New("no slots to draw")
+		return nil, errors.New("attribution plot over time needs at least 1 slot, got none")
 	}
 	var sum attribution.Breakdown
 	for _, p := range ps {
@@ -99,13 +101,14 @@
 		p.Legend.Add(fmt.Sprintf("%s %s", c, share(sum[c], sum.Total())), poly)
 	}
 	p.Add(plotter.NewGrid())
-	p.X.Max += (p.X.Max - p.X.Min) * 0.45 // room for the legend
+	p.X.Max += (p.X.Max - p.X.Min) * 0.45 // leaves space for the legend on the right
 	return p, nil
 }
 
-// band returns one component's area, as steps on top of base, to which it adds its own height.
+// band returns the stepped area of one component. The lower edge of the area is at base. For each
+// point, band then adds the height of the area to base.
 func band(ps []point, c attribution.Component, base []float64) (*plotter.Polygon, error) {
-	var up, down plotter.XYs
+	var upper, lower plotter.XYs
 	for i, p := range ps {
 		y := 0.0
 		if p.summary.Requests > 0 {
@@ -113,20 +116,22 @@
 		}
 		x0 := float64(p.at.UnixMilli()) / 1e3
 		x1 := x0 + p.width.Seconds()
-		if i+1 < len(ps) { // a slot without requests in between shows as a gap
+		// A step ends with its slot, or earlier where the next slot starts. Slots without requests
+		// between two points therefore show as a gap.
+		if i+1 < len(ps) {
 			x1 = min(x1, float64(ps[i+1].at.UnixMilli())/1e3)
 		}
-		if n := len(down); n > 0 && down[n-1].X < x0 { // a gap
-			x := down[n-1].X
-			up = append(up, plotter.XY{X: x}, plotter.XY{X: x0})
-			down = append(down, plotter.XY{X: x}, plotter.XY{X: x0})
+		if n := len(lower); n > 0 && lower[n-1].X < x0 { // draws the gap with a height of 0
+			x := lower[n-1].X
+			upper = append(upper, plotter.XY{X: x}, plotter.XY{X: x0})
+			lower = append(lower, plotter.XY{X: x}, plotter.XY{X: x0})
 		}
-		up = append(up, plotter.XY{X: x0, Y: base[i] + y}, plotter.XY{X: x1, Y: base[i] + y})
-		down = append(down, plotter.XY{X: x0, Y: base[i]}, plotter.XY{X: x1, Y: base[i]})
+		upper = append(upper, plotter.XY{X: x0, Y: base[i] + y}, plotter.XY{X: x1, Y: base[i] + y})
+		lower = append(lower, plotter.XY{X: x0, Y: base[i]}, plotter.XY{X: x1, Y: base[i]})
 		base[i] += y
 	}
-	slices.Reverse(down)
-	poly, err := plotter.NewPolygon(append(up, down...))
+	slices.Reverse(lower)
+	poly, err := plotter.NewPolygon(append(upper, lower...))
 	if err != nil {
 		return nil, err
 	}
@@ -135,13 +140,14 @@
 	return poly, nil
 }
 
-// percentileShares are the shares of requests that Percentiles plots.
+// percentileShares holds the shares of requests for which Percentiles plots a value.
 var percentileShares = []float64{
 	0.01, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 0.95, 0.98, 0.99, 0.995, 0.999,
 }
 
-// Percentiles plots the distributions of volumes' times: the time that a share of the requests did
-// not exceed, on a scale that widens towards 1. It returns nil if no volume has a distribution.
+// Percentiles plots one line for each of the given volumes that has a distribution. A line shows the
+// latency that a share of the volume's requests did not exceed. The axis of the shares is scaled by
+// shareScale. Percentiles returns a nil plot if there are no lines.
 func Percentiles(w *attribution.Window, volumes []string) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = "Time that a share of the requests did not pass"
@@ -179,7 +185,8 @@
 	return p, nil
 }
 
-// percentilePoints returns the percentiles above 0 in ms, by the scale of shares.
+// percentilePoints returns the percentiles of a distribution that are above 0. The X values are shares
+// on the scale of shareScale; the Y values are in ms.
 func percentilePoints(d *attribution.Distribution) plotter.XYs {
 	var xy plotter.XYs
 	for _, s := range percentileShares {
@@ -190,13 +197,14 @@
 	return xy
 }
 
-// shareScale spreads the shares near 1: 0.9, 0.99 and 0.999 lie at 1, 2 and 3.
+// shareScale maps a share to a logarithmic scale, which spreads the shares near 1. It maps 0.9, 0.99
+// and 0.999 to 1, 2 and 3.
 func shareScale(s float64) float64 { return -math.Log10(1 - s) }
 
-// shareTicks mark shares on the scale of shareScale.
+// shareTicks implements plot.Ticker for an axis on the scale of shareScale.
 type shareTicks struct{}
 
-// Ticks implements plot.Ticker.
+// Ticks returns ticks at selected shares, labeled as percentages.
 func (shareTicks) Ticks(_, _ float64) []plot.Tick {
 	var ts []plot.Tick
 	for _, s := range []float64{0, 0.5, 0.9, 0.99, 0.999} {
@@ -205,7 +213,7 @@
 	return ts
 }
 
-// draw renders a plot in a format such as "png".
+// draw renders a plot as an image in the given format, such as "png".
 func draw(p *plot.Plot, w, h vg.Length, format string) ([]byte, error) {
 	wt, err := p.WriterTo(w, h, format)
 	if err != nil {
--- a/internal/attributionreport/text.go
+++ b/internal/attributionreport/text.go
@@ -12,16 +12,18 @@
 	"chalkstand/attribution"
 )
 
-// How many components and volumes a row of Top names.
+// Maximum numbers of components and of culprits in one row of Top.
 const (
 	topComponents = 3
 	topCulprits   = 2
 )
 
-// flush writes what a table holds. An error is ignored, as those of Fprintf are.
+// flush writes the buffered rows of a table. It ignores write errors, because the reports also
+// ignore the errors of Fprintf.
 func flush(t *tabwriter.Writer) { _ = t.Flush() }
 
-// round formats a duration with the precision that suits its size.
+// round formats a duration. It rounds durations of at least 1 s to 1 ms, those of at least 1 ms to
+// 10 µs, and shorter ones to 1 µs.
 func round(d time.Duration) string {
 	switch {
 	case d >= time.Second:
@@ -32,7 +34,7 @@
 	return d.Round(time.Microsecond).String()
 }
 
-// share formats a share as a percentage.
+// share formats the ratio of part to all as a percentage. It returns "-" if all is not above 0.
 func share(part, all time.Duration) string {
 	if all <= 0 {
 		return "-"
@@ -40,7 +42,8 @@
 	return fmt.Sprintf("%.1f %%", 100*part.Seconds()/all.Seconds())
 }
 
-// componentsByTime returns the components that took time, the longest first.
+// componentsByTime returns the components whose time is above 0, ordered by time with the longest
+// first.
 func componentsByTime(s attribution.Breakdown) []attribution.Component {
 	var cs []attribution.Component
 	for c := range attribution.Component(attribution.Components) {
@@ -52,18 +55,20 @@
 	return cs
 }
 
-// volumePairs returns the pairs of a volume, as victim or as culprit, the longest first.
-func volumePairs(w *attribution.Window, volume string, victim bool) []attribution.Item[attribution.Pair] {
+// volumePairs returns the pairs in which the volume is the victim, or those in which it is the
+// culprit. The pairs with the longest times come first.
+func volumePairs(w *attribution.Window, volume string, asVictim bool) []attribution.Item[attribution.Pair] {
 	var out []attribution.Item[attribution.Pair]
 	for _, p := range w.Pairs {
-		if victim && p.Key.Victim == volume || !victim && p.Key.Culprit == volume {
+		if asVictim && p.Key.Victim == volume || !asVictim && p.Key.Culprit == volume {
 			out = append(out, p)
 		}
 	}
 	return out
 }
 
-// Top writes the n heaviest volumes, the sum of the others and the sum of all.
+// Top writes a table with one row for each of the n heaviest volumes, one row for the sum of the
+// other volumes, and one row for the sum of all volumes.
 func Top(out io.Writer, d *Data, n int) {
 	w := d.Sum()
 	d.writeHeader(out)
@@ -87,7 +92,7 @@
 	d.writeFooter(out, &w)
 }
 
-// writeTopRow writes a row of Top, none for a summary without requests.
+// writeTopRow writes one row of the table of Top. It writes no row for a summary without requests.
 func writeTopRow(out io.Writer, w *attribution.Window, name string, v *attribution.VolumeSummary) {
 	if v.Requests == 0 {
 		return
@@ -107,8 +112,8 @@
 		strings.Join(components, ", "), strings.Join(culprits, ", "))
 }
 
-// Volume writes one volume's latency attribution. It returns an *UnknownVolumeError for a volume
-// without a summary of its own.
+// Volume writes the latency attribution of one volume. It returns an *UnknownVolumeError if the
+// volume has no summary of its own.
 func Volume(out io.Writer, d *Data, volume string) error {
 	w := d.Sum()
 	v, err := findVolume(&w, volume)
@@ -135,7 +140,8 @@
 	return nil
 }
 
-// writeComponents writes a volume's time by component, with percentiles where they are known.
+// writeComponents writes a table with a volume's time in each component. The table shows percentiles
+// if the window has distributions for the volume.
 func writeComponents(out io.Writer, w *attribution.Window, v *attribution.VolumeSummary) {
 	distribution, known := w.Distribution(v.Volume)
 	total := v.Parts.Total()
@@ -164,8 +170,8 @@
 	}
 }
 
-// Contributions writes which volumes a volume waited behind, and which waited behind it. It returns
-// an *UnknownVolumeError if nothing is known of the volume.
+// Contributions writes which volumes a volume waited behind, and which volumes waited behind it. It
+// returns an *UnknownVolumeError if the volume has no summary and no volume waited behind it.
 func Contributions(out io.Writer, d *Data, volume string) error {
 	w := d.Sum()
 	if _, err := findVolume(&w, volume); err != nil && len(volumePairs(&w, volume, false)) == 0 {
@@ -178,13 +184,14 @@
 	return nil
 }
 
-// writePairs writes the pairs of a volume, as victim and as culprit.
+// writePairs writes two tables: the pairs in which the volume is the victim, and those in which it is
+// the culprit.
 func writePairs(out io.Writer, w *attribution.Window, volume string) {
 	for _, x := range []struct {
-		title  string
-		victim bool
+		title    string
+		asVictim bool
 	}{{"it waited behind", true}, {"behind it waited", false}} {
-		ps := volumePairs(w, volume, x.victim)
+		ps := volumePairs(w, volume, x.asVictim)
 		fmt.Fprintf(out, "\n%s\n", x.title)
 		if len(ps) == 0 {
 			fmt.Fprintln(out, "  nobody that is known")
@@ -193,7 +200,7 @@
 		t := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
 		for _, p := range ps {
 			other := p.Key.Culprit
-			if !x.victim {
+			if !x.asVictim {
 				other = p.Key.Victim
 			}
 			fmt.Fprintf(t, "  %s\t%s", other, round(time.Duration(p.Count)))
@@ -206,6 +213,7 @@
 	}
 }
 
+// writeHeader writes the time that the slots cover, followed by the notes.
 func (d *Data) writeHeader(out io.Writer) {
 	fmt.Fprintf(out, "%s\n", d.span())
 	for _, n := range d.Notes {
@@ -214,6 +222,8 @@
 	fmt.Fprintln(out)
 }
 
+// writeFooter writes the error bound of the pairs, whether late reports have corrected slots, and the
+// counts of the collector.
 func (d *Data) writeFooter(out io.Writer, w *attribution.Window) {
 	fmt.Fprintln(out)
 	if w.PairError > 0 {
