--- a/lab/attributiontest/attributiontest.go
+++ b/lab/attributiontest/attributiontest.go
@@ -1,6 +1,7 @@
-// Package attributiontest injects faults with a known cause on loopback through a real gateway and
-// compares its latency attribution with what the clients measured: the total of each volume, and
-// whether the injected cause is the one that attribution names.
+// Package attributiontest tests latency attribution with injected faults. Clients on loopback send
+// requests through a real gateway to a fake node, and each scenario injects one fault with a known
+// cause. The package compares the attributed total time of each volume with the time that the
+// volume's clients measured. It also checks that attribution names the injected cause.
 package attributiontest
 
 import (
@@ -17,29 +18,31 @@
 	"chalkstand/internal/attributionlog"
 )
 
-// Tolerance is the largest difference of a volume's total from what its clients measured, as a share.
+// Tolerance is the largest accepted relative difference between the attributed total time of a volume
+// and the time that its clients measured.
 const Tolerance = 0.05
 
-// Result is the outcome of a test run.
+// Result holds the outcome of a test run.
 type Result struct {
 	Scenario string
 	Seed     uint64
 	Elapsed  time.Duration
 	Volumes  []Comparison
-	MaxError float64 // the largest absolute difference of a volume, as a share
+	MaxError float64 // largest absolute value of RelativeError in Volumes
 	Failures []string
-	Window   attribution.Window // over the whole run
-	Slots    []attributionlog.Slot
+	Window   attribution.Window    // attribution over the whole run
+	Slots    []attributionlog.Slot // contents of the attribution log
 }
 
-// Comparison holds a volume's total time as its clients measured it and as attribution has it.
+// Comparison holds the total time of a volume's requests, as measured by its clients and as
+// attributed by the gateway.
 type Comparison struct {
 	Volume     string
 	Measured   time.Duration
 	Attributed time.Duration
 }
 
-// RelativeError returns the difference as a share of what the clients measured.
+// RelativeError returns the measured time minus the attributed time, divided by the measured time.
 func (c Comparison) RelativeError() float64 {
 	if c.Measured <= 0 {
 		return 0
@@ -47,14 +50,14 @@
 	return (c.Measured - c.Attributed).Seconds() / c.Measured.Seconds()
 }
 
-// Bounds of the attribution log of a run.
+// Limits of the attribution log of a run.
 const (
 	logFileBytes = 16 << 20
 	logFiles     = 2
 )
 
-// Run plays a scenario. The attribution log is written into dir. Failures of the test are part of the
-// result; an error means that it could not be run.
+// Run runs a scenario and writes its attribution log into dir. Failed checks are part of the result.
+// An error means that the scenario could not be run.
 func Run(ctx context.Context, s Scenario, seed uint64, dir string) (_ Result, err error) {
 	logPath := filepath.Join(dir, fmt.Sprintf("%s-%d.log", s.Name, seed))
 	r := newTestRun(seed, logPath)
@@ -77,21 +80,21 @@
 	if err := r.startGateway(ctx); err != nil {
 		return Result{}, err
 	}
-	defer func() { r.closeGateway() }() // the current one: a scenario may restart it
-	s.play(ctx, r)
+	defer func() { r.closeGateway() }() // closes the current gateway, as a scenario may have replaced the first one
+	s.run(ctx, r)
 	close(r.done)
 	r.clients.Wait()
 	r.waitIdle()
 	return r.result(s)
 }
 
-// result closes the gateway and judges the run.
+// result closes the gateway, checks the run and returns its result.
 func (r *testRun) result(s Scenario) (Result, error) {
 	result := Result{
 		Scenario: s.Name,
 		Seed:     r.seed,
 		Elapsed:  time.Since(r.epoch),
-		Window:   r.aggregate(time.Minute),
+		Window:   r.lastWindow(time.Minute),
 	}
 	var counts attribution.Counts
 	readCounts := func(_ time.Duration, c *attribution.Collector) { counts = c.Counts() }
@@ -99,26 +102,27 @@
 		return result, err
 	}
 	if counts.Lost > 0 {
-		r.failf("%d attributions were lost", counts.Lost)
+		r.failf("got %d lost attribution entries, want 0", counts.Lost)
 	}
 	r.closeGateway() // writes the last slots to the log
-	records, damage, err := attributionlog.Read(r.logPath)
+	records, corruption, err := attributionlog.Read(r.logPath)
 	if err != nil {
 		return result, err
 	}
-	for _, d := range damage {
-		r.failf("%v", d)
+	for _, d := range corruption {
+		r.failf("got a corrupt attribution log, want an intact one: %v", d)
 	}
 	timeline := attributionlog.NewTimeline(records)
 	result.Slots = timeline.Slots
 	if s.check != nil {
-		s.check(&verdict{testRun: r, Window: result.Window, Counts: counts, Timeline: timeline})
+		s.check(&checker{testRun: r, Window: result.Window, Counts: counts, Timeline: timeline})
 	}
 	r.compareVolumes(&result, s.tolerance)
 	return result, nil
 }
 
-// compareVolumes compares the totals of the volumes. A tolerance of 0 stands for Tolerance.
+// compareVolumes compares the attributed total time of each volume with the measured one, and
+// completes the result. A tolerance of 0 stands for Tolerance.
 func (r *testRun) compareVolumes(result *Result, tolerance float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -131,7 +135,8 @@
 		difference := c.RelativeError()
 		result.MaxError = max(result.MaxError, difference, -difference)
 		if difference > tolerance || difference < -tolerance {
-			r.failures = append(r.failures, fmt.Sprintf("%s: clients measured %v, %v is attributed (%.1f %%)",
+			r.failures = append(r.failures, fmt.Sprintf("volume %s: clients measured %v, got %v attributed; "+
+				"the difference of %.1f %% exceeds the tolerance",
 				volume, c.Measured, c.Attributed, 100*difference))
 		}
 	}
--- a/lab/attributiontest/attributiontest_test.go
+++ b/lab/attributiontest/attributiontest_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// Each fault's cause is named, and the components of each request sum exactly. Totals are compared with a
-// larger tolerance here, as the race detector slows the path between client and gateway;
-// `chalkstand attribution-test` checks them against Tolerance.
+// Attribution names the cause of each fault, and the components of each request sum exactly to its
+// latency. This test compares totals with a larger tolerance, because the race detector slows the path
+// between client and gateway. The command `chalkstand attribution-test` compares them with Tolerance.
 func TestScenarios(t *testing.T) {
 	for _, s := range Scenarios() {
 		t.Run(s.Name, func(t *testing.T) {
@@ -16,7 +16,7 @@
 			for _, f := range r.Failures {
 				t.Error(f)
 			}
-			t.Logf("totals at most %.1f %% off; %d volumes", 100*r.MaxError, len(r.Volumes))
+			t.Logf("totals of the volumes differ by at most %.1f %%; %d volumes", 100*r.MaxError, len(r.Volumes))
 		})
 	}
 }
--- a/lab/attributiontest/clients.go
+++ b/lab/attributiontest/clients.go
@@ -16,18 +16,20 @@
 const (
 	maxIdleConns = 256
 
-	// receiveBufferBytes is small: a gateway counts bytes in the client's receive buffer as received.
+	// receiveBufferBytes is the size of a client's receive buffer. It is small because the gateway
+	// counts bytes in the client's receive buffer as received.
 	receiveBufferBytes = 64 << 10
 
-	// slowReadBytes is what a slow client reads at a time.
+	// slowReadBytes is the number of bytes that a slow client reads between two pauses.
 	slowReadBytes = 256 << 10
 )
 
+// newTransport returns a transport whose connections have a small receive buffer.
 func newTransport() *http.Transport {
 	return &http.Transport{MaxIdleConnsPerHost: maxIdleConns, DialContext: dial}
 }
 
-// dial opens a connection with a small receive buffer.
+// dial opens a connection with a receive buffer of receiveBufferBytes.
 func dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, network, addr)
@@ -42,8 +44,9 @@
 	return c, nil
 }
 
-// read reads an object and measures the latency as a client does: from the first byte of the
-// request to the last byte of the response. With a pause, it reads slowly, pausing after each part.
+// read requests an object and adds the latency to the volume's measured time. The latency is the
+// time from the first byte of the request to the last byte of the response. If pause is not 0, read
+// pauses after each slowReadBytes of the response.
 func (r *testRun) read(ctx context.Context, volume, key string, pause time.Duration) {
 	r.mu.Lock()
 	addr := r.addr
@@ -51,7 +54,7 @@
 	url := fmt.Sprintf("http://%s/%s/%s", addr, volume, key)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		r.failf("%v", err)
+		r.failf("create request: %v", err)
 		return
 	}
 	sigv4client.Request(req, keyID, secret, r.wallClock())
@@ -59,29 +62,30 @@
 	resp, err := r.transport.RoundTrip(req)
 	if err != nil {
 		if !connectionLost(err) {
-			r.failf("GET %s: %v", volume, err)
+			r.failf("GET of volume %s: got error %v, want a response", volume, err)
 		}
 		return
 	}
-	defer func() { _ = resp.Body.Close() }() // read to its end, or broken off
+	defer func() { _ = resp.Body.Close() }() // consume has read the body, so an error has no effect
 	consume(resp.Body, pause)
 	latency := time.Since(start)
 	r.mu.Lock()
 	r.measured[volume] += latency
 	r.mu.Unlock()
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusServiceUnavailable {
-		r.failf("GET %s: status %d", volume, resp.StatusCode)
+		r.failf("GET of volume %s: got status %d, want 200 or 503", volume, resp.StatusCode)
 	}
 }
 
-// connectionLost reports whether a request failed because its connection did, as happens when a gateway is
-// closed. An error that wraps such an error has another cause.
+// connectionLost reports whether a request failed because its connection was lost, as happens when a
+// gateway is closed. Errors that only wrap a connection error have another cause and return false.
 func connectionLost(err error) bool {
 	_, isNetError := err.(net.Error)   //nolint:errorlint // wrapped errors are failures
 	return isNetError || err == io.EOF //nolint:errorlint // wrapped errors are failures
 }
 
-// consume reads a body to its end. A body that breaks off counts as read: the gateway attributes its time, too.
+// consume reads a response body up to its end or the first error. The time of an incomplete body
+// counts too, because the gateway also attributes it.
 func consume(body io.Reader, pause time.Duration) {
 	if pause == 0 {
 		_, _ = io.Copy(io.Discard, body)
@@ -96,8 +100,9 @@
 	}
 }
 
-// startClients starts clients that read small objects of a volume, one after the other, until the channel is
-// closed. Before each request a client pauses for half to one and a half times the pause.
+// startClients starts n clients. Each client reads small objects of a volume, one after the other, until
+// the channel is closed. Before each request, a client waits for a random time between 0.5 and 1.5
+// times the pause.
 func (r *testRun) startClients(ctx context.Context, n int, volume string, pause time.Duration, until <-chan struct{}) {
 	r.mu.Lock()
 	seed := r.rng.Uint64()
@@ -118,7 +123,7 @@
 	}
 }
 
-// after returns a channel that is closed after the duration.
+// after returns a channel that is closed once the duration has passed.
 func after(d time.Duration) <-chan struct{} {
 	c := make(chan struct{})
 	time.AfterFunc(d, func() { close(c) })
--- a/lab/attributiontest/site.go
+++ b/lab/attributiontest/site.go
@@ -6,32 +6,34 @@
 	"chalkstand/fake/storagenode"
 )
 
-// The volumes of the scenarios. A volume's name says what its clients do; the gateway doesn't read it.
+// The volumes of the scenarios. A name describes the requests of the volume's clients. Only the name
+// of cappedVolume matters to the gateway, whose configuration sets a rate limit for it.
 const (
-	reviewVolume = "review" // the victim: few, small requests
+	reviewVolume = "review" // the victim, with few and small requests
 	floodVolume  = "flood"
 	flood2Volume = "flood2"
-	busyVolume   = "busy"   // some load, not the cause of any wait
-	cappedVolume = "capped" // with a rate limit
+	busyVolume   = "busy"   // has some load, but causes no waits
+	cappedVolume = "capped" // has a rate limit
 )
 
-// volumes lists all volumes.
+// volumes lists the volumes that the node stores.
 var volumes = []string{reviewVolume, floodVolume, flood2Volume, busyVolume, cappedVolume}
 
-// The objects that the volumes hold.
+// Keys and sizes of the objects in the volumes.
 const (
 	smallKey   = "small"
 	smallBytes = 1000
-	largeKey   = "large" // in reviewVolume only
+	largeKey   = "large" // exists only in reviewVolume
 	largeBytes = 16 << 20
 )
 
-// The access key of the clients, as in siteText.
+// The access key of the clients. It must match the key in siteText.
 const (
 	keyID  = "DRILLKEY"
 	secret = "drill-secret"
 )
 
+// siteText is the configuration of the gateway.
 const siteText = `{
 	"name": "drill", "listen": "127.0.0.1:0", "loops": 2, "shards": 1,
 	"keys": [{"id": "DRILLKEY", "secret": "drill-secret", "buckets": ["*"], "write": true}],
@@ -56,7 +58,7 @@
 	},
 }`
 
-// nodeConfig returns the node's configuration before a scenario changes it.
+// nodeConfig returns the default configuration of the node, which a scenario may change.
 func nodeConfig(seed uint64) storagenode.Config {
 	return storagenode.Config{
 		ID:          "node",
--- a/lab/attributiontest/testrun.go
+++ b/lab/attributiontest/testrun.go
@@ -19,32 +19,32 @@
 	"chalkstand/internal/settings"
 )
 
-// maxFailures bounds the failures that a run collects.
+// maxFailures is the maximum number of failures that a run records. It ignores further failures.
 const maxFailures = 20
 
-// testRun is one test run while it goes on.
+// testRun holds the state of a test run in progress.
 type testRun struct {
 	seed        uint64
 	rng         *rand.Rand
 	node        *storagenode.Node
 	data        *storagenode.Dataset
 	epoch       time.Time
-	clockOffset atomic.Int64 // of the gateway's wall clock, nanoseconds
+	clockOffset atomic.Int64 // offset of the gateway's wall clock, in nanoseconds
 	log         *attributionlog.Writer
 	logPath     string
 	transport   *http.Transport
 	clients     sync.WaitGroup
-	done        chan struct{} // closed when the scenario has been played
+	done        chan struct{} // closed when the run function of the scenario has returned
 
-	afterFlood attribution.Window // of the scenario flood-stops
+	afterFlood attribution.Window // attribution after the flood, set by the scenario flood-stops
 
 	mu         sync.Mutex
 	gateway    *gateway.Gateway
 	addr       string
-	stop       context.CancelFunc       // of the gateway's Serve
+	stop       context.CancelFunc       // stops the gateway's Serve
 	served     chan struct{}            // closed when the gateway's Serve has returned
-	measured   map[string]time.Duration // total by volume, by the clients
-	attributed map[string]time.Duration // total by volume, by the gateway
+	measured   map[string]time.Duration // total time that the clients measured for each volume
+	attributed map[string]time.Duration // total time that the gateway attributed for each volume
 	failures   []string
 }
 
@@ -73,7 +73,7 @@
 	return time.Now().Add(time.Duration(r.clockOffset.Load()))
 }
 
-// failf adds a failure.
+// failf records a failed check of the run.
 func (r *testRun) failf(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,7 +82,7 @@
 	}
 }
 
-// startGateway starts a gateway, which becomes the current one.
+// startGateway starts a gateway and makes it the current one of the run.
 func (r *testRun) startGateway(ctx context.Context) error {
 	cfg, err := settings.Parse("attribution-test", []byte(siteText))
 	if err != nil {
@@ -117,43 +117,48 @@
 	go func() {
 		defer close(served)
 		if err := g.Serve(ctx, ln); err != nil {
-			r.failf("%v", err)
+			r.failf("serve: %v", err)
 		}
 	}()
 	return nil
 }
 
-// closeGateway stops the gateway, which closes its attribution. It may be called again.
+// closeGateway stops the current gateway, which then writes its last attribution slots to the log.
+// It may be called more than once.
 func (r *testRun) closeGateway() {
 	r.stop()
 	if err := r.gateway.Close(); err != nil {
-		r.failf("%v", err)
+		r.failf("close the gateway: %v", err)
 	}
 	<-r.served
 }
 
+// appendLog writes an action of a gateway's collector to the attribution log.
 func (r *testRun) appendLog(g *gateway.Gateway, a attribution.Action) {
 	if err := r.log.Append(attributionlog.NewRecord(g.Run(), r.wallClock(), g.Now(), a)); err != nil {
-		r.failf("%v", err)
+		r.failf("append to the attribution log: %v", err)
 	}
 }
 
-// addEntry checks that the components of a request's latency sum exactly, and adds it to its volume.
+// addEntry checks that the components of a request sum exactly to its latency, and adds the latency to
+// the attributed time of the request's volume.
 func (r *testRun) addEntry(e attribution.Entry) {
 	var behind time.Duration
 	for _, b := range e.Behind {
 		behind += b.Time
 	}
 	if e.Parts.Total() != e.Ended-e.Started {
-		r.failf("%s: components sum to %v of %v", e.Volume, e.Parts.Total(), e.Ended-e.Started)
+		r.failf("volume %s: got components with a sum of %v, want %v", e.Volume, e.Parts.Total(), e.Ended-e.Started)
 	}
 	queued := e.Parts[attribution.QueuedBehindOthers] + e.Parts[attribution.NodeQueue] + e.Parts[attribution.EventLoop]
 	if behind > queued {
-		r.failf("%s: waited %v behind others, of %v queued", e.Volume, behind, queued)
+		r.failf("volume %s: got a wait of %v behind volumes, want at most the queued time of %v",
+			e.Volume, behind, queued)
 	}
 	for component, d := range e.Parts {
 		if d < 0 {
-			r.failf("%s: %v of %v", e.Volume, d, attribution.Component(component))
+			r.failf("volume %s: got a time of %v in component %v, want 0 or more",
+				e.Volume, d, attribution.Component(component))
 		}
 	}
 	r.mu.Lock()
@@ -161,41 +166,41 @@
 	r.mu.Unlock()
 }
 
-// idleTimeout bounds the wait for the requests in flight.
+// idleTimeout is the maximum time that waitIdle waits for the requests in flight.
 const idleTimeout = 10 * time.Second
 
-// waitIdle waits until every request is answered and attributed.
+// waitIdle waits until all requests have ended and the collector has aggregated their attribution.
 func (r *testRun) waitIdle() {
 	for end := time.Now().Add(idleTimeout); r.gateway.InFlight() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			r.failf("%d requests are still in flight", r.gateway.InFlight())
+			r.failf("got %d requests in flight at the end of the run, want 0", r.gateway.InFlight())
 			return
 		}
 	}
 	r.gateway.FlushAttribution()
-	r.aggregate(time.Minute) // returns after what was flushed before has been aggregated
+	r.lastWindow(time.Minute) // returns only after the collector has aggregated the flushed entries
 }
 
-// aggregateSince returns the attribution from the first whole second after a time on.
-func (r *testRun) aggregateSince(at time.Duration) (w attribution.Window) {
+// windowSince returns the attribution since the time at, rounded up to a whole second.
+func (r *testRun) windowSince(at time.Duration) (w attribution.Window) {
 	r.gateway.FlushAttribution()
 	read := func(now time.Duration, c *attribution.Collector) {
 		from := (at + time.Second - 1) / time.Second * time.Second
 		w, _ = c.Aggregator().Window(now, max(now-from, time.Millisecond))
 	}
 	if err := r.gateway.Attribution(read); err != nil {
-		r.failf("%v", err)
+		r.failf("read attribution: %v", err)
 	}
 	return w
 }
 
-// aggregate returns the attribution of the last span.
-func (r *testRun) aggregate(span time.Duration) (w attribution.Window) {
+// lastWindow returns the attribution of the given span up to now.
+func (r *testRun) lastWindow(span time.Duration) (w attribution.Window) {
 	read := func(now time.Duration, c *attribution.Collector) {
 		w, _ = c.Aggregator().Window(now, span)
 	}
 	if err := r.gateway.Attribution(read); err != nil {
-		r.failf("%v", err)
+		r.failf("read attribution of the last span: %v", err)
 	}
 	return w
 }
