--- a/internal/attributionreport/html.go
+++ b/internal/attributionreport/html.go
@@ -13,7 +13,8 @@
 	"chalkstand/attribution"
 )
 
-// Sizes of the plots in an HTML report. Plots over time are wide; the others have the square size.
+// Sizes of the plots in an HTML report. Plots over time have the wide size. The matrix and the
+// percentiles have the square size.
 const (
 	wideWidth    = 26 * vg.Centimeter
 	wideHeight   = 10 * vg.Centimeter
--- a/internal/attributionreport/plots.go
+++ b/internal/attributionreport/plots.go
@@ -105,8 +105,8 @@
 	return p, nil
 }
 
-// band returns the stepped area of one component. The lower edge of the area is at base. For each
-// point, band then adds the height of the area to base.
+// band returns the stepped area of one component in a stacked plot. base holds the height of the
+// area's lower edge at each point. band adds the height of the area to base, for the next component.
 func band(ps []point, c attribution.Component, base []float64) (*plotter.Polygon, error) {
 	var upper, lower plotter.XYs
 	for i, p := range ps {
@@ -146,8 +146,8 @@
 }
 
 // Percentiles plots one line for each of the given volumes that has a distribution. A line shows the
-// latency that a share of the volume's requests did not exceed. The axis of the shares is scaled by
-// shareScale. Percentiles returns a nil plot if there are no lines.
+// latency that a share of the volume's requests did not exceed. The axis of the shares uses the scale
+// of shareScale, which widens towards 1. Percentiles returns a nil plot if there are no lines.
 func Percentiles(w *attribution.Window, volumes []string) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = "Time that a share of the requests did not pass"
--- a/lab/attributiontest/attributiontest.go
+++ b/lab/attributiontest/attributiontest.go
@@ -115,7 +115,7 @@
 	timeline := attributionlog.NewTimeline(records)
 	result.Slots = timeline.Slots
 	if s.check != nil {
-		s.check(&checker{testRun: r, Window: result.Window, Counts: counts, Timeline: timeline})
+		s.check(&verifier{testRun: r, Window: result.Window, Counts: counts, Timeline: timeline})
 	}
 	r.compareVolumes(&result, s.tolerance)
 	return result, nil
--- a/lab/attributiontest/clients.go
+++ b/lab/attributiontest/clients.go
@@ -78,7 +78,8 @@
 }
 
 // connectionLost reports whether a request failed because its connection was lost, as happens when a
-// gateway is closed. Errors that only wrap a connection error have another cause and return false.
+// gateway is closed. It returns false for an error that only wraps a connection error, because such an
+// error has another cause.
 func connectionLost(err error) bool {
 	_, isNetError := err.(net.Error)   //nolint:errorlint // wrapped errors are failures
 	return isNetError || err == io.EOF //nolint:errorlint // wrapped errors are failures
--- a/lab/attributiontest/scenarios.go
+++ b/lab/attributiontest/scenarios.go
@@ -16,7 +16,7 @@
 	tolerance     float64                   // 0 stands for Tolerance
 	configureNode func(*storagenode.Config) // changes the node's configuration; may be nil
 	run           func(context.Context, *testRun)
-	check         func(*checker)
+	check         func(*verifier)
 }
 
 // Scenarios returns all scenarios.
@@ -54,7 +54,7 @@
 			r.startClients(ctx, 2, reviewVolume, 5*time.Millisecond, r.done)
 			<-after(2 * time.Second)
 		},
-		check: func(v *checker) { v.expectCulprit(floodVolume, busyVolume) },
+		check: func(v *verifier) { v.expectCulprit(floodVolume, busyVolume) },
 	}
 }
 
@@ -69,7 +69,7 @@
 			r.startClients(ctx, 2, reviewVolume, 5*time.Millisecond, r.done)
 			<-after(2 * time.Second)
 		},
-		check: func(v *checker) {
+		check: func(v *verifier) {
 			first, second := v.reviewBehind(floodVolume), v.reviewBehind(flood2Volume)
 			if first > 2*second || second > 2*first {
 				v.failf("review waited %v and %v behind two equal floods, want at most a factor of 2 between them",
@@ -93,7 +93,7 @@
 			<-after(1500 * time.Millisecond)
 			r.afterFlood = r.windowSince(at)
 		},
-		check: func(v *checker) {
+		check: func(v *verifier) {
 			v.expectCulprit(floodVolume)
 			requests := v.afterFlood.All.Requests
 			wait := waitedBehind(&v.afterFlood, reviewVolume, floodVolume)
@@ -115,7 +115,7 @@
 			r.startClients(ctx, 1, busyVolume, 40*time.Millisecond, r.done)
 			<-after(2 * time.Second)
 		},
-		check: func(v *checker) {
+		check: func(v *verifier) {
 			v.expectShare(reviewVolume, 0.8, attribution.NodeService)
 			total := v.Window.All.Parts.Total()
 			if behind := v.Window.Behind; behind > total/20 {
@@ -134,7 +134,7 @@
 			r.startClients(ctx, 1, reviewVolume, 10*time.Millisecond, r.done)
 			<-after(2500 * time.Millisecond)
 		},
-		check: func(v *checker) {
+		check: func(v *verifier) {
 			v.expectShare(cappedVolume, 0.7, attribution.RateLimited)
 			if d := v.component(reviewVolume, attribution.RateLimited); d > 0 {
 				v.failf("review has no rate limit: got %v attributed to a limit, want none", d)
@@ -157,7 +157,7 @@
 			r.startClients(ctx, 2, reviewVolume, 5*time.Millisecond, r.done)
 			<-after(2500 * time.Millisecond)
 		},
-		check: func(v *checker) {
+		check: func(v *verifier) {
 			v.expectShare(reviewVolume, 0.3, attribution.FailedAttempts, attribution.RetryBackoff)
 		},
 	}
@@ -173,7 +173,7 @@
 				r.read(ctx, reviewVolume, largeKey, 10*time.Millisecond)
 			}
 		},
-		check: func(v *checker) {
+		check: func(v *verifier) {
 			v.expectShare(reviewVolume, 0.6, attribution.SlowClient, attribution.ResponseBody)
 		},
 	}
@@ -192,7 +192,7 @@
 			r.startClients(ctx, 2, reviewVolume, 5*time.Millisecond, r.done)
 			<-after(5 * time.Second)
 		},
-		check: func(v *checker) {
+		check: func(v *verifier) {
 			if v.Counts.ReportedLate == 0 || v.Counts.Corrected == 0 || !v.Window.Corrected {
 				v.failf("got no corrected slot, want late reports to correct some: counts %+v", v.Counts)
 			}
@@ -229,7 +229,7 @@
 			r.startClients(ctx, 4, reviewVolume, 5*time.Millisecond, r.done)
 			<-after(1200 * time.Millisecond)
 		},
-		check: func(v *checker) {
+		check: func(v *verifier) {
 			runs := map[string]bool{}
 			for _, s := range v.Timeline.Slots {
 				runs[s.Run.ID] = true
@@ -257,7 +257,7 @@
 			r.clockOffset.Store(int64(-5 * time.Minute))
 			<-after(700 * time.Millisecond)
 		},
-		check: func(v *checker) {
+		check: func(v *verifier) {
 			v.expectNote("wall clock was set by -5m0")
 			logged, attributed := v.loggedTotal(), v.attributed[reviewVolume]
 			if logged != attributed {
