--- a/attribution/aggregator.go
+++ b/attribution/aggregator.go
@@ -31,8 +31,8 @@
 	return a, nil
 }
 
-// Add adds a request to the finest slot that contains the request's end. If that slot is closed
-// already, Add also adds the request to coarser slots, up to the first one that is open.
+// Add adds a request to the finest slot that contains the request's end. If that slot is closed or
+// no longer held, Add continues with coarser slots, up to the first one that is open.
 func (a *Aggregator) Add(e Entry) {
 	for level := range a.levels {
 		s := a.slotAt(level, e.Ended)
@@ -80,8 +80,8 @@
 	}
 }
 
-// Correct applies a correction to the slots that contain the request. It returns the number of
-// these slots, and whether one of them was closed before. It marks closed slots as corrected.
+// Correct applies a correction to the slots that contain the request's end. It returns the number
+// of these slots, and whether any of them was already closed. It marks closed slots as corrected.
 func (a *Aggregator) Correct(c Correction) (held int, late bool) {
 	for level := range a.levels {
 		s := a.lookup(level, c.Ended)
@@ -192,9 +192,9 @@
 	return s
 }
 
-// slotAt returns the slot of a level that contains a time. If the slot does not exist, slotAt closes
-// the older slot in its place of the ring and replaces it. It returns nil if the ring has replaced
-// the slot by a newer one.
+// slotAt returns the slot of a level that contains a time, and creates the slot if necessary. A new
+// slot replaces the older slot at its position in the ring, which slotAt closes first. If that
+// position holds a newer slot, slotAt returns nil.
 func (a *Aggregator) slotAt(level int, at time.Duration) *slot {
 	i := a.slotIndex(level, at)
 	place := &a.levels[level][i%int64(len(a.levels[level]))]
--- a/attribution/clientspan.go
+++ b/attribution/clientspan.go
@@ -8,7 +8,7 @@
 // ClientSpan attributes the time of a client's request, which may need several requests to nodes,
 // one after the other or concurrently. While a request to a node is in progress, the client span
 // takes over the attribution of that request. At other times it uses its own current component.
-// Where several requests to nodes overlap, only the request that ended first counts.
+// Where several requests to nodes overlap, it uses the attribution of the request that ended first.
 type ClientSpan struct {
 	span       Span
 	behind     []Contribution
--- a/attribution/collector_test.go
+++ b/attribution/collector_test.go
@@ -50,7 +50,7 @@
 	v, _ := w.Summary("v")
 	if v.Parts[NodeQueue] != 20*ms || v.Parts[NodeService] != 8*ms || v.Parts[NodeUnknown] != 2*ms ||
 		w.Corrected != corrected {
-		t.Fatalf("got parts %v, want 20 ms queue, 8 ms service, 2 ms unknown; got corrected %v, want it only after a save",
+		t.Fatalf("got parts %v, want 20 ms queue, 8 ms service, 2 ms unknown; got corrected %v, want true if saved",
 			v.Parts, w.Corrected)
 	}
 	if len(w.Pairs) != 1 || w.Pairs[0].Key != (Pair{"v", "flood"}) || time.Duration(w.Pairs[0].Count) != 15*ms {
--- a/attribution/component.go
+++ b/attribution/component.go
@@ -10,22 +10,22 @@
 const (
 	Gateway            Component = iota // the gateway parses, schedules or writes the request
 	RequestBody                         // the gateway receives the request body from the client
-	QueuedUnknown                       // queued for an unknown reason, as the client canceled first
-	QueuedBehindOthers                  // queued while requests of other volumes are in flight
-	QueuedBehindOwn                     // queued while requests of its own volume are in flight
-	RateLimited                         // queued because its volume has reached its rate limit
-	SlowStart                           // queued because a node is in slow start
-	Ejected                             // queued because a node is ejected
-	KeyOrder                            // waits for earlier writes to its key, or until its key is quiescent
-	RetryBackoff                        // waits before a retry
-	FailedAttempts                      // spent in attempts that got no response
-	Dialing                             // waits for a connection to its node
-	NodeQueue                           // queued at the node, according to the node's report
-	NodeService                         // in service at the node, according to the node's report
-	NodeUnknown                         // at the node, which has not reported its queue and service times
+	QueuedUnknown                       // the request was queued, but the client canceled before the reason was known
+	QueuedBehindOthers                  // the request is queued while requests of other volumes are in flight
+	QueuedBehindOwn                     // the request is queued while requests of its own volume are in flight
+	RateLimited                         // the request is queued because of its volume's rate limit
+	SlowStart                           // the request is queued because a node is in slow start
+	Ejected                             // the request is queued because a node is ejected
+	KeyOrder                            // the request waits for earlier writes to its key, or for the key's quiescence
+	RetryBackoff                        // the request waits before a retry
+	FailedAttempts                      // the request spent the time in attempts that got no response
+	Dialing                             // the request waits for a connection to its node
+	NodeQueue                           // the request is queued at the node, as the node reported
+	NodeService                         // the request is in service at the node, as the node reported
+	NodeUnknown                         // the request is at the node, which has not reported queue and service times
 	ResponseBody                        // the gateway forwards the response from the node
-	SlowClient                          // waits for the client to read the response
-	EventLoop                           // waits for a time slice of its event loop
+	SlowClient                          // the gateway waits for the client to read the response
+	EventLoop                           // the request waits for a time slice of its event loop
 	componentCount
 )
 
--- a/attribution/distribution.go
+++ b/attribution/distribution.go
@@ -24,7 +24,8 @@
 	return percentile(d.Components[c.String()], d.Whole.Count(), share)
 }
 
-// percentile returns the percentile of n values. Values that are not in the bins count as 0.
+// percentile returns the time that the given share of n values does not exceed. Values that are not
+// in the bins count as 0.
 func percentile(b Bins, n int64, share float64) time.Duration {
 	nonzero := b.Count()
 	n = max(n, nonzero)
--- a/attribution/histograms.go
+++ b/attribution/histograms.go
@@ -20,8 +20,8 @@
 
 // histogramSet holds the distributions of one volume in one slot: one HDR histogram for each
 // component and one for the total time. A request that spent no time in a component is not
-// recorded in the component's histogram. The number of such requests is the difference between
-// the counts of the two histograms.
+// recorded in the component's histogram. The number of such requests is the count of the total
+// times minus the count of the component's times.
 type histogramSet struct {
 	live    [histogramCount]*hdrhistogram.Histogram
 	removed [histogramCount]*hdrhistogram.Histogram // values to subtract from live
--- a/attribution/occupancy.go
+++ b/attribution/occupancy.go
@@ -119,9 +119,9 @@
 	return apportion(seconds, unattributed+to-from-known, to-from)
 }
 
-// advance adds the time up to now to the current interval. It advances only the virtual time and
-// the idle time. A volume's own share is accrued from the virtual time when the volume's units
-// change or the interval ends.
+// advance extends the current interval up to now. Time without requests in flight increases the
+// interval's idle time. Other time advances the virtual time, from which accrue derives the share of
+// a volume when the volume's units change or the interval ends.
 func (o *Occupancy) advance(now time.Duration) {
 	d := now - o.updatedAt
 	if d <= 0 {
--- a/attribution/occupancy_test.go
+++ b/attribution/occupancy_test.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// The history has a bounded number of intervals, which are longer the older they are. Over a long
-// time, the times of the volumes are correct within one of the longest intervals. The time before
+// The history has a bounded number of intervals, which are longer the older they are. Even for a long
+// wait, the error of a volume's time is at most the length of the longest interval. The time before
 // the start of the history is attributed to no volume.
 func TestOccupancyHistoryIsBounded(t *testing.T) {
 	o := NewOccupancy(ms)
--- a/attribution/sketch.go
+++ b/attribution/sketch.go
@@ -16,7 +16,7 @@
 // With at most k distinct keys, all counts are exact. Weights must not be negative.
 type Sketch[K comparable] struct {
 	capacity  int
-	baseError int64 // while the sketch is not full: upper bound for the weight of a key that is not kept
+	baseError int64 // upper bound for the weight of a key that is not kept, used while the sketch is not full
 	total     int64 // sum of the weights of all keys
 	counters  map[K]*counter[K]
 	heap      counterHeap[K]
--- a/attribution/slot.go
+++ b/attribution/slot.go
@@ -53,7 +53,8 @@
 
 // restoreSlot returns a slot with the contents of a window.
 func restoreSlot(w *Window) *slot {
-	// The extra capacity leaves the sketches not full, so that the window's error bounds apply to them.
+	// Each sketch has room for one more key than the window holds. A sketch that is not full uses the
+	// error bound that restore sets.
 	s := newSlot(0, len(w.Volumes)+1, len(w.Pairs)+1)
 	s.total = w.All.Parts
 	s.requests = w.All.Requests
@@ -172,7 +173,7 @@
 	reserved := 0
 	for _, v := range s.reserved {
 		if v == volume {
-			reserved = -limit // the volume has a reservation itself
+			reserved = -limit // a volume with a reservation always gets distributions
 			break
 		}
 		if s.distributions[v] == nil {
--- a/internal/attributionlog/timeline.go
+++ b/internal/attributionlog/timeline.go
@@ -15,8 +15,8 @@
 	Notes []string // messages about restarts, wall-clock steps, and corrections whose slot is missing
 }
 
-// Slot is a window of a run together with its start time. From is the wall-clock time of the start
-// and ignores steps of the clock during the run.
+// Slot is a window of a run. From is the start of the window in wall-clock time, calculated from the
+// wall clock at the start of the run.
 type Slot struct {
 	Run  attribution.Run
 	From time.Time
@@ -31,7 +31,7 @@
 func NewTimeline(recs []Record) Timeline {
 	var t Timeline
 	slotAt := map[string]map[time.Duration]int{} // maps run ID and start of a slot to an index into t.Slots
-	steps := map[string]time.Duration{}          // maps run ID to the clock step in the last note on it
+	steps := map[string]time.Duration{}          // maps run ID to the clock step that the last note reported
 	unplaced := 0
 	for i := range recs {
 		r := &recs[i]
--- a/internal/attributionlog/writer.go
+++ b/internal/attributionlog/writer.go
@@ -48,7 +48,7 @@
 	}
 	size, err := w.recover(f)
 	if err != nil {
-		_ = f.Close() // the error of recover is the cause, so that of Close is ignored
+		_ = f.Close() // a second error from Close would add nothing to the error of recover
 		return err
 	}
 	w.file = f
