--- a/attribution/occupancy.go
+++ b/attribution/occupancy.go
@@ -16,7 +16,7 @@
 type Occupancy struct {
 	quantum     time.Duration
 	inFlight    []InFlightUnits // sorted by volume
-	accruedTo   []float64       // virtual time up to which the volume at the same index of inFlight is accrued
+	accruedTo   []float64       // virtual time of the last accrual for the volume at the same index of inFlight
 	virtualTime float64         // seconds attributed to each unit in flight
 	totalUnits  float64         // sum of the units in inFlight
 	updatedAt   time.Duration
--- a/internal/attributionlog/log_test.go
+++ b/internal/attributionlog/log_test.go
@@ -61,8 +61,8 @@
 	return b
 }
 
-// A log may be truncated at any byte. Read returns the records before the truncation and reports
-// the corruption. A writer appends new records after the last intact one.
+// A log may be truncated at any byte. Read returns the intact records before the truncation and
+// reports a record that was cut. A writer appends new records after the last intact one.
 func TestTruncatedAnywhere(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "log")
--- a/internal/attributionlog/writer.go
+++ b/internal/attributionlog/writer.go
@@ -16,7 +16,7 @@
 // Writer appends records to an attribution log. It is not safe for concurrent use.
 type Writer struct {
 	path        string
-	maxFileSize int64 // bytes
+	maxFileSize int64 // maximum size of a file in bytes
 	maxFiles    int
 	file        *os.File
 	size        int64 // size of file in bytes
