--- a/internal/http1/chunked.go
+++ b/internal/http1/chunked.go
@@ -2,40 +2,40 @@
 
 import "bytes"
 
-// Bounds of the chunked coding.
+// Limits of a chunked body's lines.
 const (
-	maxChunkLine  = 1 << 10  // size and extension of one chunk, bytes
-	maxTrailer    = 16 << 10 // all trailer lines, bytes
-	maxSizeDigits = 15       // hexadecimal, so that a size fits an int64
+	maxChunkLine  = 1 << 10  // bytes in the line with a chunk's size and extension
+	maxTrailer    = 16 << 10 // bytes in all trailer lines together
+	maxSizeDigits = 15       // hexadecimal digits in a chunk's size, so that the size fits an int64
 )
 
-// Step is what Chunked.Next has decoded.
+// Step is the part of a chunked body that one call of Chunked.Next has decoded.
 type Step int
 
-// The steps of a chunked body, in the order in which they come.
+// The steps of a chunked body. All but More are listed in the order in which they occur in a body.
 const (
-	More       Step = iota // more input is needed
-	ChunkStart             // a chunk begins: Size and Ext are set
-	Data                   // bytes of the body
-	ChunkEnd               // the chunk is whole
-	Trailer                // a trailer line: Line is set
-	Done                   // the body is whole
+	More       Step = iota // The input ends before the next step is complete.
+	ChunkStart             // A chunk begins. Chunked.Size and Chunked.Ext describe it.
+	Data                   // Next returned bytes of the body.
+	ChunkEnd               // The current chunk is complete.
+	Trailer                // Next parsed a trailer line into Chunked.Line.
+	Done                   // The body and its trailer are complete.
 )
 
-// Chunked decodes the chunked transfer coding, and the aws-chunked coding, which
-// has the same form: there the extension carries a signature. The zero value is ready for the
-// start of a body.
+// Chunked decodes a body in the chunked transfer coding. It also decodes the aws-chunked coding,
+// which has the same syntax and carries a signature in the chunk extension. The zero value is ready
+// to decode a body from its start.
 type Chunked struct {
-	Size int64  // of the present chunk, in bytes
-	Ext  []byte // its extension, without the first semicolon; valid until the next call
-	Line Header // of a Trailer step; valid until the next call
+	Size int64  // length of the current chunk's data, in bytes
+	Ext  []byte // extension of the current chunk without its first semicolon; valid until the next call of Next
+	Line Header // parsed line of a Trailer step; valid until the next call of Next
 
-	remaining    int64 // of the present chunk, in bytes
+	remaining    int64 // bytes of the current chunk's data that Next has not returned yet
 	state        chunkState
-	trailerBytes int
+	trailerBytes int // length of the trailer lines parsed so far
 }
 
-// chunkState is what Chunked expects next.
+// chunkState is the part of a chunked body that Chunked expects next.
 type chunkState uint8
 
 const (
@@ -46,8 +46,8 @@
 	bodyEnded
 )
 
-// Next decodes one step from the start of b. It returns the bytes of a Data step
-// and how much of b was used.
+// Next decodes one step from the start of b. It returns the body's bytes of a Data step, and the
+// number of bytes of b that the step consumed.
 func (c *Chunked) Next(b []byte) (s Step, data []byte, used int, err *Error) {
 	switch c.state {
 	case atChunkSize:
@@ -65,7 +65,7 @@
 	return Done, nil, 0, nil
 }
 
-// readSize reads the line with which a chunk begins.
+// readSize reads the line that starts a chunk and holds its size and extension.
 func (c *Chunked) readSize(b []byte) (Step, int, *Error) {
 	line, n, err := cutChunkLine(b, maxChunkLine)
 	if n == 0 || err != nil {
@@ -76,13 +76,13 @@
 	}
 	c.remaining = c.Size
 	c.state = inChunkData
-	if c.Size == 0 { // the last chunk
+	if c.Size == 0 { // A chunk of size 0 ends the data. The trailer follows it.
 		c.state = inTrailer
 	}
 	return ChunkStart, n, nil
 }
 
-// readData returns what is there of a chunk's data.
+// readData returns the bytes of b that belong to the current chunk's data.
 func (c *Chunked) readData(b []byte) (Step, []byte, int, *Error) {
 	if len(b) == 0 {
 		return More, nil, 0, nil
@@ -95,7 +95,7 @@
 	return Data, b[:n], n, nil
 }
 
-// readEnd reads the CRLF after a chunk's data.
+// readEnd reads the CRLF that follows a chunk's data.
 func (c *Chunked) readEnd(b []byte) (Step, int, *Error) {
 	switch {
 	case len(b) > 0 && b[0] != '\r' || len(b) > 1 && b[1] != '\n':
@@ -107,7 +107,7 @@
 	return ChunkEnd, len(crlf), nil
 }
 
-// readTrailer reads a trailer line or the empty line that ends the body.
+// readTrailer reads one trailer line, or the empty line that ends the body.
 func (c *Chunked) readTrailer(b []byte) (Step, int, *Error) {
 	line, n, err := cutChunkLine(b, maxTrailer-c.trailerBytes)
 	if n == 0 || err != nil {
@@ -122,8 +122,9 @@
 	return Trailer, n, err
 }
 
-// cutChunkLine returns a line of up to limit bytes, without its CRLF, and its length with it; 0
-// means that more input is needed.
+// cutChunkLine returns the first line of b without its CRLF, and the line's length n including its
+// CRLF. The line may have at most limit bytes before its LF. n is 0 if b does not yet hold a
+// complete line.
 func cutChunkLine(b []byte, limit int) (line []byte, n int, err *Error) {
 	i := bytes.IndexByte(b, '\n')
 	switch {
@@ -137,7 +138,7 @@
 	return b[:i-1], i + 1, nil
 }
 
-// parseSize parses a chunk's size and extension.
+// parseSize parses a chunk's size and extension into c.Size and c.Ext.
 func (c *Chunked) parseSize(line []byte) *Error {
 	digits, ext, _ := bytes.Cut(line, []byte(";"))
 	if len(digits) == 0 || len(digits) > maxSizeDigits {
@@ -155,7 +156,7 @@
 	return nil
 }
 
-// hexValue returns the value of a hexadecimal digit, or -1.
+// hexValue returns the value of a hexadecimal digit, or -1 if the byte is not one.
 func hexValue(digit byte) int {
 	switch {
 	case '0' <= digit && digit <= '9':
--- a/internal/http1/chunked_test.go
+++ b/internal/http1/chunked_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// decode decodes a chunked body that comes in pieces of a size. It returns the body, the trailers
-// as "name=value;", and whether it ended.
+// decode passes text to a Chunked in pieces of size bytes. It returns the decoded body, the trailer
+// lines in the form "name=value;", and whether the decoder reached the end of the body.
 func decode(text []byte, size int) (body []byte, trailers string, done bool, err *Error) {
 	var c Chunked
 	var buf []byte
@@ -41,30 +41,30 @@
 	for size := 1; size <= len(text); size++ {
 		body, trailers, done, err := decode([]byte(text), size)
 		if err != nil || !done || string(body) != "hello, wide world" || trailers != "X-Sum=1;y=2;" {
-			t.Fatalf("pieces of %d: %q %q %v %v", size, body, trailers, done, err)
+			t.Fatalf("pieces of %d bytes: got body %q, trailers %q, done %v, error %v", size, body, trailers, done, err)
 		}
 	}
 }
 
-func TestBadChunked(t *testing.T) {
+func TestInvalidChunked(t *testing.T) {
 	for name, text := range map[string]string{
-		"bare LF after size":  "5\nhello\r\n0\r\n\r\n",
-		"empty size":          "\r\n",
-		"size not a number":   "g\r\n",
-		"space before size":   " 5\r\nhello\r\n",
-		"no CR after data":    "5\r\nhelloX\n",
-		"no LF after data":    "5\r\nhello\r\r\n",
-		"negative size":       "-1\r\n",
-		"size with prefix":    "0x5\r\nhello\r\n",
-		"size too large":      "ffffffffffffffff\r\n",
-		"bad trailer":         "5\r\nhello\r\n0\r\nbad trailer\r\n\r\n",
-		"folded trailer":      "5\r\nhello\r\n0\r\n folded: x\r\n\r\n",
-		"endless size":        strings.Repeat("1", 2000),
-		"extension too large": "5;" + strings.Repeat("x", 2000) + "\r\nhello",
+		"bare LF after size":   "5\nhello\r\n0\r\n\r\n",
+		"empty size":           "\r\n",
+		"size not hex":         "g\r\n",
+		"space before size":    " 5\r\nhello\r\n",
+		"no CR after data":     "5\r\nhelloX\n",
+		"no LF after data":     "5\r\nhello\r\r\n",
+		"negative size":        "-1\r\n",
+		"size with prefix":     "0x5\r\nhello\r\n",
+		"size too large":       "ffffffffffffffff\r\n",
+		"bad trailer":          "5\r\nhello\r\n0\r\nbad trailer\r\n\r\n",
+		"folded trailer":       "5\r\nhello\r\n0\r\n folded: x\r\n\r\n",
+		"too many size digits": strings.Repeat("1", 2000),
+		"extension too large":  "5;" + strings.Repeat("x", 2000) + "\r\nhello",
 	} {
 		t.Run(name, func(t *testing.T) {
 			if body, _, done, err := decode([]byte(text), 1000); err == nil || done {
-				t.Errorf("%.40q is accepted: %q", text, body)
+				t.Errorf("invalid chunked body %.40q was accepted and decoded to %q", text, body)
 			}
 		})
 	}
@@ -75,10 +75,12 @@
 	f.Add([]byte("3;a=b\r\nabc\r\n0\r\nX: y\r\n\r\n"), 4)
 	f.Fuzz(func(t *testing.T, text []byte, size int) {
 		size = min(max(size, 1), 64)
-		b1, t1, d1, e1 := decode(text, len(text)+1)
-		b2, t2, d2, e2 := decode(text, size)
-		if d1 != d2 || d1 && (!bytes.Equal(b1, b2) || t1 != t2) || (e1 == nil) != (e2 == nil) {
-			t.Fatalf("at once %q %v %v, in pieces %q %v %v", b1, d1, e1, b2, d2, e2)
+		body, trailers, done, err := decode(text, len(text)+1)
+		piecesBody, piecesTrailers, piecesDone, piecesErr := decode(text, size)
+		if done != piecesDone || done && (!bytes.Equal(body, piecesBody) || trailers != piecesTrailers) ||
+			(err == nil) != (piecesErr == nil) {
+			t.Fatalf("passed at once: body %q, done %v, error %v; passed in pieces: body %q, done %v, error %v",
+				body, done, err, piecesBody, piecesDone, piecesErr)
 		}
 	})
 }
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -7,38 +7,40 @@
 	doubleCRLF = []byte("\r\n\r\n")
 )
 
-// Head parses heads from input that grows, without scanning bytes twice. The zero value is ready to
-// use.
+// Head parses the head of a message while the message is still being received. It remembers how
+// many bytes it has searched for the end of the head, so that it does not search them again when
+// more bytes arrive. The zero value is ready to use.
 type Head struct{ scanned int }
 
-// Reset has to be called when the input is another than before.
+// Reset makes h forget the bytes that it has searched. The caller must call Reset before it passes
+// the bytes of another message.
 func (h *Head) Reset() { h.scanned = 0 }
 
-// find returns the length of the head at the start of b, with the empty line that ends it; 0 means
-// that more input is needed.
-func (h *Head) find(b []byte, lim Limits) (int, *Error) {
+// find returns the length of the head at the start of b, including the empty line that ends the
+// head. It returns 0 if b does not hold a complete head yet.
+func (h *Head) find(b []byte, limits Limits) (int, *Error) {
 	from := max(h.scanned-(len(doubleCRLF)-1), 0)
 	if i := bytes.Index(b[from:], doubleCRLF); i >= 0 {
 		n := from + i + len(doubleCRLF)
 		h.scanned = 0
-		if n > lim.Head {
+		if n > limits.Head {
 			return 0, &Error{statusHeaderFieldsTooLarge, "the head is too large"}
 		}
 		return n, nil
 	}
 	h.scanned = len(b)
-	if len(b) >= lim.Head {
+	if len(b) >= limits.Head {
 		return 0, &Error{statusHeaderFieldsTooLarge, "the head is too large"}
 	}
-	return 0, checkFirstLine(b, lim)
+	return 0, checkFirstLine(b, limits)
 }
 
-// checkFirstLine checks the part of an incomplete head that is there: a first line that is too long,
-// or not HTTP at all, needs no more input.
-func checkFirstLine(b []byte, lim Limits) *Error {
+// checkFirstLine checks the first line of an incomplete head. It rejects a line that is too long or
+// ends in a bare LF as soon as the input shows it, so that the caller does not wait for more input.
+func checkFirstLine(b []byte, limits Limits) *Error {
 	i := bytes.IndexByte(b, '\n')
 	switch {
-	case i < 0 && len(b) > lim.Line || i > lim.Line:
+	case i < 0 && len(b) > limits.Line || i > limits.Line:
 		return &Error{statusURITooLong, "the request line is too long"}
 	case i == 0 || i > 0 && b[i-1] != '\r':
 		return badRequest("a line ends in a bare LF")
@@ -46,7 +48,7 @@
 	return nil
 }
 
-// cutLine returns the first line of b, without its CRLF, and the rest.
+// cutLine returns the first line of b without its CRLF, and the bytes of b after that line.
 func cutLine(b []byte) (line, rest []byte, err *Error) {
 	i := bytes.IndexByte(b, '\n')
 	if i < 1 || b[i-1] != '\r' {
@@ -55,7 +57,7 @@
 	return b[:i-1], b[i+1:], nil
 }
 
-// parseVersion returns the minor version of an HTTP/1.x version.
+// parseVersion returns the minor version x of the version "HTTP/1.x", which must be 0 or 1.
 func parseVersion(v []byte) (minor int, err *Error) {
 	switch string(v) {
 	case "HTTP/1.1":
--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -2,13 +2,14 @@
 
 import "bytes"
 
-// Header is one header line. Its bytes belong to the buffer that was parsed.
+// Header is one header line. Its slices point into the buffer that it was parsed from.
 type Header struct{ Name, Value []byte }
 
-// Headers are the header lines in the order received.
+// Headers holds a message's header lines in the order in which they were received.
 type Headers []Header
 
-// Get returns the first value of the name, or nil. ASCII case is ignored.
+// Get returns the value of the first header with the given name, or nil if there is none. Names are
+// compared without regard to ASCII case.
 func (h Headers) Get(name string) []byte {
 	for i := range h {
 		if EqualFold(h[i].Name, name) {
@@ -18,7 +19,8 @@
 	return nil
 }
 
-// Has reports whether there is a header of the name. ASCII case is ignored.
+// Has reports whether a header with the given name exists. Names are compared without regard to
+// ASCII case.
 func (h Headers) Has(name string) bool {
 	for i := range h {
 		if EqualFold(h[i].Name, name) {
@@ -28,7 +30,7 @@
 	return false
 }
 
-// Clone returns a copy that does not share the parsed buffer.
+// Clone returns a copy of the headers that does not point into the parsed buffer.
 func (h Headers) Clone() Headers {
 	out := make(Headers, len(h))
 	for i, header := range h {
@@ -50,7 +52,7 @@
 	return true
 }
 
-// lower returns the lower case of an ASCII letter, and other bytes as they are.
+// lower returns an upper-case ASCII letter in lower case, and every other byte unchanged.
 func lower(c byte) byte {
 	if 'A' <= c && c <= 'Z' {
 		return c + ('a' - 'A')
@@ -58,21 +60,21 @@
 	return c
 }
 
-// parseHeaders parses the header lines of a head, with the empty line that ends it, and appends
-// them to headers.
-func parseHeaders(b []byte, headers Headers, lim Limits) (Headers, *Error) {
+// parseHeaders parses the header lines at the start of b up to the empty line that ends the head,
+// and appends them to headers.
+func parseHeaders(b []byte, headers Headers, limits Limits) (Headers, *Error) {
 	for {
 		line, rest, err := cutLine(b)
 		if err != nil {
 			return nil, err
 		}
 		if len(line) == 0 {
-			if len(rest) != 0 { // Head.find stops at the first empty line
+			if len(rest) != 0 { // b ends with the first empty line that Head.find found.
 				return nil, badRequest("an empty line inside the head")
 			}
 			return headers, nil
 		}
-		if len(headers) == lim.Headers {
+		if len(headers) == limits.Headers {
 			return nil, &Error{statusHeaderFieldsTooLarge, "too many header lines"}
 		}
 		header, err := parseHeaderLine(line)
@@ -84,7 +86,7 @@
 	}
 }
 
-// parseHeaderLine parses one header line, without its CRLF.
+// parseHeaderLine parses one header line, which is passed without its CRLF.
 func parseHeaderLine(line []byte) (Header, *Error) {
 	if isBlank(line[0]) {
 		return Header{}, badRequest("a folded header line")
@@ -105,8 +107,8 @@
 	return Header{Name: line[:i], Value: value}, nil
 }
 
-// trimBlanks returns b without leading and trailing spaces and tabs. Unlike bytes.Trim, it does not
-// make an empty value nil.
+// trimBlanks returns b without leading and trailing spaces and tabs. Unlike bytes.Trim, it returns
+// an empty slice and not nil if nothing is left.
 func trimBlanks(b []byte) []byte {
 	for len(b) > 0 && isBlank(b[0]) {
 		b = b[1:]
@@ -119,8 +121,8 @@
 
 func isBlank(c byte) bool { return c == ' ' || c == '\t' }
 
-// connectionCloses reports whether a Connection header's value says that the connection closes
-// after this message. byDefault is the result where the value says neither.
+// connectionCloses reports whether the connection closes after this message, according to the value
+// of its Connection header. It returns byDefault if the value holds neither close nor keep-alive.
 func connectionCloses(value []byte, byDefault bool) bool {
 	closes := byDefault
 	for len(value) > 0 {
@@ -137,10 +139,12 @@
 	return closes
 }
 
-// maxLengthDigits bounds a Content-Length so that it fits an int64.
+// maxLengthDigits is the highest number of digits in a Content-Length. Any number of 18 digits fits
+// an int64.
 const maxLengthDigits = 18
 
-// ParseLength parses a Content-Length: 1 to 18 digits and nothing else.
+// ParseLength parses the value of a Content-Length header, which must consist of 1 to 18 decimal
+// digits. It returns false for any other value.
 func ParseLength(v []byte) (int64, bool) {
 	if len(v) == 0 || len(v) > maxLengthDigits {
 		return 0, false
@@ -155,10 +159,10 @@
 	return n, true
 }
 
-// asciiDEL is the one control character beyond the printable ones.
+// asciiDEL is the only ASCII control character whose code is above those of the printable ones.
 const asciiDEL = 0x7f
 
-// isTokenChar holds the characters of a token in RFC 9110.
+// isTokenChar reports for each byte whether RFC 9110 allows it in a token.
 var isTokenChar = func() (t [256]bool) {
 	for c := '0'; c <= '9'; c++ {
 		t[c] = true
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -6,35 +6,36 @@
 	"testing"
 )
 
-func TestRequestHead(t *testing.T) {
+func TestParseRequest(t *testing.T) {
 	const text = "PUT /a/b?c=d HTTP/1.1\r\nHost: x\r\nContent-Length: 12\r\nX: \t y z \t\r\nEmpty:\r\n" +
 		"Connection: keep-alive, Close\r\nExpect: 100-Continue\r\n\r\n"
 	var h Head
 	var r Request
 	n, err := h.ParseRequest([]byte(text+"body"), DefaultLimits, &r)
 	if err != nil || n != len(text) {
-		t.Fatalf("%d of %d bytes, %v", n, len(text), err)
+		t.Fatalf("ParseRequest: got length %d, want %d; error %v", n, len(text), err)
 	}
 	if string(r.Method) != "PUT" || string(r.Target) != "/a/b?c=d" || r.Length != 12 || !r.HasLength ||
 		!r.Close || !r.Expect100 {
-		t.Fatalf("%+v", r)
+		t.Fatalf("ParseRequest: got request %+v, want PUT /a/b?c=d with length 12, Close and Expect100", r)
 	}
 	if v := r.Headers.Get("x"); string(v) != "y z" {
-		t.Fatalf("%q", v)
+		t.Fatalf("value of header X: got %q, want \"y z\" without the surrounding blanks", v)
 	}
 	if v := r.Headers.Get("empty"); v == nil || len(v) != 0 {
-		t.Fatalf("%q", v)
+		t.Fatalf("value of header Empty: got %q, want an empty value that is not nil", v)
 	}
 }
 
-// The pieces in which a request comes make no difference.
-func TestPiecesMakeNoDifference(t *testing.T) {
+// TestParseRequestInPieces checks that a request parses to the same result however the network
+// splits it.
+func TestParseRequestInPieces(t *testing.T) {
 	text := []byte("GET /k HTTP/1.1\r\nHost: x\r\nRange: bytes=0-1\r\n\r\nGET /next")
 	for size := 1; size < len(text); size++ {
 		var r Request
 		n, err := parseInPieces(text, size, &r)
 		if err != nil || n != len(text)-len("GET /next") || string(r.Headers.Get("Range")) != "bytes=0-1" {
-			t.Fatalf("pieces of %d: %d %+v %v", size, n, r, err)
+			t.Fatalf("pieces of %d bytes: got length %d, request %+v, error %v", size, n, r, err)
 		}
 	}
 }
@@ -65,13 +66,13 @@
 			var r Response
 			n, err := h.ParseResponse([]byte(c.text), DefaultLimits, c.method, &r)
 			if err != nil || n != len(c.text) || r.Framing != c.want || r.Close != c.close {
-				t.Errorf("%q: %d %+v close %v, %v", c.text, n, r.Framing, r.Close, err)
+				t.Errorf("%q: got length %d, framing %+v, close %v, error %v", c.text, n, r.Framing, r.Close, err)
 			}
 		})
 	}
 }
 
-func TestBadResponses(t *testing.T) {
+func TestInvalidResponses(t *testing.T) {
 	for name, text := range map[string]string{
 		"two lengths":        "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 5\r\n\r\n",
 		"length and chunked": "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -83,7 +84,7 @@
 			var h Head
 			var r Response
 			if _, err := h.ParseResponse([]byte(text), DefaultLimits, "GET", &r); err == nil {
-				t.Errorf("%q: no error, %+v", text, r)
+				t.Errorf("invalid response head %q was accepted and parsed to %+v", text, r)
 			}
 		})
 	}
@@ -106,24 +107,26 @@
 		var pieces Request
 		inPieces, piecesErr := parseInPieces(text, size, &pieces)
 		if inPieces > 0 && (inPieces != n || fmt.Sprintf("%q", whole.Headers) != fmt.Sprintf("%q", pieces.Headers)) {
-			t.Fatalf("in pieces %d, at once %d", inPieces, n)
+			t.Fatalf("the head parsed in pieces differs: got length %d, want length %d and the same headers", inPieces, n)
 		}
 		if accepted && inPieces != n {
-			t.Fatalf("at once %d, in pieces %d %v", n, inPieces, piecesErr)
+			t.Fatalf("length of an accepted head: %d at once, %d in pieces with error %v", n, inPieces, piecesErr)
 		}
 	})
 }
 
-// checkAccepted checks that an accepted head is unambiguous.
+// checkAccepted fails the test if an accepted head has two body lengths, a bare LF, or no empty
+// line at its end.
 func checkAccepted(t *testing.T, head []byte, r *Request) {
 	t.Helper()
 	if r.Chunked && r.HasLength || !bytes.HasSuffix(head, doubleCRLF) ||
 		bytes.Count(head, []byte("\n")) != bytes.Count(head, crlf) {
-		t.Fatalf("accepted: %q", head)
+		t.Fatalf("an ambiguous request head was accepted: %q", head)
 	}
 }
 
-// parseInPieces parses a request of which so many bytes more are there at each attempt.
+// parseInPieces calls ParseRequest repeatedly, each time with size more bytes of text, until the
+// head is complete, an error occurs, or text ends.
 func parseInPieces(text []byte, size int, r *Request) (int, *Error) {
 	var h Head
 	for end := size; ; end += size {
@@ -142,7 +145,7 @@
 		var r Response
 		n, err := h.ParseResponse(text, DefaultLimits, method, &r)
 		if err == nil && n > 0 && (r.Status < 100 || r.Status > 599 || r.Length < 0 || r.Chunked && r.Length > 0) {
-			t.Fatalf("%+v", r)
+			t.Fatalf("an accepted response head has an invalid status or length: %+v", r)
 		}
 	})
 }
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -2,22 +2,22 @@
 
 import "bytes"
 
-// Request is a parsed request head. Its bytes belong to the buffer that was parsed.
+// Request is a parsed request head. Its slices point into the buffer that it was parsed from.
 type Request struct {
 	Method, Target []byte
-	Minor          int // of HTTP/1.x
+	Minor          int // minor version x of HTTP/1.x
 	Headers        Headers
 	Framing
-	HasLength bool // there is a Content-Length
-	Close     bool // the connection closes after the response
-	Expect100 bool // the client waits for 100 Continue before it sends the body
+	HasLength bool // The request has a Content-Length header.
+	Close     bool // The connection closes after the response.
+	Expect100 bool // The client waits for 100 Continue before it sends the body.
 }
 
-// ParseRequest parses one request head at the start of b into r, reusing its
-// slices, and returns its length; 0 means that more input is needed. The caller skips empty lines
-// before the request with SkipBlank.
-func (h *Head) ParseRequest(b []byte, lim Limits, r *Request) (int, *Error) {
-	n, err := h.find(b, lim)
+// ParseRequest parses the request head at the start of b into r and returns the head's length. It
+// reuses the slice r.Headers. It returns 0 if b does not hold a complete head yet. The caller must
+// skip empty lines before the request with SkipBlank.
+func (h *Head) ParseRequest(b []byte, limits Limits, r *Request) (int, *Error) {
+	n, err := h.find(b, limits)
 	if n == 0 || err != nil {
 		return 0, err
 	}
@@ -26,19 +26,19 @@
 	if err != nil {
 		return 0, err
 	}
-	if len(line) > lim.Line {
+	if len(line) > limits.Line {
 		return 0, &Error{statusURITooLong, "the request line is too long"}
 	}
 	if err := r.parseRequestLine(line); err != nil {
 		return 0, err
 	}
-	if r.Headers, err = parseHeaders(rest, r.Headers, lim); err != nil {
+	if r.Headers, err = parseHeaders(rest, r.Headers, limits); err != nil {
 		return 0, err
 	}
 	return n, r.applyHeaders()
 }
 
-// SkipBlank returns how many bytes of empty lines are at the start of b.
+// SkipBlank returns the number of bytes that empty lines occupy at the start of b.
 func SkipBlank(b []byte) int {
 	n := 0
 	for len(b)-n >= 2 && b[n] == '\r' && b[n+1] == '\n' {
@@ -47,7 +47,7 @@
 	return n
 }
 
-// parseRequestLine parses a request line, without its CRLF.
+// parseRequestLine parses a request line, which is passed without its CRLF.
 func (r *Request) parseRequestLine(line []byte) *Error {
 	first := bytes.IndexByte(line, ' ')
 	last := bytes.LastIndexByte(line, ' ')
@@ -71,11 +71,12 @@
 	return err
 }
 
-// headerCounts counts the headers that may be there once.
+// headerCounts counts the Host, Content-Length and Transfer-Encoding headers of a message. Each of
+// them may occur at most once.
 type headerCounts struct{ hosts, lengths, codings int }
 
-// applyHeaders sets the fields that follow from headers, and checks that the body's framing is
-// unambiguous.
+// applyHeaders sets the fields of r that its headers determine. It returns an error if the headers
+// contradict each other about the body's framing, or if Host is missing or repeated.
 func (r *Request) applyHeaders() *Error {
 	var counts headerCounts
 	r.Close = r.Minor == 0
@@ -97,8 +98,8 @@
 	return nil
 }
 
-// applyHeader sets the field that follows from one header. Upgrade and TE need no support: RFC 9110
-// lets a server ignore them.
+// applyHeader sets the fields of r that one header determines. It ignores Upgrade and TE, because
+// RFC 9110 lets a server ignore them.
 func (r *Request) applyHeader(h *Header, counts *headerCounts) *Error {
 	switch {
 	case EqualFold(h.Name, "content-length"):
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -1,25 +1,25 @@
 package http1
 
-// Response is a parsed response head. Its bytes belong to the buffer that was parsed.
+// Response is a parsed response head. Its slices point into the buffer that it was parsed from.
 type Response struct {
 	Status  int
-	Minor   int // of HTTP/1.x
+	Minor   int // minor version x of HTTP/1.x
 	Headers Headers
 	Framing
-	Close bool // the connection closes after the response
+	Close bool // The connection closes after the response.
 }
 
-// Parts of a status line such as "HTTP/1.1 200 OK".
+// Positions of the status code in a status line such as "HTTP/1.1 200 OK".
 const (
 	statusCodeStart = len("HTTP/1.1 ")
 	statusCodeEnd   = len("HTTP/1.1 200")
 )
 
-// ParseResponse parses one response head at the start of b into r, reusing its slices, and returns
-// its length; 0 means that more input is needed. method is that of the request: it decides whether
-// a body follows.
-func (h *Head) ParseResponse(b []byte, lim Limits, method string, r *Response) (int, *Error) {
-	n, err := h.find(b, lim)
+// ParseResponse parses the response head at the start of b into r and returns the head's length. It
+// reuses the slice r.Headers. It returns 0 if b does not hold a complete head yet. method is the
+// method of the request, because a response to HEAD has no body.
+func (h *Head) ParseResponse(b []byte, limits Limits, method string, r *Response) (int, *Error) {
+	n, err := h.find(b, limits)
 	if n == 0 || err != nil {
 		return 0, err
 	}
@@ -31,13 +31,13 @@
 	if err := r.parseStatusLine(line); err != nil {
 		return 0, err
 	}
-	if r.Headers, err = parseHeaders(rest, r.Headers, lim); err != nil {
+	if r.Headers, err = parseHeaders(rest, r.Headers, limits); err != nil {
 		return 0, err
 	}
 	return n, r.applyHeaders(method)
 }
 
-// parseStatusLine parses a status line, without its CRLF.
+// parseStatusLine parses a status line, which is passed without its CRLF.
 func (r *Response) parseStatusLine(line []byte) (err *Error) {
 	if len(line) < statusCodeEnd || line[statusCodeStart-1] != ' ' ||
 		len(line) > statusCodeEnd && line[statusCodeEnd] != ' ' {
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// applyHeaders sets the fields that follow from headers, and checks that the body's framing is
-// unambiguous.
+// applyHeaders sets the fields of r that its headers determine. It returns an error if the headers
+// contradict each other about the body's framing. method is the method of the request.
 func (r *Response) applyHeaders(method string) *Error {
 	var counts headerCounts
 	r.Close = r.Minor == 0
@@ -77,13 +77,14 @@
 	return nil
 }
 
-// hasNoBody reports whether a response has no body, whatever its headers say.
+// hasNoBody reports whether the request's method or the response's status code rules out a body,
+// regardless of the response's headers.
 func (r *Response) hasNoBody(method string) bool {
 	return method == "HEAD" || r.Status < firstFinalStatus ||
 		r.Status == statusNoContent || r.Status == statusNotModified
 }
 
-// applyHeader sets the field that follows from one header.
+// applyHeader sets the fields of r that one header determines.
 func (r *Response) applyHeader(h *Header, counts *headerCounts) *Error {
 	switch {
 	case EqualFold(h.Name, "content-length"):
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// AppendStatus appends a status line.
+// AppendStatus appends the status line of a response to b.
 func AppendStatus(b []byte, status int) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
@@ -11,8 +11,8 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendHeader appends one header line. CR, LF and NUL in the value, which would change the
-// message's meaning, become spaces.
+// AppendHeader appends one header line to b. It replaces CR, LF and NUL in the value with spaces,
+// because a value that holds them could add header lines or end the head.
 func AppendHeader[T ~string | ~[]byte](b []byte, name string, value T) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
@@ -26,15 +26,15 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendLength appends a Content-Length line.
+// AppendLength appends a Content-Length header line to b.
 func AppendLength(b []byte, n int64) []byte {
 	b = append(b, "Content-Length: "...)
 	b = strconv.AppendInt(b, n, 10)
 	return append(b, "\r\n"...)
 }
 
-// AppendChunk appends data as one chunk; empty data appends nothing, as it would
-// end the body.
+// AppendChunk appends data to b as one chunk of a chunked body. It appends nothing if data is
+// empty, because an empty chunk would end the body.
 func AppendChunk(b, data []byte) []byte {
 	if len(data) == 0 {
 		return b
@@ -45,10 +45,11 @@
 	return append(b, "\r\n"...)
 }
 
-// LastChunk ends a chunked body without trailers.
+// LastChunk is the encoded end of a chunked body that has no trailer.
 const LastChunk = "0\r\n\r\n"
 
-// Reason returns the reason phrase of a status code that the gateway sends; "Status" for others.
+// Reason returns the reason phrase of a status code. For a status code that the gateway never
+// sends, it returns "Status".
 func Reason(status int) string {
 	if r, ok := reasons[status]; ok {
 		return r
@@ -56,7 +57,7 @@
 	return "Status"
 }
 
-// reasons are the reason phrases by status code.
+// reasons maps each status code that the gateway sends to its reason phrase.
 var reasons = map[int]string{
 	100: "Continue",
 	200: "OK",
