--- a/internal/upstreamhttp/reader.go
+++ b/internal/upstreamhttp/reader.go
@@ -1,44 +1,47 @@
-// Package upstreamhttp reads the HTTP responses on one connection to a storage node. It is a state
-// machine without I/O: its owner reports what was sent and passes in what was received, and gets
-// steps that say what that means. A connection whose framing is in any doubt is broken and
-// stays so.
+// Package upstreamhttp reads the HTTP responses on one connection to a storage node. Its Reader is a
+// state machine without I/O. The owner of the connection reports each request that it sends, passes
+// in the bytes that it receives, and gets back steps that describe the response. When the end of a
+// response cannot be determined with certainty, the Reader marks the connection as broken for good.
 package upstreamhttp
 
 import "chalkstand/internal/http1"
 
-// Status codes that decide on framing.
+// Status codes that determine how a response is read.
 const (
 	statusSwitchingProtocols = 101
-	firstFinalStatus         = 200 // those below are interim responses
+	firstFinalStatus         = 200 // A response with a lower status code is an interim response.
 )
 
-// Reader reads the responses on one connection. With its Limits set, the zero value is ready to use.
+// Reader reads the responses on one connection. The zero value is ready to use once Limits is set.
 type Reader struct {
 	Limits http1.Limits
 
-	// Response is the present response's head from the steps Headers, BodyData, BufferedResponse
-	// and ResponseEnd on. Its bytes are valid as long as the input, unless Buffer was called.
+	// Response is the head of the current response. It is set from the first step of kind Headers or
+	// BufferedResponse on. Its slices point into the input that was passed to Next, except after a
+	// call of Buffer, which copies the headers.
 	Response http1.Response
 
 	state       State
-	method      string // of the request
-	bufferLimit int    // a body of up to so many bytes is buffered
+	method      string // method of the request that was sent last
+	bufferLimit int    // length in bytes of the longest body that the Reader buffers
 	head        http1.Head
-	total       int            // bytes of head and body, of a buffered response of known length
-	remaining   int64          // bytes of a streamed body of known length; untilClose
-	chunks      *http1.Chunked // of a chunked body, else nil
-	body        []byte         // of a chunked response that is buffered
-	surplus     bool           // bytes came with the response's end that are not part of it
+	total       int            // bytes of head and body together, for a buffered response of known length
+	remaining   int64          // bytes of a streamed body that were not read yet, or untilClose
+	chunks      *http1.Chunked // decoder of a chunked body; nil for any other body
+	body        []byte         // data of a chunked body that is being buffered
+	surplus     bool           // The input held more bytes after the end of the response.
 }
 
-// untilClose is the value of Reader.remaining for a body that ends with its connection.
+// untilClose is the value of Reader.remaining for a body that ends when the node closes the
+// connection.
 const untilClose = -1
 
-// State returns the present state.
+// State returns the current state of the connection's responses.
 func (r *Reader) State() State { return r.state }
 
-// RequestSent has to be called when a request is sent. A response's body of up to bufferLimit bytes
-// is buffered. It returns false where the connection must not carry a request.
+// RequestSent records that the owner sends a request with the given method. The Reader buffers a
+// body of at most bufferLimit bytes. RequestSent returns false if the connection must not carry a
+// request now.
 func (r *Reader) RequestSent(method string, bufferLimit int) bool {
 	if r.state != Idle {
 		return false
@@ -50,8 +53,8 @@
 	return true
 }
 
-// ResponseTaken has to be called when the owner is done with the response: another request may be
-// sent. If the response is not whole, the connection is broken instead.
+// ResponseTaken records that the owner needs the current response no longer, so that the connection
+// may carry another request. If the response is incomplete, ResponseTaken breaks the connection.
 func (r *Reader) ResponseTaken() {
 	r.body = nil
 	r.chunks = nil
@@ -71,15 +74,15 @@
 	r.chunks = nil
 }
 
-// Reusable reports whether the connection may carry another request after the response that is
-// complete: the node allows it, and no bytes came after the response that would be taken for the
-// next one.
+// Reusable reports whether the connection may carry another request after the current response. The
+// response must be complete and must not announce that the connection closes. No bytes may have
+// been received after it, because the Reader would take them for the next response.
 func (r *Reader) Reusable() bool {
 	return r.state == Complete && !r.Response.Close && !r.surplus
 }
 
-// Next reads what it can of b, the bytes that were received and not yet consumed. It has to be
-// called again with the rest until it returns NeedMore.
+// Next reads one step of the response from b, which holds all bytes that were received and not yet
+// consumed. The owner must call Next again with the remaining bytes until it returns NeedMore.
 func (r *Reader) Next(b []byte) Step {
 	switch r.state {
 	case AwaitingHeaders:
@@ -108,26 +111,28 @@
 	return r.fail("a response without a request")
 }
 
-// Stream passes on the body of the response whose headers were received.
+// Stream makes Next return the body of the current response in pieces. The owner calls it after a
+// step of kind Headers.
 func (r *Reader) Stream() {
 	if r.state == HeadersReceived {
 		r.state = Streaming
 	}
 }
 
-// Buffer collects the body of the response whose headers were received. It is meant for chunked
-// responses, whose length is not known; one of known length that gets here is too large.
+// Buffer makes Next collect the body of the current response and return it as a whole. The owner
+// calls it after a step of kind Headers. It accepts only a chunked response, whose length is unknown.
+// A response of known length was larger than the buffer limit, or Next would have buffered it.
 func (r *Reader) Buffer() Step {
 	if r.state != HeadersReceived || r.chunks == nil {
 		return r.fail(tooLarge)
 	}
 	r.state = Buffered
-	r.Response.Headers = r.Response.Headers.Clone() // the input moves on
+	r.Response.Headers = r.Response.Headers.Clone() // The owner may overwrite the consumed input.
 	return Step{Kind: NeedMore}
 }
 
-// PeerClosed has to be called when the node has closed its side. The result is ResponseEnd where
-// that is how the response ends, and ProtocolError otherwise.
+// PeerClosed records that the node has closed the connection. It returns a step of kind ResponseEnd
+// if the close ends the current response, and one of kind ProtocolError otherwise.
 func (r *Reader) PeerClosed() Step {
 	if r.state == Streaming && r.chunks == nil && r.remaining < 0 {
 		r.state = Complete
@@ -139,20 +144,21 @@
 
 const tooLarge = "the response is larger than may be buffered"
 
-// fail breaks the connection.
+// fail breaks the connection and returns a step of kind ProtocolError with the given reason.
 func (r *Reader) fail(reason string) Step {
 	r.Break()
 	return Step{Kind: ProtocolError, Reason: reason}
 }
 
-// complete ends a response with a step that consumes its last bytes of b.
+// complete marks the response as complete and returns s, the step that consumes its last bytes. It
+// records in r.surplus whether b holds more bytes after them.
 func (r *Reader) complete(s Step, b []byte) Step {
 	r.state = Complete
 	r.surplus = len(b) > s.Consumed
 	return s
 }
 
-// readHead reads a response's head. Interim responses are skipped.
+// readHead reads the head of a response. It skips interim responses.
 func (r *Reader) readHead(b []byte) Step {
 	n, err := r.head.ParseResponse(b, r.Limits, r.method, &r.Response)
 	if err != nil {
@@ -163,7 +169,7 @@
 	}
 	res := &r.Response
 	if res.Status == statusSwitchingProtocols {
-		return r.fail("the node changed the protocol unasked")
+		return r.fail("the node switched protocols without a request to do so")
 	}
 	if res.Status < firstFinalStatus {
 		r.head.Reset()
@@ -187,20 +193,23 @@
 	return Step{Kind: Headers, Consumed: n}
 }
 
-// bufferBody waits until a response of known length is whole. Until then all of it stays in the
-// owner's buffer. headLength is the length of the head where it was parsed from this very b, or 0.
+// bufferBody returns a response of known length once b holds all of it. Until then the whole
+// response stays in the owner's buffer. headLength is the length of the head if r.Response was
+// parsed from this slice b, and 0 if it was parsed from an earlier input.
 func (r *Reader) bufferBody(b []byte, headLength int) Step {
 	if len(b) < r.total {
 		return Step{Kind: NeedMore}
 	}
 	if headLength == 0 {
-		// Parsed again, as the buffer may have moved and Response points into it.
+		// The head is parsed again, because r.Response points into the earlier input, and the owner
+		// may have moved its buffer since.
 		headLength, _ = r.head.ParseResponse(b, r.Limits, r.method, &r.Response)
 	}
 	return r.complete(Step{Kind: BufferedResponse, Consumed: r.total, Body: b[headLength:r.total]}, b)
 }
 
-// bufferChunks collects a chunked body.
+// bufferChunks decodes the chunks in b into r.body, and returns the response once the body is
+// complete.
 func (r *Reader) bufferChunks(b []byte) Step {
 	used := 0
 	for {
@@ -222,7 +231,7 @@
 	}
 }
 
-// streamBody returns the next piece of a body that is not chunked.
+// streamBody returns the bytes in b of a streamed body that is not chunked.
 func (r *Reader) streamBody(b []byte) Step {
 	switch {
 	case r.remaining == 0:
@@ -237,7 +246,7 @@
 	return Step{Kind: BodyData, Consumed: len(b), Body: b, Last: r.remaining == 0}
 }
 
-// streamChunks returns the next piece of a chunked body.
+// streamChunks decodes chunks in b and returns the first data of a streamed chunked body.
 func (r *Reader) streamChunks(b []byte) Step {
 	used := 0
 	for used < len(b) {
--- a/internal/upstreamhttp/reader_test.go
+++ b/internal/upstreamhttp/reader_test.go
@@ -9,19 +9,19 @@
 	"chalkstand/internal/http1"
 )
 
-// testBufferLimit is up to how many bytes of a body are buffered in these tests.
+// testBufferLimit is the length in bytes of the longest body that a Reader buffers in these tests.
 const testBufferLimit = 10
 
-// sentReader returns a reader whose connection has sent a request.
-func sentReader(method string) *Reader {
+// newAwaitingReader returns a Reader that awaits the response to a request with the given method.
+func newAwaitingReader(method string) *Reader {
 	r := &Reader{Limits: http1.DefaultLimits}
 	r.RequestSent(method, testBufferLimit)
 	return r
 }
 
-// readAll acts as the owner of a connection that receives text in the given pieces. Responses whose
-// headers are to be decided on are streamed or buffered. It returns a summary of the steps and the
-// state at the end.
+// readAll acts as the owner of a connection on which the given pieces of text are received one after
+// the other. After a step of kind Headers it calls Stream if stream is set, and Buffer otherwise. It
+// returns a summary of the steps, followed by the final state or by "error".
 func readAll(r *Reader, pieces []string, stream bool) string {
 	var out, data strings.Builder
 	var buf []byte
@@ -38,7 +38,7 @@
 				return out.String() + "error"
 			case Headers:
 				fmt.Fprintf(&out, "headers %d ", r.Response.Status)
-				if decide(r, stream) == ProtocolError {
+				if streamOrBuffer(r, stream) == ProtocolError {
 					return out.String() + "error"
 				}
 			case BodyData:
@@ -53,8 +53,9 @@
 	return out.String() + r.State().String()
 }
 
-// decide has the response whose headers were received streamed or buffered.
-func decide(r *Reader, stream bool) StepKind {
+// streamOrBuffer calls r.Stream if stream is set, and r.Buffer otherwise. It returns the kind of
+// the step that the call results in.
+func streamOrBuffer(r *Reader, stream bool) StepKind {
 	if !stream {
 		return r.Buffer().Kind
 	}
@@ -65,7 +66,7 @@
 var responses = []struct {
 	name, text, method string
 	stream             bool
-	want               string // of readAll
+	want               string // result of readAll
 }{
 	{
 		"small", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc",
@@ -133,14 +134,14 @@
 	},
 }
 
-// The pieces in which a response comes make no difference.
-func TestPiecesMakeNoDifference(t *testing.T) {
+// TestReadInPieces checks that a response leads to the same result however the network splits it.
+func TestReadInPieces(t *testing.T) {
 	for _, c := range responses {
 		t.Run(c.name, func(t *testing.T) {
 			check := func(pieces ...string) {
 				t.Helper()
-				if got := readAll(sentReader(c.method), pieces, c.stream); got != c.want {
-					t.Errorf("in %q: %s, want %s", pieces, got, c.want)
+				if got := readAll(newAwaitingReader(c.method), pieces, c.stream); got != c.want {
+					t.Errorf("reading the pieces %q: got %s, want %s", pieces, got, c.want)
 				}
 			}
 			check(c.text)
@@ -159,68 +160,70 @@
 	r := &Reader{Limits: http1.DefaultLimits}
 	s := r.Next([]byte("x"))
 	if s.Kind != ProtocolError || r.State() != Broken || r.RequestSent(http.MethodGet, testBufferLimit) {
-		t.Error("a response without a request is accepted")
+		t.Error("a response without a request was accepted, or it left the connection usable")
 	}
 }
 
-// A connection carries one request at a time, and none after a partial response.
+// TestOneRequestAtATime checks that a connection carries one request at a time, and no request after
+// an incomplete response.
 func TestOneRequestAtATime(t *testing.T) {
 	r := &Reader{Limits: http1.DefaultLimits}
 	if !r.RequestSent(http.MethodGet, testBufferLimit) || r.RequestSent(http.MethodGet, testBufferLimit) {
-		t.Error("two requests on one connection")
+		t.Error("the first request was rejected, or a second one was accepted before the response")
 	}
 	r.Next([]byte("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"))
 	if r.RequestSent(http.MethodGet, testBufferLimit) || !r.Reusable() {
-		t.Error("a request before the response was taken")
+		t.Error("a request was accepted before ResponseTaken, or the connection is not reusable")
 	}
 	if r.ResponseTaken(); !r.RequestSent(http.MethodGet, testBufferLimit) {
-		t.Error("not reused after a whole response")
+		t.Error("a request was rejected after a complete response")
 	}
 	r.Next([]byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nx"))
 	if r.ResponseTaken(); r.RequestSent(http.MethodGet, testBufferLimit) || r.State() != Broken {
-		t.Error("reused after a partial response")
+		t.Error("a request was accepted after an incomplete response, or the connection is not broken")
 	}
 }
 
-// A connection is reusable after a complete response, unless the node closes it or more bytes came.
+// TestReusable checks that a connection is reusable after a complete response, unless the node
+// announces that it closes the connection or sends more bytes than the response.
 func TestReusable(t *testing.T) {
-	r := sentReader(http.MethodGet)
+	r := newAwaitingReader(http.MethodGet)
 	if r.Next([]byte("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx")); r.Reusable() {
-		t.Error("reusable, though the node closes")
+		t.Error("the connection is reusable, although the response says that the node closes it")
 	}
 	for _, c := range responses {
 		t.Run(c.name, func(t *testing.T) {
-			r := sentReader(c.method)
+			r := newAwaitingReader(c.method)
 			if readAll(r, []string{c.text}, c.stream); r.State() == Complete && !r.Reusable() {
-				t.Error("not reusable")
+				t.Error("the connection is not reusable after a complete response")
 			}
-			if reusableAfter(sentReader(c.method), []byte(c.text+"H"), c.stream) {
-				t.Error("reusable, though more came with it")
+			if reusableAfter(newAwaitingReader(c.method), []byte(c.text+"H"), c.stream) {
+				t.Error("the connection is reusable, although a byte follows the response")
 			}
 		})
 	}
 }
 
-// reusableAfter reads one response that comes in one piece, and reports whether the connection is
-// reusable then.
+// reusableAfter reads one response from b, which holds all bytes that are received, and reports
+// whether the connection is reusable afterward.
 func reusableAfter(r *Reader, b []byte, stream bool) bool {
 	s := r.Next(b)
 	for s.Kind != NeedMore && s.Kind != ProtocolError && r.State() != Complete {
 		b = b[s.Consumed:]
 		if s.Kind == Headers {
-			decide(r, stream)
+			streamOrBuffer(r, stream)
 		}
 		s = r.Next(b)
 	}
 	return r.Reusable()
 }
 
-// A close by the node ends a response only where that is its framing, and never leaves the
-// connection reusable.
+// TestPeerClosed checks that a close by the node completes a response only if the close marks the
+// end of its body, and that the connection is not reusable after a close.
 func TestPeerClosed(t *testing.T) {
 	for name, c := range map[string]struct {
-		text  string
-		whole bool
+		text     string
+		complete bool
 	}{
 		"until close":    {"HTTP/1.1 200 OK\r\n\r\nabc", true},
 		"partial body":   {"HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\nabc", false},
@@ -231,8 +234,8 @@
 			r := &Reader{Limits: http1.DefaultLimits}
 			r.RequestSent(http.MethodGet, 2)
 			readAll(r, []string{c.text}, true)
-			if s := r.PeerClosed(); (s.Kind == ResponseEnd) != c.whole || r.Reusable() {
-				t.Errorf("%q: kind %v, reusable %v", c.text, s.Kind, r.Reusable())
+			if s := r.PeerClosed(); (s.Kind == ResponseEnd) != c.complete || r.Reusable() {
+				t.Errorf("close after %q: got step kind %v, reusable %v", c.text, s.Kind, r.Reusable())
 			}
 		})
 	}
@@ -244,10 +247,10 @@
 	}
 	f.Fuzz(func(t *testing.T, b []byte, cut int, stream bool) {
 		cut = min(max(cut, 0), len(b))
-		whole := readAll(sentReader(http.MethodGet), []string{string(b)}, stream)
-		pieces := readAll(sentReader(http.MethodGet), []string{string(b[:cut]), string(b[cut:])}, stream)
+		whole := readAll(newAwaitingReader(http.MethodGet), []string{string(b)}, stream)
+		pieces := readAll(newAwaitingReader(http.MethodGet), []string{string(b[:cut]), string(b[cut:])}, stream)
 		if whole != pieces && !strings.HasSuffix(whole, "error") && !strings.HasSuffix(pieces, "error") {
-			t.Fatalf("whole %s, cut at %d %s", whole, cut, pieces)
+			t.Fatalf("result of reading the bytes at once: %s; of reading them cut at byte %d: %s", whole, cut, pieces)
 		}
 	})
 }
--- a/internal/upstreamhttp/step.go
+++ b/internal/upstreamhttp/step.go
@@ -1,17 +1,17 @@
 package upstreamhttp
 
-// State is the state of a connection's responses.
+// State is the state of the exchange of one request and its response on a connection.
 type State uint8
 
 // The states of a Reader.
 const (
-	Idle            State = iota // no request is out
-	AwaitingHeaders              // a request is out, and the response's headers are not whole yet
-	HeadersReceived              // the owner has to call Stream or Buffer
-	Buffered                     // the response is collected as a whole
-	Streaming                    // the response's body is passed on piece by piece
-	Complete                     // the response is whole; the owner has not called ResponseTaken yet
-	Broken                       // nothing more is read
+	Idle            State = iota // No request awaits a response.
+	AwaitingHeaders              // A request was sent, and the response's head is incomplete.
+	HeadersReceived              // The owner must call Stream or Buffer.
+	Buffered                     // The Reader collects the body to return it as a whole.
+	Streaming                    // The Reader returns the body in pieces.
+	Complete                     // The response is complete, and the owner has not called ResponseTaken yet.
+	Broken                       // The connection is unusable, and the Reader reads no more bytes.
 )
 
 var stateNames = [...]string{
@@ -27,24 +27,24 @@
 // String returns the state's name.
 func (s State) String() string { return stateNames[s] }
 
-// StepKind is the kind of a Step.
+// StepKind tells what Next has read.
 type StepKind uint8
 
 // The kinds of steps.
 const (
-	NeedMore         StepKind = iota // more bytes are needed
-	Headers                          // headers of a response that is not buffered at once: Stream or Buffer
-	BodyData                         // a piece of a streamed body
-	BufferedResponse                 // a buffered response is whole
-	ResponseEnd                      // a streamed response is whole
-	ProtocolError                    // the input is no valid response: the connection is broken
+	NeedMore         StepKind = iota // The next step needs more input.
+	Headers                          // The head is complete, and the owner must call Stream or Buffer.
+	BodyData                         // Step.Body holds a piece of a streamed body.
+	BufferedResponse                 // A buffered response is complete, and Step.Body holds its body.
+	ResponseEnd                      // A streamed response is complete.
+	ProtocolError                    // The input is not a valid response, and the connection is broken.
 )
 
-// Step is what a call of Next has read.
+// Step is the part of a response that one call of Next has read.
 type Step struct {
 	Kind     StepKind
-	Consumed int    // bytes of the input that were consumed
-	Body     []byte // of BodyData and BufferedResponse; valid as long as the input
-	Last     bool   // with BodyData: it ends a body of known length
-	Reason   string // with ProtocolError: the reason
+	Consumed int    // number of bytes of the input that the step consumed
+	Body     []byte // data of a BodyData or BufferedResponse step; valid as long as the input is unchanged
+	Last     bool   // This BodyData step ends a body of known length.
+	Reason   string // why a ProtocolError step broke the connection
 }
