--- a/internal/resp/command.go
+++ b/internal/resp/command.go
@@ -2,9 +2,10 @@
 
 import "fmt"
 
-// Command parses one command at the start of b. It returns its words, appended to into, and how
-// many bytes the command takes; 0 means that more bytes are needed. The error is an *Error.
-func Command(b []byte, into [][]byte) (words [][]byte, n int, err error) {
+// Command parses the command at the start of b. It appends the command's words to dst and returns
+// them together with the command's length n in bytes. n is 0 if b does not hold a complete command
+// yet. Every error that Command returns is an *Error.
+func Command(b []byte, dst [][]byte) (words [][]byte, n int, err error) {
 	count, n, err := parseNumber(b, '*', "an array of bulk strings")
 	switch {
 	case err != nil || n == 0:
@@ -12,7 +13,7 @@
 	case count < 1 || count > MaxArguments:
 		return nil, 0, newError(fmt.Sprintf("1 to %d words", MaxArguments), "%d", count)
 	}
-	words = into
+	words = dst
 	for range count {
 		item, end, err := parseItem(b, n, 0)
 		if err != nil || end == 0 {
--- a/internal/resp/command_test.go
+++ b/internal/resp/command_test.go
@@ -7,25 +7,27 @@
 	"testing"
 )
 
-// A command that comes in pieces is the same, and no incomplete command is an error.
-func TestCommandInPieces(t *testing.T) {
+// TestIncompleteCommand checks that Command asks for more bytes for every incomplete part of a
+// command, and that it parses the complete command without the bytes that follow it.
+func TestIncompleteCommand(t *testing.T) {
 	text := AppendArrayHeader(nil, 3)
 	for _, word := range []string{"OBJ.GET", "", "a\r\nb"} {
 		text = AppendBulk(text, word)
 	}
 	for i := range text {
 		if _, n, err := Command(text[:i], nil); n != 0 || err != nil {
-			t.Fatalf("%d of %d bytes: %d, %v", i, len(text), n, err)
+			t.Fatalf("%d of %d bytes of a command: got length %d, error %v, want 0 and no error", i, len(text), n, err)
 		}
 	}
 	words, n, err := Command(append(text, "*1"...), nil)
 	if err != nil || n != len(text) || len(words) != 3 || string(words[2]) != "a\r\nb" {
-		t.Fatalf("%q, %d, %v", words, n, err)
+		t.Fatalf("the complete command: got words %q, length %d, error %v", words, n, err)
 	}
 }
 
-// An invalid command is found with its first invalid line, before what that announces has come.
-func TestBadCommands(t *testing.T) {
+// TestInvalidCommands checks that Command rejects a command as soon as it has read the first invalid
+// line, before the bytes that this line announces arrive.
+func TestInvalidCommands(t *testing.T) {
 	for name, text := range map[string]string{
 		"inline command":     "PING\r\n",
 		"empty array":        "*0\r\n",
@@ -44,14 +46,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, _, err := Command([]byte(text), nil)
-			if protocol := (*Error)(nil); !errors.As(err, &protocol) {
-				t.Errorf("%.40q: %v, want an *Error", text, err)
+			if protocolErr := (*Error)(nil); !errors.As(err, &protocolErr) {
+				t.Errorf("invalid command %.40q: got error %v, want an *Error", text, err)
 			}
 		})
 	}
 }
 
-// The pieces in which a command comes make no difference, and it keeps to the bounds.
+// FuzzCommand checks that an accepted command is within the limits, that Command asks for more bytes
+// for an incomplete part of it, and that its words encode to a command that is not longer.
 func FuzzCommand(f *testing.F) {
 	for _, s := range []string{
 		"*1\r\n$4\r\nPING\r\n",
@@ -68,23 +71,23 @@
 	f.Fuzz(func(t *testing.T, b []byte, cut int) {
 		words, n, err := Command(b, nil)
 		if n > len(b) || n > MaxFrame+2 || len(words) > MaxArguments || err != nil && n != 0 {
-			t.Fatalf("%d words, %d of %d bytes, %v", len(words), n, len(b), err)
+			t.Fatalf("a limit does not hold: got %d words in %d of %d bytes, error %v", len(words), n, len(b), err)
 		}
 		if n == 0 || cut < 0 || cut >= n {
 			return
 		}
 		if _, m, err := Command(b[:cut], nil); m != 0 || err != nil {
-			t.Errorf("its first %d bytes: %d, %v", cut, m, err)
+			t.Errorf("the first %d bytes of a valid command: got length %d, error %v, want 0 and no error", cut, m, err)
 		}
-		again := appendCommand(words)
+		again := encodeCommand(words)
 		if len(again) > n || bytes.Count(again, []byte("\r\n")) > bytes.Count(b[:n], []byte("\r\n")) {
-			t.Errorf("%q, written again %q", b[:n], again)
+			t.Errorf("the command %q is longer or has more lines when it is encoded again: %q", b[:n], again)
 		}
 	})
 }
 
-// appendCommand returns a command of these words.
-func appendCommand(words [][]byte) []byte {
+// encodeCommand returns the encoded command that consists of the given words.
+func encodeCommand(words [][]byte) []byte {
 	out := AppendArrayHeader(nil, len(words))
 	for _, word := range words {
 		out = AppendBulk(out, word)
--- a/internal/resp/reply.go
+++ b/internal/resp/reply.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Kind is the kind of a reply, which is its first byte.
+// Kind is the kind of a reply. Its value is the first byte of the encoded reply.
 type Kind byte
 
 // The kinds of replies.
@@ -14,22 +14,23 @@
 	Array        Kind = '*'
 )
 
-// Item is a bulk string in a reply.
+// Item is a bulk string in a reply. Its Text is nil if Null is set.
 type Item struct {
 	Text []byte
 	Null bool
 }
 
-// Reply is one whole reply.
+// Reply is one complete reply.
 type Reply struct {
 	Kind  Kind
-	Text  []byte // of a line or a bulk string
-	Null  bool   // a null bulk string or null array
-	Items []Item // of an array
+	Text  []byte // content of a reply that is a line or a bulk string
+	Null  bool   // The reply is a null bulk string or a null array.
+	Items []Item // items of a reply that is an array
 }
 
-// Read parses one reply at the start of b into r, reusing r.Items. It returns how many bytes the
-// reply takes; 0 means that more bytes are needed. The error is an *Error.
+// Read parses the reply at the start of b into r and returns the reply's length n in bytes. It
+// reuses the slice r.Items. n is 0 if b does not hold a complete reply yet. Every error that Read
+// returns is an *Error.
 func (r *Reply) Read(b []byte) (n int, err error) {
 	if len(b) == 0 {
 		return 0, nil
@@ -47,10 +48,10 @@
 	case Array:
 		return r.readArray(b)
 	}
-	return 0, unexpected("an answer", b)
+	return 0, unexpected("a reply", b)
 }
 
-// readArray parses an array of bulk strings.
+// readArray parses an array of bulk strings into r.Items.
 func (r *Reply) readArray(b []byte) (int, error) {
 	count, n, err := parseNumber(b, '*', "an array")
 	switch {
--- a/internal/resp/reply_test.go
+++ b/internal/resp/reply_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// Replies are read as a whole, and no incomplete reply is an error.
+// TestReplies checks that Read asks for more bytes for every incomplete part of a reply, and that it
+// parses the complete reply without the bytes that follow it.
 func TestReplies(t *testing.T) {
 	var r Reply
 	for name, c := range map[string]struct {
@@ -27,18 +28,18 @@
 		t.Run(name, func(t *testing.T) {
 			for i := range c.text {
 				if n, err := r.Read([]byte(c.text[:i])); n != 0 || err != nil {
-					t.Fatalf("%q, %d bytes: %d, %v", c.text, i, n, err)
+					t.Fatalf("reply %q, cut after %d bytes: got length %d, error %v, want 0 and no error", c.text, i, n, err)
 				}
 			}
 			n, err := r.Read([]byte(c.text + "more"))
 			if n != len(c.text) || err != nil || r.Kind != c.kind || len(r.Items) != c.items {
-				t.Errorf("%q: %d, %v, %+v", c.text, n, err, r)
+				t.Errorf("reply %q: got length %d, error %v, reply %+v", c.text, n, err, r)
 			}
 		})
 	}
 }
 
-func TestBadReplies(t *testing.T) {
+func TestInvalidReplies(t *testing.T) {
 	var r Reply
 	for name, text := range map[string]string{
 		"no kind":           "noise",
@@ -53,24 +54,26 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := r.Read([]byte(text))
-			if protocol := (*Error)(nil); !errors.As(err, &protocol) {
-				t.Errorf("%.40q: %v, want an *Error", text, err)
+			if protocolErr := (*Error)(nil); !errors.As(err, &protocolErr) {
+				t.Errorf("invalid reply %.40q: got error %v, want an *Error", text, err)
 			}
 		})
 	}
 }
 
-// A text cannot end its line early.
+// TestAppendLineIsOneLine checks that AppendLine encodes a text with line breaks, which is also too
+// long, as one valid line.
 func TestAppendLineIsOneLine(t *testing.T) {
 	b := AppendLine(nil, ErrorReply, "ERR a\r\n+OK\r\n"+strings.Repeat("x", 2*MaxLine))
 	var r Reply
 	if n, err := r.Read(b); n != len(b) || err != nil || r.Kind != ErrorReply {
-		t.Errorf("%d of %d, %v", n, len(b), err)
+		t.Errorf("reading an appended line: got length %d, want %d; error %v", n, len(b), err)
 	}
 }
 
-// Nothing is read beyond the input, and what is read whole is read the same from its own bytes
-// alone.
+// FuzzRead checks that Command and Read never report a length beyond their input. It also checks
+// that Command parses a command to as many words with and without the bytes that follow it, and
+// again after the words have been encoded.
 func FuzzRead(f *testing.F) {
 	for _, s := range []string{
 		"*1\r\n$4\r\nPING\r\n",
@@ -88,16 +91,17 @@
 		if words, n, err := Command(b, nil); n > 0 {
 			again, m, _ := Command(b[:n], nil)
 			if err != nil || n > len(b) || m != n || len(again) != len(words) || len(words) == 0 {
-				t.Fatalf("%d and %d of %d bytes, %v", n, m, len(b), err)
+				t.Fatalf("length of a command: got %d with the bytes after it, %d without; input of %d bytes, error %v",
+					n, m, len(b), err)
 			}
-			out := appendCommand(words)
+			out := encodeCommand(words)
 			if back, _, err := Command(out, nil); err != nil || len(back) != len(words) || !bytes.Equal(back[0], words[0]) {
-				t.Fatalf("written %q: %v", out, err)
+				t.Fatalf("the command encoded as %q does not parse to the same words: error %v", out, err)
 			}
 		}
 		var r Reply
 		if n, err := r.Read(b); n > len(b) || n > 0 && err != nil || len(r.Items) > MaxItems {
-			t.Fatalf("%d of %d bytes, %v", n, len(b), err)
+			t.Fatalf("a limit of a reply does not hold: got length %d of %d bytes, error %v", n, len(b), err)
 		}
 	})
 }
