--- a/internal/objectcommand/command.go
+++ b/internal/objectcommand/command.go
@@ -1,6 +1,7 @@
-// Package objectcommand is the codec of the object commands of the platform's protocol, OBJ.GET and
-// OBJ.PUT, and of the replies of storage nodes. It parses commands into requests of package dispatch
-// and replies into response information of package forwarder. It does no I/O.
+// Package objectcommand is the codec of OBJ.GET and OBJ.PUT, the object commands of the platform's
+// protocol, and of the replies that storage nodes send to them. It parses a command into a request
+// of package dispatch, and a reply into the response information of package forwarder. It does no
+// I/O.
 package objectcommand
 
 import (
@@ -16,38 +17,38 @@
 	"chalkstand/internal/simwire"
 )
 
-// Names of the commands.
+// Names of the object commands.
 const (
 	Get = "OBJ.GET"
 	Put = "OBJ.PUT"
 )
 
-// Numbers of arguments, the command's name included.
+// Numbers of arguments of the object commands, including the command's name.
 const (
 	getArguments = 4
 	putArguments = 5
 )
 
-// Bounds of a command's arguments except its body.
+// Limits of a command's arguments, except the body of OBJ.PUT.
 const (
-	maxIDBytes     = 64
-	maxFieldsBytes = 1 << 10
+	maxIDBytes     = 64      // length of the client's request ID
+	maxFieldsBytes = 1 << 10 // length of the list of names and values
 	maxTimeout     = time.Hour
 )
 
-// hexIDLength is the length of the ids of pieces and volumes, in hex digits.
+// hexIDLength is the number of hexadecimal digits in the ID of a piece of data or of a volume.
 const hexIDLength = 16
 
-// Schema holds the settings that commands are checked against.
+// Schema holds the settings against which Parse checks a command.
 type Schema struct {
-	Classes     map[string]int // index of a request class by its name
-	Plans       map[string]int // index of a plan by its name
-	ClassWrites []bool         // by class, whether it writes; nil: not known
-	Shards      int            // 0: not known
-	MaxUnits    float64        // of a request; 0: no bound
+	Classes     map[string]int // maps the name of a request class to its index
+	Plans       map[string]int // maps the name of a plan to its index
+	ClassWrites []bool         // whether each class writes, by its index; nil if that is unknown
+	Shards      int            // number of shards; 0 if it is unknown
+	MaxUnits    float64        // highest number of cost units of a request; 0 if there is no limit
 }
 
-// NewSchema returns the schema of the platform's settings.
+// NewSchema returns the Schema that follows from the platform's settings.
 func NewSchema(settings simwire.Settings) *Schema {
 	s := &Schema{
 		Classes:     map[string]int{},
@@ -65,34 +66,35 @@
 	return s
 }
 
-// Command is an object command. Its byte slices are parts of the arguments that it was parsed from.
+// Command is a parsed object command. Its byte slices point into the arguments that Parse received.
 type Command struct {
-	Put     bool
-	Piece   []byte // id of the piece of data, in hex digits
-	ID      []byte // the client's id of the request
-	Fields  []byte // list of names and values
-	Body    []byte // of OBJ.PUT
+	Put     bool   // The command is OBJ.PUT and not OBJ.GET.
+	Piece   []byte // ID of the piece of data, in hexadecimal digits
+	ID      []byte // ID that the client gave the request
+	Fields  []byte // list of names and values, such as "c=read,d=480"
+	Body    []byte // data of OBJ.PUT
 	Request dispatch.Request
 }
 
-// IsObjectCommand reports whether an argument is the name of an object command, in any case.
+// IsObjectCommand reports whether an argument is the name of an object command. The comparison
+// ignores case.
 func IsObjectCommand(arg []byte) bool { return HasName(arg, Get) || HasName(arg, Put) }
 
-// HasName reports whether an argument is a command's name, in any case.
+// HasName reports whether an argument is equal to a command's name. The comparison ignores case.
 func HasName(arg []byte, name string) bool {
 	return len(arg) == len(name) && strings.EqualFold(string(arg), name)
 }
 
-// Parse parses and checks the arguments of an object command, of which the first is its name. The
-// command's Request has no ID. The text of an error is sent to the client.
+// Parse parses and checks the arguments of an object command. The first argument is the command's
+// name. Parse leaves Request.ID unset. The caller sends the text of an error to the client.
 func (s *Schema) Parse(args [][]byte) (Command, error) {
 	c := Command{Put: HasName(args[0], Put)}
-	want := getArguments
+	wantArgs := getArguments
 	if c.Put {
-		want = putArguments
+		wantArgs = putArguments
 	}
-	if len(args) != want {
-		return Command{}, fmt.Errorf("expected %d words, got %d", want, len(args))
+	if len(args) != wantArgs {
+		return Command{}, fmt.Errorf("expected %d words, got %d", wantArgs, len(args))
 	}
 	c.Piece = args[1]
 	c.ID = args[2]
@@ -118,7 +120,7 @@
 	return c, nil
 }
 
-// isHexID reports whether b is an id of hex digits.
+// isHexID reports whether b consists of exactly hexIDLength hexadecimal digits.
 func isHexID[T []byte | string](b T) bool {
 	for i := range len(b) {
 		if !isHexDigit(b[i]) {
@@ -132,7 +134,7 @@
 	return c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F'
 }
 
-// isVisible reports whether b consists of visible ASCII characters.
+// isVisible reports whether b consists of visible ASCII characters only. A space is not visible.
 func isVisible(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c > '~' {
@@ -142,9 +144,10 @@
 	return true
 }
 
-// AppendTo appends the command in the form in which it is sent to a node: the arguments are unchanged,
-// except the field d, which is the remaining time in milliseconds, rounded up, 1 at least.
-func (c *Command) AppendTo(to []byte, remaining time.Duration) []byte {
+// AppendTo appends the command to dst in the form that the gateway sends to a node. The arguments
+// are those of the client, except that the field d holds the remaining time in milliseconds, rounded
+// up to at least 1.
+func (c *Command) AppendTo(dst []byte, remaining time.Duration) []byte {
 	milliseconds := max(int64((remaining+time.Millisecond-1)/time.Millisecond), 1)
 	timeout := strconv.AppendInt(make([]byte, 0, 20), milliseconds, 10)
 	from, end := c.timeoutValue()
@@ -152,22 +155,22 @@
 	if c.Put {
 		count, name = putArguments, Put
 	}
-	to = resp.AppendArrayHeader(to, count)
-	to = resp.AppendBulk(to, name)
-	to = resp.AppendBulk(to, c.Piece)
-	to = resp.AppendBulk(to, c.ID)
-	to = resp.AppendBulkHeader(to, len(c.Fields)-(end-from)+len(timeout))
-	to = append(to, c.Fields[:from]...)
-	to = append(to, timeout...)
-	to = append(to, c.Fields[end:]...)
-	to = append(to, '\r', '\n')
+	dst = resp.AppendArrayHeader(dst, count)
+	dst = resp.AppendBulk(dst, name)
+	dst = resp.AppendBulk(dst, c.Piece)
+	dst = resp.AppendBulk(dst, c.ID)
+	dst = resp.AppendBulkHeader(dst, len(c.Fields)-(end-from)+len(timeout))
+	dst = append(dst, c.Fields[:from]...)
+	dst = append(dst, timeout...)
+	dst = append(dst, c.Fields[end:]...)
+	dst = append(dst, '\r', '\n')
 	if c.Put {
-		to = resp.AppendBulk(to, c.Body)
+		dst = resp.AppendBulk(dst, c.Body)
 	}
-	return to
+	return dst
 }
 
-// timeoutValue returns the position of the value of d in the fields.
+// timeoutValue returns the offsets in c.Fields at which the value of the field d begins and ends.
 func (c *Command) timeoutValue() (from, end int) {
 	const prefix = "d="
 	for at := 0; at < len(c.Fields); at = end + 1 {
--- a/internal/objectcommand/command_test.go
+++ b/internal/objectcommand/command_test.go
@@ -18,7 +18,8 @@
 	}
 }
 
-// A command is sent to a node as it came, except the remaining time.
+// TestAppendTo checks that a command is sent to a node with the client's arguments, except that the
+// field d holds the remaining time.
 func TestAppendTo(t *testing.T) {
 	for name, c := range map[string]struct{ received, sent string }{
 		"d among others": {
@@ -41,10 +42,10 @@
 			}
 			args, n, err := resp.Command(command.AppendTo(nil, 20*time.Millisecond+1), nil)
 			if err != nil || n == 0 || len(args) != 5 {
-				t.Fatalf("%q, %v", args, err)
+				t.Fatalf("parsing the sent command: got arguments %q, error %v, want 5 arguments", args, err)
 			}
 			if string(args[0]) != Put || string(args[3]) != c.sent || string(args[4]) != "body" {
-				t.Errorf("%q, want the fields %q", args, c.sent)
+				t.Errorf("sent command: got %q, want OBJ.PUT with the fields %q and the value \"body\"", args, c.sent)
 			}
 		})
 	}
@@ -58,8 +59,8 @@
 	return out
 }
 
-// A command that is accepted fits the schema, and is sent as a command that parses to the same request
-// except the timeout.
+// FuzzParse checks that an accepted command is within the limits of the schema. It also checks that
+// the command which is sent to a node parses to the same request, apart from the timeout.
 func FuzzParse(f *testing.F) {
 	f.Add("OBJ.GET", "7f3a9c21e0b4d655", "1",
 		"c=read,t=gold,d=480,volume=00000003b4d60021,units=2,shard=3,hosts=3", "")
@@ -82,26 +83,26 @@
 			return
 		}
 		request := command.Request
-		if !fits(schema, &command) {
-			t.Fatalf("%q: %+v", fields, request)
+		if !withinLimits(schema, &command) {
+			t.Fatalf("fields %q were accepted, but the request is outside the schema's limits: %+v", fields, request)
 		}
 		sent, n, err := resp.Command(command.AppendTo(nil, time.Second), nil)
 		if err != nil || n == 0 || len(sent) != len(args) {
-			t.Fatalf("%q: %q, %v", fields, sent, err)
+			t.Fatalf("fields %q: the sent command does not parse: got arguments %q, error %v", fields, sent, err)
 		}
 		again, err := schema.Parse(sent)
 		if err != nil || again.Request.Timeout != time.Second {
-			t.Fatalf("%q: %q, %v", fields, sent, err)
+			t.Fatalf("fields %q: the sent command %q is invalid or its timeout is not 1s: error %v", fields, sent, err)
 		}
 		again.Request.Timeout = request.Timeout
 		if again.Request != request {
-			t.Errorf("%+v, sent as %+v", request, again.Request)
+			t.Errorf("request %+v is sent as another request %+v", request, again.Request)
 		}
 	})
 }
 
-// fits reports whether a command is within the bounds of a schema.
-func fits(s *Schema, c *Command) bool {
+// withinLimits reports whether a command is within the limits of a schema and has the right class.
+func withinLimits(s *Schema, c *Command) bool {
 	r := &c.Request
 	return r.Timeout > 0 && r.Timeout <= maxTimeout &&
 		r.Units > 0 && r.Units <= s.MaxUnits &&
--- a/internal/objectcommand/fields.go
+++ b/internal/objectcommand/fields.go
@@ -10,16 +10,16 @@
 	"chalkstand/internal/simwire"
 )
 
-// Bounds of the fields, exclusive.
+// Exclusive upper limits of the values of fields.
 const (
 	shardLimit           = 1 << 24
 	dispatcherCountLimit = 1 << 16
 )
 
-// maxShownBytes bounds the part of a value that is shown in an error.
+// maxShownBytes is the highest number of bytes of an invalid value that an error quotes.
 const maxShownBytes = 40
 
-// fieldSet is a set of required fields, a bit for each. The bits are in the order of requiredFields.
+// fieldSet is a set of required fields. Its bits are in the order of the names in requiredFields.
 type fieldSet uint
 
 const (
@@ -32,10 +32,11 @@
 	fieldHosts
 )
 
-// requiredFields are the names of the fields that a command must have.
+// requiredFields holds the names of the fields that every command must have.
 var requiredFields = []string{"c", "t", "d", "volume", "units", "shard", "hosts"}
 
-// parseFields parses a list of names and values. Unknown names are ignored.
+// parseFields parses a list of fields of the form "name=value", separated by commas, into request.
+// It ignores fields with an unknown name.
 func (s *Schema) parseFields(list string, request *dispatch.Request) error {
 	var seen fieldSet
 	for pair := range strings.SplitSeq(list, ",") {
@@ -60,8 +61,8 @@
 	return nil
 }
 
-// parseField parses a field into a request and returns its place in the set of required fields, which
-// is empty for an unknown name.
+// parseField parses one field into request. It returns the set that holds only this field, or the
+// empty set if the name is unknown.
 func (s *Schema) parseField(name, value string, request *dispatch.Request) (fieldSet, error) {
 	switch name {
 	case "c":
@@ -86,7 +87,8 @@
 	return 0, nil
 }
 
-// lookup sets index to that of a name in a table.
+// lookup sets *index to the index of the name value in a table. The error for an unknown name says
+// that expected was expected in the given field.
 func lookup(table map[string]int, field, expected, value string, index *int) error {
 	i, ok := table[value]
 	if !ok {
@@ -133,7 +135,8 @@
 	return nil
 }
 
-// fieldError returns the error of a field whose value is not what was expected.
+// fieldError returns an error that names a field, the values that are valid, and the start of the
+// value that the client sent.
 func fieldError(name, expected, got string) error {
 	return fmt.Errorf("%s: expected %s, got %q", name, expected, got[:min(len(got), maxShownBytes)])
 }
--- a/internal/objectcommand/reply.go
+++ b/internal/objectcommand/reply.go
@@ -9,16 +9,17 @@
 	"chalkstand/internal/simwire"
 )
 
-// replyItems is the number of items of a reply that has a value: the value, the usage and the load
-// report.
+// replyItems is the number of items in a reply to a successful command. The items are the value, the
+// usage of the plan, and the node's load report.
 const replyItems = 3
 
-// maxUsage is the largest usage that is taken for valid.
+// maxUsage is the highest usage that parseUsage accepts as valid.
 const maxUsage = 1e9
 
-// ParseReply parses a node's reply to an object command. value is what the client gets if the result
-// is OK; it is a part of the reply. ok is false if the reply is none to an object command: the request
-// may have been executed, and the connection can't be used again.
+// ParseReply parses a node's reply to an object command. If the result is OK, value is the value for
+// the client, which points into the reply. ok is false if the reply is not one to an object command.
+// In that case the node may have executed the request, and the caller must not use the connection
+// again.
 func ParseReply(reply *resp.Reply) (value []byte, info forwarder.ResponseInfo, ok bool) {
 	switch reply.Kind {
 	case resp.ErrorReply:
@@ -35,8 +36,9 @@
 	return nil, info, false
 }
 
-// parseError parses the line of an error. Only a request that the node rejected is known not to have
-// been executed.
+// parseError parses the text of an error reply. The result is Rejected for the code BUSY, with which
+// a node says that it did not execute the request. For any other code the result is ServerError,
+// because the node may have executed the request.
 func parseError(text string) forwarder.ResponseInfo {
 	code, rest, _ := strings.Cut(text, " ")
 	if code == "BUSY" {
@@ -54,8 +56,9 @@
 	return info
 }
 
-// parseUsage parses the usage of a volume's plan. Invalid values are ignored; the reply is valid in any
-// case. QuotaUsage is one more than the value on the wire.
+// parseUsage parses the usage of a volume's plan into info. It ignores invalid values, because they
+// do not make the reply invalid. It sets info.QuotaUsage to one more than the value on the wire,
+// because a QuotaUsage of 0 stands for an unknown usage.
 func parseUsage(info *forwarder.ResponseInfo, list string) {
 	for pair := range strings.SplitSeq(list, ",") {
 		name, text, _ := strings.Cut(pair, "=")
--- a/internal/objectcommand/reply_test.go
+++ b/internal/objectcommand/reply_test.go
@@ -7,17 +7,17 @@
 	"chalkstand/internal/resp"
 )
 
-// replyCase is a node's reply and what it parses to.
+// replyCase holds a node's reply and the expected results of ParseReply.
 type replyCase struct {
 	text       string
 	ok         bool
 	result     dispatch.AttemptResult
-	quotaUsage float64 // one more than on the wire
+	quotaUsage float64 // one more than the value on the wire; 0 if the reply holds no valid value
 	peerUnits  float64
-	inflight   float64 // of the load report
+	inflight   float64 // value of "inflight" in the load report
 }
 
-// The replies of the protocol's page.
+// TestParseReply parses the example replies of the protocol's documentation.
 func TestParseReply(t *testing.T) {
 	for name, c := range map[string]replyCase{
 		"usage and a report without values": {
@@ -47,25 +47,25 @@
 	t.Helper()
 	var reply resp.Reply
 	if n, err := reply.Read([]byte(c.text)); n != len(c.text) || err != nil {
-		t.Fatalf("%q: %v", c.text, err)
+		t.Fatalf("reading the reply %q: got an incomplete reply or error %v", c.text, err)
 	}
 	value, info, ok := ParseReply(&reply)
 	if ok != c.ok {
-		t.Fatalf("%q: %+v, %v", c.text, info, ok)
+		t.Fatalf("reply %q: got %+v and ok %v", c.text, info, ok)
 	}
 	if !ok {
 		return
 	}
 	if info.Result != c.result || info.QuotaUsage != c.quotaUsage || info.PeerUnits != c.peerUnits ||
 		info.LoadReport["inflight"] != c.inflight {
-		t.Errorf("%q: %+v", c.text, info)
+		t.Errorf("reply %q: got %+v, which differs from the expected results", c.text, info)
 	}
 	if c.result == dispatch.OK && string(value) != "v" {
-		t.Errorf("%q: value %q", c.text, value)
+		t.Errorf("reply %q: got value %q, want \"v\"", c.text, value)
 	}
 }
 
-// Whatever a node replies, invalid usage is ignored.
+// FuzzParseReply checks that ParseReply ignores invalid usage values in any reply of a node.
 func FuzzParseReply(f *testing.F) {
 	for _, text := range []string{
 		"*3\r\n$1\r\nv\r\n$14\r\nused=37,cost=4\r\n$12\r\nrif=7,lat_ms\r\n",
@@ -88,11 +88,11 @@
 		validQuota := info.QuotaUsage == 0 || info.QuotaUsage >= 1 && info.QuotaUsage <= maxUsage+1
 		validUnits := info.PeerUnits >= 0 && info.PeerUnits <= maxUsage
 		if !validQuota || !validUnits {
-			t.Errorf("%q: %+v", text, info)
+			t.Errorf("reply %q: an invalid usage was not ignored: %+v", text, info)
 		}
 		succeeded := ok && info.Result == dispatch.OK
 		if succeeded && value == nil && len(reply.Items) == 0 {
-			t.Errorf("%q: OK without a value", text)
+			t.Errorf("reply %q: the result is OK, but there is no value", text)
 		}
 	})
 }
