--- a/internal/sigv4/canonical.go
+++ b/internal/sigv4/canonical.go
@@ -12,10 +12,10 @@
 	amzPrefix        = "x-amz-"
 )
 
-// canonicalRequest returns the canonical request, whose hash is signed. signed holds the
-// names of the signed headers, separated by semicolons.
-func canonicalRequest(r *http1.Request, path, query, signed, payload string) ([]byte, *Error) {
-	names := strings.Split(signed, ";")
+// canonicalRequest returns the canonical form of a request. The client signs the hash of this form.
+// signedHeaders holds the names of the signed headers, separated by semicolons.
+func canonicalRequest(r *http1.Request, path, query, signedHeaders, payload string) ([]byte, *Error) {
+	names := strings.Split(signedHeaders, ";")
 	if err := checkSignedHeaders(r.Headers, names); err != nil {
 		return nil, err
 	}
@@ -24,7 +24,7 @@
 	b = append(b, '\n')
 	plain, ok := Unescape(path, false)
 	if !ok {
-		return nil, invalid(codeInvalidURI, "The path is not validly escaped.")
+		return nil, badRequest(codeInvalidURI, "The path is not validly escaped.")
 	}
 	b = AppendEscape(b, plain, true)
 	b = append(b, '\n')
@@ -37,47 +37,48 @@
 		b = appendHeader(b, r.Headers, name)
 	}
 	b = append(b, '\n')
-	b = append(b, signed...)
+	b = append(b, signedHeaders...)
 	b = append(b, '\n')
 	return append(b, payload...), nil
 }
 
-// checkSignedHeaders checks that Host and every x-amz- header are signed: what is not signed
-// could be changed on the way.
-func checkSignedHeaders(hs http1.Headers, names []string) *Error {
+// checkSignedHeaders checks that names holds Host and every x-amz- header of the request, because
+// an attacker could change an unsigned header between the client and the gateway.
+func checkSignedHeaders(headers http1.Headers, names []string) *Error {
 	if len(names) > maxSignedHeaders || !slices.IsSorted(names) || !slices.Contains(names, "host") {
-		return invalid(codeAuthorizationHeaderMalformed, "SignedHeaders must be sorted and hold host.")
+		return badRequest(codeAuthorizationHeaderMalformed, "SignedHeaders must be sorted and hold host.")
 	}
-	for _, h := range hs {
+	for _, h := range headers {
 		if len(h.Name) <= len(amzPrefix) || !http1.EqualFold(h.Name[:len(amzPrefix)], amzPrefix) {
 			continue
 		}
 		if _, ok := slices.BinarySearch(names, strings.ToLower(string(h.Name))); !ok {
-			return denied(codeAccessDenied, "There were headers present in the request which were not signed.")
+			return forbidden(codeAccessDenied, "There were headers present in the request which were not signed.")
 		}
 	}
 	return nil
 }
 
-// appendHeader appends the line of a header, with its values separated by commas.
-func appendHeader(b []byte, hs http1.Headers, name string) []byte {
+// appendHeader appends the canonical line of the header with the given name. The line holds all
+// values of the header, separated by commas.
+func appendHeader(b []byte, headers http1.Headers, name string) []byte {
 	b = append(b, name...)
 	b = append(b, ':')
 	first := true
-	for i := range hs {
-		if !http1.EqualFold(hs[i].Name, name) {
+	for i := range headers {
+		if !http1.EqualFold(headers[i].Name, name) {
 			continue
 		}
 		if !first {
 			b = append(b, ',')
 		}
 		first = false
-		b = appendCollapsed(b, hs[i].Value)
+		b = appendCollapsed(b, headers[i].Value)
 	}
 	return append(b, '\n')
 }
 
-// appendCollapsed appends v with each run of blanks replaced by one blank.
+// appendCollapsed appends v to b with each run of spaces replaced by one space.
 func appendCollapsed(b, v []byte) []byte {
 	for i, c := range v {
 		if c == ' ' && i > 0 && v[i-1] == ' ' {
@@ -98,7 +99,7 @@
 	return strings.Compare(p.value, q.value)
 }
 
-// appendQuery appends the canonical query string: the parameters escaped and sorted.
+// appendQuery appends the canonical query string, which holds the escaped parameters in sorted order.
 func appendQuery(b []byte, query string) ([]byte, *Error) {
 	if query == "" {
 		return b, nil
@@ -112,7 +113,7 @@
 		name, nameOK := canonicalEscape(rawName)
 		value, valueOK := canonicalEscape(rawValue)
 		if !nameOK || !valueOK {
-			return nil, invalid(codeInvalidURI, "The query is not validly escaped.")
+			return nil, badRequest(codeInvalidURI, "The query is not validly escaped.")
 		}
 		parameters = append(parameters, parameter{name, value})
 	}
--- a/internal/sigv4/claim.go
+++ b/internal/sigv4/claim.go
@@ -8,11 +8,11 @@
 	"chalkstand/internal/http1"
 )
 
-// parseAuthorization parses the value of an Authorization header.
+// parseAuthorization parses the value of an Authorization header into a claim.
 func parseAuthorization(value string) (claim, *Error) {
 	parameters, ok := strings.CutPrefix(value, algorithm+" ")
 	if !ok {
-		return claim{}, invalid(codeInvalidRequest, "Only "+algorithm+" signatures are accepted.")
+		return claim{}, badRequest(codeInvalidRequest, "Only "+algorithm+" signatures are accepted.")
 	}
 	var c claim
 	for p := range strings.SplitSeq(parameters, ",") {
@@ -27,40 +27,41 @@
 		}
 	}
 	if c.credential == "" || c.signedHeaders == "" || c.signature == "" {
-		return claim{}, invalid(codeAuthorizationHeaderMalformed,
+		return claim{}, badRequest(codeAuthorizationHeaderMalformed,
 			"The Authorization header needs Credential, SignedHeaders and Signature.")
 	}
 	return c, nil
 }
 
-// parseDate reads the date of a request from X-Amz-Date or else from Date.
-func (c *claim) parseDate(hs http1.Headers) *Error {
+// parseDate parses the date of a request from its X-Amz-Date header, or from its Date header if the
+// request has no X-Amz-Date.
+func (c *claim) parseDate(headers http1.Headers) *Error {
 	var err error
-	c.stamp = string(hs.Get("x-amz-date"))
-	if c.stamp != "" {
-		c.date, err = time.Parse(stampFormat, c.stamp)
-	} else if c.date, err = time.Parse(time.RFC1123, string(hs.Get("date"))); err == nil {
-		c.stamp = c.date.UTC().Format(stampFormat)
+	c.timestamp = string(headers.Get("x-amz-date"))
+	if c.timestamp != "" {
+		c.date, err = time.Parse(timestampFormat, c.timestamp)
+	} else if c.date, err = time.Parse(time.RFC1123, string(headers.Get("date"))); err == nil {
+		c.timestamp = c.date.UTC().Format(timestampFormat)
 	}
 	if err != nil {
-		return denied(codeAccessDenied, "A valid X-Amz-Date or Date header is needed.")
+		return forbidden(codeAccessDenied, "A valid X-Amz-Date or Date header is needed.")
 	}
 	return nil
 }
 
-// signatureParameter is the query parameter with the signature of a presigned URL. It is not
-// signed itself.
+// signatureParameter is the name of the query parameter that holds the signature of a presigned URL.
+// The signature covers all other parameters of the URL.
 const signatureParameter = "X-Amz-Signature"
 
-// presignedClaim is the claim of a presigned URL.
+// presignedClaim holds what a presigned URL states about its signature.
 type presignedClaim struct {
 	claim
 	algorithm string
 	lifetime  string        // value of X-Amz-Expires
-	expires   time.Duration // after the date
+	expires   time.Duration // validity of the URL, counted from its date
 }
 
-// parsePresigned parses the query string of a presigned URL.
+// parsePresigned parses and checks the query string of a presigned URL.
 func parsePresigned(query string) (presignedClaim, *Error) {
 	p := presignedClaim{claim: claim{payload: unsignedPayload, presigned: true}}
 	for parameter := range strings.SplitSeq(query, "&") {
@@ -72,7 +73,8 @@
 	return p, err
 }
 
-// withoutSignature returns the query string of a presigned URL without its signature.
+// withoutSignature returns the query string of a presigned URL without the parameter that holds the
+// signature.
 func withoutSignature(query string) string {
 	kept := make([]string, 0, 8)
 	for parameter := range strings.SplitSeq(query, "&") {
@@ -90,7 +92,7 @@
 	case "X-Amz-Credential":
 		p.credential = value
 	case "X-Amz-Date":
-		p.stamp = value
+		p.timestamp = value
 	case "X-Amz-Expires":
 		p.lifetime = value
 	case "X-Amz-SignedHeaders":
@@ -102,18 +104,18 @@
 	}
 }
 
-// check checks that the parameters are complete, and parses date and lifetime.
+// check checks that the URL has all required parameters, and parses its date and its lifetime.
 func (p *presignedClaim) check() *Error {
 	var err error
-	p.date, err = time.Parse(stampFormat, p.stamp)
+	p.date, err = time.Parse(timestampFormat, p.timestamp)
 	if err != nil || p.algorithm != algorithm || p.credential == "" || p.signedHeaders == "" {
-		return invalid(codeAuthorizationQueryParametersError,
+		return badRequest(codeAuthorizationQueryParametersError,
 			"X-Amz-Algorithm, -Credential, -Date, -SignedHeaders and -Expires are needed.")
 	}
 	seconds, err := strconv.Atoi(p.lifetime)
 	p.expires = time.Duration(seconds) * time.Second
 	if err != nil || seconds < 1 || p.expires > MaxExpires {
-		return invalid(codeAuthorizationQueryParametersError, "X-Amz-Expires must be from 1 to 604800 seconds.")
+		return badRequest(codeAuthorizationQueryParametersError, "X-Amz-Expires must be from 1 to 604800 seconds.")
 	}
 	return nil
 }
--- a/internal/sigv4/errors.go
+++ b/internal/sigv4/errors.go
@@ -1,12 +1,12 @@
 package sigv4
 
-// Status codes of HTTP.
+// HTTP status codes of the error responses.
 const (
 	statusBadRequest = 400
 	statusForbidden  = 403
 )
 
-// Error codes, by the specification.
+// Error codes that the object API's specification defines.
 const (
 	codeAccessDenied                      = "AccessDenied"
 	codeAuthorizationHeaderMalformed      = "AuthorizationHeaderMalformed"
@@ -19,16 +19,16 @@
 	codeSignatureDoesNotMatch             = "SignatureDoesNotMatch"
 )
 
-// Error is why a signature is rejected.
+// Error describes why a request's signature is rejected.
 type Error struct {
-	Status  int    // of HTTP
-	Code    string // by the specification
-	Message string // for the client
+	Status  int    // HTTP status code of the response
+	Code    string // error code that the object API's specification defines
+	Message string // explanation for the client
 }
 
-// Error returns code and message.
+// Error returns the error's code and message.
 func (e *Error) Error() string { return e.Code + ": " + e.Message }
 
-func denied(code, message string) *Error { return &Error{statusForbidden, code, message} }
+func forbidden(code, message string) *Error { return &Error{statusForbidden, code, message} }
 
-func invalid(code, message string) *Error { return &Error{statusBadRequest, code, message} }
+func badRequest(code, message string) *Error { return &Error{statusBadRequest, code, message} }
--- a/internal/sigv4/escape.go
+++ b/internal/sigv4/escape.go
@@ -7,8 +7,8 @@
 
 const hexDigits = "0123456789ABCDEF"
 
-// AppendEscape appends s in the specification's URI encoding: every byte that is not an
-// unreserved character becomes %XX. A slash is kept if keepSlash is set.
+// AppendEscape appends s to b in the URI encoding of the specification, which replaces every byte
+// other than an unreserved character with %XX. AppendEscape keeps slashes if keepSlash is set.
 func AppendEscape(b []byte, s string, keepSlash bool) []byte {
 	for i := range len(s) {
 		c := s[i]
@@ -21,10 +21,10 @@
 	return b
 }
 
-// Unescape decodes %XX, and + as a blank if plusIsBlank is set (in a query). It returns false
-// for an invalid escape.
-func Unescape(s string, plusIsBlank bool) (string, bool) {
-	hasPlus := plusIsBlank && strings.IndexByte(s, '+') >= 0
+// Unescape decodes each %XX in s. If plusIsSpace is set, as it is for a query, it also decodes each
+// plus sign as a space. It returns false if s holds an invalid escape.
+func Unescape(s string, plusIsSpace bool) (string, bool) {
+	hasPlus := plusIsSpace && strings.IndexByte(s, '+') >= 0
 	if !hasPlus && strings.IndexByte(s, '%') < 0 {
 		return s, true
 	}
@@ -41,7 +41,7 @@
 			}
 			b = append(b, decoded[0])
 			i += 2
-		case c == '+' && plusIsBlank:
+		case c == '+' && plusIsSpace:
 			b = append(b, ' ')
 		default:
 			b = append(b, c)
@@ -50,8 +50,9 @@
 	return string(b), true
 }
 
-// canonicalEscape returns the canonical escaping of a raw part of a query, and false if its
-// escaping is invalid. A part that is canonical, as most clients send it, is returned as it is.
+// canonicalEscape returns raw, a name or value of a raw query string, in canonical escaping. If raw
+// is canonical already, as most clients send it, canonicalEscape returns it without a copy. It
+// returns false if raw holds an invalid escape.
 func canonicalEscape(raw string) (string, bool) {
 	if isCanonical(raw) {
 		return raw, true
@@ -60,7 +61,8 @@
 	return string(AppendEscape(nil, plain, false)), ok
 }
 
-// isCanonical reports whether a raw part of a query is escaped as AppendEscape does it.
+// isCanonical reports whether a name or value of a raw query string is escaped in the same way as
+// AppendEscape escapes it.
 func isCanonical(raw string) bool {
 	for i := 0; i < len(raw); i++ {
 		if isUnreserved(raw[i]) {
@@ -87,7 +89,8 @@
 
 func isUpperHex(c byte) bool { return '0' <= c && c <= '9' || 'A' <= c && c <= 'F' }
 
-// hexValue returns the value of a digit for which isUpperHex holds.
+// hexValue returns the value of a hexadecimal digit c, which must be a decimal digit or an
+// upper-case letter.
 func hexValue(c byte) byte {
 	if c <= '9' {
 		return c - '0'
--- a/internal/sigv4/payload.go
+++ b/internal/sigv4/payload.go
@@ -5,19 +5,19 @@
 	"encoding/hex"
 )
 
-// Payload is how a request's body is covered by its signature.
+// Payload tells how a request's signature covers the body.
 type Payload int
 
-// The forms of x-amz-content-sha256.
+// The forms of payload that the header x-amz-content-sha256 can announce.
 const (
-	UnsignedPayload       Payload = iota // not covered
-	SignedPayload                        // the SHA-256 of the body
-	SignedChunks                         // aws-chunked, each chunk signed
-	SignedChunksTrailer                  // aws-chunked, each chunk and the trailer signed
-	UnsignedChunksTrailer                // aws-chunked without signatures, with a trailer
+	UnsignedPayload       Payload = iota // The signature does not cover the body.
+	SignedPayload                        // The signature covers the SHA-256 of the body.
+	SignedChunks                         // The body is in aws-chunked coding, and each chunk is signed.
+	SignedChunksTrailer                  // The body is in aws-chunked coding, and each chunk and the trailer are signed.
+	UnsignedChunksTrailer                // The body is in aws-chunked coding with an unsigned trailer and unsigned chunks.
 )
 
-// Values of x-amz-content-sha256 that are no hash.
+// Values of the header x-amz-content-sha256 that are not a hash.
 const (
 	unsignedPayload       = "UNSIGNED-PAYLOAD"
 	signedChunks          = "STREAMING-AWS4-HMAC-SHA256-PAYLOAD"
@@ -28,7 +28,8 @@
 // Chunked reports whether the body is in the aws-chunked coding.
 func (p Payload) Chunked() bool { return p >= SignedChunks }
 
-// parsePayload reads a value of x-amz-content-sha256.
+// parsePayload parses the value of the header x-amz-content-sha256 into a.Payload and, if the value
+// is a hash, into a.PayloadHash.
 func (a *Auth) parsePayload(value string) *Error {
 	switch value {
 	case unsignedPayload:
@@ -52,21 +53,22 @@
 			return nil
 		}
 	}
-	return invalid(codeInvalidArgument, "x-amz-content-sha256 must be a SHA-256 or a known form.")
+	return badRequest(codeInvalidArgument, "x-amz-content-sha256 must be a SHA-256 or a known form.")
 }
 
 // emptyHash is the SHA-256 of the empty string.
 const emptyHash = "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855"
 
-// VerifyChunk reports whether the signature of the next chunk, whose data has the given
-// SHA-256, is valid. Chunks are verified in order.
+// VerifyChunk reports whether the signature of the next chunk is valid. sum is the SHA-256 of the
+// chunk's data. The caller must verify the chunks in order, because the signature of each chunk
+// covers that of the previous one.
 func (a *Auth) VerifyChunk(sum [sha256.Size]byte, signature string) bool {
 	a.signature = a.sign(algorithm+"-PAYLOAD", a.signature, emptyHash, hex.EncodeToString(sum[:]))
 	return equal(a.signature, signature)
 }
 
-// VerifyTrailer reports whether the signature over the trailer's lines "name:value\n" is
-// valid. It is called after the last chunk.
+// VerifyTrailer reports whether the signature of the trailer is valid. lines holds the trailer's
+// lines in the form "name:value\n". The caller must have verified all chunks before.
 func (a *Auth) VerifyTrailer(lines []byte, signature string) bool {
 	sum := sha256.Sum256(lines)
 	want := a.sign(algorithm+"-TRAILER", a.signature, hex.EncodeToString(sum[:]))
--- a/internal/sigv4/sigv4_test.go
+++ b/internal/sigv4/sigv4_test.go
@@ -7,8 +7,8 @@
 	"chalkstand/internal/http1"
 )
 
-// Valid signatures are tested with the SDK's own signer in internal/e2e; here are inputs
-// that no signer writes.
+// FuzzVerify checks that Verify returns either an Auth or an error for inputs that no signer
+// produces. The tests in internal/e2e check valid signatures with the signer of the SDK.
 func FuzzVerify(f *testing.F) {
 	f.Add("AWS4-HMAC-SHA256 Credential=ID/20261201/us-east-1/s3/aws4_request, SignedHeaders=host, Signature=00",
 		"/k?x=y", "20261201T120000Z", "UNSIGNED-PAYLOAD")
@@ -21,7 +21,7 @@
 		Skew:   time.Minute,
 		Secret: func(string) (string, bool) { return "secret", true },
 	}
-	now, err := time.Parse(stampFormat, "20261201T120000Z")
+	now, err := time.Parse(timestampFormat, "20261201T120000Z")
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 			r.Headers = append(r.Headers, http1.Header{Name: []byte("Authorization"), Value: []byte(auth)})
 		}
 		if a, err := v.Verify(now, r); (a == nil) == (err == nil) {
-			t.Fatalf("%+v %v", a, err)
+			t.Fatalf("Verify must return either an Auth or an error: got Auth %+v and error %v", a, err)
 		}
 	})
 }
@@ -46,10 +46,10 @@
 		"+&=%":   "%2B%26%3D%25",
 	} {
 		if got := string(AppendEscape(nil, plain, true)); got != escaped {
-			t.Errorf("%q: escaped %q, want %q", plain, got, escaped)
+			t.Errorf("AppendEscape of %q: got %q, want %q", plain, got, escaped)
 		}
 		if got, ok := Unescape(escaped, true); !ok || got != plain {
-			t.Errorf("%q: unescaped %q, want %q", escaped, got, plain)
+			t.Errorf("Unescape of %q: got %q, want %q", escaped, got, plain)
 		}
 	}
 }
@@ -65,7 +65,7 @@
 		"a=b":      "a%3Db",
 	} {
 		if got, ok := canonicalEscape(raw); !ok || got != want {
-			t.Errorf("%q: %q, want %q", raw, got, want)
+			t.Errorf("canonicalEscape of %q: got %q, want %q", raw, got, want)
 		}
 	}
 }
@@ -73,10 +73,10 @@
 func TestInvalidEscapesAreRejected(t *testing.T) {
 	for _, invalid := range []string{"%", "%4", "a%zz"} {
 		if _, ok := Unescape(invalid, false); ok {
-			t.Errorf("%q is accepted", invalid)
+			t.Errorf("Unescape accepted the invalid escape %q", invalid)
 		}
 		if _, ok := canonicalEscape(invalid); ok {
-			t.Errorf("%q is accepted in a query", invalid)
+			t.Errorf("canonicalEscape accepted the invalid escape %q", invalid)
 		}
 	}
 }
