--- a/internal/payload/checksum.go
+++ b/internal/payload/checksum.go
@@ -8,11 +8,11 @@
 	"hash/crc64"
 )
 
-// checksumPrefix begins the name of a header or trailer field with a checksum. The algorithm
-// follows.
+// checksumPrefix is the start of the name of each header or trailer line that holds a checksum. The
+// name ends with the algorithm.
 const checksumPrefix = "x-amz-checksum-"
 
-// nvmePolynomial is that of CRC-64/NVME, in reversed bit order.
+// nvmePolynomial is the polynomial of CRC-64/NVME in reversed bit order.
 const nvmePolynomial = 0x9a6c9329ac4bc9b5
 
 var (
@@ -20,8 +20,8 @@
 	nvmeTable       = crc64.MakeTable(nvmePolynomial)
 )
 
-// NewChecksum returns the hash of an algorithm of the x-amz-checksum family, such as "crc32c",
-// or nil for an unknown one.
+// NewChecksum returns a hash that computes the checksum of an x-amz-checksum algorithm, such as
+// "crc32c". It returns nil if the algorithm is unknown.
 func NewChecksum(algorithm string) hash.Hash {
 	switch algorithm {
 	case "crc32":
--- a/internal/payload/decode.go
+++ b/internal/payload/decode.go
@@ -9,14 +9,16 @@
 	"chalkstand/internal/sigv4"
 )
 
-// signatureLength is the length of a signature in hexadecimal digits.
+// signatureLength is the number of hexadecimal digits in a signature.
 const signatureLength = 64
 
-// Feed decodes bytes as they were received and passes the object's data to sink, piece by
-// piece. It returns how many bytes were used, and whether the body is complete. Only a
-// complete body without an error has been verified; until then its last byte must not be
-// stored. An *http1.Error means that the framing is invalid, an *objectapi.Error that the
-// content is.
+// Feed decodes received bytes of the body and passes the object's data to sink in pieces. It returns
+// the number of bytes that it consumed, and whether the body is complete. The caller must pass the
+// remaining bytes again, followed by those received later.
+//
+// A body is verified only when Feed has returned done without an error. Until then the caller must
+// not store the last byte of the data. Feed returns an *http1.Error if the body's framing is invalid,
+// and an *objectapi.Error if its content is invalid.
 func (b *Body) Feed(in []byte, sink func([]byte)) (used int, done bool, err error) {
 	for {
 		piece, n, last, err := b.unframe(in[used:])
@@ -25,16 +27,16 @@
 		}
 		used += n
 		if len(piece) > 0 {
-			kept, err := b.decode(piece, sink)
+			unconsumed, err := b.decode(piece, sink)
 			if err != nil {
 				return used, false, err
 			}
-			used -= kept
-			if kept > 0 && last { // the rest of the line will not come
+			used -= unconsumed
+			if unconsumed > 0 && last { // The body ends in an incomplete line, so that verify returns an error.
 				return used, false, b.verify()
 			}
-			if kept > 0 {
-				b.unread += int64(kept)
+			if unconsumed > 0 {
+				b.unread += int64(unconsumed)
 				return used, false, nil
 			}
 		}
@@ -47,36 +49,38 @@
 	}
 }
 
-// unframe removes HTTP's framing. last is true at the end of the body.
+// unframe removes the HTTP framing from the bytes in. It returns the next piece of the body's
+// content and the number of bytes that it consumed. last is true if the body's framing ends there.
 func (b *Body) unframe(in []byte) (piece []byte, used int, last bool, err error) {
-	if b.outer == nil {
+	if b.transferChunked == nil {
 		n := int(min(int64(len(in)), b.unread))
 		b.unread -= int64(n)
 		return in[:n], n, b.unread == 0, nil
 	}
-	step, data, n, chunkErr := b.outer.Next(in)
+	step, data, n, chunkErr := b.transferChunked.Next(in)
 	if chunkErr != nil {
 		return nil, 0, false, chunkErr
 	}
 	return data, n, step == http1.Done, nil
 }
 
-// decode removes the aws-chunked coding, if there is one. It returns how many bytes at the end
-// of the piece belong to an incomplete line and have to be passed again. Within the
-// chunked transfer coding they are kept in carry instead.
-func (b *Body) decode(piece []byte, sink func([]byte)) (kept int, err error) {
-	if b.inner == nil {
+// decode removes the aws-chunked coding, if the body has one, and passes the data to sink. It
+// returns the number of bytes at the end of the piece that belong to an incomplete line and must be
+// passed again. If the body also uses the chunked transfer coding, decode keeps these bytes in
+// b.incompleteLine and returns 0.
+func (b *Body) decode(piece []byte, sink func([]byte)) (unconsumed int, err error) {
+	if b.awsChunked == nil {
 		return 0, b.write(piece, sink)
 	}
-	if len(b.carry) > 0 {
-		piece = append(b.carry, piece...)
-		b.carry = nil
+	if len(b.incompleteLine) > 0 {
+		piece = append(b.incompleteLine, piece...)
+		b.incompleteLine = nil
 	}
 	for len(piece) > 0 {
-		if b.ended {
+		if b.awsChunkedEnded {
 			return 0, objectapi.NewError(objectapi.CodeIncompleteBody, "Bytes follow the end of the aws-chunked body.")
 		}
-		step, data, n, chunkErr := b.inner.Next(piece)
+		step, data, n, chunkErr := b.awsChunked.Next(piece)
 		if chunkErr != nil {
 			return 0, objectapi.NewError(objectapi.CodeInvalidRequest,
 				"The aws-chunked body is malformed: "+chunkErr.Reason)
@@ -85,10 +89,10 @@
 			return 0, err
 		}
 		if n == 0 && step == http1.More {
-			if b.outer == nil {
+			if b.transferChunked == nil {
 				return len(piece), nil
 			}
-			b.carry = append([]byte(nil), piece...)
+			b.incompleteLine = append([]byte(nil), piece...)
 			return 0, nil
 		}
 		piece = piece[n:]
@@ -96,7 +100,7 @@
 	return 0, nil
 }
 
-// handleStep handles a step of the aws-chunked coding.
+// handleStep handles one decoded step of the aws-chunked coding.
 func (b *Body) handleStep(s http1.Step, data []byte, sink func([]byte)) error {
 	switch s {
 	case http1.ChunkStart:
@@ -109,32 +113,32 @@
 	case http1.ChunkEnd:
 		return b.verifyChunk()
 	case http1.Trailer:
-		return b.handleTrailer(b.inner.Line)
+		return b.handleTrailer(b.awsChunked.Line)
 	case http1.Done:
-		b.ended = true
+		b.awsChunkedEnded = true
 	}
 	return nil
 }
 
-// startChunk reads the signature of the chunk that begins. The last chunk, which is empty, has
-// no ChunkEnd and is verified at once.
+// startChunk reads the signature of the chunk that begins. It verifies the last chunk at once,
+// because the last chunk is empty and no ChunkEnd step follows it.
 func (b *Body) startChunk() error {
 	if b.chunkHash == nil {
 		return nil
 	}
 	b.chunkHash.Reset()
-	signature, ok := strings.CutPrefix(string(b.inner.Ext), "chunk-signature=")
+	signature, ok := strings.CutPrefix(string(b.awsChunked.Ext), "chunk-signature=")
 	if !ok || len(signature) != signatureLength {
 		return objectapi.NewError(objectapi.CodeSignatureDoesNotMatch, "A chunk has no signature.")
 	}
 	b.signedText = append(b.signedText[:0], signature...)
-	if b.inner.Size == 0 {
+	if b.awsChunked.Size == 0 {
 		return b.verifyChunk()
 	}
 	return nil
 }
 
-// handleTrailer handles a line of the trailer.
+// handleTrailer handles one line of the trailer, which is the checksum or the trailer's signature.
 func (b *Body) handleTrailer(h http1.Header) error {
 	switch name := strings.ToLower(string(h.Name)); name {
 	case "x-amz-trailer-signature":
@@ -143,8 +147,8 @@
 			return objectapi.NewError(objectapi.CodeSignatureDoesNotMatch,
 				"The signature of the trailer does not match.")
 		}
-		b.trailerChecked = true
-	case b.trailer:
+		b.trailerVerified = true
+	case b.trailerName:
 		if b.Checksum.Name != nil {
 			return objectapi.NewError(objectapi.CodeInvalidRequest, "The trailer gives its checksum twice.")
 		}
@@ -160,7 +164,7 @@
 	return nil
 }
 
-// write hashes a piece of the object's data and passes it to sink.
+// write adds p, a piece of the object's data, to the hashes and passes it to sink.
 func (b *Body) write(p []byte, sink func([]byte)) error {
 	b.Received += int64(len(p))
 	if b.Length >= 0 && b.Received > b.Length {
--- a/internal/payload/payload.go
+++ b/internal/payload/payload.go
@@ -1,6 +1,6 @@
-// Package payload decodes and verifies the body of a request to the object API: HTTP's
-// framing, the aws-chunked coding inside it, its signatures, and the checksums that the client
-// has given. It does no I/O and buffers no body.
+// Package payload decodes and verifies the body of a request to the object API. It removes the HTTP
+// framing and the aws-chunked coding inside it, and verifies the signatures and the checksums that
+// the client has sent. It does no I/O and does not buffer the body.
 package payload
 
 import (
@@ -17,41 +17,44 @@
 
 // Body decodes and verifies the body of one request.
 type Body struct {
-	Length   int64        // of the object's data, in bytes; -1 if it is known at the end only
-	Received int64        // bytes of the object's data so far
-	Checksum http1.Header // the client's checksum, its name in lower case; one of a trailer is set at the end
-
-	unread int64          // bytes still to come of a body that is framed by its length
-	outer  *http1.Chunked // chunked transfer coding; nil: framed by its length
-	inner  *http1.Chunked // aws-chunked coding; nil: none
-	ended  bool           // inner has ended
-	carry  []byte         // an incomplete line of inner, kept from the last chunk of outer
-
-	auth           *sigv4.Auth // nil: no signature is verified
-	chunkHash      hash.Hash   // of the current chunk; nil: chunks are not signed
-	signedText     []byte      // the current chunk's signature; after the last chunk, the trailer's lines
-	trailer        string      // name of the checksum that the trailer is to bring; "": none
-	trailerChecked bool        // the trailer's signature has been verified
-
-	md5         hash.Hash // nil: no Content-MD5 was given
+	Length   int64 // length of the object's data in bytes; -1 if it is unknown until the body ends
+	Received int64 // number of bytes of the object's data decoded so far
+
+	// Checksum is the checksum that the client sent. Its name is in lower case. It is set by New, or
+	// by Feed when the checksum is in the trailer.
+	Checksum http1.Header
+
+	unread          int64          // bytes not decoded yet of a body that is framed by its length
+	transferChunked *http1.Chunked // decoder of the chunked transfer coding; nil if the body has a length
+	awsChunked      *http1.Chunked // decoder of the aws-chunked coding; nil if the body does not use it
+	awsChunkedEnded bool           // The aws-chunked coding has reached its end.
+	incompleteLine  []byte         // start of an aws-chunked line whose rest is in a later transfer chunk
+
+	auth            *sigv4.Auth // nil if the request needs no signature
+	chunkHash       hash.Hash   // SHA-256 of the current aws-chunked chunk; nil if chunks are not signed
+	signedText      []byte      // signature of the current chunk; after the last chunk, the trailer's lines
+	trailerName     string      // name of the checksum that the trailer must hold; empty if there is none
+	trailerVerified bool        // The signature of the trailer is valid.
+
+	md5         hash.Hash // nil if the request has no Content-MD5
 	expectedMD5 []byte
-	sha256      hash.Hash // nil: the signature does not cover the body's SHA-256
-	checksum    hash.Hash // nil: no checksum was given
+	sha256      hash.Hash // nil if the signature does not cover the SHA-256 of the body
+	checksum    hash.Hash // nil if the client announced no checksum
 }
 
-// New returns the Body of a request according to its head. auth is nil for a request that
-// needs no signature.
+// New returns a Body that decodes and verifies the body of the request with the head r. auth is the
+// verified signature of the head, or nil for a request that needs no signature.
 func New(r *http1.Request, auth *sigv4.Auth) (*Body, *objectapi.Error) {
 	b := &Body{Length: r.Length, unread: r.Length, auth: auth}
 	if r.Chunked {
-		b.outer = &http1.Chunked{}
+		b.transferChunked = &http1.Chunked{}
 		b.Length = -1
 	}
 	if err := b.parseChecksums(r.Headers); err != nil {
 		return nil, err
 	}
-	if b.isChunked() {
-		if err := b.startChunked(r.Headers); err != nil {
+	if b.isAWSChunked() {
+		if err := b.startAWSChunked(r.Headers); err != nil {
 			return nil, err
 		}
 	}
@@ -64,13 +67,14 @@
 	return b, nil
 }
 
-// isChunked reports whether the body is in the aws-chunked coding.
-func (b *Body) isChunked() bool { return b.auth != nil && b.auth.Payload.Chunked() }
+// isAWSChunked reports whether the body is in the aws-chunked coding.
+func (b *Body) isAWSChunked() bool { return b.auth != nil && b.auth.Payload.Chunked() }
 
-// startChunked prepares the aws-chunked coding.
-func (b *Body) startChunked(hs http1.Headers) *objectapi.Error {
-	b.inner = &http1.Chunked{}
-	value := hs.Get("x-amz-decoded-content-length")
+// startAWSChunked prepares the decoder of the aws-chunked coding, and sets b.Length to the decoded
+// length that the headers state.
+func (b *Body) startAWSChunked(headers http1.Headers) *objectapi.Error {
+	b.awsChunked = &http1.Chunked{}
+	value := headers.Get("x-amz-decoded-content-length")
 	if value == nil {
 		return objectapi.NewError(objectapi.CodeMissingContentLength,
 			"You must provide the x-amz-decoded-content-length HTTP header.")
@@ -86,14 +90,14 @@
 	return nil
 }
 
-// parseTrailerName reads which checksum the trailer will bring.
-func (b *Body) parseTrailerName(hs http1.Headers) *objectapi.Error {
-	value := hs.Get("x-amz-trailer")
+// parseTrailerName parses the header x-amz-trailer, which names the checksum in the trailer.
+func (b *Body) parseTrailerName(headers http1.Headers) *objectapi.Error {
+	value := headers.Get("x-amz-trailer")
 	if value == nil {
 		return nil
 	}
 	name := strings.ToLower(string(value))
-	hasTrailer := b.isChunked() && b.auth.Payload != sigv4.SignedChunks
+	hasTrailer := b.isAWSChunked() && b.auth.Payload != sigv4.SignedChunks
 	if !hasTrailer || b.checksum != nil || !strings.HasPrefix(name, checksumPrefix) {
 		return objectapi.NewError(objectapi.CodeInvalidRequest,
 			"x-amz-trailer must name one checksum of a body with a trailer.")
@@ -102,13 +106,13 @@
 	if b.checksum == nil {
 		return objectapi.NewError(objectapi.CodeInvalidRequest, "The checksum that x-amz-trailer names is not known.")
 	}
-	b.trailer = name
+	b.trailerName = name
 	return nil
 }
 
-// parseChecksums reads Content-MD5 and the checksum header.
-func (b *Body) parseChecksums(hs http1.Headers) *objectapi.Error {
-	for _, h := range hs {
+// parseChecksums parses the Content-MD5 header and the x-amz-checksum header, if they exist.
+func (b *Body) parseChecksums(headers http1.Headers) *objectapi.Error {
+	for _, h := range headers {
 		var err *objectapi.Error
 		switch {
 		case http1.EqualFold(h.Name, "content-md5"):
@@ -142,7 +146,7 @@
 	name := strings.ToLower(string(h.Name))
 	algorithm := name[len(checksumPrefix):]
 	switch algorithm {
-	case "type", "algorithm", "mode": // these describe a checksum
+	case "type", "algorithm", "mode": // Headers with these names describe a checksum and hold none.
 		return nil
 	}
 	if b.checksum != nil {
@@ -160,11 +164,11 @@
 	return nil
 }
 
-// copyHeader returns a header that does not refer to the input buffer.
+// copyHeader returns a header with a copy of value, so that it does not point into the input buffer.
 func copyHeader(name string, value []byte) http1.Header {
 	return http1.Header{Name: []byte(name), Value: append([]byte(nil), value...)}
 }
 
-// TrailerChecksum returns the name of the checksum that follows the data in a trailer, and
-// whether there is one.
-func (b *Body) TrailerChecksum() (name string, ok bool) { return b.trailer, b.trailer != "" }
+// TrailerChecksum returns the name of the checksum that the client sends in the trailer, and whether
+// the client announced one.
+func (b *Body) TrailerChecksum() (name string, ok bool) { return b.trailerName, b.trailerName != "" }
--- a/internal/payload/payload_test.go
+++ b/internal/payload/payload_test.go
@@ -18,17 +18,17 @@
 )
 
 const (
-	secret      = "a-secret-of-tests"
-	day         = "20261201"
-	stampFormat = "20060102T150405Z"
-	stamp       = "20261201T120000Z"
-	scope       = day + "/us-east-1/s3/aws4_request"
+	secret          = "a-secret-of-tests"
+	day             = "20261201"
+	timestampFormat = "20060102T150405Z"
+	timestamp       = "20261201T120000Z"
+	scope           = day + "/us-east-1/s3/aws4_request"
 
 	algorithm = "AWS4-HMAC-SHA256"
 	checksum  = "x-amz-checksum-crc32"
 )
 
-// forms are the streaming forms of x-amz-content-sha256.
+// forms holds the values of x-amz-content-sha256 that announce a streaming form.
 var forms = []string{
 	"STREAMING-AWS4-HMAC-SHA256-PAYLOAD",
 	"STREAMING-AWS4-HMAC-SHA256-PAYLOAD-TRAILER",
@@ -50,16 +50,18 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// sign returns the signature of a string to sign of the given algorithm and lines.
+// sign returns the signature of the string to sign, which consists of the algorithm, the timestamp,
+// the scope, and the given lines.
 func sign(algorithm string, lines ...string) string {
 	key := []byte("AWS4" + secret)
 	for _, s := range []string{day, "us-east-1", "s3", "aws4_request"} {
 		key = hmacSHA256(key, s)
 	}
-	return hex.EncodeToString(hmacSHA256(key, algorithm+"\n"+stamp+"\n"+scope+"\n"+strings.Join(lines, "\n")))
+	return hex.EncodeToString(hmacSHA256(key, algorithm+"\n"+timestamp+"\n"+scope+"\n"+strings.Join(lines, "\n")))
 }
 
-// encodeChunked returns the body in the aws-chunked coding. seed is the signature of the head.
+// encodeChunked returns a body with the given chunks and trailer in the aws-chunked coding. seed is
+// the signature of the head, which the signature of the first chunk covers.
 func encodeChunked(form string, chunks []string, trailer, seed string) string {
 	var body strings.Builder
 	last := seed
@@ -86,15 +88,15 @@
 	return body.String()
 }
 
-// signedRequest returns a request in a streaming form, signed independently of package sigv4:
-// its head, its verified signature, and its body. trailer is the checksum in the trailer; "" for
-// none.
+// signedRequest returns the head, the verified signature, and the encoded body of a request in a
+// streaming form. It signs the request without the code of package sigv4. trailer is the checksum
+// in the trailer, or empty for a body without a trailer.
 func signedRequest(t *testing.T, form string, chunks []string, trailer string) (*http1.Request, *sigv4.Auth, string) {
 	t.Helper()
 	length := len(strings.Join(chunks, ""))
 	names := "host;x-amz-content-sha256;x-amz-date;x-amz-decoded-content-length"
 	values := fmt.Sprintf("host:h\nx-amz-content-sha256:%s\nx-amz-date:%s\nx-amz-decoded-content-length:%d\n",
-		form, stamp, length)
+		form, timestamp, length)
 	trailerHeader := ""
 	if trailer != "" {
 		names += ";x-amz-trailer"
@@ -107,14 +109,14 @@
 	head := fmt.Sprintf("PUT /b/k HTTP/1.1\r\nHost: h\r\nx-amz-content-sha256: %s\r\nx-amz-date: %s\r\n"+
 		"x-amz-decoded-content-length: %d\r\n%sContent-Length: %d\r\n"+
 		"Authorization: %s Credential=ID/%s, SignedHeaders=%s, Signature=%s\r\n\r\n",
-		form, stamp, length, trailerHeader, len(body), algorithm, scope, names, signature)
+		form, timestamp, length, trailerHeader, len(body), algorithm, scope, names, signature)
 	r := parseHead(t, head)
 	v := &sigv4.Verifier{
 		Region: "us-east-1",
 		Skew:   time.Minute,
 		Secret: func(string) (string, bool) { return secret, true },
 	}
-	now, err := time.Parse(stampFormat, stamp)
+	now, err := time.Parse(timestampFormat, timestamp)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +138,7 @@
 	return &r
 }
 
-// newBody returns the Body of a request.
+// newBody returns the Body of a request, and ends the test if New returns an error.
 func newBody(t *testing.T, r *http1.Request, auth *sigv4.Auth) *Body {
 	t.Helper()
 	b, err := New(r, auth)
@@ -146,7 +148,8 @@
 	return b
 }
 
-// feedAll feeds text in pieces of the given size and returns the data that came out.
+// feedAll passes text to b.Feed in pieces of the given size. It returns the decoded data and the last
+// results of Feed.
 func feedAll(b *Body, text string, size int) (data string, done bool, err error) {
 	var out bytes.Buffer
 	var in []byte
@@ -163,12 +166,12 @@
 	return out.String(), false, nil
 }
 
-// encodedCRC32 returns a checksum as a header has it.
+// encodedCRC32 returns the CRC-32 of s in the encoding of a checksum header.
 func encodedCRC32(s string) string {
 	return base64.StdEncoding.EncodeToString(binary.BigEndian.AppendUint32(nil, crc32.ChecksumIEEE([]byte(s))))
 }
 
-// trailerOf returns the checksum in the trailer of a form; "" for none.
+// trailerOf returns the checksum of data if the form has a trailer, and an empty string otherwise.
 func trailerOf(form, data string) string {
 	if hasTrailer(form) {
 		return encodedCRC32(data)
@@ -187,15 +190,16 @@
 				b := newBody(t, r, auth)
 				got, done, err := feedAll(b, text, size)
 				if err != nil || !done || got != data || string(b.Checksum.Value) != trailer {
-					t.Fatalf("in pieces of %d: %d bytes, done %v, %v", size, len(got), done, err)
+					t.Fatalf("body in pieces of %d bytes: got %d bytes of data, done %v, error %v", size, len(got), done, err)
 				}
 			}
 		})
 	}
 }
 
-// A changed byte of a signed body is detected before the body is complete. Changes that leave
-// the data as it is, such as the case of a digit, are allowed.
+// TestEveryChangedByteIsDetected changes each byte of an encoded body in turn, and checks that Feed
+// reports an error or passes on the original data. In a signed body it accepts only a change of
+// letter case, such as that of a hexadecimal digit.
 func TestEveryChangedByteIsDetected(t *testing.T) {
 	chunks := []string{"hello, line seven", "and eight"}
 	data := strings.Join(chunks, "")
@@ -211,26 +215,28 @@
 					continue
 				}
 				if got != data || isSigned(form) && !strings.EqualFold(text, changed) {
-					t.Errorf("byte %d, %q for %q, is not detected", i, changed[i], text[i])
+					t.Errorf("changed byte %d is not detected: it is %q in place of %q", i, changed[i], text[i])
 				}
 			}
 		})
 	}
 }
 
-// A body that is framed by its length ends there, and what follows is left.
+// TestFramingByLength checks that a body with a Content-Length ends after so many bytes, and that
+// Feed does not consume the bytes of the next request.
 func TestFramingByLength(t *testing.T) {
 	for _, body := range []string{"abc", ""} {
 		r := parseHead(t, fmt.Sprintf("PUT /b/k HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", len(body)))
 		var got []byte
 		used, done, err := newBody(t, r, nil).Feed([]byte(body+"GET /next"), func(p []byte) { got = append(got, p...) })
 		if err != nil || !done || used != len(body) || string(got) != body {
-			t.Fatalf("%q: %q %d %v %v", body, got, used, done, err)
+			t.Fatalf("body %q: got data %q, %d bytes used, done %v, error %v", body, got, used, done, err)
 		}
 	}
 }
 
-// A decoded length that differs from that of the chunks is detected.
+// TestWrongDecodedLength checks that Feed rejects a body whose chunks hold fewer or more bytes than
+// x-amz-decoded-content-length states.
 func TestWrongDecodedLength(t *testing.T) {
 	for _, length := range []string{"2", "4"} {
 		r, auth, text := signedRequest(t, forms[2], []string{"abc"}, encodedCRC32("abc"))
@@ -241,10 +247,10 @@
 		}
 		data, done, err := feedAll(newBody(t, r, auth), text, 100)
 		if err == nil {
-			t.Fatalf("three bytes for %s: done %v", length, done)
+			t.Fatalf("a body of 3 bytes was accepted for a decoded length of %s: done %v", length, done)
 		}
-		if length == "2" && len(data) > 2 { // a node would read the third as its next request
-			t.Fatalf("%q passed on for a length of 2", data)
+		if length == "2" && len(data) > 2 { // A node would read the third byte as the start of the next request.
+			t.Fatalf("Feed passed on the data %q for a decoded length of 2", data)
 		}
 	}
 }
@@ -271,7 +277,8 @@
 		data, done, failed := feed(size)
 		wholeData, wholeDone, wholeFailed := feed(len(text) + 1)
 		if done != wholeDone || failed != wholeFailed || done && !failed && data != wholeData {
-			t.Fatalf("in pieces %q %v %v, at once %q %v %v", data, done, failed, wholeData, wholeDone, wholeFailed)
+			t.Fatalf("passed in pieces: data %q, done %v, failed %v; passed at once: data %q, done %v, failed %v",
+				data, done, failed, wholeData, wholeDone, wholeFailed)
 		}
 	})
 }
--- a/internal/payload/verify.go
+++ b/internal/payload/verify.go
@@ -9,7 +9,7 @@
 	"chalkstand/internal/sigv4"
 )
 
-// verifyChunk verifies the signature of the current chunk, if chunks are signed.
+// verifyChunk verifies the signature of the current aws-chunked chunk, if chunks are signed.
 func (b *Body) verifyChunk() error {
 	if b.chunkHash == nil {
 		return nil
@@ -24,9 +24,9 @@
 	return nil
 }
 
-// verify verifies a body that has ended: its length, its trailer and its checksums.
+// verify verifies the length, the trailer and the checksums of a body whose framing has ended.
 func (b *Body) verify() error {
-	if b.inner != nil && !b.ended || b.Length >= 0 && b.Received != b.Length {
+	if b.awsChunked != nil && !b.awsChunkedEnded || b.Length >= 0 && b.Received != b.Length {
 		return objectapi.NewError(objectapi.CodeIncompleteBody,
 			"You did not provide the number of bytes specified by the length headers.")
 	}
@@ -38,12 +38,12 @@
 
 func (b *Body) verifyTrailer() error {
 	switch {
-	case b.trailer == "":
+	case b.trailerName == "":
 		return nil
 	case b.Checksum.Name == nil:
 		return objectapi.NewError(objectapi.CodeInvalidRequest,
 			"The trailer did not bring the checksum that x-amz-trailer names.")
-	case b.auth.Payload == sigv4.SignedChunksTrailer && !b.trailerChecked:
+	case b.auth.Payload == sigv4.SignedChunksTrailer && !b.trailerVerified:
 		return objectapi.NewError(objectapi.CodeSignatureDoesNotMatch, "The trailer is not signed.")
 	}
 	return nil
