--- a/internal/objectapi/deleteobjects.go
+++ b/internal/objectapi/deleteobjects.go
@@ -2,40 +2,41 @@
 
 import "encoding/xml"
 
-// DeleteRequest is the body of DeleteObjects.
+// DeleteRequest is the body of a DeleteObjects request.
 type DeleteRequest struct {
 	XMLName xml.Name           `xml:"Delete"`
 	Quiet   bool               `xml:",omitempty"`
 	Objects []ObjectIdentifier `xml:"Object"`
 }
 
-// ObjectIdentifier names an object to delete.
+// ObjectIdentifier names one object that a DeleteObjects request deletes.
 type ObjectIdentifier struct {
 	Key       string
 	VersionID string `xml:"VersionId,omitempty"`
 }
 
-// Deleted is an object that was deleted or did not exist.
+// Deleted is the entry of an object that was deleted or did not exist.
 type Deleted struct{ Key string }
 
-// DeleteError is an object that was not deleted.
+// DeleteError is the entry of an object that could not be deleted.
 type DeleteError struct {
 	Key     string
 	Code    string
 	Message string
 }
 
-// DeleteResult is the response of DeleteObjects.
+// DeleteResult is the body of the response to DeleteObjects.
 type DeleteResult struct {
 	XMLName xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ DeleteResult"`
 	Deleted []Deleted
 	Error   []DeleteError
 }
 
-// maxDeleteKeys is the highest number of keys in one DeleteObjects, by the specification.
+// maxDeleteKeys is the highest number of keys that the specification allows in one DeleteObjects
+// request.
 const maxDeleteKeys = 1000
 
-// ParseDelete parses and checks the body of DeleteObjects.
+// ParseDelete parses and checks the body of a DeleteObjects request.
 func ParseDelete(doc []byte) (*DeleteRequest, *Error) {
 	var d DeleteRequest
 	if xml.Unmarshal(doc, &d) != nil || len(d.Objects) == 0 || len(d.Objects) > maxDeleteKeys {
--- a/internal/objectapi/documents.go
+++ b/internal/objectapi/documents.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// timeFormat is the form of times in documents.
+// timeFormat is the time layout of the XML documents.
 const timeFormat = "2006-01-02T15:04:05.000Z"
 
-// FormatTime returns a time in the form of documents.
+// FormatTime returns a time as text in the time layout of the XML documents.
 func FormatTime(t time.Time) string { return t.UTC().Format(timeFormat) }
 
 // Owner is the owner of a bucket, an object or an upload.
@@ -17,34 +17,35 @@
 	DisplayName string
 }
 
-// TheOwner owns everything.
+// TheOwner is the owner that the gateway reports for every bucket, object and upload.
 var TheOwner = Owner{ID: "chalkstand", DisplayName: "chalkstand"}
 
-// Bucket is an entry of ListAllMyBucketsResult.
+// Bucket is the entry of one bucket in a ListAllMyBucketsResult.
 type Bucket struct {
 	Name         string
 	CreationDate string
 }
 
-// ListAllMyBucketsResult is the response of ListBuckets.
+// ListAllMyBucketsResult is the body of the response to ListBuckets.
 type ListAllMyBucketsResult struct {
 	XMLName xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ ListAllMyBucketsResult"`
 	Owner   Owner
 	Buckets []Bucket `xml:"Buckets>Bucket"`
 }
 
-// LocationConstraint is the response of GetBucketLocation.
+// LocationConstraint is the body of the response to GetBucketLocation.
 type LocationConstraint struct {
 	XMLName  xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ LocationConstraint"`
 	Location string   `xml:",chardata"`
 }
 
-// VersioningConfiguration is the response of GetBucketVersioning: versioning was never enabled.
+// VersioningConfiguration is the body of the response to GetBucketVersioning. It is empty, which
+// means that versioning was never enabled.
 type VersioningConfiguration struct {
 	XMLName xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ VersioningConfiguration"`
 }
 
-// Content is an object in a list.
+// Content is the entry of one object in a ListBucketResult.
 type Content struct {
 	Key          string
 	LastModified string
@@ -54,21 +55,22 @@
 	StorageClass string
 }
 
-// CommonPrefix stands for all keys of a list with the same prefix up to a delimiter.
+// CommonPrefix is the entry in a list that replaces all keys with the same prefix. The prefix ends
+// with the delimiter of the request.
 type CommonPrefix struct{ Prefix string }
 
-// ListBucketResult is the response of both versions of ListObjects. Fields marked V1 or V2 belong
-// to one of them.
+// ListBucketResult is the body of the response to both versions of ListObjects. A field marked V1 or
+// V2 belongs to that version only.
 type ListBucketResult struct {
 	XMLName               xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ ListBucketResult"`
 	Name                  string
 	Prefix                string
-	Marker                *string `xml:",omitempty"` // V1
-	NextMarker            string  `xml:",omitempty"` // V1
-	ContinuationToken     string  `xml:",omitempty"` // V2
-	NextContinuationToken string  `xml:",omitempty"` // V2
-	StartAfter            string  `xml:",omitempty"` // V2
-	KeyCount              *int    `xml:",omitempty"` // V2
+	Marker                *string `xml:",omitempty"` // V1 only
+	NextMarker            string  `xml:",omitempty"` // V1 only
+	ContinuationToken     string  `xml:",omitempty"` // V2 only
+	NextContinuationToken string  `xml:",omitempty"` // V2 only
+	StartAfter            string  `xml:",omitempty"` // V2 only
+	KeyCount              *int    `xml:",omitempty"` // V2 only
 	MaxKeys               int
 	Delimiter             string `xml:",omitempty"`
 	EncodingType          string `xml:",omitempty"`
@@ -77,14 +79,14 @@
 	CommonPrefixes        []CommonPrefix
 }
 
-// CopyObjectResult is the response of CopyObject.
+// CopyObjectResult is the body of the response to CopyObject.
 type CopyObjectResult struct {
 	XMLName      xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ CopyObjectResult"`
 	LastModified string
 	ETag         string
 }
 
-// CopyPartResult is the response of UploadPartCopy.
+// CopyPartResult is the body of the response to UploadPartCopy.
 type CopyPartResult struct {
 	XMLName      xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ CopyPartResult"`
 	LastModified string
--- a/internal/objectapi/errors.go
+++ b/internal/objectapi/errors.go
@@ -2,7 +2,8 @@
 
 import "encoding/xml"
 
-// Error codes, by the specification. The code of an error decides its status.
+// Error codes that the object API's specification defines. Each code determines the HTTP status of
+// its response.
 const (
 	CodeAccessDenied               = "AccessDenied"
 	CodeBadDigest                  = "BadDigest"
@@ -43,7 +44,7 @@
 	CodeContentSHA256Mismatch      = "XAmzContentSHA256Mismatch"
 )
 
-// Status codes of HTTP.
+// HTTP status codes of the error responses.
 const (
 	statusNotModified           = 304
 	statusBadRequest            = 400
@@ -61,7 +62,7 @@
 	statusGatewayTimeout        = 504
 )
 
-// statuses holds the status of each code that has another one than 400.
+// statuses maps error codes to HTTP status codes. A code that is missing has the status 400.
 var statuses = map[string]int{
 	CodeAccessDenied:               statusForbidden,
 	CodeBucketAlreadyExists:        statusConflict,
@@ -89,17 +90,17 @@
 
 // Error is an error response of the object API.
 type Error struct {
-	Code    string // by the specification
-	Message string // for the client
+	Code    string // error code that the specification defines
+	Message string // explanation for the client
 }
 
-// NewError returns an error. The message is used as it is.
+// NewError returns an Error with the given code and message.
 func NewError(code, message string) *Error { return &Error{code, message} }
 
-// Error returns code and message.
+// Error returns the error's code and message.
 func (e *Error) Error() string { return e.Code + ": " + e.Message }
 
-// Status returns the HTTP status of the error's code.
+// Status returns the HTTP status code that belongs to the error's code.
 func (e *Error) Status() int {
 	if s, ok := statuses[e.Code]; ok {
 		return s
@@ -107,7 +108,7 @@
 	return statusBadRequest
 }
 
-// errorDocument is an error as XML.
+// errorDocument is the XML document of an error response.
 type errorDocument struct {
 	XMLName   xml.Name `xml:"Error"`
 	Code      string
@@ -126,7 +127,8 @@
 	})
 }
 
-// ParseError parses an error document, and returns false if doc is none.
+// ParseError parses the XML document of an error response. It returns false if doc is not such a
+// document.
 func ParseError(doc []byte) (*Error, bool) {
 	var d errorDocument
 	if xml.Unmarshal(doc, &d) != nil || d.Code == "" {
--- a/internal/objectapi/kind.go
+++ b/internal/objectapi/kind.go
@@ -29,7 +29,7 @@
 	kindCount
 )
 
-// kindNames are the names of the specification.
+// kindNames holds the name of each operation in the specification.
 var kindNames = [kindCount]string{
 	ListBuckets:             "ListBuckets",
 	CreateBucket:            "CreateBucket",
@@ -62,10 +62,11 @@
 	return kindNames[k]
 }
 
-// Kinds returns the number of operations. Each Kind is below it.
+// Kinds returns the number of operations. Every valid Kind is at least 0 and less than this number.
 func Kinds() int { return int(kindCount) }
 
-// KindNamed returns the operation with the given name, and whether there is one.
+// KindNamed returns the operation with the given name of the specification, and whether such an
+// operation exists.
 func KindNamed(name string) (Kind, bool) {
 	for k, n := range kindNames {
 		if n == name {
@@ -75,7 +76,7 @@
 	return 0, false
 }
 
-// Writes reports whether the operation changes what is stored.
+// Writes reports whether the operation changes stored data.
 func (k Kind) Writes() bool {
 	switch k {
 	case CreateBucket, DeleteBucket, DeleteObjects, PutObject, DeleteObject, CopyObject, CreateMultipartUpload,
@@ -85,7 +86,7 @@
 	return false
 }
 
-// HasBody reports whether a request for the operation carries a body that is read.
+// HasBody reports whether the gateway reads the body of a request for the operation.
 func (k Kind) HasBody() bool {
 	switch k {
 	case PutObject, UploadPart, DeleteObjects, CompleteMultipartUpload, CreateBucket:
@@ -94,5 +95,6 @@
 	return false
 }
 
-// Streams reports whether the body is an object's data rather than a document.
+// Streams reports whether the body of a request for the operation is an object's data and not an
+// XML document.
 func (k Kind) Streams() bool { return k == PutObject || k == UploadPart }
--- a/internal/objectapi/merge.go
+++ b/internal/objectapi/merge.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// EncodeName encodes a name for encoding-type=url.
+// EncodeName encodes a name for a list that the client requested with encoding-type=url.
 func EncodeName(s string) string { return strings.ReplaceAll(url.QueryEscape(s), "%2F", "/") }
 
-// decodeName decodes a name of encoding-type=url in place.
+// decodeName replaces *s, a name that is encoded for encoding-type=url, with the decoded name.
 func decodeName(s *string) error {
 	name, err := url.QueryUnescape(*s)
 	if err != nil {
@@ -20,15 +20,15 @@
 	return nil
 }
 
-// Page is a part of a list of objects. Its names are not encoded.
+// Page is one page of a list of objects. Its names are not encoded.
 type Page struct {
 	Contents  []Content
-	Prefixes  []string
-	Truncated bool
-	Next      string // the last name, if the page is truncated
+	Prefixes  []string // common prefixes
+	Truncated bool     // The list has more names after this page.
+	Next      string   // last name of the page if the page is truncated, otherwise empty
 }
 
-// ParseList parses a ListBucketResult with encoding-type=url.
+// ParseList parses a ListBucketResult that was requested with encoding-type=url into a Page.
 func ParseList(doc []byte, pause Pause) (Page, error) {
 	var r ListBucketResult
 	if err := unmarshal(doc, &r, pause); err != nil {
@@ -49,17 +49,20 @@
 	return p, nil
 }
 
-// listEntry is an object of a list, or a common prefix if content is nil.
+// listEntry is an entry of a list of objects. It is a common prefix if content is nil, and an object
+// otherwise.
 type listEntry struct {
 	name    string
 	content *Content
 }
 
-// MergePages merges the pages of several shards into one page of at most limit names. Each of
-// pages holds the first names of its shard after the name after, in order, and at most limit
-// of them. A prefix of several shards counts once. Names that do not fit come with the
-// next page: a shard whose page is truncated has given limit names, so the names it left out
-// are behind the merged page.
+// MergePages merges one page from each of several shards into one page of at most limit names. A
+// common prefix that several shards list counts once.
+//
+// The page of a shard must hold, in sorted order, the shard's first names that come after the name
+// given as after. It must hold at most limit names, and exactly limit names if it is truncated. The
+// names that a truncated page leaves out therefore come after the last name of the merged page, and
+// a later merged page lists them.
 func MergePages(pages []Page, after string, limit int) Page {
 	var entries []listEntry
 	truncated := false
@@ -93,8 +96,8 @@
 	return merged
 }
 
-// sortListEntries sorts entries, and drops repeated prefixes and the prefix that the last page
-// ended with.
+// sortListEntries sorts entries by name and removes repeated common prefixes. It also removes the
+// common prefix named after, because the previous page ended with it.
 func sortListEntries(entries []listEntry, after string) []listEntry {
 	slices.SortFunc(entries, func(a, b listEntry) int { return strings.Compare(a.name, b.name) })
 	entries = slices.CompactFunc(entries, func(a, b listEntry) bool {
@@ -106,7 +109,8 @@
 	return entries
 }
 
-// ParseUploads parses a ListMultipartUploadsResult with encoding-type=url.
+// ParseUploads parses a ListMultipartUploadsResult that was requested with encoding-type=url. The
+// names in its result are decoded.
 func ParseUploads(doc []byte, pause Pause) (ListMultipartUploadsResult, error) {
 	var r ListMultipartUploadsResult
 	if err := unmarshal(doc, &r, pause); err != nil {
@@ -125,15 +129,16 @@
 	return r, nil
 }
 
-// uploadEntry is an upload of a list, or a common prefix if upload is nil.
+// uploadEntry is an entry of a list of uploads. It is a common prefix if upload is nil, and an upload
+// otherwise.
 type uploadEntry struct {
 	name   string
 	id     string
 	upload *Upload
 }
 
-// MergeUploads merges the lists of several shards into one of at most limit entries, in the
-// order of key and upload ID.
+// MergeUploads merges the lists of several shards into one list of at most limit entries. It sorts
+// the entries by key and then by upload ID.
 func MergeUploads(
 	lists []ListMultipartUploadsResult,
 	limit int,
@@ -164,7 +169,8 @@
 	return uploads, prefixes, truncated
 }
 
-// sortUploadEntries sorts entries and drops repeated prefixes.
+// sortUploadEntries sorts entries by name and then by upload ID, and removes repeated common
+// prefixes.
 func sortUploadEntries(entries []uploadEntry) []uploadEntry {
 	slices.SortFunc(entries, func(a, b uploadEntry) int {
 		return cmp.Or(strings.Compare(a.name, b.name), strings.Compare(a.id, b.id))
--- a/internal/objectapi/merge_test.go
+++ b/internal/objectapi/merge_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// randomShards distributes random names over shards: keys, and prefixes that end with a
-// slash. It returns each shard's sorted names, and all names sorted.
+// randomShards distributes random names over shards. A name is a key, or a prefix that ends with a
+// slash. randomShards returns the sorted names of each shard, and the sorted names of all shards.
 func randomShards(rng *rand.Rand, shards int) (byShard [][]string, all []string) {
 	byShard = make([][]string, shards)
 	for i := range 1 + rng.IntN(60) {
@@ -32,7 +32,8 @@
 	return byShard, slices.Compact(all)
 }
 
-// shardPage returns the page of the first names after the name after.
+// shardPage returns the page of a shard that holds the first names which come after the name given
+// as after. The page has at most limit names.
 func shardPage(names []string, after string, limit int) Page {
 	var p Page
 	for _, name := range names {
@@ -50,7 +51,7 @@
 	return p
 }
 
-// pageNames returns the names of a page in order.
+// pageNames returns the sorted names of all keys and prefixes of a page.
 func pageNames(p Page) []string {
 	names := slices.Clone(p.Prefixes)
 	for _, c := range p.Contents {
@@ -60,8 +61,9 @@
 	return names
 }
 
-// Pages merged from shards are those of one sorted list, however names are distributed.
-func TestMergedPagesAreOneList(t *testing.T) {
+// TestMergedPagesEqualOneList checks that the merged pages of all shards contain the names in the
+// order of one sorted list, however the names are distributed over the shards.
+func TestMergedPagesEqualOneList(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		shards := 1 + rng.IntN(6)
@@ -77,13 +79,14 @@
 			names := pageNames(merged)
 			got = append(got, names...)
 			if merged.Truncated && (len(names) != limit || merged.Next != names[len(names)-1]) {
-				t.Fatalf("seed %d: a page of %d, limit %d, next %q", seed, len(names), limit, merged.Next)
+				t.Fatalf("seed %d: a truncated page has %d names, want %d; its Next is %q, want its last name",
+					seed, len(names), limit, merged.Next)
 			}
 			after = merged.Next
 			more = merged.Truncated
 		}
 		if !slices.Equal(got, want) {
-			t.Fatalf("seed %d: %v, want %v", seed, got, want)
+			t.Fatalf("seed %d: names of all pages: got %v, want %v", seed, got, want)
 		}
 	}
 }
--- a/internal/objectapi/multipart.go
+++ b/internal/objectapi/multipart.go
@@ -2,7 +2,7 @@
 
 import "encoding/xml"
 
-// InitiateMultipartUploadResult is the response of CreateMultipartUpload.
+// InitiateMultipartUploadResult is the body of the response to CreateMultipartUpload.
 type InitiateMultipartUploadResult struct {
 	XMLName  xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ InitiateMultipartUploadResult"`
 	Bucket   string
@@ -10,19 +10,19 @@
 	UploadID string `xml:"UploadId"`
 }
 
-// CompletedPart is a part named in CompleteMultipartUpload.
+// CompletedPart names one part of the object in a CompleteMultipartUpload request.
 type CompletedPart struct {
 	PartNumber int
 	ETag       string
 }
 
-// CompleteMultipartUploadRequest is the body of CompleteMultipartUpload.
+// CompleteMultipartUploadRequest is the body of a CompleteMultipartUpload request.
 type CompleteMultipartUploadRequest struct {
 	XMLName xml.Name        `xml:"CompleteMultipartUpload"`
 	Parts   []CompletedPart `xml:"Part"`
 }
 
-// CompleteMultipartUploadResult is the response of CompleteMultipartUpload.
+// CompleteMultipartUploadResult is the body of the response to CompleteMultipartUpload.
 type CompleteMultipartUploadResult struct {
 	XMLName  xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ CompleteMultipartUploadResult"`
 	Location string
@@ -31,7 +31,7 @@
 	ETag     string
 }
 
-// Part is an entry of ListPartsResult.
+// Part is the entry of one part in a ListPartsResult.
 type Part struct {
 	PartNumber   int
 	LastModified string
@@ -39,7 +39,7 @@
 	Size         int64
 }
 
-// ListPartsResult is the response of ListParts.
+// ListPartsResult is the body of the response to ListParts.
 type ListPartsResult struct {
 	XMLName              xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ ListPartsResult"`
 	Bucket               string
@@ -55,7 +55,7 @@
 	Part                 []Part
 }
 
-// Upload is a multipart upload in progress.
+// Upload is the entry of one multipart upload in progress in a ListMultipartUploadsResult.
 type Upload struct {
 	Key          string
 	UploadID     string `xml:"UploadId"`
@@ -65,7 +65,7 @@
 	Initiated    string
 }
 
-// ListMultipartUploadsResult is the response of ListMultipartUploads.
+// ListMultipartUploadsResult is the body of the response to ListMultipartUploads.
 type ListMultipartUploadsResult struct {
 	XMLName            xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ ListMultipartUploadsResult"`
 	Bucket             string
@@ -82,7 +82,8 @@
 	CommonPrefixes     []CommonPrefix
 }
 
-// ParseComplete parses and checks the body of CompleteMultipartUpload, and returns its parts.
+// ParseComplete parses and checks the body of a CompleteMultipartUpload request. It returns the
+// parts that the body lists.
 func ParseComplete(doc []byte) ([]CompletedPart, *Error) {
 	var d CompleteMultipartUploadRequest
 	if xml.Unmarshal(doc, &d) != nil || len(d.Parts) == 0 || len(d.Parts) > MaxPart {
--- a/internal/objectapi/objectapi_test.go
+++ b/internal/objectapi/objectapi_test.go
@@ -7,7 +7,8 @@
 	"chalkstand/internal/http1"
 )
 
-// request returns a request head. headers holds names and values in turn.
+// request returns a request head. headers holds the name and the value of each additional header as
+// two consecutive strings.
 func request(method, target, host string, headers ...string) *http1.Request {
 	r := &http1.Request{
 		Method:  []byte(method),
@@ -21,7 +22,7 @@
 }
 
 func TestParse(t *testing.T) {
-	// want is "KIND BUCKET KEY" or the code of the error.
+	// The field want has the form "KIND BUCKET KEY", or holds the code of the expected error.
 	for _, tc := range []struct{ method, target, host, want string }{
 		{"GET", "/", "h", "ListBuckets  "},
 		{"GET", "/photos", "h", "ListObjects photos "},
@@ -55,7 +56,7 @@
 				got = err.Code
 			}
 			if got != tc.want {
-				t.Errorf("%s, want %s", got, tc.want)
+				t.Errorf("parsed operation or error code: got %q, want %q", got, tc.want)
 			}
 		})
 	}
@@ -64,11 +65,11 @@
 func TestCopySource(t *testing.T) {
 	o, err := Parse(request("PUT", "/photos/k", "h", copySourceHeader, "/other/a%20b?versionId=null"), nil)
 	if err != nil || o.Kind != CopyObject || o.SourceBucket != "other" || o.SourceKey != "a b" {
-		t.Errorf("%+v %v", o, err)
+		t.Errorf("copy request: got operation %+v, error %v, want CopyObject of key \"a b\" in bucket \"other\"", o, err)
 	}
 	for _, invalid := range []string{"", "x", "other", "/other/", "Other/k", "other/%zz", "other/k?versionId=7"} {
 		if _, err := Parse(request("PUT", "/photos/k", "h", copySourceHeader, invalid), nil); err == nil {
-			t.Errorf("copy source %q is accepted", invalid)
+			t.Errorf("the invalid copy source %q was accepted", invalid)
 		}
 	}
 }
@@ -84,7 +85,7 @@
 		invalidBucket := o.Bucket != "" && !ValidBucket(o.Bucket)
 		keyWithoutBucket := o.Bucket == "" && o.Key != ""
 		if invalidBucket || keyWithoutBucket || len(o.Key) > maxKeyLength {
-			t.Fatalf("%+v", o)
+			t.Fatalf("an operation with an invalid bucket or key was accepted: %+v", o)
 		}
 	})
 }
--- a/internal/objectapi/operation.go
+++ b/internal/objectapi/operation.go
@@ -1,5 +1,5 @@
-// Package objectapi parses requests of the object API, as S3's public specification has it,
-// into typed operations, and writes and reads its XML documents. It does no I/O.
+// Package objectapi parses requests of the object API, which follows the public specification of S3,
+// into typed operations. It also encodes and parses the XML documents of the API. It does no I/O.
 package objectapi
 
 import (
@@ -12,17 +12,17 @@
 	"chalkstand/internal/sigv4"
 )
 
-// Limits of the specification.
+// Limits that the specification sets.
 const (
-	minBucketName = 3    // bytes
-	maxBucketName = 63   // bytes
-	maxKeyLength  = 1024 // bytes
+	minBucketName = 3    // lowest number of bytes in the name of a bucket
+	maxBucketName = 63   // highest number of bytes in the name of a bucket
+	maxKeyLength  = 1024 // highest number of bytes in the key of an object
 
-	// MaxPart is the highest part number.
+	// MaxPart is the highest part number in a multipart upload.
 	MaxPart = 10000
 )
 
-// Methods of HTTP.
+// HTTP methods of the object API.
 const (
 	methodDelete = "DELETE"
 	methodGet    = "GET"
@@ -31,19 +31,20 @@
 	methodPut    = "PUT"
 )
 
-// Operation is a parsed request.
+// Operation is a parsed request of the object API.
 type Operation struct {
 	Kind   Kind
-	Bucket string
-	Key    string
+	Bucket string // empty for ListBuckets
+	Key    string // empty for an operation on a bucket
 	Query  Query
 
-	SourceBucket string // source of a copy
-	SourceKey    string // source of a copy
+	SourceBucket string // bucket of the object that the request copies
+	SourceKey    string // key of the object that the request copies
 }
 
-// Parse parses a request head. A host under one of the domains names the bucket in its first
-// label (virtual-host style); otherwise the path begins with the bucket.
+// Parse parses the head of a request. If the host is a subdomain of one of the domains, the part
+// before the domain is the name of the bucket (virtual-host style). Otherwise the path begins with
+// the name of the bucket.
 func Parse(r *http1.Request, domains []string) (Operation, *Error) {
 	var o Operation
 	rawPath, rawQuery, _ := bytes.Cut(r.Target, []byte("?"))
@@ -73,7 +74,8 @@
 	return o, o.checkParams()
 }
 
-// bucketOfHost returns the bucket that a host under one of the domains names.
+// bucketOfHost returns the name of the bucket in a host of the form BUCKET.DOMAIN, and false if the
+// host does not end in one of the domains.
 func bucketOfHost(host string, domains []string) (string, bool) {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
@@ -99,7 +101,7 @@
 	return nil
 }
 
-// ValidBucket reports whether s may name a bucket by the specification.
+// ValidBucket reports whether the specification allows s as the name of a bucket.
 func ValidBucket(s string) bool {
 	if len(s) < minBucketName || len(s) > maxBucketName || strings.Contains(s, "..") {
 		return false
@@ -115,8 +117,9 @@
 
 func isBucketLetter(c byte) bool { return 'a' <= c && c <= 'z' || '0' <= c && c <= '9' }
 
-// unsupportedSubresources are features of the specification that are not offered. A request
-// with one of these parameters must not be executed as a plain one.
+// unsupportedSubresources holds the query parameters of features that the gateway does not support.
+// Parse rejects a request with one of these parameters. If it ignored the parameter, the gateway
+// would execute another operation than the one that the client requested.
 var unsupportedSubresources = []string{
 	"accelerate", "acl", "analytics", "attributes", "cors", "encryption",
 	"intelligent-tiering", "inventory", "legal-hold", "lifecycle", "logging", "metadataTable", "metrics", "notification",
@@ -124,7 +127,7 @@
 	"requestPayment", "restore", "retention", "select", "session", "tagging", "torrent", "versions", "website",
 }
 
-// classify sets the operation's kind, and the source of a copy.
+// classify determines the kind of the operation from the request, and sets the source of a copy.
 func (o *Operation) classify(r *http1.Request) *Error {
 	for i := range o.Query {
 		for _, s := range unsupportedSubresources {
@@ -150,16 +153,16 @@
 	return o.classifyObject(method, r.Headers.Get(copySourceHeader))
 }
 
-// classifyMethod sets the kind of a resource that has one method.
-func (o *Operation) classifyMethod(method, want string, k Kind) *Error {
-	if method != want {
+// classifyMethod sets the kind of a request for a resource that allows one method only.
+func (o *Operation) classifyMethod(method, allowed string, k Kind) *Error {
+	if method != allowed {
 		return NewError(CodeMethodNotAllowed, "The specified method is not allowed against this resource.")
 	}
 	o.Kind = k
 	return nil
 }
 
-// classifyBucket sets the kind of a request without a key.
+// classifyBucket sets the kind of a request for a bucket, which has no key.
 func (o *Operation) classifyBucket(method string) *Error {
 	q := o.Query
 	switch {
@@ -192,7 +195,7 @@
 	return nil
 }
 
-// classifyUpload sets the kind of a request with an upload ID.
+// classifyUpload sets the kind of a request that names a multipart upload by its ID.
 func (o *Operation) classifyUpload(method string, copySource []byte) *Error {
 	switch method {
 	case methodPut:
@@ -233,11 +236,11 @@
 const (
 	copySourceHeader = "x-amz-copy-source"
 
-	// nullVersion is the version ID of an object that has no versions.
+	// nullVersion is the version ID that the specification gives to an object without versions.
 	nullVersion = "null"
 )
 
-// parseCopySource parses the value of x-amz-copy-source.
+// parseCopySource parses the value of the header x-amz-copy-source.
 func (o *Operation) parseCopySource(value []byte) *Error {
 	path, query, _ := strings.Cut(string(value), "?")
 	path, ok := sigv4.Unescape(strings.TrimPrefix(path, "/"), false)
@@ -252,7 +255,7 @@
 	return nil
 }
 
-// checkParams checks the values of query parameters.
+// checkParams checks the values of the query parameters that hold a number or an encoding type.
 func (o *Operation) checkParams() *Error {
 	if o.Kind == UploadPart || o.Kind == UploadPartCopy {
 		if n, err := strconv.Atoi(o.Query.Get("partNumber")); err != nil || n < 1 || n > MaxPart {
--- a/internal/objectapi/query.go
+++ b/internal/objectapi/query.go
@@ -6,15 +6,15 @@
 	"chalkstand/internal/sigv4"
 )
 
-const maxParams = 64 // query parameters of a request
+const maxParams = 64 // highest number of query parameters in a request
 
-// Param is one query parameter, unescaped.
+// Param is one query parameter. Its name and value are unescaped.
 type Param struct{ Name, Value string }
 
-// Query holds a request's query parameters in order.
+// Query holds a request's query parameters in the order in which the request lists them.
 type Query []Param
 
-// Get returns the first value of a parameter, or "".
+// Get returns the first value of a parameter, or an empty string if the parameter is missing.
 func (q Query) Get(name string) string {
 	for i := range q {
 		if q[i].Name == name {
@@ -34,7 +34,7 @@
 	return false
 }
 
-// ParseQuery parses a query string without its question mark.
+// ParseQuery parses a query string, which is passed without its leading question mark.
 func ParseQuery(s string) (Query, *Error) {
 	if s == "" {
 		return nil, nil
--- a/internal/objectapi/xml.go
+++ b/internal/objectapi/xml.go
@@ -7,20 +7,22 @@
 	"io"
 )
 
-// Pause is called every few kilobytes while a document is read or written. It returns true
-// when the work may go on, and false if it is to be abandoned. A nil Pause is never called.
+// Pause is a function that the package calls every few kilobytes while it parses or encodes a
+// document. It returns true to continue the work, and false to abandon it. A nil Pause is never
+// called.
 type Pause func() bool
 
-// errAbandoned is returned by work that a Pause has ended.
+// errAbandoned is the error of work that was abandoned because a Pause returned false.
 var errAbandoned = errors.New("objectapi: abandoned in a pause")
 
-// Marshal returns v as an XML document with its declaration.
+// Marshal returns v as an XML document, which begins with the XML declaration.
 func Marshal(v any) []byte {
 	doc, _ := MarshalWithPauses(v, nil)
 	return doc
 }
 
-// MarshalWithPauses is Marshal with pauses. ok is false if one of them ended the work.
+// MarshalWithPauses encodes v like Marshal and calls pause at intervals. ok is false if pause
+// abandoned the work.
 func MarshalWithPauses(v any, pause Pause) (doc []byte, ok bool) {
 	w := pausingWriter{pause: pause}
 	w.WriteString(xml.Header)
@@ -34,13 +36,13 @@
 	return w.Bytes(), true
 }
 
-// unmarshal is xml.Unmarshal with pauses.
+// unmarshal parses doc into v like xml.Unmarshal and calls pause at intervals.
 func unmarshal(doc []byte, v any, pause Pause) error {
 	if pause == nil {
 		return xml.Unmarshal(doc, v)
 	}
 	r := &pausingReader{pause: pause}
-	r.r.Reset(doc)
+	r.doc.Reset(doc)
 	d := xml.NewDecoder(r)
 	if err := d.Decode(v); err != nil {
 		return err
@@ -48,8 +50,8 @@
 	return expectEnd(d)
 }
 
-// expectEnd checks that nothing but white space and comments follows a document. This is
-// stricter than xml.Unmarshal.
+// expectEnd returns an error if an element or text follows the document. xml.Unmarshal does not
+// check this. White space, comments, directives and processing instructions may follow.
 func expectEnd(d *xml.Decoder) error {
 	for {
 		token, err := d.Token()
@@ -69,10 +71,10 @@
 	}
 }
 
-// pausingReader calls pause before each read. It has no ReadByte, so that the decoder
-// buffers it and reads in blocks.
+// pausingReader reads a document and calls pause before each read. It has no ReadByte method, so
+// that xml.Decoder wraps it in a buffer and reads it in blocks.
 type pausingReader struct {
-	r     bytes.Reader
+	doc   bytes.Reader
 	pause Pause
 }
 
@@ -80,10 +82,10 @@
 	if p.pause != nil && !p.pause() {
 		return 0, errAbandoned
 	}
-	return p.r.Read(b)
+	return p.doc.Read(b)
 }
 
-// pausingWriter calls pause before each write of a block.
+// pausingWriter collects a document in a buffer and calls pause before each write of a block.
 type pausingWriter struct {
 	bytes.Buffer
 	pause Pause
