--- a/internal/objectapi/merge.go
+++ b/internal/objectapi/merge.go
@@ -59,10 +59,10 @@
 // MergePages merges one page from each of several shards into one page of at most limit names. A
 // common prefix that several shards list counts once.
 //
-// The page of a shard must hold, in sorted order, the shard's first names that come after the name
-// given as after. It must hold at most limit names, and exactly limit names if it is truncated. The
-// names that a truncated page leaves out therefore come after the last name of the merged page, and
-// a later merged page lists them.
+// The page of a shard must hold, in sorted order, the shard's first names that are greater than
+// after. The page must hold at most limit names, and exactly limit names if it is truncated. The
+// names that a truncated page leaves out are therefore greater than the last name of the merged
+// page, and a later merged page lists them.
 func MergePages(pages []Page, after string, limit int) Page {
 	var entries []listEntry
 	truncated := false
@@ -97,7 +97,7 @@
 }
 
 // sortListEntries sorts entries by name and removes repeated common prefixes. It also removes the
-// common prefix named after, because the previous page ended with it.
+// common prefix that is equal to after, because the previous page ended with this prefix.
 func sortListEntries(entries []listEntry, after string) []listEntry {
 	slices.SortFunc(entries, func(a, b listEntry) int { return strings.Compare(a.name, b.name) })
 	entries = slices.CompactFunc(entries, func(a, b listEntry) bool {
--- a/internal/objectapi/merge_test.go
+++ b/internal/objectapi/merge_test.go
@@ -32,8 +32,8 @@
 	return byShard, slices.Compact(all)
 }
 
-// shardPage returns the page of a shard that holds the first names which come after the name given
-// as after. The page has at most limit names.
+// shardPage returns the page that holds the first names of a shard that are greater than after. The
+// page has at most limit names.
 func shardPage(names []string, after string, limit int) Page {
 	var p Page
 	for _, name := range names {
@@ -61,8 +61,9 @@
 	return names
 }
 
-// TestMergedPagesEqualOneList checks that the merged pages of all shards contain the names in the
-// order of one sorted list, however the names are distributed over the shards.
+// TestMergedPagesEqualOneList checks that the merged pages of several shards list the same names in
+// the same order as one sorted list of all names. The distribution of the names over the shards must
+// make no difference.
 func TestMergedPagesEqualOneList(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
--- a/internal/objectapi/operation.go
+++ b/internal/objectapi/operation.go
@@ -35,7 +35,7 @@
 type Operation struct {
 	Kind   Kind
 	Bucket string // empty for ListBuckets
-	Key    string // empty for an operation on a bucket
+	Key    string // empty for ListBuckets and for an operation on a bucket
 	Query  Query
 
 	SourceBucket string // bucket of the object that the request copies
@@ -118,7 +118,7 @@
 func isBucketLetter(c byte) bool { return 'a' <= c && c <= 'z' || '0' <= c && c <= '9' }
 
 // unsupportedSubresources holds the query parameters of features that the gateway does not support.
-// Parse rejects a request with one of these parameters. If it ignored the parameter, the gateway
+// Parse rejects a request with one of these parameters. If Parse ignored the parameter, the gateway
 // would execute another operation than the one that the client requested.
 var unsupportedSubresources = []string{
 	"accelerate", "acl", "analytics", "attributes", "cors", "encryption",
--- a/internal/objectcommand/command.go
+++ b/internal/objectcommand/command.go
@@ -145,8 +145,8 @@
 }
 
 // AppendTo appends the command to dst in the form that the gateway sends to a node. The arguments
-// are those of the client, except that the field d holds the remaining time in milliseconds, rounded
-// up to at least 1.
+// are those of the client, except that the field d holds the remaining time. The time is given in
+// whole milliseconds, is rounded up, and is at least 1.
 func (c *Command) AppendTo(dst []byte, remaining time.Duration) []byte {
 	milliseconds := max(int64((remaining+time.Millisecond-1)/time.Millisecond), 1)
 	timeout := strconv.AppendInt(make([]byte, 0, 20), milliseconds, 10)
--- a/internal/objectcommand/fields.go
+++ b/internal/objectcommand/fields.go
@@ -87,8 +87,8 @@
 	return 0, nil
 }
 
-// lookup sets *index to the index of the name value in a table. The error for an unknown name says
-// that expected was expected in the given field.
+// lookup sets *index to the index that a table holds for the name in value. field and expected are
+// the field's name and the valid values, for the error that lookup returns if the name is unknown.
 func lookup(table map[string]int, field, expected, value string, index *int) error {
 	i, ok := table[value]
 	if !ok {
--- a/internal/objectcommand/reply.go
+++ b/internal/objectcommand/reply.go
@@ -17,9 +17,9 @@
 const maxUsage = 1e9
 
 // ParseReply parses a node's reply to an object command. If the result is OK, value is the value for
-// the client, which points into the reply. ok is false if the reply is not one to an object command.
-// In that case the node may have executed the request, and the caller must not use the connection
-// again.
+// the client, which points into the reply. ok is false if the reply has a form that no reply to an
+// object command has. In that case the node may have executed the request, and the caller must not
+// use the connection again.
 func ParseReply(reply *resp.Reply) (value []byte, info forwarder.ResponseInfo, ok bool) {
 	switch reply.Kind {
 	case resp.ErrorReply:
--- a/internal/resp/parse.go
+++ b/internal/resp/parse.go
@@ -6,7 +6,7 @@
 // count of a null array.
 const nullLength = -1
 
-// If their input is incomplete, the parse functions of this file return 0 as end and no error.
+// The parse functions below return 0 as end and no error if their input is incomplete.
 
 // parseLine parses a reply of one line, which consists of the byte that tells the kind, the text,
 // and CRLF.
@@ -68,8 +68,8 @@
 }
 
 // parseNumber parses the line of a count or length, which consists of a marker byte, an optional
-// minus sign, digits and CRLF. It returns maxNumber in place of any larger value. If b begins with
-// another byte than marker, the error says that expected was expected.
+// minus sign, digits and CRLF. It returns maxNumber in place of any larger value. expected describes
+// the valid input for the error that parseNumber returns if b begins with another byte than marker.
 func parseNumber(b []byte, marker byte, expected string) (value, end int, err error) {
 	if len(b) == 0 {
 		return 0, 0, nil
--- a/internal/sigv4/payload.go
+++ b/internal/sigv4/payload.go
@@ -68,7 +68,7 @@
 }
 
 // VerifyTrailer reports whether the signature of the trailer is valid. lines holds the trailer's
-// lines in the form "name:value\n". The caller must have verified all chunks before.
+// lines in the form "name:value\n". The caller must verify all chunks before it calls VerifyTrailer.
 func (a *Auth) VerifyTrailer(lines []byte, signature string) bool {
 	sum := sha256.Sum256(lines)
 	want := a.sign(algorithm+"-TRAILER", a.signature, hex.EncodeToString(sum[:]))
--- a/internal/sigv4/sigv4.go
+++ b/internal/sigv4/sigv4.go
@@ -181,8 +181,8 @@
 	return m.Sum(nil)
 }
 
-// equal reports whether two signatures are equal. It takes the same time wherever they differ, so
-// that a client cannot find a valid signature byte by byte.
+// equal reports whether two signatures are equal. The comparison takes the same time wherever the
+// signatures differ, so that a client cannot guess a valid signature byte by byte.
 func equal(a, b string) bool {
 	return subtle.ConstantTimeCompare([]byte(a), []byte(b)) == 1
 }
--- a/internal/upstreamhttp/reader.go
+++ b/internal/upstreamhttp/reader.go
@@ -36,7 +36,7 @@
 // connection.
 const untilClose = -1
 
-// State returns the current state of the connection's responses.
+// State returns the state of the current request and its response on the connection.
 func (r *Reader) State() State { return r.state }
 
 // RequestSent records that the owner sends a request with the given method. The Reader buffers a
@@ -53,7 +53,7 @@
 	return true
 }
 
-// ResponseTaken records that the owner needs the current response no longer, so that the connection
+// ResponseTaken records that the owner no longer needs the current response, so that the connection
 // may carry another request. If the response is incomplete, ResponseTaken breaks the connection.
 func (r *Reader) ResponseTaken() {
 	r.body = nil
@@ -82,7 +82,8 @@
 }
 
 // Next reads one step of the response from b, which holds all bytes that were received and not yet
-// consumed. The owner must call Next again with the remaining bytes until it returns NeedMore.
+// consumed. The owner must call Next again with the remaining bytes until Next returns a step of
+// kind NeedMore.
 func (r *Reader) Next(b []byte) Step {
 	switch r.state {
 	case AwaitingHeaders:
@@ -120,8 +121,9 @@
 }
 
 // Buffer makes Next collect the body of the current response and return it as a whole. The owner
-// calls it after a step of kind Headers. It accepts only a chunked response, whose length is unknown.
-// A response of known length was larger than the buffer limit, or Next would have buffered it.
+// calls it after a step of kind Headers. Buffer breaks the connection if the response is not
+// chunked: Next buffers a short response of known length at once, so that a response of known length
+// which reaches Buffer is too large.
 func (r *Reader) Buffer() Step {
 	if r.state != HeadersReceived || r.chunks == nil {
 		return r.fail(tooLarge)
@@ -246,7 +248,8 @@
 	return Step{Kind: BodyData, Consumed: len(b), Body: b, Last: r.remaining == 0}
 }
 
-// streamChunks decodes chunks in b and returns the first data of a streamed chunked body.
+// streamChunks decodes the chunks in b up to the first data of a streamed chunked body, and returns
+// this data.
 func (r *Reader) streamChunks(b []byte) Step {
 	used := 0
 	for used < len(b) {
--- a/internal/upstreamhttp/reader_test.go
+++ b/internal/upstreamhttp/reader_test.go
@@ -63,6 +63,7 @@
 	return NeedMore
 }
 
+// responses holds responses of a node together with the results that readAll must return for them.
 var responses = []struct {
 	name, text, method string
 	stream             bool
