--- a/lab/faultinjection/client.go
+++ b/lab/faultinjection/client.go
@@ -14,22 +14,23 @@
 	"chalkstand/lab/sigv4client"
 )
 
-// clientRequest is a request that a client sends.
+// clientRequest describes a request that a client sends.
 type clientRequest struct {
 	tag         string
 	method      string
 	path        string
-	byteRange   string // Range header; empty: none
+	byteRange   string // value of the Range header; if empty, the request has none
 	body        []byte
 	class       int
 	key         string
-	cancelAfter time.Duration // the client closes the connection; 0: never
+	cancelAfter time.Duration // the client closes the connection this long after sending; 0 means never
 
-	// check returns what is wrong with a response's content, or "". nil: nothing is checked.
+	// check returns a description of the error in a response's content, or "" if the content is correct.
+	// If check is nil, the client does not check the content.
 	check func(status int, body []byte) string
 }
 
-// encode returns the signed request as it is sent.
+// encode signs the request and returns its HTTP/1.1 encoding.
 func (q clientRequest) encode(ctx context.Context, addr string) ([]byte, error) {
 	r, err := http.NewRequestWithContext(ctx, q.method, "http://"+addr+q.path, bytes.NewReader(q.body))
 	if err != nil {
@@ -52,20 +53,20 @@
 	pool    *connPool
 	now     func() time.Duration
 	timeout time.Duration
-	onExtra func(*invariants.Request) // called when bytes arrive after the response to a request
+	onExtra func(*invariants.Request) // called with a request if more bytes arrive after the response to it
 }
 
-// send sends a request once and records what came of it. It returns the Retry-After of a rejection, or 0.
+// send sends a request once and records the outcome. It returns the Retry-After of a rejection, or 0.
 func (c client) send(ctx context.Context, q clientRequest, record *invariants.Request) (retryAfter time.Duration) {
 	defer func() { record.Ended = c.now() }()
-	text, err := q.encode(ctx, c.pool.addr)
+	encoded, err := q.encode(ctx, c.pool.addr)
 	if err != nil {
 		record.ContentError = err.Error()
 		return 0
 	}
 	conn, err := c.pool.get(ctx, c.onExtra)
 	if err != nil {
-		record.ClientCanceled = true // never accepted: nothing listens
+		record.ClientCanceled = true // no gateway listens, so none accepted the request
 		return 0
 	}
 	record.Sent = c.now()
@@ -74,20 +75,22 @@
 		timeout = min(timeout, q.cancelAfter)
 	}
 	conn.setDeadline(time.Now().Add(timeout))
-	if _, err := conn.Write(text); err != nil && canceledByClient(err, q) {
+	if _, err := conn.Write(encoded); err != nil && canceledByClient(err, q) {
 		record.ClientCanceled = true
 		conn.close()
 		return 0
 	}
-	return c.receive(conn, q, record) // also after a failed write: an early response may be there
+	// Also after a failed write: the gateway may have responded before it read the whole request.
+	return c.receive(conn, q, record)
 }
 
-// canceledByClient reports whether an error is the client's own cancellation.
+// canceledByClient reports whether err results from the client's own cancellation of the request.
 func canceledByClient(err error, q clientRequest) bool {
 	return errors.Is(err, os.ErrDeadlineExceeded) && q.cancelAfter > 0
 }
 
-// receive reads the response. The connection goes back to the pool, or is closed.
+// receive reads and records the response, then returns the connection to the pool or closes it. It returns the
+// Retry-After of a rejection, or 0.
 func (c client) receive(conn *clientConn, q clientRequest, record *invariants.Request) time.Duration {
 	resp, err := http.ReadResponse(conn.reader, &http.Request{Method: q.method})
 	if err != nil {
@@ -96,7 +99,7 @@
 		return 0
 	}
 	body, err := io.ReadAll(resp.Body)
-	_ = resp.Body.Close() // read to its end; the connection is kept or closed below
+	_ = resp.Body.Close() // the body was read to its end or to an error; the code below pools or closes the connection
 	record.Responses, record.Status = 1, resp.StatusCode
 	if err != nil {
 		record.Aborted = true
@@ -114,7 +117,7 @@
 		return 0
 	}
 	conn.setDeadline(time.Time{})
-	conn.last = record
+	conn.lastRequest = record
 	if resp.Close {
 		conn.close()
 	} else {
@@ -123,6 +126,6 @@
 	if resp.StatusCode != http.StatusServiceUnavailable {
 		return 0
 	}
-	ms, _ := strconv.Atoi(resp.Header.Get("x-chalkstand-retry-after-ms")) // 0 if absent
+	ms, _ := strconv.Atoi(resp.Header.Get("x-chalkstand-retry-after-ms")) // ms is 0 if the header is absent
 	return time.Duration(max(ms, 1)) * time.Millisecond
 }
--- a/lab/faultinjection/connpool.go
+++ b/lab/faultinjection/connpool.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// maxIdleConns bounds a pool.
+	// maxIdleConns bounds the idle connections of one pool.
 	maxIdleConns = 64
 
 	dialTimeout = time.Second
@@ -30,19 +30,20 @@
 // clientConn is a connection to a gateway.
 type clientConn struct {
 	net.Conn
-	reader *bufio.Reader
-	last   *invariants.Request // whose response was read last; nil: none
+	reader      *bufio.Reader
+	lastRequest *invariants.Request // the request whose response was read last; nil before the first response
 }
 
-// close closes the connection. The error is ignored: the request's outcome is recorded already.
+// close closes the connection. It ignores the error because the client has already recorded the outcome of the
+// request.
 func (c *clientConn) close() { _ = c.Close() }
 
-// setDeadline sets the deadline of reads and writes. It fails only on a closed connection, on which the
-// read or write that follows fails, too.
+// setDeadline sets the deadline for reads and writes. It ignores the error: only a closed connection returns one,
+// and the next read or write on that connection fails, too.
 func (c *clientConn) setDeadline(t time.Time) { _ = c.SetDeadline(t) }
 
-// hasUnreadInput reports whether the connection has bytes that no request asked for, and whether it is
-// still usable otherwise.
+// hasUnreadInput checks an idle connection, on which no response is due. unread reports whether bytes have
+// arrived; usable reports whether the connection is open and has no unread bytes.
 func (c *clientConn) hasUnreadInput() (unread, usable bool) {
 	c.setDeadline(time.Now().Add(time.Microsecond))
 	_, err := c.reader.Peek(1)
@@ -53,16 +54,16 @@
 	return err == nil, false
 }
 
-// get returns an idle connection, or opens one. onExtra is called for each idle connection on which bytes
-// arrived after the response to its last request; these connections are closed.
+// get returns an idle connection or opens a new one. If bytes have arrived on an idle connection after the response
+// to its last request, get calls onExtra with that request and closes the connection.
 func (p *connPool) get(ctx context.Context, onExtra func(*invariants.Request)) (*clientConn, error) {
 	for c := p.pop(); c != nil; c = p.pop() {
 		unread, usable := c.hasUnreadInput()
 		if usable {
 			return c, nil
 		}
-		if unread && c.last != nil {
-			onExtra(c.last)
+		if unread && c.lastRequest != nil {
+			onExtra(c.lastRequest)
 		}
 		c.close()
 	}
@@ -74,7 +75,7 @@
 	return &clientConn{Conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// pop returns the connection that became idle last, or nil.
+// pop removes and returns the connection that became idle most recently, or nil if the pool is empty.
 func (p *connPool) pop() *clientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -87,7 +88,7 @@
 	return c
 }
 
-// put makes a connection idle, or closes it if the pool is full.
+// put adds a connection to the pool, or closes the connection if the pool is full.
 func (p *connPool) put(c *clientConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,7 +99,7 @@
 	p.idle = append(p.idle, c)
 }
 
-// close closes the idle connections.
+// close closes all idle connections of the pool.
 func (p *connPool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/lab/faultinjection/content.go
+++ b/lab/faultinjection/content.go
@@ -7,8 +7,8 @@
 	"strconv"
 )
 
-// objectContent returns n bytes that are determined by the tag of the write that stores them, or a few more
-// if the tag is longer. They begin with the tag and a newline.
+// objectContent returns the content that the write with the tag stores. The content begins with the tag and a
+// newline, and depends only on the tag and n. It is n bytes long, or longer if tag and newline need more.
 func objectContent(tag string, n int) []byte {
 	b := make([]byte, 0, n+len(tag)+1)
 	b = append(b, tag...)
@@ -20,7 +20,8 @@
 	return b[:max(n, len(tag)+1)]
 }
 
-// checkWholeContent returns what is wrong with an object that must be as one write stored it, or "".
+// checkWholeContent checks that a response with status 200 carries the whole content that one write stored. It
+// returns a description of the error, or "". Responses with another status are not checked.
 func checkWholeContent(status int, body []byte) string {
 	if status != http.StatusOK {
 		return ""
--- a/lab/faultinjection/faultinjection.go
+++ b/lab/faultinjection/faultinjection.go
@@ -1,6 +1,6 @@
-// Package faultinjection plays a script of faults through real gateways on loopback sockets:
-// several gateways in front of many fake storage nodes, clients with deadlines, and the
-// faults that operators meet. The invariants are checked from the clients' and the nodes' logs.
+// Package faultinjection runs a script of faults against real gateways on loopback sockets. A run has several
+// gateways in front of many fake storage nodes, clients with deadlines, and the kinds of faults that operators
+// meet in production. After the run, package invariants checks the logs of the clients and the nodes.
 package faultinjection
 
 import (
@@ -18,18 +18,18 @@
 	"chalkstand/lab/stall"
 )
 
-// maxClients is how many requests are in progress at a time; more are dropped, not queued.
+// maxClients bounds the requests in progress. The load generator drops requests beyond it instead of queueing them.
 const maxClients = 2048
 
-// run is one run while it goes on.
+// run holds the state of one run in progress.
 type run struct {
 	options      Options
-	epoch        time.Time // zero of all times
+	epoch        time.Time // all recorded times count from this moment
 	params       invariants.Parameters
 	volumes      []string
-	largeObjects map[string][]byte // by path; never written again
-	clients      chan struct{}     // one element for each client
-	stalls       *stall.Monitor    // of the machine
+	largeObjects map[string][]byte // contents by path; no request writes to these objects
+	clients      chan struct{}     // semaphore: holds one element for each client in progress
+	stalls       *stall.Monitor    // measures stalls of the machine
 	wg           sync.WaitGroup
 
 	mu       sync.Mutex
@@ -38,18 +38,18 @@
 	requests []*invariants.Request
 	load     loadFaults
 
-	datasets  []*storagenode.Dataset // by shard
+	datasets  []*storagenode.Dataset // indexed by shard
 	ledger    *storagenode.Ledger
-	nodes     []*storagenode.Node // current node of each shard
+	nodes     []*storagenode.Node // the current node of each shard, indexed by shard
 	allNodes  []*storagenode.Node
-	nodeCount int // started so far
+	nodeCount int // number of nodes started so far
 
-	endpoints      map[string]endpoint // current list, by ID
-	staleEndpoints map[string]endpoint // an earlier list
+	endpoints      map[string]endpoint // current endpoint list, keyed by node ID
+	staleEndpoints map[string]endpoint // earlier endpoint list, which restarted gateways receive first
 	gateways       []*gatewayInstance
 }
 
-// Run plays the script and returns the report. A violated invariant is no error.
+// Run plays the script and returns the report. The report lists violated invariants; Run returns no error for them.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if o.Script == nil {
 		o.Script = GenerateScript(o.Seed, o.Duration)
@@ -64,7 +64,7 @@
 	}
 	r.storeObjects()
 	base := r.now()
-	r.wg.Go(func() { r.ageEndpoints(runCtx) })
+	r.wg.Go(func() { r.copyStaleEndpoints(runCtx) })
 	r.wg.Go(func() { r.generateLoad(runCtx, base) })
 	r.scheduleFaults(runCtx, base)
 	sleep(runCtx, o.Duration-(r.now()-base))
@@ -84,7 +84,7 @@
 		ledger:       storagenode.NewLedger(time.Second, 300*time.Millisecond),
 		endpoints:    map[string]endpoint{},
 		largeObjects: map[string][]byte{},
-		load:         loadFaults{surge: 1, flood: 1},
+		load:         loadFaults{surgeFactor: 1, floodFactor: 1},
 		clients:      make(chan struct{}, maxClients),
 	}
 }
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// close stops the gateways and the nodes.
+// close stops all gateways and all nodes, including the nodes that were replaced.
 func (r *run) close() {
 	for _, g := range r.gateways {
 		g.close()
@@ -123,7 +123,7 @@
 	}
 }
 
-// collectLogs gathers the logs of clients and nodes once all clients have ended.
+// collectLogs copies the logs of clients and nodes into r.log. All clients must have ended before the call.
 func (r *run) collectLogs() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -142,7 +142,7 @@
 // now returns the time since the epoch.
 func (r *run) now() time.Duration { return time.Since(r.epoch) }
 
-// sleep waits. It returns false if the context is done before.
+// sleep waits for d. It returns false if the context ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -155,21 +155,21 @@
 	}
 }
 
-// random returns a number from 0 up to 1.
+// random returns a random number in [0, 1).
 func (r *run) random() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rng.Float64()
 }
 
-// locked calls f under the lock.
+// locked calls f with r.mu held.
 func (r *run) locked(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f()
 }
 
-// currentNodes returns the current node of each shard.
+// currentNodes returns the current node of each shard, indexed by shard.
 func (r *run) currentNodes() []*storagenode.Node {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lab/faultinjection/faultinjection_test.go
+++ b/lab/faultinjection/faultinjection_test.go
@@ -19,26 +19,26 @@
 	s := GenerateScript(7, 20*time.Second)
 	again, err := ParseScript([]byte("// a script\n" + s.Text()))
 	if err != nil || !slices.Equal(s, again) {
-		t.Fatalf("%v\n%v\n%v", err, s, again)
+		t.Fatalf("script after Text and ParseScript: error %v\nwant: %v\ngot:  %v", err, s, again)
 	}
 	for _, k := range FaultKinds {
 		if !strings.Contains(s.Text(), `"`+k+`"`) {
-			t.Errorf("no %s in a generated script", k)
+			t.Errorf("generated script contains no fault of kind %q, want one of every kind", k)
 		}
 	}
 }
 
 func TestInvalidScriptsAreRejected(t *testing.T) {
 	if _, err := ParseScript([]byte("{")); err == nil {
-		t.Error("no JSON: no error")
+		t.Error("ParseScript of invalid JSON: got no error, want one")
 	}
 	_, err := ParseScript([]byte(`[{"kind": "rain"}]`))
 	var unknown *UnknownKindError
 	if !errors.As(err, &unknown) || unknown.Kind != "rain" {
-		t.Errorf("unknown kind: %v", err)
+		t.Errorf("ParseScript with unknown kind: got error %v, want an UnknownKindError for \"rain\"", err)
 	}
 	if _, err := ParseScript([]byte(`[{"kind": "surge", "times": -1}]`)); !errors.Is(err, ErrNegative) {
-		t.Errorf("negative number: %v", err)
+		t.Errorf("ParseScript with negative number: got error %v, want ErrNegative", err)
 	}
 }
 
@@ -51,14 +51,14 @@
 	return r
 }
 
-// A run with every kind of fault: all invariants hold, and the traces of the dispatchers
-// replay to the same actions.
+// Runs the gateways with every kind of fault and checks that all invariants hold. It also replays the recorded trace
+// of each dispatcher and checks that the replay produces the same actions.
 func TestRunKeepsInvariants(t *testing.T) {
 	o := DefaultOptions(1)
 	o.Duration = 12 * time.Second
 	var mu sync.Mutex
-	var records []*bytes.Buffer // by gateway instance
-	var writers []*trace.Writer // by gateway instance
+	var records []*bytes.Buffer // encoded traces, one for each gateway instance
+	var writers []*trace.Writer // writers of the traces, in the same order
 	o.Trace = func(_ string, cfg dispatch.Config, seed uint64) func(time.Duration, dispatch.Event, []dispatch.Action) {
 		b := new(bytes.Buffer)
 		w, err := trace.NewWriter(b, cfg, seed, 1<<17)
@@ -78,8 +78,8 @@
 	if len(r.Violations) > 0 || r.Attempts < 500 || r.Classes[classRead].Served < 300 {
 		t.Fail()
 	}
-	if len(records) != o.Gateways+1 { // one came back after its crash
-		t.Errorf("%d gateway instances", len(records))
+	if len(records) != o.Gateways+1 { // one gateway restarts after a crash, which creates one more instance
+		t.Errorf("gateway instances started: got %d, want one for each gateway and one for the restart", len(records))
 	}
 	for i, w := range writers {
 		if err := w.Close(); err != nil {
@@ -87,30 +87,30 @@
 		}
 		res, err := trace.Replay(records[i])
 		if err != nil || res.Divergence != nil || res.Truncated || res.Events < 100 {
-			t.Errorf("replay of instance %d: %+v, %v", i, res, err)
+			t.Errorf("replay of instance %d: got %+v, error %v; want a complete replay of 100 events or more", i, res, err)
 		}
 	}
 }
 
-// everyNode returns a fault of the kind at each node.
-func everyNode(kind string, times float64) (s Script) {
+// faultAtEveryNode returns a script that starts a fault of the kind at the node of each of the 8 shards.
+func faultAtEveryNode(kind string, times float64) (s Script) {
 	for i := range 8 {
 		s = append(s, Fault{At: 300, For: 9000, Kind: kind, Which: i, Times: times})
 	}
 	return s
 }
 
-// Without a guard its invariant is violated, and the checker reports it.
+// Disables each guard in turn and checks that the checker reports a violation of the guard's invariant.
 func TestCheckerDetectsDisabledGuards(t *testing.T) {
 	for guard, test := range map[string]struct {
 		script          Script
 		gateways        int
 		capacityDivisor float64
 	}{
-		"budget":  {everyNode(ConnectionResets, 0.5), 3, 1},
+		"budget":  {faultAtEveryNode(ConnectionResets, 0.5), 3, 1},
 		"limits":  {Script{{At: 300, For: 9000, Kind: Flood, Which: 0, Times: 12}}, 3, 1},
 		"order":   {Script{{At: 300, For: 9000, Kind: HotKey, Which: 2, Times: 0.9}}, 3, 1},
-		"effects": {everyNode(LoseResponses, 0.3), 3, 1},
+		"effects": {faultAtEveryNode(LoseResponses, 0.3), 3, 1},
 		"cold": {Script{
 			{At: 100, For: 9000, Kind: Surge, Times: 5},
 			{At: 1000, For: 1500, Kind: DrainWave, Count: 4},
@@ -120,7 +120,7 @@
 			{At: 100, For: 9000, Kind: Surge, Times: 2},
 			{At: 500, For: 4000, Kind: DrainWave, Count: 4},
 		}, 3, 1},
-		"time": {everyNode(Unresponsive, 0), 3, 1},
+		"time": {faultAtEveryNode(Unresponsive, 0), 3, 1},
 	} {
 		t.Run(guard, func(t *testing.T) {
 			o := DefaultOptions(2)
@@ -135,17 +135,18 @@
 				})
 			}
 			if !violated() {
-				t.Errorf("without the guard of %q the invariant %q still holds", guard, GuardInvariants[guard])
+				t.Errorf("guard %q disabled: got no violation of invariant %q, want one", guard, GuardInvariants[guard])
 			}
 			o.DisabledGuard = ""
-			if guard == "cold" && violated() { // the divisor makes a wide margin on both sides
-				t.Errorf("with the guard of %q the invariant %q is violated", guard, GuardInvariants[guard])
+			if guard == "cold" && violated() { // the divisor makes the result clear both with and without the guard
+				t.Errorf("guard %q enabled: got a violation of invariant %q, want none", guard, GuardInvariants[guard])
 			}
 		})
 	}
 }
 
-// Runs on seeds that once broke a rule, or on which a checker took a canceled write for one in flight.
+// Runs seeds that once failed. On some of them a gateway violated an invariant; on others the checker mistook a
+// canceled write for a write in flight.
 func TestSeedsThatBrokeInvariants(t *testing.T) {
 	for _, seed := range []uint64{50002, 50003, 50016, 50024, 50039, 50010} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -155,7 +156,7 @@
 			if len(report.Violations) > 0 {
 				var text strings.Builder
 				report.Write(&text)
-				t.Errorf("\n%s", text.String())
+				t.Errorf("got violations of invariants, want none:\n%s", text.String())
 			}
 		})
 	}
--- a/lab/faultinjection/faults.go
+++ b/lab/faultinjection/faults.go
@@ -7,19 +7,21 @@
 	"chalkstand/fake/storagenode"
 )
 
-// maxSuccessorDelay is how late the successor of a drained node starts at most.
+// maxSuccessorDelay bounds the time from the publication of a drain to the start of the drained node's successor.
 const maxSuccessorDelay = 800 * time.Millisecond
 
-// loadFaults are the faults that change the load. Flood and hot key share their volume.
+// loadFaults holds the current effect of the faults that change the load. The faults Flood and HotKey act on the
+// same volume.
 type loadFaults struct {
-	surge     float64 // factor of the load of all volumes
-	flood     float64 // factor of the load of one volume
-	volume    int     // index of the volume of flood and hot key
-	impatient float64 // share of requests that their clients cancel early
-	hotKey    float64 // share of writes that go to one key
+	surgeFactor      float64 // multiplies the load of all volumes
+	floodFactor      float64 // multiplies the load of one volume
+	volume           int     // index of the volume on which Flood and HotKey act
+	earlyCancelShare float64 // share of the requests that their clients cancel early
+	hotKeyShare      float64 // share of the writes that go to one key
 }
 
-// scheduleFaults starts each fault of the script at its time after base.
+// scheduleFaults starts a goroutine for each fault of the script. The goroutine injects the fault when its At has
+// passed since base. Faults that would start after the end of the run are left out.
 func (r *run) scheduleFaults(ctx context.Context, base time.Duration) {
 	for _, f := range r.options.Script {
 		if f.At.Duration() >= r.options.Duration {
@@ -33,7 +35,7 @@
 	}
 }
 
-// inject makes a fault and ends it after its time.
+// inject carries out a fault from its start to its end.
 func (r *run) inject(ctx context.Context, f Fault) {
 	r.printProgress("%s for %v (which %d, times %.2f)", f.Kind, f.For.Duration(), f.Which, f.Times)
 	switch f.Kind {
@@ -55,30 +57,31 @@
 	}
 }
 
-// injectLoadFault changes the load for the time of the fault.
+// injectLoadFault changes the load, waits for f.For, and restores the normal load.
 func (r *run) injectLoadFault(ctx context.Context, f Fault) {
 	volume := f.Which % len(r.volumes)
 	var begin, end func()
 	switch f.Kind {
 	case Surge:
-		begin = func() { r.load.surge = f.Times }
-		end = func() { r.load.surge = 1 }
+		begin = func() { r.load.surgeFactor = f.Times }
+		end = func() { r.load.surgeFactor = 1 }
 	case Flood:
-		begin = func() { r.load.volume, r.load.flood = volume, f.Times }
-		end = func() { r.load.flood = 1 }
+		begin = func() { r.load.volume, r.load.floodFactor = volume, f.Times }
+		end = func() { r.load.floodFactor = 1 }
 	case EarlyCancel:
-		begin = func() { r.load.impatient = f.Times }
-		end = func() { r.load.impatient = 0 }
+		begin = func() { r.load.earlyCancelShare = f.Times }
+		end = func() { r.load.earlyCancelShare = 0 }
 	case HotKey:
-		begin = func() { r.load.volume, r.load.hotKey = volume, f.Times }
-		end = func() { r.load.hotKey = 0 }
+		begin = func() { r.load.volume, r.load.hotKeyShare = volume, f.Times }
+		end = func() { r.load.hotKeyShare = 0 }
 	}
 	r.locked(begin)
 	sleep(ctx, f.For.Duration())
 	r.locked(end)
 }
 
-// drainWave replaces the nodes of consecutive shards, one after the other. Every other successor starts late.
+// drainWave replaces the nodes of f.Count consecutive shards, one after the other. Every second successor starts
+// only some time after the drain was published.
 func (r *run) drainWave(ctx context.Context, f Fault) {
 	for i := range f.Count {
 		successorDelay := time.Duration(0)
@@ -92,7 +95,7 @@
 	}
 }
 
-// injectNodeFault makes a fault at one node, which ends it by itself.
+// injectNodeFault starts a fault at one node. The node itself ends the fault after f.For.
 func injectNodeFault(n *storagenode.Node, f Fault) {
 	fault := storagenode.Fault{For: f.For.Duration()}
 	switch f.Kind {
@@ -110,7 +113,7 @@
 	case ConnectionResets:
 		fault.Kind = storagenode.ResetConnection
 		fault.Share = f.Times
-	default: // ParseScript accepts no other kind
+	default: // not reached: ParseScript rejects unknown kinds, and inject handles the other known ones
 		return
 	}
 	n.Inject(fault)
--- a/lab/faultinjection/gateways.go
+++ b/lab/faultinjection/gateways.go
@@ -14,18 +14,18 @@
 	"chalkstand/lab/invariants"
 )
 
-// gatewayInstance is one gateway from its start to its end. A restart makes another instance.
+// gatewayInstance is one gateway from its start to its stop. A restart creates a new instance.
 type gatewayInstance struct {
 	run     *run
 	name    string
 	gateway *gateway.Gateway
 	pool    *connPool
-	offset  time.Duration // from the run's epoch to the gateway's own
-	served  chan struct{} // closed when its Serve has returned
+	offset  time.Duration // time from the run's epoch to the gateway's own epoch
+	served  chan struct{} // closed when the gateway's Serve has returned
 }
 
-// startGateway starts an instance of the gateway with the index and gives it the endpoint list. The number
-// tells the instances of one gateway apart.
+// startGateway starts an instance of the gateway with the given index and passes it the endpoint list. The number
+// distinguishes the instances of one gateway in names and seeds.
 func (r *run) startGateway(
 	ctx context.Context, index, number int, kind dispatch.EndpointUpdateKind, endpoints map[string]endpoint,
 ) (*gatewayInstance, error) {
@@ -56,19 +56,19 @@
 	instance.notify(kind, endpoints)
 	go func() {
 		defer close(instance.served)
-		_ = g.Serve(ctx, ln) // a gateway that doesn't serve shows in the clients' logs
+		_ = g.Serve(ctx, ln) // if Serve fails, the clients' logs show it
 	}()
 	return instance, nil
 }
 
-// close stops the gateway at once, without a graceful shutdown, and the clients' idle connections to it.
+// close stops the gateway at once, without a graceful shutdown, and closes the clients' idle connections to it.
 func (g *gatewayInstance) close() {
-	_ = g.gateway.Close() // what it held shows in the clients' logs
+	_ = g.gateway.Close() // the clients' logs show the requests that Close interrupted
 	<-g.served
 	g.pool.close()
 }
 
-// node returns an endpoint in the gateway's own time.
+// node converts an endpoint to a node for the gateway, with the start time relative to the gateway's own epoch.
 func (g *gatewayInstance) node(id string, e endpoint) forwarder.Node {
 	n := forwarder.Node{
 		Addr: e.addr,
@@ -84,8 +84,8 @@
 	return n
 }
 
-// notify passes an endpoint update to the gateway and records its drain notices. With the guard of
-// drains disabled, nodes that drain are left out of the update.
+// notify passes an endpoint update to the gateway and records the drain notices in it. If the run disables the guard
+// of drains, notify omits draining and removed nodes from the update, so that the gateway does not learn of the drain.
 func (g *gatewayInstance) notify(kind dispatch.EndpointUpdateKind, endpoints map[string]endpoint) {
 	var nodes []forwarder.Node
 	var draining []string
@@ -110,11 +110,12 @@
 	})
 }
 
-// restartListDelay is how long a restarted gateway works with the stale endpoint list.
+// restartListDelay is the time for which a restarted gateway uses a stale endpoint list before it receives the
+// current one.
 const restartListDelay = 300 * time.Millisecond
 
-// crashGateway stops a gateway without warning. It restarts after the delay with a stale endpoint list
-// and receives the current one later.
+// crashGateway stops a gateway without a graceful shutdown. After restartDelay it starts a new instance with a stale
+// endpoint list, and after restartListDelay it passes the current list to that instance.
 func (r *run) crashGateway(ctx context.Context, index int, restartDelay time.Duration) {
 	r.mu.Lock()
 	old := r.gateways[index]
--- a/lab/faultinjection/load.go
+++ b/lab/faultinjection/load.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	objectsPerVolume      = 40 // small ones, overwritten again and again
-	largeObjectsPerVolume = 4  // read in ranges, never overwritten
+	objectsPerVolume      = 40 // small objects, which writes replace and deletes remove
+	largeObjectsPerVolume = 4  // large objects, of which clients only read ranges
 
 	smallObjectBytes = 2_000
 	largeObjectBytes = 200_000
 
-	// maxReadBytes is the longest range of class read; longer ones are of class scan.
+	// maxReadBytes is the largest size of a range that belongs to class read. Larger ranges belong to class scan.
 	maxReadBytes = 65_536
 )
 
-// requestGrace is how long a client waits beyond the time within which a response is due.
+// requestGrace is how long a client goes on waiting after a response has become overdue.
 const requestGrace = time.Second
 
-// storeObjects stores the objects that are read, directly at the nodes' data.
+// storeObjects stores the initial objects directly in the nodes' data sets, without requests.
 func (r *run) storeObjects() {
 	g := r.gateways[0].gateway
 	for _, volume := range r.volumes {
@@ -43,8 +43,8 @@
 	}
 }
 
-// generateLoad sends requests with exponential intervals whether or not earlier ones were answered
-// (open loop).
+// generateLoad is an open-loop load: it starts requests at exponentially distributed intervals and does not wait
+// for the responses to earlier requests.
 func (r *run) generateLoad(ctx context.Context, base time.Duration) {
 	rng := rand.New(rand.NewPCG(r.options.Seed, 2))
 	next := base
@@ -52,8 +52,8 @@
 		r.mu.Lock()
 		load := r.load
 		r.mu.Unlock()
-		rate := r.options.Rate * load.surge
-		extra := r.options.Rate / float64(len(r.volumes)) * (load.flood - 1)
+		rate := r.options.Rate * load.surgeFactor
+		extra := r.options.Rate / float64(len(r.volumes)) * (load.floodFactor - 1)
 		next += time.Duration(-math.Log(1-rng.Float64()) / (rate + extra) * float64(time.Second))
 		if !sleep(ctx, next-r.now()) {
 			return
@@ -63,10 +63,10 @@
 			volume = load.volume
 		}
 		request := r.newRequest(rng, n, r.volumes[volume])
-		if rng.Float64() < load.impatient {
+		if rng.Float64() < load.earlyCancelShare {
 			request.cancelAfter = time.Duration(20+rng.IntN(200)) * time.Millisecond
 		}
-		if rng.Float64() < load.hotKey && request.class == classWrite {
+		if rng.Float64() < load.hotKeyShare && request.class == classWrite {
 			volume = load.volume
 			request.key = r.volumes[volume] + "/o-0"
 			request.path = "/" + request.key
@@ -75,7 +75,7 @@
 	}
 }
 
-// startClient sends a request on a goroutine of its own. It drops the request if too many are in progress.
+// startClient sends a request in a new goroutine. If maxClients requests are in progress, it drops the request.
 func (r *run) startClient(ctx context.Context, request clientRequest, gatewayIndex int) {
 	select {
 	case r.clients <- struct{}{}:
@@ -88,7 +88,8 @@
 	})
 }
 
-// newRequest draws the nth request: mostly reads and writes of small objects, some of large ones.
+// newRequest draws the nth request at random. Most requests read, write or delete a small object; the others read a
+// range of a large object or write a bulk object.
 func (r *run) newRequest(rng *rand.Rand, n int, volume string) clientRequest {
 	key := fmt.Sprintf("%s/o-%d", volume, rng.IntN(objectsPerVolume))
 	request := clientRequest{
@@ -116,7 +117,7 @@
 	return request
 }
 
-// readRange makes a request read a range of a large object.
+// readRange turns the request into a read of a random range of a large object, and sets the check of the content.
 func (r *run) readRange(request *clientRequest, rng *rand.Rand, volume string) {
 	request.path = fmt.Sprintf("/%s/large-%d", volume, rng.IntN(largeObjectsPerVolume))
 	first := rng.IntN(largeObjectBytes - 1000)
@@ -126,16 +127,17 @@
 	if length > maxReadBytes {
 		request.class = classScan
 	}
-	want := string(r.largeObjects[request.path][first : last+1])
+	stored := string(r.largeObjects[request.path][first : last+1])
 	request.check = func(status int, body []byte) string {
-		if status == http.StatusPartialContent && string(body) != want {
+		if status == http.StatusPartialContent && string(body) != stored {
 			return fmt.Sprintf("%d bytes of a range of %d, not as stored", len(body), length)
 		}
 		return ""
 	}
 }
 
-// runClient sends a request, and once more after a rejection when its Retry-After is over.
+// runClient sends a request and records the outcome. If the gateway rejects the request, runClient waits for the
+// Retry-After and sends it once more under a new tag.
 func (r *run) runClient(ctx context.Context, request clientRequest, gatewayIndex int) {
 	for try := range 2 {
 		r.mu.Lock()
@@ -153,7 +155,7 @@
 			pool:    g.pool,
 			now:     r.now,
 			timeout: r.params.Classes[request.class].Deadline + r.params.ResponseTolerance + requestGrace,
-			onExtra: func(of *invariants.Request) { r.locked(func() { of.Responses++ }) },
+			onExtra: func(last *invariants.Request) { r.locked(func() { last.Responses++ }) },
 		}
 		retryAfter := c.send(context.WithoutCancel(ctx), request, record)
 		if retryAfter == 0 || try > 0 || !sleep(ctx, retryAfter) {
--- a/lab/faultinjection/nodes.go
+++ b/lab/faultinjection/nodes.go
@@ -11,25 +11,27 @@
 	"chalkstand/fake/storagenode"
 )
 
-// endpoint is a node as the endpoint list names it.
+// endpoint is the entry of a node in the endpoint list.
 type endpoint struct {
 	addr    string
 	shard   int
 	state   dispatch.NodeState
-	started time.Duration // since the epoch; 0: before it
+	started time.Duration // start of a node in slow start, since the run's epoch; 0 for a node without slow start
 }
 
-// staleEndpointAge is the time between two copies of the list with which crashed gateways restart.
-const staleEndpointAge = 2 * time.Second
+// staleEndpointInterval is the time between two copies of the endpoint list. A crashed gateway restarts with the
+// latest copy.
+const staleEndpointInterval = 2 * time.Second
 
-// The delay with which a gateway is notified of a change is uniform from the shortest on, over the
-// spread.
+// Each gateway learns of a change to the endpoint list after a delay of its own. The delay is uniformly distributed
+// from minNotifyDelayMillis to minNotifyDelayMillis + notifyDelaySpreadMillis.
 const (
 	minNotifyDelayMillis    = 20
 	notifyDelaySpreadMillis = 180
 )
 
-// startNode starts the next node of a shard, in slow start if asked, and lists it.
+// startNode starts a new node of a shard, makes it the shard's current node and adds it to the endpoint list. It does
+// not notify the gateways. If slowStart is set, the node begins at a low speed and warms up.
 func (r *run) startNode(shard int, slowStart bool) error {
 	r.mu.Lock()
 	r.nodeCount++
@@ -77,7 +79,7 @@
 	}
 }
 
-// publishEndpoints changes the endpoint list and notifies all gateways, each after a delay of its own.
+// publishEndpoints applies changes to the endpoint list and notifies each gateway after a random delay.
 func (r *run) publishEndpoints(ctx context.Context, changes map[string]endpoint) {
 	r.mu.Lock()
 	maps.Copy(r.endpoints, changes)
@@ -94,14 +96,15 @@
 	}
 }
 
-// ageEndpoints keeps an earlier copy of the endpoint list, for gateways that restart.
-func (r *run) ageEndpoints(ctx context.Context) {
-	for sleep(ctx, staleEndpointAge) {
+// copyStaleEndpoints copies the endpoint list every staleEndpointInterval, until ctx ends. Restarted gateways receive
+// the copy first.
+func (r *run) copyStaleEndpoints(ctx context.Context) {
+	for sleep(ctx, staleEndpointInterval) {
 		r.locked(func() { r.staleEndpoints = maps.Clone(r.endpoints) })
 	}
 }
 
-// currentNode returns the current node of a shard with its endpoint.
+// currentNode returns the current node of a shard and its entry in the endpoint list.
 func (r *run) currentNode(shard int) (*storagenode.Node, endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,11 +112,12 @@
 	return n, r.endpoints[n.ID()]
 }
 
-// minDrainTime is how long a draining node stays listed at least.
+// minDrainTime is the minimum time for which a draining node stays in the endpoint list.
 const minDrainTime = time.Second
 
-// replaceNode drains a shard's node. Its successor takes over the data, starts slowly, and may start
-// a while after the drain was published.
+// replaceNode drains the current node of a shard and starts a successor, which takes over the data and is in slow
+// start. If successorDelay is greater than 0, replaceNode publishes the drain first and starts the successor after
+// the delay. After drainTime it removes the old node from the endpoint list.
 func (r *run) replaceNode(ctx context.Context, shard int, successorDelay, drainTime time.Duration) {
 	old, entry := r.currentNode(shard)
 	entry.state = dispatch.Draining
@@ -133,7 +137,8 @@
 	})
 }
 
-// killNode stops a shard's node at once. A successor in slow start replaces it after the delay.
+// killNode stops the current node of a shard at once. After successorDelay it starts a successor in slow start and
+// publishes the change.
 func (r *run) killNode(ctx context.Context, shard int, successorDelay time.Duration) {
 	old, entry := r.currentNode(shard)
 	old.Stop()
--- a/lab/faultinjection/report.go
+++ b/lab/faultinjection/report.go
@@ -11,23 +11,23 @@
 	"chalkstand/lab/invariants"
 )
 
-// Report is the outcome of a run.
+// Report holds the results of a run: counts by class, counts of attempts at the nodes, and violated invariants.
 type Report struct {
 	Seed          uint64
 	Duration      time.Duration
 	Script        Script
 	Classes       []ClassReport
-	Attempts      int           // at nodes
-	Retries       int           // attempts after the first
-	Repeats       int           // dropped by nodes' deduplication
-	LateResponses int           // of nodes, to attempts that were canceled before
-	LongestStall  time.Duration // of the machine
+	Attempts      int           // attempts that arrived at nodes
+	Retries       int           // attempts of a request after its first
+	Repeats       int           // repeated attempts that the nodes' deduplication dropped
+	LateResponses int           // attempts that a node completed after the gateway had canceled them
+	LongestStall  time.Duration // longest time for which the machine kept this process from running
 	Violations    []invariants.Violation
 
 	log *invariants.Log
 }
 
-// ClassReport counts the outcomes of one class's requests.
+// ClassReport counts the requests of one class by outcome.
 type ClassReport struct {
 	Name       string
 	Requests   int
@@ -35,20 +35,20 @@
 	InTime     int // served within the latency objective
 	Rejected   int
 	Failed     int
-	Aborted    int // responses that broke off
-	Canceled   int // by their clients
+	Aborted    int // requests whose response ended before its full length
+	Canceled   int // requests that their clients canceled
 	Unanswered int
-	Latency    *hdrhistogram.Histogram // of served ones, microseconds
+	Latency    *hdrhistogram.Histogram // latency of the served requests, in microseconds
 }
 
-// Range of the latency histograms.
+// Range and precision of the latency histograms.
 const (
 	minLatencyMicros   = 1
 	maxLatencyMicros   = 60_000_000
-	latencySignificant = 3 // decimal digits
+	latencySignificant = 3 // significant decimal digits
 )
 
-// newReport checks the invariants and counts the outcomes in the run's logs.
+// newReport checks the run's logs for violated invariants and counts the outcomes of requests and attempts.
 func newReport(r *run) *Report {
 	report := &Report{
 		Seed:       r.options.Seed,
@@ -82,7 +82,7 @@
 	return report
 }
 
-// add counts a request.
+// add counts a request under its outcome and, if it was served, records its latency.
 func (c *ClassReport) add(q invariants.Request, latencyObjective time.Duration) {
 	c.Requests++
 	switch {
@@ -99,20 +99,20 @@
 	default:
 		c.Served++
 		latency := q.Ended - q.Sent
-		_ = c.Latency.RecordValue(latency.Microseconds()) // in range: no client waits for a minute
+		_ = c.Latency.RecordValue(latency.Microseconds()) // cannot fail: clients give up before the maximum, a minute
 		if latency <= latencyObjective {
 			c.InTime++
 		}
 	}
 }
 
-// quantile returns a percentile of the latency.
+// quantile returns a percentile of the latency, rounded to 100 microseconds.
 func (c *ClassReport) quantile(percent float64) time.Duration {
 	latency := time.Duration(c.Latency.ValueAtQuantile(percent)) * time.Microsecond
 	return latency.Round(100 * time.Microsecond)
 }
 
-// Write prints the report.
+// Write prints the report as a table of the classes, a line about the nodes, and the result for each invariant.
 func (r *Report) Write(w io.Writer) {
 	fmt.Fprintf(w, "fault injection: seed %d, %v\n\n", r.Seed, r.Duration)
 	fmt.Fprintf(w, "%-8s %8s %6s %7s %8s %6s %7s %8s %10s %9s %9s\n",
--- a/lab/faultinjection/script.go
+++ b/lab/faultinjection/script.go
@@ -12,63 +12,63 @@
 	"github.com/tailscale/hujson"
 )
 
-// The kinds of faults, as scripts name them.
+// The kinds of faults. The values are the names that scripts use.
 const (
 	Surge             = "surge"       // the load of all volumes grows
 	Flood             = "flood"       // one volume sends many times its rate
-	DrainWave         = "drain_wave"  // nodes drain one after the other; successors in slow start replace them
+	DrainWave         = "drain_wave"  // nodes drain one after the other, and successors in slow start replace them
 	GatewayCrash      = "crash"       // a gateway crashes and restarts with a stale endpoint list
 	FrozenReports     = "late_report" // the nodes' load reports are frozen
 	Unresponsive      = "silent"      // a node accepts requests and never responds
 	SlowNode          = "slow"        // a node is slower by a factor
-	NodeDeath         = "die"         // a node dies; a successor in slow start replaces it later
-	LoseResponses     = "lose"        // a share of the responses is lost after the work was done
-	TruncateResponses = "half"        // a share of the responses is truncated
-	EarlyCancel       = "impatient"   // a share of the clients cancels early
+	NodeDeath         = "die"         // a node stops at once, and a successor in slow start replaces it later
+	LoseResponses     = "lose"        // a node executes requests but loses a share of the responses
+	TruncateResponses = "half"        // a node truncates a share of its responses
+	EarlyCancel       = "impatient"   // clients cancel a share of the requests early
 	ConnectionResets  = "resets"      // a node resets a share of its connections
 	HotKey            = "hot_key"     // a share of all writes goes to one key
 )
 
-// FaultKinds lists the kinds of faults.
+// FaultKinds lists all kinds of faults that a script may contain.
 var FaultKinds = []string{
 	Surge, Flood, DrainWave, GatewayCrash, FrozenReports, Unresponsive, SlowNode,
 	NodeDeath, LoseResponses, TruncateResponses, EarlyCancel, ConnectionResets, HotKey,
 }
 
-// Fault is one line of a script.
+// Fault is one entry of a script: a fault with its start, its duration and its parameters.
 type Fault struct {
 	At    Millis  `json:"at_ms"`
 	For   Millis  `json:"for_ms"`
 	Kind  string  `json:"kind"`
-	Which int     `json:"which"` // index of the node, gateway or volume, modulo their number
-	Count int     `json:"count"` // nodes of a wave
-	Times float64 `json:"times"` // factor, or share from 0 to 1, by kind
+	Which int     `json:"which"` // index of the node, gateway or volume, taken modulo their number
+	Count int     `json:"count"` // number of nodes that a drain wave replaces
+	Times float64 `json:"times"` // a factor or a share from 0 to 1, depending on the kind
 }
 
 // Millis is a time in milliseconds.
 type Millis int
 
-// Duration returns it as a duration.
+// Duration converts m to a time.Duration.
 func (m Millis) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
-// Script lists the faults of a run in the order of their start.
+// Script lists the faults of a run, sorted by start time.
 type Script []Fault
 
-// ErrNegative is returned for a script with a negative number.
-var ErrNegative = errors.New("no number may be negative")
+// ErrNegative reports that a script contains a negative number.
+var ErrNegative = errors.New("negative number: every number of a fault must be 0 or greater")
 
-// UnknownKindError is returned for a script with a fault of an unknown kind.
+// UnknownKindError reports that a script contains a fault of an unknown kind.
 type UnknownKindError struct {
 	Kind string
 }
 
-// Error names the kind and the known ones.
+// Error returns a message with the unknown kind and the list of valid kinds.
 func (e *UnknownKindError) Error() string {
 	return fmt.Sprintf("unknown kind of fault %q; expected one of %v", e.Kind, FaultKinds)
 }
 
-// GenerateScript returns a script with a fault of every kind for a run of the duration. The same seed gives
-// the same script.
+// GenerateScript returns a script with one fault of every kind for a run of the given duration. The same seed and
+// duration always give the same script.
 func GenerateScript(seed uint64, duration time.Duration) Script {
 	rng := rand.New(rand.NewPCG(seed, 0xbad))
 	kinds := slices.Clone(FaultKinds)
@@ -90,7 +90,7 @@
 	return script
 }
 
-// setMagnitude draws Times or Count, by kind.
+// setMagnitude draws a random value for the field that sets the magnitude of the fault's kind: Times or Count.
 func (f *Fault) setMagnitude(rng *rand.Rand) {
 	switch f.Kind {
 	case Surge:
@@ -112,7 +112,7 @@
 	slices.SortStableFunc(s, func(a, b Fault) int { return int(a.At - b.At) })
 }
 
-// ParseScript reads a script: a JSON list, comments allowed.
+// ParseScript parses a script: a JSON array of faults, which may contain comments and trailing commas.
 func ParseScript(text []byte) (Script, error) {
 	plain, err := hujson.Standardize(text)
 	if err != nil {
@@ -124,7 +124,7 @@
 	}
 	for i, f := range script {
 		if err := f.validate(); err != nil {
-			return nil, fmt.Errorf("script: line %d: %w", i+1, err)
+			return nil, fmt.Errorf("script: fault %d: %w", i+1, err)
 		}
 	}
 	script.sort()
@@ -141,12 +141,12 @@
 	return nil
 }
 
-// Text returns a script in the form that ParseScript reads.
+// Text returns the script in the format that ParseScript reads, with one fault per line.
 func (s Script) Text() string {
 	var b strings.Builder
 	b.WriteString("[\n")
 	for _, f := range s {
-		line, _ := json.Marshal(f) // cannot fail: the fields are plain numbers and strings
+		line, _ := json.Marshal(f) // cannot fail: the fields are finite numbers and strings
 		b.WriteString("\t")
 		b.Write(line)
 		b.WriteString(",\n")
--- a/lab/faultinjection/site.go
+++ b/lab/faultinjection/site.go
@@ -9,33 +9,33 @@
 	"chalkstand/lab/invariants"
 )
 
-// Parameters of the nodes.
+// Parameters of the fake nodes. The gateways' settings contain some of them, too.
 const (
 	nodeCores       = 2
 	workPerUnit     = 25 * time.Millisecond
-	initialSpeed    = 0.12 // of a node in slow start, as a share of its full speed
+	initialSpeed    = 0.12 // speed at which slow start begins, as a share of the node's full speed
 	warmUp          = 6 * time.Second
-	overloadFactor  = 1.5 // times its capacity, above which a node in slow start is overloaded
+	overloadFactor  = 1.5 // a node in slow start counts as overloaded above this multiple of its capacity
 	overloadWindow  = time.Second
-	slowStartUnits  = 8.0 // that a node in slow start accepts beyond its capacity
+	slowStartUnits  = 8.0 // cost units within overloadWindow that never overload a node in slow start
 	drainGrace      = 250 * time.Millisecond
 	nodeDedupWindow = 6 * time.Second
 )
 
-// The rate limit of the basic volumes, units a second and units.
+// The rate limit of the volumes with the basic plan: limitRate in cost units per second, the others in cost units.
 const (
 	limitRate  = 40.0
 	limitBurst = 20.0
 	limitSlack = 12.0
 )
 
-// Tolerances of the checker: delays of the machine itself.
+// Tolerances of the checker. They allow for delays that the machine causes, not the gateways.
 const (
 	logTolerance      = 60 * time.Millisecond
 	responseTolerance = 150 * time.Millisecond
 )
 
-// The classes, in the order of the settings.
+// Indexes of the classes in the settings' list of classes.
 const (
 	classRead = iota
 	classScan
@@ -44,7 +44,7 @@
 	classRemove
 )
 
-// The access key of the clients, as in siteText.
+// The clients' access key. siteText contains the same values.
 const (
 	keyID  = "BADDAY"
 	secret = "bad-day-secret"
@@ -90,8 +90,7 @@
 	"limits": {"margin": "30ms", "client_body": "2s", "connect": "300ms"},
 }`
 
-// siteSettings returns the settings of the gateway with the index. It panics where siteText is
-// invalid.
+// siteSettings returns the settings of the gateway with the given index. It panics if siteText is invalid.
 func siteSettings(o Options, index int) settings.Settings {
 	divisor := o.capacityDivisor()
 	text := fmt.Sprintf(siteText, o.Gateways, index, o.Shards, limitRate, limitBurst, limitSlack,
@@ -103,8 +102,8 @@
 	return *s
 }
 
-// disableGuard takes a guard out of a gateway's settings. The guard of drains is disabled where a
-// gateway is notified.
+// disableGuard changes a gateway's settings so that the guard no longer works. The guard of drains is not a setting:
+// gatewayInstance.notify disables it.
 func disableGuard(s *settings.Settings, guard string) {
 	switch guard {
 	case guardBudget:
@@ -114,27 +113,27 @@
 		s.Plans[0].Limit = 0
 	case guardOrder:
 		s.Classes[classWrite].InTurn = false
-	case guardEffects:
+	case guardIdempotency:
 		for i := range s.Classes {
 			s.Classes[i].Effect = "safe"
 		}
-	case guardCold:
+	case guardSlowStart:
 		s.Rules.Cold = settings.Cold{}
-	case guardTime:
+	case guardDeadlines:
 		for i := range s.Classes {
 			s.Classes[i].Deadline *= 4
 		}
 	}
 }
 
-// idempotencies maps the settings' names.
+// idempotencies maps the names that the settings use for a class's effect to the checker's values.
 var idempotencies = map[string]invariants.Idempotency{
 	"safe":   invariants.Idempotent,
 	"keyed":  invariants.Deduplicated,
 	"unsafe": invariants.NonIdempotent,
 }
 
-// invariantParameters returns the bounds of the invariants with all guards in place.
+// invariantParameters returns the bounds that the checker uses. They assume that no guard is disabled.
 func invariantParameters(o Options) invariants.Parameters {
 	s := siteSettings(o, 0)
 	params := invariants.Parameters{
@@ -162,7 +161,7 @@
 	return params
 }
 
-// volumeNames returns the volumes' names, which name their plans.
+// volumeNames returns the names of the volumes. A volume's name begins with the name of its plan.
 func volumeNames(o Options) []string {
 	plans := []string{"basic", "standard", "priority"}
 	var names []string
--- a/lab/faultinjection/stored_test.go
+++ b/lab/faultinjection/stored_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A script that an earlier build wrote is read whole, written the same, and made again by its
-// seed.
+// Parses a script that an earlier build stored. Text must return the same text, and GenerateScript must generate the
+// same script from its seed 11.
 func TestStoredScript(t *testing.T) {
 	text, err := os.ReadFile("testdata/day.json")
 	if err != nil {
@@ -15,12 +15,12 @@
 	}
 	s, err := ParseScript(text)
 	if err != nil || len(s) != len(FaultKinds) {
-		t.Fatalf("%d faults, want %d: %v", len(s), len(FaultKinds), err)
+		t.Fatalf("faults in the stored script: got %d, want %d; error %v", len(s), len(FaultKinds), err)
 	}
-	if have := s.Text(); have != string(text) {
-		t.Errorf("written again:\n%s", have)
+	if got := s.Text(); got != string(text) {
+		t.Errorf("text of the parsed script differs from the stored text, got:\n%s", got)
 	}
-	if have := GenerateScript(11, 20*time.Second).Text(); have != string(text) {
-		t.Errorf("generated again:\n%s", have)
+	if got := GenerateScript(11, 20*time.Second).Text(); got != string(text) {
+		t.Errorf("script generated from seed 11 differs from the stored text, got:\n%s", got)
 	}
 }
