--- a/lab/soak/check.go
+++ b/lab/soak/check.go
@@ -10,7 +10,7 @@
 	"chalkstand/lab/invariants"
 )
 
-// The invariants that are checked besides those of package invariants, as they are printed.
+// Invariants that this package checks in addition to those of package invariants. The values are printed in reports.
 const (
 	EndsInTime       = "the program ends in time and in order"
 	ReloadApplied    = "a reload is applied"
@@ -19,58 +19,60 @@
 	MemoryFreed      = "memory comes back"
 )
 
-// All lists the invariants in the order of the report.
+// All lists all checked invariants in the order in which the report prints them.
 var All = append(slices.Clone(invariants.All), EndsInTime, ReloadApplied, BadClientsEnd, DescriptorsFreed, MemoryFreed)
 
-// The guards that can be disabled, to see that their invariants are violated.
+// Names of the guards that a run can disable to show that the checker then reports a violation. A guard is a mechanism
+// of the program that keeps an invariant.
 const (
-	guardTime     = "time"
-	guardEffects  = "effects"
-	guardOrder    = "order"
-	guardShutdown = "shutdown"
+	guardDeadlines   = "time"
+	guardIdempotency = "effects"
+	guardOrder       = "order"
+	guardShutdown    = "shutdown"
 )
 
-// Guards lists the guards of each program and the invariant that is violated without each.
+// Guards maps each program to its guards, and each guard to the invariant that the program violates without it.
 var Guards = map[Program]map[string]string{
 	Serve: {
-		guardTime:     invariants.NoRequestLost,
-		guardEffects:  invariants.ExecutedOnce,
-		guardOrder:    invariants.KeyOrder,
-		guardShutdown: invariants.NoRequestLost,
+		guardDeadlines:   invariants.NoRequestLost,
+		guardIdempotency: invariants.ExecutedOnce,
+		guardOrder:       invariants.KeyOrder,
+		guardShutdown:    invariants.NoRequestLost,
 	},
 	RESP: {
-		guardEffects: invariants.ExecutedOnce,
-		guardOrder:   invariants.KeyOrder,
+		guardIdempotency: invariants.ExecutedOnce,
+		guardOrder:       invariants.KeyOrder,
 	},
 }
 
 const (
-	// crossingTime is within which of its request the end of a connection may have crossed it. Such
-	// a request was not read, unless a node has seen it.
-	crossingTime = 100 * time.Millisecond
-	// spareDescriptors may be open after the load beyond those before it.
+	// closeRaceTime decides whether the program read an unanswered request. If the connection closed within this time
+	// after the request and no node received the request, the check assumes that the program did not read it.
+	closeRaceTime = 100 * time.Millisecond
+	// spareDescriptors is how many more descriptors may be open after the load than before it.
 	spareDescriptors = 4
-	// After the load the memory may be so many times that before it, and so much more.
+	// The resident memory after the load may be at most memoryFactor times the memory before it plus spareMemoryMiB.
 	memoryFactor   = 2
 	spareMemoryMiB = 64
-	// endOfLog is added to the time of the last record: nothing follows the end of the program.
-	endOfLog = time.Minute
+	// endOfLogMargin is added to the time of the last client record to get the end of the log. It can be any long time,
+	// because nothing happens after the program has ended.
+	endOfLogMargin = time.Minute
 )
 
-// failureTexts are in the log of a program that has failed.
+// failureTexts lists the texts of log lines that show a failure of the program.
 var failureTexts = []string{"panic:", "fatal error:", "DATA RACE", "graceful shutdown incomplete"}
 
-// check returns the violations that the logs show, and the log that they were found in.
+// check checks all invariants. It returns the violations and the log of requests and attempts that it checked.
 func (r *run) check() ([]invariants.Violation, *invariants.Log) {
 	log := &invariants.Log{Entries: r.system.entries(), DrainNotices: r.notices}
 	seen := map[string]bool{}
 	for _, e := range log.Entries {
 		seen[e.Tag] = true
 	}
-	r.excuseCrossings(seen)
+	r.excuseCloseRaces(seen)
 	for _, record := range r.clients.requests {
 		log.Requests = append(log.Requests, *record)
-		log.End = max(log.End, record.Ended+endOfLog)
+		log.End = max(log.End, record.Ended+endOfLogMargin)
 	}
 	r.violations = append(r.violations, invariants.Check(r.params, log)...)
 	r.checkEnd()
@@ -78,27 +80,28 @@
 	return r.violations, log
 }
 
-// excuseCrossings excuses requests that the program's end of their connection crossed: it may close
-// connections between requests, and the client sends such a request again on another one.
-func (r *run) excuseCrossings(seen map[string]bool) {
+// excuseCloseRaces marks unanswered requests as canceled by the client if the program closed their connection before
+// it read them. The program may close a connection between two requests. A client then sends a request that the close
+// overtook again on another connection. seen holds the tags of the requests that reached a node.
+func (r *run) excuseCloseRaces(seen map[string]bool) {
 	for _, u := range r.clients.unanswered {
-		if !seen[u.record.Tag] && u.closedAt-u.record.Sent <= crossingTime {
+		if !seen[u.record.Tag] && u.closedAt-u.record.Sent <= closeRaceTime {
 			u.record.ClientCanceled = true
 		}
 	}
 }
 
-// checkEnd checks how the program ended.
+// checkEnd checks that the program ended in time after SIGTERM, without an error and without failures in its log.
 func (r *run) checkEnd() {
 	switch {
 	case r.killed:
-		r.report(EndsInTime, "it was killed %v after SIGTERM", r.ownTime)
+		r.report(EndsInTime, "it was killed %v after SIGTERM", r.terminationTime)
 	case r.stopTime() > 0 && r.process.err != nil:
 		r.report(EndsInTime, "it ended with %v", r.process.err)
 	}
 	completed := false
 	for _, line := range r.process.log() {
-		completed = completed || strings.Contains(line, r.system.completed())
+		completed = completed || strings.Contains(line, r.system.completedText())
 		for _, text := range failureTexts {
 			if strings.Contains(line, text) {
 				r.report(EndsInTime, "its log has: %s", line)
@@ -106,26 +109,26 @@
 		}
 	}
 	if r.stopTime() > 0 && !completed {
-		r.report(EndsInTime, "its log does not say %q", r.system.completed())
+		r.report(EndsInTime, "its log does not say %q", r.system.completedText())
 	}
 }
 
-// checkUsage checks that the program holds no more after the load than before it.
+// checkUsage checks that the program has released the descriptors and the memory that it needed for the load.
 func (r *run) checkUsage() {
-	if r.after.Descriptors > r.before.Descriptors+spareDescriptors {
-		r.report(DescriptorsFreed, "%d before the load, %d after it", r.before.Descriptors, r.after.Descriptors)
+	if r.usageAfter.Descriptors > r.usageBefore.Descriptors+spareDescriptors {
+		r.report(DescriptorsFreed, "%d before the load, %d after it", r.usageBefore.Descriptors, r.usageAfter.Descriptors)
 	}
-	if r.after.MemoryMiB > memoryFactor*r.before.MemoryMiB+spareMemoryMiB {
-		r.report(MemoryFreed, "%.0f MiB before the load, %.0f after it", r.before.MemoryMiB, r.after.MemoryMiB)
+	if r.usageAfter.MemoryMiB > memoryFactor*r.usageBefore.MemoryMiB+spareMemoryMiB {
+		r.report(MemoryFreed, "%.0f MiB before the load, %.0f after it", r.usageBefore.MemoryMiB, r.usageAfter.MemoryMiB)
 	}
 }
 
-// numberAttempts numbers the attempts of each request in the order of arrival, and marks repeats that nodes
-// drop.
+// numberAttempts sorts the attempts by arrival and numbers the attempts of each request. It marks an executed write as
+// deduplicated, not executed, if a write with the same key was executed less than dedupWindow before.
 func numberAttempts(entries []storagenode.LogEntry) {
 	slices.SortFunc(entries, func(a, b storagenode.LogEntry) int { return cmp.Compare(a.Arrived, b.Arrived) })
 	attempts := map[string]int{}
-	executedAt := map[string]time.Duration{} // by key and shard
+	executedAt := map[string]time.Duration{} // time of the first execution; the map's key holds shard and key
 	for i := range entries {
 		e := &entries[i]
 		e.Attempt = attempts[e.Tag]
@@ -141,7 +144,7 @@
 	}
 }
 
-// sortedSteps returns the faults and reloads of the first phase in the order of their times.
+// sortedSteps returns the faults and the reloads of the first phase, each sorted by time.
 func (p *plan) sortedSteps() ([]fault, []reload) {
 	faults := slices.DeleteFunc(slices.Clone(p.Faults), func(f fault) bool { return f.At >= p.Load })
 	slices.SortFunc(faults, func(a, b fault) int { return cmp.Compare(a.At, b.At) })
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -13,45 +13,46 @@
 	"chalkstand/lab/invariants"
 )
 
-// Times of a client.
+// Times and limits of a client.
 const (
-	dialTimeout     = time.Second
-	meanThinkTime   = 30 * time.Millisecond
-	redialPause     = 20 * time.Millisecond
-	responseGrace   = time.Second // beyond the time in which a response is due
-	lastDialAfter   = 300 * time.Millisecond
-	minPatience     = 20 * time.Millisecond
-	patienceSpread  = 200 * time.Millisecond
-	maxPipelined    = 4
-	pipeliningShare = 0.3 // of the clients, where the protocol allows it
+	dialTimeout       = time.Second
+	meanThinkTime     = 30 * time.Millisecond  // mean pause between a response and the next request
+	redialPause       = 20 * time.Millisecond  // pause after a failed dial
+	responseGrace     = time.Second            // time for which a client goes on waiting for an overdue response
+	lastDialAfter     = 300 * time.Millisecond // clients open no connections later than this after SIGTERM
+	minCancelAfter    = 20 * time.Millisecond  // shortest time after which a client cancels a request
+	cancelAfterSpread = 200 * time.Millisecond // range of the random time that is added to minCancelAfter
+	maxPipelined      = 4                      // maximum number of requests that a client sends at once
+	pipeliningShare   = 0.3                    // share of the clients that pipeline, if the protocol allows it
 )
 
-// request is a request that a client sends.
+// request describes a request that a client sends.
 type request struct {
 	tag   string
 	class int
 	key   string
 	shard int
-	body  []byte // of a write
+	body  []byte // content that a write stores; nil for other requests
 }
 
-// response is what a client learns of a response.
+// response holds the properties of a response that the checks need.
 type response struct {
-	status     int // as of HTTP
+	status     int // HTTP status, or its equivalent in the RESP protocol
 	retryAfter bool
-	closing    bool // the server closes the connection after it
-	wrong      bool // it is the response to another request
+	closing    bool // whether the server closes the connection after this response
+	mismatched bool // whether this is the response to another request
 }
 
-// protocol is how clients speak with the program.
+// protocol encodes requests and decodes responses for a client of the program.
 type protocol interface {
 	encode(q request, addr string) ([]byte, error)
-	// readResponse reads the response to a request. An error after the response began is an *abortedError.
+	// readResponse reads the response to a request. It returns an *abortedError if the response begins but does not
+	// arrive completely.
 	readResponse(r *bufio.Reader, q request) (response, error)
-	pipelines() bool
+	supportsPipelining() bool
 }
 
-// abortedError means that a response began and broke off.
+// abortedError reports that a response began but did not arrive completely.
 type abortedError struct {
 	status int
 	err    error
@@ -61,7 +62,7 @@
 
 func (e *abortedError) Unwrap() error { return e.err }
 
-// unanswered is a request whose connection ended without a response.
+// unanswered records a request whose connection ended before the response.
 type unanswered struct {
 	record   *invariants.Request
 	closedAt time.Duration
@@ -70,10 +71,10 @@
 
 // clientLog collects the records of all clients.
 type clientLog struct {
-	mu         sync.Mutex
-	requests   []*invariants.Request
-	unanswered []unanswered
-	connsLost  int // that could not be opened
+	mu          sync.Mutex
+	requests    []*invariants.Request
+	unanswered  []unanswered
+	failedDials int
 }
 
 func (l *clientLog) add(r *invariants.Request) {
@@ -88,12 +89,12 @@
 	l.unanswered = append(l.unanswered, u)
 }
 
-// client sends requests on one connection at a time, and goes on using it for as long as it is open.
+// client sends requests on one connection at a time. It uses a connection until the connection closes.
 type client struct {
 	run       *run
 	index     int
 	rng       *rand.Rand
-	pipelined int // requests that it sends at a time
+	pipelined int // maximum number of requests that the client sends at once
 	conn      net.Conn
 	reader    *bufio.Reader
 	sent      int
@@ -102,19 +103,19 @@
 func newClient(r *run, phase, index int) *client {
 	c := &client{run: r, index: phase*1000 + index, pipelined: 1}
 	c.rng = rand.New(rand.NewPCG(r.options.Seed, uint64(100+c.index)))
-	if r.system.protocol().pipelines() && c.rng.Float64() < pipeliningShare {
+	if r.system.protocol().supportsPipelining() && c.rng.Float64() < pipeliningShare {
 		c.pipelined = 2 + c.rng.IntN(maxPipelined-1)
 	}
 	return c
 }
 
-// loop sends requests until ctx ends. Once the program was told to stop, the client goes on only for as long
-// as it has a connection.
+// loop sends requests until ctx ends. More than lastDialAfter after SIGTERM, the client opens no new connections, so
+// loop ends with the client's current connection.
 func (c *client) loop(ctx context.Context) {
 	defer c.close()
 	for ctx.Err() == nil {
 		if c.conn == nil && !c.dial(ctx) {
-			if c.run.stopping(lastDialAfter) || !sleep(ctx, redialPause) {
+			if c.run.terminatingFor(lastDialAfter) || !sleep(ctx, redialPause) {
 				return
 			}
 			continue
@@ -128,14 +129,14 @@
 }
 
 func (c *client) dial(ctx context.Context) bool {
-	if c.run.stopping(lastDialAfter) {
+	if c.run.terminatingFor(lastDialAfter) {
 		return false
 	}
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", c.run.system.addr())
 	if err != nil {
 		c.run.clients.mu.Lock()
-		c.run.clients.connsLost++
+		c.run.clients.failedDials++
 		c.run.clients.mu.Unlock()
 		return false
 	}
@@ -146,39 +147,39 @@
 
 func (c *client) close() {
 	if c.conn != nil {
-		_ = c.conn.Close() // what came of its requests is recorded
+		_ = c.conn.Close() // the outcomes of its requests are already recorded
 		c.conn = nil
 	}
 }
 
-// exchange sends one request, or several at once, and reads the responses.
+// exchange sends one request, or several requests at once, and records the outcome of each.
 func (c *client) exchange(ctx context.Context) {
-	var text []byte
+	var batch []byte
 	requests := make([]request, 1+c.rng.IntN(c.pipelined))
 	for i := range requests {
 		requests[i] = c.nextRequest()
 		encoded, err := c.run.system.protocol().encode(requests[i], c.run.system.addr())
 		if err != nil {
-			panic(err) // a fault of this package
+			panic(err) // a bug in this package
 		}
-		text = append(text, encoded...)
+		batch = append(batch, encoded...)
 	}
-	patience := time.Duration(0)
-	if c.rng.Float64() < c.run.plan.Impatient {
-		patience = minPatience + time.Duration(c.rng.Int64N(int64(patienceSpread)))
+	cancelAfter := time.Duration(0)
+	if c.rng.Float64() < c.run.plan.CancelShare {
+		cancelAfter = minCancelAfter + time.Duration(c.rng.Int64N(int64(cancelAfterSpread)))
 	}
-	deadline := c.deadline(requests, patience)
-	if _, err := c.conn.Write(text); err != nil {
-		c.recordAll(requests, c.run.now(), err, patience > 0)
+	deadline := c.deadline(requests, cancelAfter)
+	if _, err := c.conn.Write(batch); err != nil {
+		c.recordAll(requests, c.run.now(), err, cancelAfter > 0)
 		return
 	}
 	sent := c.run.now()
-	previous := sent // the response to the request before
+	previous := sent // time of the previous response
 	for i, q := range requests {
-		_ = c.conn.SetReadDeadline(time.Now().Add(deadline)) // a read on a closed connection fails, too
+		_ = c.conn.SetReadDeadline(time.Now().Add(deadline)) // fails only on a closed connection, where the read fails, too
 		resp, err := c.run.system.protocol().readResponse(c.reader, q)
 		if err != nil {
-			c.recordAll(requests[i:], sent, err, patience > 0)
+			c.recordAll(requests[i:], sent, err, cancelAfter > 0)
 			return
 		}
 		c.record(q, sent, previous, resp)
@@ -195,10 +196,11 @@
 	}
 }
 
-// deadline returns how long the client waits for a response.
-func (c *client) deadline(requests []request, patience time.Duration) time.Duration {
-	if patience > 0 {
-		return patience
+// deadline returns how long the client waits for each response. cancelAfter is the time after which the client
+// cancels, or 0 if it does not cancel.
+func (c *client) deadline(requests []request, cancelAfter time.Duration) time.Duration {
+	if cancelAfter > 0 {
+		return cancelAfter
 	}
 	longest := time.Duration(0)
 	for _, q := range requests {
@@ -218,25 +220,27 @@
 	}
 }
 
-// record records a response. Responses come in the order of the requests: where the one before came after
-// this one was due, the time for which it had to wait does not count.
+// record records a response. Pipelined responses arrive in the order of their requests, so a late response delays all
+// later ones. If the previous response arrived after this response was due, record shifts the request's send time to
+// a later time, so that the delay does not count against this response.
 func (c *client) record(q request, sent, previous time.Duration, resp response) {
 	r := c.newRecord(q, max(sent, previous-c.run.params.Classes[q.class].Deadline))
 	r.Responses, r.Status, r.HasRetryAfter = 1, resp.status, resp.retryAfter
-	if resp.wrong {
+	if resp.mismatched {
 		r.ContentError = "the response to another request"
 	}
 	c.run.clients.add(r)
 }
 
-// recordAll records requests that were not answered and closes the connection.
-func (c *client) recordAll(requests []request, sent time.Duration, err error, impatient bool) {
+// recordAll closes the connection and records requests without a complete response. canceling reports whether the
+// client waited only for a short time in order to cancel the requests.
+func (c *client) recordAll(requests []request, sent time.Duration, err error, canceling bool) {
 	c.close()
 	for i, q := range requests {
 		r := c.newRecord(q, sent)
 		var aborted *abortedError
 		switch {
-		case impatient && errors.Is(err, os.ErrDeadlineExceeded):
+		case canceling && errors.Is(err, os.ErrDeadlineExceeded):
 			r.ClientCanceled = true
 		case i == 0 && errors.As(err, &aborted):
 			r.Responses, r.Status, r.Aborted = 1, aborted.status, true
@@ -247,7 +251,7 @@
 	}
 }
 
-// nextRequest draws a request.
+// nextRequest draws the client's next request at random.
 func (c *client) nextRequest() request {
 	c.sent++
 	object := c.rng.IntN(objects)
@@ -255,8 +259,8 @@
 		object = c.rng.IntN(hotObjects)
 	}
 	q := request{
-		tag:   tagOf(c.index, c.sent),
-		key:   keyOf(object),
+		tag:   requestTag(c.index, c.sent),
+		key:   objectKey(object),
 		shard: object % shards,
 		class: classRead,
 	}
@@ -271,7 +275,7 @@
 	return q
 }
 
-// sleep waits. It returns false if the context ends before.
+// sleep waits for d. It returns false if the context ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/lab/soak/crowd.go
+++ b/lab/soak/crowd.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Times of the crowd.
+// Times of the idle clients and the bad clients.
 const (
-	crowdRedial = 50 * time.Millisecond // after a connection that could not be opened or was closed
-	// badClientLimit is how long the program may keep a connection on which a request was begun and not
-	// continued, or something came that is none.
+	extraRedialPause = 50 * time.Millisecond // pause after a failed dial or a closed connection
+	// badClientLimit is the longest time for which the program may keep a connection on which a client has sent an
+	// incomplete or invalid request.
 	badClientLimit = 3500 * time.Millisecond
 )
 
-// badMessages are the beginnings of requests, and what is none.
+// badMessages lists incomplete and invalid requests of both protocols.
 var badMessages = []string{
 	"*4\r\n$7\r\nOBJ.GET\r\n$16\r\n00",
 	"*4\r\n$7\r\nOBJ.GET\r\n$-5\r\n",
@@ -24,15 +24,17 @@
 	"\x00\x01\x02\x03\r\n\r\n",
 }
 
-// idleClient holds a connection open on which nothing is sent, until ctx ends.
+// idleClient keeps a connection open without sending anything, until ctx ends. If the program closes the connection,
+// idleClient opens a new one.
 func (r *run) idleClient(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.holdConn(ctx, "")
-		sleep(ctx, crowdRedial)
+		sleep(ctx, extraRedialPause)
 	}
 }
 
-// badClient sends bad messages and waits for the program to close the connection, until ctx ends.
+// badClient repeatedly sends a bad message and waits for the program to close the connection, until ctx ends. It
+// reports a violation if the program keeps a connection longer than badClientLimit.
 func (r *run) badClient(ctx context.Context, index int) {
 	rng := rand.New(rand.NewPCG(r.options.Seed, uint64(10_000+index)))
 	for ctx.Err() == nil {
@@ -40,19 +42,19 @@
 		if held := r.holdConn(ctx, message); held > badClientLimit {
 			r.report(BadClientsEnd, "a connection that sent %q was kept for %v", message, held)
 		}
-		sleep(ctx, crowdRedial)
+		sleep(ctx, extraRedialPause)
 	}
 }
 
-// holdConn opens a connection, sends a message and waits for its end, or for that of ctx. It returns how long
-// that took from the message on.
+// holdConn opens a connection, sends a message, and waits until the program closes the connection or ctx ends. It
+// returns the time from the message to the end of the connection, or 0 if dialing or sending fails.
 func (r *run) holdConn(ctx context.Context, message string) time.Duration {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", r.system.addr())
 	if err != nil {
 		return 0
 	}
-	defer func() { _ = conn.Close() }() // nothing is lost with it
+	defer func() { _ = conn.Close() }() // no data depends on this connection
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	if _, err := conn.Write([]byte(message)); err != nil {
@@ -67,13 +69,13 @@
 	}
 }
 
-// canConnect reports whether a connection to an address is accepted.
+// canConnect reports whether a server accepts connections at addr.
 func canConnect(ctx context.Context, addr string) bool {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return false
 	}
-	_ = conn.Close() // nothing was sent
+	_ = conn.Close() // no data was sent
 	return true
 }
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -7,61 +7,61 @@
 	"time"
 )
 
-// Times of a run, from the moment at which the program serves.
+// Durations of the phases of a run. The first phase begins when the program serves.
 const (
-	minLoad    = 2000 * time.Millisecond
-	loadSpread = 1000 * time.Millisecond
-	quietTime  = 1500 * time.Millisecond // without a client, after the load
-	lastLoad   = 800 * time.Millisecond  // from the return of the clients to SIGTERM
+	minLoad       = 2000 * time.Millisecond // shortest duration of the first phase
+	loadSpread    = 1000 * time.Millisecond // range of the random time that is added to minLoad
+	quietTime     = 1500 * time.Millisecond // time without any client after the first phase
+	finalLoadTime = 800 * time.Millisecond  // time of the last phase before SIGTERM, in which clients send requests again
 )
 
-// faultKind is a way in which a node fails.
+// faultKind names a kind of fault of a node. Plans and progress lines print the value.
 type faultKind string
 
-// The kinds of faults.
+// The kinds of faults of a node.
 const (
-	hang          faultKind = "hang"           // nothing is answered
-	slow          faultKind = "slow"           // every request takes longer
-	loseResponses faultKind = "lose responses" // a share of the requests is executed and not answered
-	resets        faultKind = "resets"         // a share of the requests ends by a reset
-	drain         faultKind = "drain"          // the node drains and a successor takes its place
+	hang          faultKind = "hang"           // the node answers no request
+	slow          faultKind = "slow"           // the node takes longer for every request
+	loseResponses faultKind = "lose responses" // the node executes a share of the requests without answering them
+	resets        faultKind = "resets"         // the node resets the connection on a share of the requests
+	drain         faultKind = "drain"          // the node drains, and a successor takes its place
 )
 
 var faultKinds = []faultKind{hang, slow, loseResponses, resets, drain}
 
-// fault is one fault of a plan.
+// fault is one fault of a plan, with its start and its duration.
 type fault struct {
 	At    time.Duration
 	For   time.Duration
 	Kind  faultKind
 	Shard int
-	Share float64 // of the requests
+	Share float64 // share of the requests that fail, for loseResponses and resets
 }
 
-// reload is a series of SIGHUP.
+// reload is a change to the configuration that a series of SIGHUPs announces to the program.
 type reload struct {
 	At    time.Duration
-	Count int
-	Gap   time.Duration
+	Count int           // number of SIGHUPs
+	Gap   time.Duration // pause after each SIGHUP
 }
 
-// plan is what happens in a run. It follows from the seed alone.
+// plan describes the events of a run. The seed alone determines the plan.
 type plan struct {
-	Load        time.Duration // of the first phase
+	Load        time.Duration // duration of the first phase
 	Clients     int
-	Impatient   float64 // share of the requests that their clients cancel
-	StartHangup bool    // SIGHUP while the program reads its configuration
-	IdleCrowd   int     // connections that send nothing
-	BadClients  int     // connections that send no request, or a part of one
+	CancelShare float64 // share of the requests that their clients cancel
+	StartHangup bool    // whether the program receives SIGHUP while it reads its configuration
+	IdleClients int     // number of clients that hold a connection and send nothing
+	BadClients  int     // number of clients that send incomplete or invalid requests
 	Faults      []fault
 	Reloads     []reload
-	// HangupsBeforeStop come directly before SIGTERM, HangupsAfterStop directly behind it.
-	HangupsBeforeStop int
-	HangupsAfterStop  int
-	SecondStop        time.Duration // after the first SIGTERM; 0: none
+
+	HangupsBeforeStop int           // number of SIGHUPs directly before SIGTERM
+	HangupsAfterStop  int           // number of SIGHUPs directly after SIGTERM
+	SecondStop        time.Duration // time from the first SIGTERM to a second one; 0 means no second SIGTERM
 }
 
-// newPlan draws the plan of a seed for a number of shards.
+// newPlan draws the plan for a seed and a number of shards.
 func newPlan(seed uint64, shards int) plan {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	between := func(from, to time.Duration) time.Duration {
@@ -70,11 +70,11 @@
 	p := plan{
 		Load:        minLoad + between(0, loadSpread),
 		Clients:     8 + rng.IntN(24),
-		Impatient:   0.1 * rng.Float64(),
+		CancelShare: 0.1 * rng.Float64(),
 		StartHangup: rng.IntN(2) == 0,
 	}
 	if rng.IntN(3) == 0 {
-		p.IdleCrowd = 40 + rng.IntN(200)
+		p.IdleClients = 40 + rng.IntN(200)
 		p.BadClients = 4 + rng.IntN(12)
 	}
 	for range 2 + rng.IntN(4) {
@@ -86,9 +86,9 @@
 			Share: 0.05 + 0.3*rng.Float64(),
 		})
 	}
-	// A node that fails through the end of the run.
+	// In the last phase one node fails and does not recover before the end of the run.
 	p.Faults = append(p.Faults, fault{
-		At:    p.Load + quietTime + between(0, lastLoad),
+		At:    p.Load + quietTime + between(0, finalLoadTime),
 		For:   time.Minute,
 		Kind:  []faultKind{hang, slow, loseResponses}[rng.IntN(3)],
 		Shard: rng.IntN(shards),
@@ -113,15 +113,15 @@
 	return p
 }
 
-// stopAt returns when SIGTERM comes.
-func (p *plan) stopAt() time.Duration { return p.Load + quietTime + lastLoad }
+// stopAt returns the time of the plan at which the program receives SIGTERM.
+func (p *plan) stopAt() time.Duration { return p.Load + quietTime + finalLoadTime }
 
-// String describes the plan in one line.
+// String returns a description of the plan in one line, for the report and the progress output.
 func (p *plan) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d clients for %v", p.Clients, p.Load.Round(time.Millisecond))
-	if p.IdleCrowd > 0 {
-		fmt.Fprintf(&b, "; a crowd of %d idle and %d bad clients", p.IdleCrowd, p.BadClients)
+	if p.IdleClients > 0 {
+		fmt.Fprintf(&b, "; a crowd of %d idle and %d bad clients", p.IdleClients, p.BadClients)
 	}
 	for _, f := range p.Faults {
 		fmt.Fprintf(&b, "; %s at shard %d from %v", f.Kind, f.Shard, f.At.Round(time.Millisecond))
--- a/lab/soak/process.go
+++ b/lab/soak/process.go
@@ -16,20 +16,20 @@
 	"time"
 )
 
-// maxLogLines bounds the lines that are kept of a program's log.
+// maxLogLines bounds the lines of the program's log that are kept. Later lines are dropped.
 const maxLogLines = 20_000
 
-// process is the program under test.
+// process is the running program under test, with its log.
 type process struct {
 	cmd   *exec.Cmd
-	ended chan struct{} // closed when the process has ended and its log was read
-	err   error         // how it ended; after ended is closed
+	ended chan struct{} // closed when the process has ended and its log has been read
+	err   error         // result of cmd.Wait; valid after ended is closed
 
 	mu    sync.Mutex
 	lines []string
 }
 
-// startProcess starts a program. Its standard error is kept as its log.
+// startProcess starts a program and collects its standard error as its log.
 func startProcess(ctx context.Context, command, env []string) (*process, error) {
 	p := &process{ended: make(chan struct{})}
 	p.cmd = exec.CommandContext(ctx, command[0], command[1:]...)
@@ -59,17 +59,18 @@
 		}
 		p.mu.Unlock()
 	}
-	_, _ = io.Copy(io.Discard, r) // a line that was too long; the program must not block on it
+	_, _ = io.Copy(io.Discard, r) // the scanner stops at a too long line; the program must not block on the pipe
 }
 
-// log returns the lines so far.
+// log returns the lines that have been read so far.
 func (p *process) log() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]string(nil), p.lines...)
 }
 
-// awaitLog waits until a line of the log contains a text, and reports whether one does.
+// awaitLog waits until a line of the log contains the text. It returns false if the timeout passes or the process ends
+// without such a line.
 func (p *process) awaitLog(text string, timeout time.Duration) bool {
 	for deadline := time.Now().Add(timeout); ; time.Sleep(time.Millisecond) {
 		for _, line := range p.log() {
@@ -92,30 +93,30 @@
 	}
 }
 
-// signal sends a signal. A process that has ended does not get it.
+// signal sends a signal. It ignores the error, which means that the process has ended.
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// hangUp sends SIGHUP several times.
-func (p *process) hangUp(count int, gap time.Duration) {
+// sendHangups sends count SIGHUPs with a pause of gap after each.
+func (p *process) sendHangups(count int, gap time.Duration) {
 	for range count {
 		p.signal(syscall.SIGHUP)
 		time.Sleep(gap)
 	}
 }
 
-// kill ends the process at once, if it has not ended, and waits for it.
+// kill sends SIGKILL and waits until the process has ended and its log has been read.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.ended
 }
 
-// usage is what a process holds.
+// usage holds the resources that a process uses.
 type usage struct {
 	Descriptors int
-	MemoryMiB   float64 // resident
+	MemoryMiB   float64 // resident memory
 }
 
-// usage reads what the process holds from the kernel.
+// usage reads the resources that the process uses from /proc.
 func (p *process) usage() (usage, error) {
 	proc := filepath.Join("/proc", strconv.Itoa(p.cmd.Process.Pid))
 	descriptors, err := os.ReadDir(filepath.Join(proc, "fd"))
@@ -128,7 +129,7 @@
 	}
 	fields := strings.Fields(string(statm))
 	if len(fields) < 2 {
-		return usage{}, fmt.Errorf("statm: %q", statm)
+		return usage{}, fmt.Errorf("/proc/PID/statm: expected 2 fields or more, got %q", statm)
 	}
 	pages, err := strconv.Atoi(fields[1])
 	if err != nil {
@@ -137,22 +138,22 @@
 	return usage{Descriptors: len(descriptors), MemoryMiB: float64(pages*os.Getpagesize()) / (1 << 20)}, nil
 }
 
-// heldFile is a named pipe in the place of a program's configuration: it tells when the program reads it, and
-// the program waits until it is given the content.
-type heldFile struct {
+// configPipe is a named pipe in place of the program's configuration file. It shows when the program opens its
+// configuration, and makes the program wait until the run writes the content.
+type configPipe struct {
 	path string
 	text []byte
 }
 
-func newHeldFile(path string, text []byte) (heldFile, error) {
-	return heldFile{path, text}, syscall.Mkfifo(path, 0o600)
+func newConfigPipe(path string, text []byte) (configPipe, error) {
+	return configPipe{path, text}, syscall.Mkfifo(path, 0o600)
 }
 
-// serve waits for the reader, calls held, replaces the pipe by a file and gives the reader the content. It
-// does nothing where the program ends before it reads.
-func (h heldFile) serve(p *process, held func()) error {
+// serve waits until the program opens the pipe, and then calls onOpen. It replaces the pipe with a regular file and
+// writes the content to the program. If the program ends before it opens the pipe, serve does nothing.
+func (h configPipe) serve(p *process, onOpen func()) error {
 	w, err := h.open()
-	for errors.Is(err, syscall.ENXIO) && !p.hasEnded() { // nobody reads yet
+	for errors.Is(err, syscall.ENXIO) && !p.hasEnded() { // no process has opened the pipe for reading yet
 		time.Sleep(time.Millisecond)
 		w, err = h.open()
 	}
@@ -162,7 +163,7 @@
 	if err != nil {
 		return err
 	}
-	held()
+	onOpen()
 	if err := replaceFile(h.path, h.text); err != nil {
 		return errors.Join(err, w.Close())
 	}
@@ -170,12 +171,12 @@
 	return errors.Join(err, w.Close())
 }
 
-// open opens the pipe for writing. The error is ENXIO while nobody reads.
-func (h heldFile) open() (*os.File, error) {
+// open opens the pipe for writing. It returns ENXIO while no process has the pipe open for reading.
+func (h configPipe) open() (*os.File, error) {
 	return os.OpenFile(h.path, os.O_WRONLY|syscall.O_NONBLOCK, 0)
 }
 
-// replaceFile replaces a file at once, so that no reader finds a part of it.
+// replaceFile replaces a file atomically, so that a reader never sees a part of the content.
 func replaceFile(path string, text []byte) error {
 	next := path + ".next"
 	if err := os.WriteFile(next, text, 0o600); err != nil {
--- a/lab/soak/report.go
+++ b/lab/soak/report.go
@@ -9,7 +9,7 @@
 	"chalkstand/lab/invariants"
 )
 
-// Report is the outcome of a run.
+// Report holds the results of a run.
 type Report struct {
 	Seed       uint64
 	Program    Program
@@ -18,12 +18,12 @@
 	Served     int
 	Rejected   int
 	Failed     int
-	Canceled   int // by their clients, or crossed by the end of their connection
-	Attempts   int // at nodes
+	Canceled   int // requests that clients canceled or that the program never read before it closed the connection
+	Attempts   int // attempts that arrived at nodes
 	Before     usage
 	After      usage
-	OwnTime    time.Duration // from SIGTERM to the program's end
-	Stall      time.Duration // the longest of the machine
+	OwnTime    time.Duration // time from SIGTERM to the end of the program
+	Stall      time.Duration // longest time for which the machine kept this process from running
 	Violations []invariants.Violation
 
 	log        *invariants.Log
@@ -38,9 +38,9 @@
 		Plan:       r.plan.String(),
 		Requests:   len(log.Requests),
 		Attempts:   len(log.Entries),
-		Before:     r.before,
-		After:      r.after,
-		OwnTime:    r.ownTime,
+		Before:     r.usageBefore,
+		After:      r.usageAfter,
+		OwnTime:    r.terminationTime,
 		Stall:      r.stalls.Longest(),
 		Violations: violations,
 		log:        log,
@@ -61,10 +61,11 @@
 	return report
 }
 
-// maxPrintedLogLines bounds the lines of the program's log that are printed, which are the last ones.
+// maxPrintedLogLines is how many of the last lines of the program's log are printed.
 const maxPrintedLogLines = 20
 
-// Write prints a line with figures, and for each violation the records of clients and nodes.
+// Write prints one line with the results. If there are violations, it also prints the plan, each violation with the
+// records of clients and nodes, and the end of the program's log.
 func (r *Report) Write(w io.Writer) {
 	fmt.Fprintf(w, "soak %s, seed %d: %d requests: %d served, %d rejected, %d failed, %d canceled; %d attempts; "+
 		"descriptors %d to %d, memory %.0f to %.0f MiB; ended %v after SIGTERM; longest stall %v; %d violations\n",
--- a/lab/soak/respsystem.go
+++ b/lab/soak/respsystem.go
@@ -14,43 +14,45 @@
 	"chalkstand/fake/storagenode"
 )
 
-// The platform kills a server no sooner than the longest deadline and this time after SIGTERM.
+// respKillMargin is added to the longest deadline to get the shortest time after SIGTERM at which the platform kills a
+// server.
 const respKillMargin = 700 * time.Millisecond
 
-// Limits of the server.
+// Resource limits in the server's configuration.
 const (
 	respSockets  = 256
 	respMemoryMB = 128
 )
 
-// noticeDelay is how long the server may take to read a document of discovery.
+// noticeDelay is the longest time that the server may take to read a new document of the discovery service.
 const noticeDelay = 50 * time.Millisecond
 
-// respNode is a fake node with its place in the endpoint list.
+// respNode is a fake node with the data of its entry in the endpoint list and its current fault.
 type respNode struct {
 	*respnode.Node
 	id    string
 	shard int
 	state string
 
-	mu    sync.Mutex
-	fault fault
-	until time.Time
-	draws uint64
+	mu       sync.Mutex
+	fault    fault
+	faultEnd time.Time
+	draws    uint64 // number of commands received during faults; selects the affected commands
 }
 
-// respSystem is a server of the platform's protocol with fake nodes and two fake discovery services.
+// respSystem is the deployment of the RESP server, which speaks the platform's protocol. It has fake nodes and two
+// fake discovery services.
 type respSystem struct {
 	epoch     time.Time
 	listen    string
 	guard     string
 	discovery []*fakediscovery.Server
 
-	mu      sync.Mutex
-	current []*respNode // by shard
-	nodes   []*respNode // all
-	version int         // of the endpoint list
-	moves   int         // of discovery, between its two services
+	mu       sync.Mutex
+	current  []*respNode // the current node of each shard, indexed by shard
+	nodes    []*respNode // all nodes, including the drained ones
+	version  int         // version of the endpoint list
+	switches int         // how often the configuration has switched between the two discovery services
 }
 
 func newRespSystem(epoch time.Time, listen, guard string) (*respSystem, error) {
@@ -74,14 +76,14 @@
 	return s, nil
 }
 
-// publish publishes the present endpoint list and the changes that lead to it.
+// publish passes the current endpoint list, and the latest changes to it, to both discovery services.
 func (s *respSystem) publish(changes ...fakediscovery.Endpoint) {
 	for _, d := range s.discovery {
 		d.Publish(s.document(), fakediscovery.Document(s.version, false, changes...))
 	}
 }
 
-// startNode starts a node of a shard, which becomes its current one.
+// startNode starts a node and makes it the current node of its shard.
 func (s *respSystem) startNode(shard int) error {
 	node, err := respnode.Start()
 	if err != nil {
@@ -94,12 +96,12 @@
 	return nil
 }
 
-// choose returns how the node handles a command, by its fault.
+// choose returns how the node handles a command under its current fault.
 func (n *respNode) choose([]string) respnode.Behavior {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	normal := respnode.Behavior{Delay: serviceTime}
-	if time.Now().After(n.until) {
+	if time.Now().After(n.faultEnd) {
 		return normal
 	}
 	n.draws++
@@ -117,7 +119,8 @@
 	return normal
 }
 
-// Of the sequence that spreads a share of affected commands evenly.
+// Parameters of the sequence that selects the commands that a fault affects. Multiples of drawStep modulo drawCycle
+// take every value below drawCycle in a scattered order, so any share of the commands is spread evenly.
 const (
 	drawStep  = 619
 	drawCycle = 1000
@@ -146,7 +149,7 @@
 	defer s.mu.Unlock()
 	effects, inTurn := [2]string{"deduplicated", "at_most_once"}, true
 	switch s.guard {
-	case guardEffects:
+	case guardIdempotency:
 		effects = [2]string{"idempotent", "idempotent"}
 	case guardOrder:
 		inTurn = false
@@ -158,19 +161,19 @@
 	text, err := json.Marshal(map[string]any{
 		"name":      programName,
 		"listen":    s.listen,
-		"discovery": s.discovery[s.moves%len(s.discovery)].Addr(),
+		"discovery": s.discovery[s.switches%len(s.discovery)].Addr(),
 		"seed":      "1",
 		"limits":    map[string]any{"cores": 1, "memory_mb": respMemoryMB, "sockets": respSockets},
 		"known":     json.RawMessage(s.document()),
 		"settings":  json.RawMessage(settings),
 	})
 	if err != nil {
-		panic(err) // a fault of this package
+		panic(err) // a bug in this package
 	}
 	return text
 }
 
-// document returns the whole endpoint list. It is called with mu held.
+// document returns the discovery document with the whole endpoint list. The caller must hold mu.
 func (s *respSystem) document() string {
 	var all []fakediscovery.Endpoint
 	for _, n := range s.nodes {
@@ -189,7 +192,7 @@
 	n := s.current[f.Shard]
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.fault, n.until = f, time.Now().Add(f.For)
+	n.fault, n.faultEnd = f, time.Now().Add(f.For)
 	return nil
 }
 
@@ -198,7 +201,7 @@
 	defer s.mu.Unlock()
 	for _, n := range s.current {
 		n.mu.Lock()
-		n.until = time.Time{}
+		n.faultEnd = time.Time{}
 		n.mu.Unlock()
 	}
 }
@@ -221,25 +224,25 @@
 	return true
 }
 
-func (s *respSystem) moved() {
+func (s *respSystem) changeConfiguration() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.moves++
+	s.switches++
 }
 
-func (s *respSystem) reloaded(p *process) bool {
+func (s *respSystem) awaitReload(p *process) bool {
 	s.mu.Lock()
-	text := fmt.Sprintf(`"discovery address changed","address":%q`, s.discovery[s.moves%len(s.discovery)].Addr())
+	text := fmt.Sprintf(`"discovery address changed","address":%q`, s.discovery[s.switches%len(s.discovery)].Addr())
 	s.mu.Unlock()
 	return p.awaitLog(text, reloadTimeout)
 }
 
 func (s *respSystem) terminationDelay() time.Duration { return longestTimeout + respKillMargin }
 
-func (s *respSystem) completed() string { return "graceful shutdown completed" }
+func (s *respSystem) completedText() string { return "graceful shutdown completed" }
 
-// entries converts the nodes' logs. Attempts are numbered in the order of arrival. A repeat of a deduplicated
-// write that came to the same shard within the nodes' window counts as dropped.
+// entries converts the nodes' logs to the format of the checker and numbers the attempts in the order of arrival. A
+// repeated write with a deduplication key counts as dropped if it arrives at the same shard within dedupWindow.
 func (s *respSystem) entries() []storagenode.LogEntry {
 	var all []storagenode.LogEntry
 	for _, n := range s.nodes {
@@ -253,9 +256,9 @@
 	return all
 }
 
-// Places of a command's arguments.
+// Indexes of the arguments of a command. Index 0 holds the command's name.
 const (
-	argPiece = iota + 1
+	argObject = iota + 1
 	argID
 	argFields
 	minArguments
@@ -263,13 +266,13 @@
 
 func (s *respSystem) entry(n *respNode, command respnode.LogEntry) (storagenode.LogEntry, bool) {
 	if len(command.Args) < minArguments {
-		return storagenode.LogEntry{}, false // CLIENT and the like
+		return storagenode.LogEntry{}, false // a command without an object, such as CLIENT
 	}
 	e := storagenode.LogEntry{
 		Node:     n.id,
 		Gateway:  programName,
 		Tag:      command.Args[argID],
-		Path:     command.Args[argPiece],
+		Path:     command.Args[argObject],
 		Units:    1,
 		Arrived:  command.Arrived.Sub(s.epoch),
 		Executed: command.Executed,
@@ -298,10 +301,10 @@
 	}
 }
 
-// respProtocol is the platform's protocol.
+// respProtocol is the platform's protocol, which is based on RESP.
 type respProtocol struct{}
 
-func (respProtocol) pipelines() bool { return true }
+func (respProtocol) supportsPipelining() bool { return true }
 
 func (respProtocol) encode(q request, _ string) ([]byte, error) {
 	class := [...]string{classRead: "read", classWrite: "write", classRemove: "remove"}[q.class]
@@ -328,7 +331,7 @@
 	case strings.HasPrefix(reply, "-BUSY"):
 		return response{status: http.StatusServiceUnavailable, retryAfter: true}, nil
 	case strings.HasPrefix(reply, "$"):
-		return response{status: http.StatusOK, wrong: !strings.HasSuffix(reply, " for "+q.tag)}, nil
+		return response{status: http.StatusOK, mismatched: !strings.HasSuffix(reply, " for "+q.tag)}, nil
 	}
 	return response{status: http.StatusInternalServerError}, nil
 }
--- a/lab/soak/servesystem.go
+++ b/lab/soak/servesystem.go
@@ -20,23 +20,23 @@
 	secret = "soak-secret"
 	bucket = "photos"
 
-	reloadTimeout = 5 * time.Second
-	drainWait     = 2 * time.Second
-	killMargin    = 500 * time.Millisecond // after the time within which the gateway is to end
+	reloadTimeout = 5 * time.Second        // the program must log a reload within this time
+	drainWait     = 2 * time.Second        // the gateway must end within this time after SIGTERM
+	killMargin    = 500 * time.Millisecond // time beyond drainWait before which a supervisor does not kill the gateway
 )
 
-// serveSystem is an HTTP gateway with fake storage nodes.
+// serveSystem is the deployment of the HTTP gateway, with fake storage nodes.
 type serveSystem struct {
 	epoch  time.Time
 	listen string
 	guard  string
-	data   []*storagenode.Dataset // by shard
+	data   []*storagenode.Dataset // indexed by shard
 
 	mu       sync.Mutex
-	current  []*storagenode.Node // by shard
-	nodes    []*storagenode.Node // all, the drained ones included
+	current  []*storagenode.Node // the current node of each shard, indexed by shard
+	nodes    []*storagenode.Node // all nodes, including the drained ones
 	draining []*storagenode.Node
-	version  int // of the configuration
+	version  int // version of the configuration
 }
 
 func newServeSystem(epoch time.Time, listen, guard string) (*serveSystem, error) {
@@ -46,7 +46,7 @@
 		data := storagenode.NewDataset("")
 		data.AddBucket(bucket, time.Now())
 		for object := range objects {
-			data.Store(bucket, keyOf(object), body)
+			data.Store(bucket, objectKey(object), body)
 		}
 		s.data = append(s.data, data)
 		s.current = append(s.current, nil)
@@ -58,7 +58,7 @@
 	return s, nil
 }
 
-// startNode starts a node of a shard, which becomes its current one.
+// startNode starts a node and makes it the current node of its shard.
 func (s *serveSystem) startNode(shard int) error {
 	cfg := storagenode.Config{
 		ID:          fmt.Sprintf("n%d.%d", shard, len(s.nodes)),
@@ -106,16 +106,17 @@
 	"nodes": [%s],
 }`
 
-// configuration tells its version by the number of keys, which the program logs when it has applied it.
+// configuration returns the gateway's settings. They hold one unused key for each version. The gateway logs the number
+// of keys after a reload, so awaitReload recognizes the version by this number.
 func (s *serveSystem) configuration() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	deadlineFactor, shutdown := time.Duration(1), drainWait
 	effects, inTurn := [2]string{"keyed", "unsafe"}, true
 	switch s.guard {
-	case guardTime:
+	case guardDeadlines:
 		deadlineFactor = 4
-	case guardEffects:
+	case guardIdempotency:
 		effects = [2]string{"safe", "safe"}
 	case guardOrder:
 		inTurn = false
@@ -160,7 +161,7 @@
 	case resets:
 		injected.Kind, injected.Share = storagenode.ResetConnection, f.Share
 	default:
-		return fmt.Errorf("soak: no fault of a node: %s", f.Kind)
+		return fmt.Errorf("soak: fault kind %q cannot be injected at a node", f.Kind)
 	}
 	s.current[f.Shard].Inject(injected)
 	return nil
@@ -186,15 +187,15 @@
 	return old.ID(), nil
 }
 
-func (s *serveSystem) awaitDrain(p *process) bool { return s.reloaded(p) }
+func (s *serveSystem) awaitDrain(p *process) bool { return s.awaitReload(p) }
 
-func (s *serveSystem) moved() {
+func (s *serveSystem) changeConfiguration() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
 }
 
-func (s *serveSystem) reloaded(p *process) bool {
+func (s *serveSystem) awaitReload(p *process) bool {
 	s.mu.Lock()
 	text := fmt.Sprintf(`"configuration reloaded","keys":%d,`, 1+s.version)
 	s.mu.Unlock()
@@ -203,7 +204,7 @@
 
 func (s *serveSystem) terminationDelay() time.Duration { return drainWait + killMargin }
 
-func (s *serveSystem) completed() string { return "graceful shutdown finished" }
+func (s *serveSystem) completedText() string { return "graceful shutdown finished" }
 
 func (s *serveSystem) entries() []storagenode.LogEntry {
 	var all []storagenode.LogEntry
@@ -219,10 +220,10 @@
 	}
 }
 
-// httpProtocol is the object API.
+// httpProtocol is the object API over HTTP.
 type httpProtocol struct{}
 
-func (httpProtocol) pipelines() bool { return false }
+func (httpProtocol) supportsPipelining() bool { return false }
 
 func (httpProtocol) encode(q request, addr string) ([]byte, error) {
 	method := [...]string{classRead: http.MethodGet, classWrite: http.MethodPut, classRemove: http.MethodDelete}[q.class]
@@ -248,7 +249,7 @@
 		return response{}, err
 	}
 	_, err = io.Copy(io.Discard, resp.Body)
-	_ = resp.Body.Close() // read to its end, or broken
+	_ = resp.Body.Close() // the body was read to its end or to an error
 	if err != nil {
 		return response{}, &abortedError{resp.StatusCode, err}
 	}
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -1,6 +1,7 @@
-// Package soak runs the programs as processes under load, faults and signals until they have ended, and checks from the
-// logs of clients and nodes that no request was lost, no effect happened twice, and that the program ended in time.
-// Clients go on using their connections until the earliest time at which a supervisor may kill the program.
+// Package soak runs the HTTP gateway or the RESP server as a process under load, faults and signals, until the process
+// has ended. It then checks the logs of the clients and the nodes: no request may be lost, no effect may happen twice,
+// and the program must have ended in time. After SIGTERM, clients keep using their connections until the earliest time
+// at which a supervisor may kill the program.
 package soak
 
 import (
@@ -19,27 +20,27 @@
 	"chalkstand/lab/stall"
 )
 
-// Times of the program's start, in which nothing is checked but that it comes up.
+// Times and counts for the start of the program and for the signals.
 const (
-	startTimeout   = 20 * time.Second
-	settleTime     = 300 * time.Millisecond // from the first accepted connection to the first sample
-	hangupGap      = 200 * time.Microsecond // between the signals around SIGTERM
-	startHangups   = 3
-	startHangupGap = time.Millisecond
+	startTimeout   = 20 * time.Second       // the program must accept connections within this time
+	settleTime     = 300 * time.Millisecond // from the first accepted connection to the first usage sample
+	hangupGap      = 200 * time.Microsecond // pause after each SIGHUP around SIGTERM
+	startHangups   = 3                      // number of SIGHUPs while the program reads its configuration
+	startHangupGap = time.Millisecond       // pause after each SIGHUP while the program reads its configuration
 )
 
 // Options are the parameters of a run.
 type Options struct {
 	Seed          uint64
 	Program       Program
-	Listen        string   // free address for the program, host:port
+	Listen        string   // host:port on which the program listens; the port must be free
 	Command       []string // the program's path and the arguments before its subcommand
-	Env           []string // added to the environment
-	DisabledGuard string   // one of Guards; empty: none
+	Env           []string // variables that the program gets besides the environment of this process
+	DisabledGuard string   // the guard in Guards that is disabled; if empty, none is
 	Progress      io.Writer
 }
 
-// run is one run while it goes on.
+// run holds the state of one run in progress.
 type run struct {
 	options Options
 	plan    plan
@@ -48,21 +49,22 @@
 	system  system
 	process *process
 	clients clientLog
-	stalls  *stall.Monitor // of the machine
+	stalls  *stall.Monitor // measures stalls of the machine
 
-	startedAt time.Duration // the program serves
-	stoppedAt atomic.Int64  // time of SIGTERM as a time.Duration; 0: not yet
-	before    usage         // without a client, before the load
-	after     usage         // without a client, after it
-	ownTime   time.Duration // from SIGTERM to the end of the process
-	killed    bool
+	startedAt       time.Duration // time at which the program serves; the times of the plan count from it
+	stoppedAt       atomic.Int64  // time at which SIGTERM was sent, as a time.Duration; 0 until then
+	usageBefore     usage         // usage before the load, without any client
+	usageAfter      usage         // usage after the load, without any client
+	terminationTime time.Duration // time from SIGTERM to the end of the process
+	killed          bool          // whether the run had to kill the process after SIGTERM
 
 	mu         sync.Mutex
 	violations []invariants.Violation
 	notices    []invariants.DrainNotice
 }
 
-// Run plays the plan of a seed. A violated invariant is no error.
+// Run runs the program under the plan of the seed and returns the report. The report lists violated invariants; Run
+// returns no error for them.
 func Run(ctx context.Context, o Options) (report *Report, err error) {
 	dir, err := os.MkdirTemp("", "chalkstand-soak")
 	if err != nil {
@@ -94,28 +96,29 @@
 	return nil, fmt.Errorf("soak: program: expected %s or %s, got %q", Serve, RESP, r.options.Program)
 }
 
-// play starts the program, lets the phases of the plan follow each other, and waits for the program's end.
+// play starts the program, runs the phases of the plan one after the other, and waits for the program to end.
 func (r *run) play(ctx context.Context, configFile string) error {
 	if err := r.startProgram(ctx, configFile); err != nil {
 		return err
 	}
 	defer r.process.kill()
 	var err error
-	if r.before, err = r.process.usage(); err != nil {
-		return r.ended("before the load", err)
+	if r.usageBefore, err = r.process.usage(); err != nil {
+		return r.reportEarlyEnd("before the load", err)
 	}
 	if err := r.playLoad(ctx, configFile); err != nil {
 		return err
 	}
 	sleep(ctx, quietTime)
-	if r.after, err = r.process.usage(); err != nil {
-		return r.ended("after the load", err)
+	if r.usageAfter, err = r.process.usage(); err != nil {
+		return r.reportEarlyEnd("after the load", err)
 	}
 	return r.playStop(ctx)
 }
 
-// ended reports a process that has ended early; err is what showed it.
-func (r *run) ended(when string, err error) error {
+// reportEarlyEnd reports a violation if the process has ended early. If the process is still running, it returns err,
+// the error that made the caller suspect an early end.
+func (r *run) reportEarlyEnd(when string, err error) error {
 	if !r.process.hasEnded() {
 		return err
 	}
@@ -123,15 +126,15 @@
 	return nil
 }
 
-// startProgram starts the program and waits until it serves. Where the plan says so, SIGHUP comes while it reads
-// its configuration.
+// startProgram starts the program and waits until it serves. If the plan says so, it sends SIGHUP several times while
+// the program reads its configuration.
 func (r *run) startProgram(ctx context.Context, configFile string) error {
 	text := r.system.configuration()
 	command := append(append([]string(nil), r.options.Command...), r.system.arguments(configFile)...)
-	var held heldFile
+	var pipe configPipe
 	var err error
 	if r.plan.StartHangup {
-		held, err = newHeldFile(configFile, text)
+		pipe, err = newConfigPipe(configFile, text)
 	} else {
 		err = replaceFile(configFile, text)
 	}
@@ -142,14 +145,14 @@
 		return err
 	}
 	if r.plan.StartHangup {
-		err = held.serve(r.process, func() { r.process.hangUp(startHangups, startHangupGap) })
-		if err != nil && !errors.Is(err, syscall.EPIPE) { // the program has ended: reported below
+		err = pipe.serve(r.process, func() { r.process.sendHangups(startHangups, startHangupGap) })
+		if err != nil && !errors.Is(err, syscall.EPIPE) { // EPIPE: the program has ended, which is reported below
 			r.process.kill()
 			return err
 		}
 	}
 	if !r.awaitServing(ctx) {
-		r.process.kill() // its err is not set before it has ended
+		r.process.kill() // kill waits for the end of the process, which sets process.err
 		r.report(EndsInTime, "the program does not serve: %v", r.process.err)
 		return nil
 	}
@@ -158,7 +161,7 @@
 	return nil
 }
 
-// awaitServing waits until the program accepts connections.
+// awaitServing waits until the program accepts connections. It returns false if the program ends or takes too long.
 func (r *run) awaitServing(ctx context.Context) bool {
 	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline) && !r.process.hasEnded(); {
 		if canConnect(ctx, r.system.addr()) {
@@ -171,15 +174,16 @@
 	return false
 }
 
-// playLoad is the first phase: clients, the crowd, faults and reloads. It ends without a connection of a client.
+// playLoad runs the first phase, with clients, idle and bad clients, faults and reloads. When it returns, all client
+// connections are closed.
 func (r *run) playLoad(ctx context.Context, configFile string) error {
 	loadCtx, cancel := context.WithTimeout(ctx, r.plan.Load)
 	defer cancel()
 	var tasks sync.WaitGroup
 	r.startClients(loadCtx, &tasks, 0)
-	for i := range r.plan.IdleCrowd + r.plan.BadClients {
+	for i := range r.plan.IdleClients + r.plan.BadClients {
 		tasks.Go(func() {
-			if i < r.plan.IdleCrowd {
+			if i < r.plan.IdleClients {
 				r.idleClient(loadCtx)
 			} else {
 				r.badClient(loadCtx, i)
@@ -192,7 +196,8 @@
 	return err
 }
 
-// startClients starts the clients of a phase.
+// startClients starts the plan's number of clients, each in a goroutine of tasks. Clients of different phases use
+// different tags and random numbers.
 func (r *run) startClients(ctx context.Context, tasks *sync.WaitGroup, phase int) {
 	for i := range r.plan.Clients {
 		c := newClient(r, phase, i)
@@ -200,7 +205,8 @@
 	}
 }
 
-// playSteps makes the faults and reloads of the first phase, one after the other.
+// playSteps carries out the faults and reloads of the first phase in the order of their times, then waits for the end
+// of ctx.
 func (r *run) playSteps(ctx context.Context, configFile string) error {
 	faults, reloads := r.plan.sortedSteps()
 	for len(faults)+len(reloads) > 0 && ctx.Err() == nil && !r.process.hasEnded() {
@@ -226,7 +232,7 @@
 	return nil
 }
 
-// until returns the time to a moment of the plan.
+// until returns the remaining time until the plan reaches the time at.
 func (r *run) until(at time.Duration) time.Duration { return r.startedAt + at - r.now() }
 
 func (r *run) playFault(f fault, configFile string) error {
@@ -241,7 +247,7 @@
 	if err := replaceFile(configFile, r.system.configuration()); err != nil {
 		return err
 	}
-	if r.options.Program == Serve { // the list of nodes is in the configuration
+	if r.options.Program == Serve { // serve reads its list of nodes from the configuration, so it must reload the file
 		r.process.signal(syscall.SIGHUP)
 	}
 	if !r.system.awaitDrain(r.process) {
@@ -256,19 +262,20 @@
 
 func (r *run) playReload(step reload, configFile string) error {
 	r.progress("%d SIGHUP", step.Count)
-	r.system.moved()
+	r.system.changeConfiguration()
 	if err := replaceFile(configFile, r.system.configuration()); err != nil {
 		return err
 	}
-	r.process.hangUp(step.Count, step.Gap)
-	if !r.system.reloaded(r.process) {
+	r.process.sendHangups(step.Count, step.Gap)
+	if !r.system.awaitReload(r.process) {
 		r.report(ReloadApplied, "the configuration was not reloaded")
 	}
 	return nil
 }
 
-// playStop is the last phase: clients return, a node fails for good, SIGTERM comes among other signals, and the
-// process is killed at the earliest time at which a supervisor may do so.
+// playStop runs the last phase. Clients send requests again, a node fails until the end of the run, and the program
+// receives SIGTERM among other signals. If the program has not ended by the earliest time at which a supervisor may
+// kill it, playStop kills it.
 func (r *run) playStop(ctx context.Context) error {
 	clientCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -291,20 +298,20 @@
 		r.killed = !r.process.hasEnded()
 		r.process.kill()
 	}
-	r.ownTime = r.now() - r.stopTime()
+	r.terminationTime = r.now() - r.stopTime()
 	cancel()
 	clients.Wait()
 	return nil
 }
 
-// sendStopSignals sends SIGTERM and the signals around it.
+// sendStopSignals sends SIGTERM and, as planned, SIGHUPs directly before and after it and a second SIGTERM later.
 func (r *run) sendStopSignals(ctx context.Context) {
 	p := &r.plan
-	r.process.hangUp(p.HangupsBeforeStop, hangupGap)
+	r.process.sendHangups(p.HangupsBeforeStop, hangupGap)
 	r.process.signal(syscall.SIGTERM)
 	r.stoppedAt.Store(int64(r.now()))
 	r.progress("SIGTERM")
-	r.process.hangUp(p.HangupsAfterStop, hangupGap)
+	r.process.sendHangups(p.HangupsAfterStop, hangupGap)
 	if p.SecondStop > 0 {
 		select {
 		case <-r.process.ended:
@@ -315,13 +322,13 @@
 	}
 }
 
-// stopTime returns when SIGTERM was sent; 0 where it was not.
+// stopTime returns the time at which SIGTERM was sent, or 0 if it has not been sent.
 func (r *run) stopTime() time.Duration { return time.Duration(r.stoppedAt.Load()) }
 
-// stopping reports whether SIGTERM was sent at least so long ago.
-func (r *run) stopping(ago time.Duration) bool {
+// terminatingFor reports whether SIGTERM was sent more than d ago.
+func (r *run) terminatingFor(d time.Duration) bool {
 	at := r.stopTime()
-	return at > 0 && r.now()-at > ago
+	return at > 0 && r.now()-at > d
 }
 
 // now returns the time since the epoch.
@@ -333,7 +340,7 @@
 	}
 }
 
-// report adds a violation of an invariant that no log shows.
+// report adds a violation that the run itself detects, not the check of the logs.
 func (r *run) report(invariant, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lab/soak/system.go
+++ b/lab/soak/system.go
@@ -8,35 +8,35 @@
 	"chalkstand/lab/invariants"
 )
 
-// Program is a program under test.
+// Program names a program under test. The value is its subcommand.
 type Program string
 
-// The programs.
+// The programs that a run can test.
 const (
 	Serve Program = "serve" // the HTTP gateway
 	RESP  Program = "run"   // the server of the platform's protocol
 )
 
-// programName is the name of the program in logs and checks.
+// programName is the program's name in its configuration and in the checker's logs.
 const programName = "g1"
 
-// The deployment: each shard has one node at a time.
+// Size of the deployment. Each shard has one current node at a time.
 const (
 	shards      = 4
 	objects     = 32
 	objectBytes = 2000
-	hotObjects  = 4   // that get many of the requests, so that writes of one key meet
-	hotShare    = 0.3 // of the requests
+	hotObjects  = 4   // number of objects that get many requests, so that writes to the same key overlap
+	hotShare    = 0.3 // share of the requests that always go to the hot objects
 )
 
-// The classes, in the order of the settings.
+// Indexes of the classes in the settings' list of classes.
 const (
 	classRead = iota
 	classWrite
 	classRemove
 )
 
-// Bounds that both programs are configured with.
+// Bounds that the configurations of both programs contain, and properties of the fake nodes.
 const (
 	readDeadline   = 1000 * time.Millisecond
 	writeDeadline  = 1500 * time.Millisecond
@@ -52,13 +52,13 @@
 	longestTimeout = writeDeadline
 )
 
-// Tolerances of the checks: delays of the machine itself.
+// Tolerances of the checker. They allow for delays that the machine causes, not the program.
 const (
 	logTolerance      = 60 * time.Millisecond
 	responseTolerance = 150 * time.Millisecond
 )
 
-// invariantParameters returns the bounds with all guards in place.
+// invariantParameters returns the bounds that the checker uses. They assume that no guard is disabled.
 func invariantParameters() invariants.Parameters {
 	return invariants.Parameters{
 		Classes: []invariants.Class{
@@ -76,34 +76,36 @@
 	}
 }
 
-func tagOf(client, request int) string { return fmt.Sprintf("%08x%08x", client, request) }
+func requestTag(client, request int) string { return fmt.Sprintf("%08x%08x", client, request) }
 
-func keyOf(object int) string { return fmt.Sprintf("%016x", object) }
+func objectKey(object int) string { return fmt.Sprintf("%016x", object) }
 
-// system is the deployment around a program: its nodes, its configuration, and how clients reach it.
+// system is the deployment of a program: its nodes, its configuration, and the protocol of its clients.
 type system interface {
-	// arguments returns the program's command line behind its path, with the configuration's file.
+	// arguments returns the command-line arguments that make the program read configFile.
 	arguments(configFile string) []string
-	// configuration returns the text of the configuration as it is to be now.
+	// configuration returns the text of the current configuration file.
 	configuration() []byte
 	addr() string
 	protocol() protocol
-	// inject makes a fault at a node, except a drain.
+	// inject starts a fault at the current node of f.Shard. It does not handle drains; see drainNode.
 	inject(f fault) error
-	// clearFaults ends the faults of all nodes.
+	// clearFaults ends the faults of all current nodes.
 	clearFaults()
-	// drainNode starts a successor of a shard's node and changes the configuration or the list of
-	// nodes. It returns the name of the node that drains.
+	// drainNode starts a successor of the shard's current node and marks the old node as draining in the
+	// configuration or in the endpoint list. It returns the ID of the draining node.
 	drainNode(shard int) (string, error)
-	// awaitDrain waits until the program has learned of the last drain and reports whether it has.
+	// awaitDrain waits until the program has learned of the latest drain. It returns false if it takes too long.
 	awaitDrain(p *process) bool
-	// moved changes what a reload applies; reloaded waits until the program has applied it.
-	moved()
-	reloaded(p *process) bool
-	// terminationDelay is how long after SIGTERM the program may be killed at the earliest.
+	// changeConfiguration changes the configuration, so that the next reload has something to apply.
+	changeConfiguration()
+	// awaitReload waits until the program logs that it has applied the change. It returns false if that takes too long.
+	awaitReload(p *process) bool
+	// terminationDelay returns the shortest time after SIGTERM at which a supervisor may kill the program.
 	terminationDelay() time.Duration
-	// completed is in the log of a graceful shutdown that is complete.
-	completed() string
+	// completedText returns the text that the program logs at the end of a complete graceful shutdown.
+	completedText() string
+	// entries returns the logs of all nodes. It is called after the program has ended.
 	entries() []storagenode.LogEntry
 	close()
 }
