--- a/lab/bench/bench.go
+++ b/lab/bench/bench.go
@@ -1,6 +1,6 @@
-// Package bench measures servers under load: a gateway beside net/http/httputil's reverse proxy on the
-// same fake node, the shares of two volumes, and a gateway under overload. Each server is a process of
-// its own.
+// Package bench measures servers under load. It compares a gateway with the reverse proxy of net/http/httputil in
+// front of the same fake node, measures the shares that two volumes get of a gateway, and measures a gateway under
+// overload. Each server runs as a process of its own.
 package bench
 
 import (
@@ -18,45 +18,45 @@
 	"chalkstand/internal/http1"
 )
 
-// errClosed is returned when a server closes a connection that the load still needs.
-var errClosed = errors.New("the connection was closed")
+// errClosed reports that the server closed a connection on which the load had more requests to send.
+var errClosed = errors.New("the server closed a connection before the end of the load")
 
-// Server is a server under test.
+// Server identifies a server under test.
 type Server struct {
 	Name string
 	Addr string
-	PID  int // 0: processor time and memory are not measured
+	PID  int // process ID; if 0, processor time and memory are not measured
 }
 
-// Target is a request to one server, encoded.
+// Target is an encoded request and the server that receives it.
 type Target struct {
 	Server Server
 	Method string
-	Head   []byte
+	Head   []byte // request line and headers, with the empty line after them
 	Body   []byte
 }
 
-// Measurement is the result of a load on one target.
+// Measurement holds the results of a load on one target.
 type Measurement struct {
 	Name       string
 	Requests   int
-	Non2xx     int // responses with another status than 2xx
+	Non2xx     int // number of responses with a status other than 2xx
 	Elapsed    time.Duration
-	Bytes      int64                   // of bodies
-	Latency    *hdrhistogram.Histogram // microseconds
-	CPU        time.Duration           // processor time of the server
-	PeakMemory int64                   // of the server since its start, bytes
+	Bytes      int64                   // total size of the bodies
+	Latency    *hdrhistogram.Histogram // latency in microseconds
+	CPU        time.Duration           // processor time that the server used during the measurement
+	PeakMemory int64                   // peak resident memory of the server since its start, in bytes
 }
 
-// PerSecond returns requests a second.
+// PerSecond returns the number of requests per second.
 func (m Measurement) PerSecond() float64 { return float64(m.Requests) / m.Elapsed.Seconds() }
 
-// MiBPerSecond returns MiB of bodies a second.
+// MiBPerSecond returns the transfer rate of the bodies in MiB per second.
 func (m Measurement) MiBPerSecond() float64 {
 	return float64(m.Bytes) / (1 << 20) / m.Elapsed.Seconds()
 }
 
-// CPUPerRequest returns the server's processor time for each request.
+// CPUPerRequest returns the server's mean processor time per request.
 func (m Measurement) CPUPerRequest() time.Duration { return m.CPU / time.Duration(max(m.Requests, 1)) }
 
 // Quantile returns a percentile of the latency.
@@ -64,7 +64,7 @@
 	return time.Duration(m.Latency.ValueAtQuantile(percent)) * time.Microsecond
 }
 
-// Median returns the measurement with the median rate.
+// Median returns the measurement with the median number of requests per second.
 func Median(ms []Measurement) Measurement {
 	sorted := slices.Clone(ms)
 	slices.SortFunc(sorted, func(a, b Measurement) int { return cmp.Compare(a.PerSecond(), b.PerSecond()) })
@@ -74,21 +74,22 @@
 // newHistogram returns a histogram of latencies from 1 µs to 1 min with three significant digits.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60_000_000, 3) }
 
-// recordLatency adds the time since start.
+// recordLatency adds the time since start to the histogram.
 func recordLatency(h *hdrhistogram.Histogram, start time.Time) {
-	_ = h.RecordValue(time.Since(start).Microseconds()) // fails above a minute, longer than any run
+	_ = h.RecordValue(time.Since(start).Microseconds()) // fails only above a minute, and no run takes that long
 }
 
-// closeConn closes a load's connection. An error is of no interest: everything was counted before.
+// closeConn closes a connection of a load. It ignores the error, because the load has already counted the results.
 func closeConn(c net.Conn) { _ = c.Close() }
 
-// Run sends a target's request repeatedly on a number of connections, in closed loops.
+// Run sends the target's request repeatedly for the duration d and measures the server. It uses conns connections,
+// each in a closed loop.
 func Run(ctx context.Context, t Target, conns int, d time.Duration) (Measurement, error) {
 	total := Measurement{Name: t.Server.Name, Latency: newHistogram()}
 	cpu := cpuTime(t.Server.PID)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	var failed error
+	var errs error
 	start := time.Now()
 	end := start.Add(d)
 	for range conns {
@@ -101,17 +102,17 @@
 			total.Requests += m.Requests
 			total.Non2xx += m.Non2xx
 			total.Bytes += m.Bytes
-			failed = errors.Join(failed, err)
+			errs = errors.Join(errs, err)
 		})
 	}
 	wg.Wait()
 	total.Elapsed = time.Since(start)
 	total.CPU = cpuTime(t.Server.PID) - cpu
 	total.PeakMemory = PeakMemory(t.Server.PID)
-	return total, failed
+	return total, errs
 }
 
-// runConn is the closed loop of one connection.
+// runConn runs the closed loop of one connection until end and adds its results to m.
 func runConn(ctx context.Context, t Target, end time.Time, m *Measurement) error {
 	var dialer net.Dialer
 	c, err := dialer.DialContext(ctx, "tcp", t.Server.Addr)
@@ -120,7 +121,7 @@
 	}
 	defer closeConn(c)
 	r := bufio.NewReaderSize(c, 64<<10)
-	var scan http1.Head
+	var parser http1.Head
 	var resp http1.Response
 	for {
 		start := time.Now()
@@ -135,7 +136,7 @@
 				return err
 			}
 		}
-		received, err := readResponse(r, t.Method, &scan, &resp)
+		received, err := readResponse(r, t.Method, &parser, &resp)
 		if err != nil {
 			return err
 		}
--- a/lab/bench/config.go
+++ b/lab/bench/config.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The access key in the settings.
+// The access key that the gateways' settings contain.
 const (
 	KeyID  = "BENCHKEY"
 	Secret = "bench-secret"
@@ -32,24 +32,24 @@
 	"accounts": {"on": %v}, "log": {"level": "error"},
 }`
 
-// WriteConfig writes settings of a gateway with one node, with or without latency attribution, and returns
-// the file's name.
+// WriteConfig writes the settings of a gateway with one node to a file in dir and returns the file's name. The
+// parameter attribution turns latency attribution on or off.
 func WriteConfig(dir, listen, node string, attribution bool) (string, error) {
 	name := filepath.Join(dir, fmt.Sprintf("bench-%v.jsonc", attribution))
 	text := fmt.Sprintf(configText, listen, node, attribution)
 	return name, os.WriteFile(name, []byte(text), 0o600)
 }
 
-// ShareConfig configures a gateway with two plans, for the buckets heavy and light.
+// ShareConfig configures a gateway that has a plan for the bucket heavy and a plan for the bucket light.
 type ShareConfig struct {
 	Listen string
 	Node   string
-	Order  string // fair or arrival
-	Loops  int
-	Weight float64 // of heavy; light has 1
+	Order  string  // the scheduling order: "fair" or "arrival"
+	Loops  int     // number of event loops
+	Weight float64 // weight of the plan for heavy; the plan for light has weight 1
 
-	QueueTimeTarget  time.Duration // of the overload control; 0: no overload control
-	LatencyObjective time.Duration // of requests; their deadline is twice as long
+	QueueTimeTarget  time.Duration // target of the overload control; 0 turns the overload control off
+	LatencyObjective time.Duration // latency objective of the requests; their deadline is twice as long
 }
 
 const shareConfigText = `{
@@ -75,7 +75,7 @@
 	"share": {"order": %q, "overload": {"target": "%v"}}, "log": {"level": "error"},
 }`
 
-// WriteShareConfig writes the settings and returns the file's name.
+// WriteShareConfig writes the settings of c to a file in dir and returns the file's name.
 func WriteShareConfig(dir string, c ShareConfig) (string, error) {
 	name := filepath.Join(dir, fmt.Sprintf("share-%s-%d-%g.jsonc", c.Order, c.Loops, c.Weight))
 	deadline := 2 * c.LatencyObjective
--- a/lab/bench/load.go
+++ b/lab/bench/load.go
@@ -20,25 +20,26 @@
 	"chalkstand/internal/http1"
 )
 
-// Load is one of several loads that run at the same time: a target's request, repeatedly on a number of
+// Load is one of several loads that run at the same time. It sends its target's request repeatedly on Conns
 // connections.
 type Load struct {
 	Target
 	Name  string
 	Conns int
 
-	bytes    atomic.Int64 // of bodies, counted as they arrive
-	requests atomic.Int64
-	non2xx   atomic.Int64
-	mu       sync.Mutex
-	latency  *hdrhistogram.Histogram
+	bodyBytes atomic.Int64 // bytes of bodies sent or received so far, including unfinished bodies
+	requests  atomic.Int64
+	non2xx    atomic.Int64
+	mu        sync.Mutex
+	latency   *hdrhistogram.Histogram
 }
 
-// RunTogether runs loads at the same time. After the warm-up it measures for d: the bytes of bodies as they
-// arrive, also of unfinished ones, and the latency of requests that begin and end within.
+// RunTogether runs loads at the same time. After the warm-up it measures for the duration d. It counts the
+// transferred bytes of all bodies, including unfinished ones. It records the latency of the requests that begin and
+// end during the measurement.
 func RunTogether(ctx context.Context, loads []*Load, warmUp, d time.Duration) ([]Measurement, error) {
 	var wg sync.WaitGroup
-	var failed error
+	var errs error
 	var mu sync.Mutex
 	start := time.Now().Add(warmUp)
 	end := start.Add(d)
@@ -48,7 +49,7 @@
 			wg.Go(func() {
 				if err := l.runConn(ctx, start, end); err != nil {
 					mu.Lock()
-					failed = errors.Join(failed, fmt.Errorf("%s: %w", l.Name, err))
+					errs = errors.Join(errs, fmt.Errorf("%s: %w", l.Name, err))
 					mu.Unlock()
 				}
 			})
@@ -62,36 +63,36 @@
 		m.Non2xx = int(l.non2xx.Load())
 		m.Latency = l.latency
 	}
-	return measurements, failed
+	return measurements, errs
 }
 
-// measureTraffic returns the loads' bytes and processor time between start and end, for which it waits.
+// measureTraffic waits for start and end, and returns the bytes and the processor time of each load between them.
 func measureTraffic(loads []*Load, start, end time.Time) []Measurement {
 	time.Sleep(time.Until(start))
-	bytes := make([]int64, len(loads))
-	cpu := make([]time.Duration, len(loads))
+	bytesBefore := make([]int64, len(loads))
+	cpuBefore := make([]time.Duration, len(loads))
 	for i, l := range loads {
-		bytes[i] = l.bytes.Load()
-		cpu[i] = cpuTime(l.Server.PID)
+		bytesBefore[i] = l.bodyBytes.Load()
+		cpuBefore[i] = cpuTime(l.Server.PID)
 	}
 	time.Sleep(time.Until(end))
 	elapsed := time.Since(start)
-	var out []Measurement
+	var measurements []Measurement
 	for i, l := range loads {
-		out = append(out, Measurement{
+		measurements = append(measurements, Measurement{
 			Name:    l.Name,
 			Elapsed: elapsed,
-			Bytes:   l.bytes.Load() - bytes[i],
-			CPU:     cpuTime(l.Server.PID) - cpu[i],
+			Bytes:   l.bodyBytes.Load() - bytesBefore[i],
+			CPU:     cpuTime(l.Server.PID) - cpuBefore[i],
 		})
 	}
-	return out
+	return measurements
 }
 
-// rejectedPause is the pause after a response with another status than 2xx.
+// rejectedPause is the pause after a response with a status other than 2xx.
 const rejectedPause = 10 * time.Millisecond
 
-// runConn is the closed loop of one connection. The request in progress at the end is abandoned.
+// runConn runs the closed loop of one connection until end, and then abandons the request in progress.
 func (l *Load) runConn(ctx context.Context, start, end time.Time) error {
 	var dialer net.Dialer
 	c, err := dialer.DialContext(ctx, "tcp", l.Server.Addr)
@@ -113,11 +114,11 @@
 		return err
 	}
 	r := bufio.NewReaderSize(c, 16<<10)
-	var scan http1.Head
+	var parser http1.Head
 	var resp http1.Response
 	for time.Now().Before(end) {
 		sent := time.Now()
-		err := l.exchange(c, r, raw, &scan, &resp)
+		err := l.exchange(c, r, raw, &parser, &resp)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil
 		}
@@ -140,7 +141,7 @@
 
 // exchange sends one request and reads its response.
 func (l *Load) exchange(
-	c net.Conn, r *bufio.Reader, raw syscall.RawConn, scan *http1.Head, resp *http1.Response,
+	c net.Conn, r *bufio.Reader, raw syscall.RawConn, parser *http1.Head, resp *http1.Response,
 ) error {
 	if _, err := c.Write(l.Head); err != nil {
 		return err
@@ -148,17 +149,17 @@
 	if err := l.upload(c); err != nil {
 		return err
 	}
-	return l.receive(r, raw, scan, resp)
+	return l.receive(r, raw, parser, resp)
 }
 
-// uploadChunk is how many bytes are written, and counted, at a time.
+// uploadChunk is how many bytes of a body upload writes and counts at a time.
 const uploadChunk = 64 << 10
 
-// upload sends the body.
+// upload sends the body of the request and counts its bytes.
 func (l *Load) upload(c net.Conn) error {
 	for b := l.Body; len(b) > 0; {
 		n, err := c.Write(b[:min(len(b), uploadChunk)])
-		l.bytes.Add(int64(n))
+		l.bodyBytes.Add(int64(n))
 		if err != nil {
 			return err
 		}
@@ -167,9 +168,9 @@
 	return nil
 }
 
-// receive reads a response and discards its body.
-func (l *Load) receive(r *bufio.Reader, raw syscall.RawConn, scan *http1.Head, resp *http1.Response) error {
-	if err := readHead(r, l.Method, scan, resp); err != nil {
+// receive reads the head of a response, then counts and discards the body.
+func (l *Load) receive(r *bufio.Reader, raw syscall.RawConn, parser *http1.Head, resp *http1.Response) error {
+	if err := readHead(r, l.Method, parser, resp); err != nil {
 		return err
 	}
 	buffered, err := r.Discard(int(min(resp.Length, int64(r.Buffered()))))
@@ -180,18 +181,19 @@
 	return l.discard(raw, resp.Length-int64(buffered))
 }
 
-// countDownload counts the bytes of a body. Those of responses to uploads are not of interest.
+// countDownload counts n bytes of a response body. It ignores the responses to uploads, whose measured bytes are
+// those of the request.
 func (l *Load) countDownload(n int) {
 	if l.Method == http.MethodGet {
-		l.bytes.Add(int64(n))
+		l.bodyBytes.Add(int64(n))
 	}
 }
 
-// discardBuffer receives discarded bytes.
+// discardBuffer is the buffer that all receive calls for discarded bytes share. The kernel writes nothing to it.
 var discardBuffer [1 << 20]byte
 
-// discard drops bytes in the kernel without copying them, so that the load costs less than the server
-// under load.
+// discard makes the kernel drop the given number of received bytes without copying them. This keeps the processor
+// time of the load below that of the server under test.
 func (l *Load) discard(raw syscall.RawConn, remaining int64) error {
 	for remaining > 0 {
 		var n int
--- a/lab/bench/response.go
+++ b/lab/bench/response.go
@@ -8,9 +8,9 @@
 	"chalkstand/internal/http1"
 )
 
-// readResponse reads a response and discards its body, whose length it returns.
-func readResponse(r *bufio.Reader, method string, scan *http1.Head, resp *http1.Response) (int64, error) {
-	if err := readHead(r, method, scan, resp); err != nil {
+// readResponse reads a response, discards its body, and returns the length of the body.
+func readResponse(r *bufio.Reader, method string, parser *http1.Head, resp *http1.Response) (int64, error) {
+	if err := readHead(r, method, parser, resp); err != nil {
 		return 0, err
 	}
 	if resp.Chunked {
@@ -20,14 +20,14 @@
 	return resp.Length, err
 }
 
-// readHead reads the head of a response. The values of its headers are valid until the next read.
-func readHead(r *bufio.Reader, method string, scan *http1.Head, resp *http1.Response) error {
-	for want := 1; ; {
-		if _, err := r.Peek(want); err != nil {
+// readHead reads the head of a response into resp. The header values in resp are valid until the next read from r.
+func readHead(r *bufio.Reader, method string, parser *http1.Head, resp *http1.Response) error {
+	for minBytes := 1; ; {
+		if _, err := r.Peek(minBytes); err != nil {
 			return err
 		}
-		b, _ := r.Peek(r.Buffered()) // cannot fail: the bytes are buffered
-		n, parseErr := scan.ParseResponse(b, http1.DefaultLimits, method, resp)
+		b, _ := r.Peek(r.Buffered()) // cannot fail: the bytes are already in the buffer
+		n, parseErr := parser.ParseResponse(b, http1.DefaultLimits, method, resp)
 		if parseErr != nil {
 			return parseErr
 		}
@@ -35,6 +35,6 @@
 			_, err := r.Discard(n)
 			return err
 		}
-		want = len(b) + 1
+		minBytes = len(b) + 1
 	}
 }
--- a/lab/bench/users.go
+++ b/lab/bench/users.go
@@ -15,47 +15,47 @@
 	"chalkstand/internal/http1"
 )
 
-// Users is a closed-loop load with think time: each user has a connection of its own, sends a request, and
-// sends the next one a pause after the response. A response after the latency objective counts as late. Users
-// don't cancel late requests: thousands of new connections a second would cost more than the overload
-// that they are to make. Together they offer Count/ThinkTime requests a second.
+// Users is a closed-loop load with think time. Each user has a connection of its own, sends a request, waits for
+// the response, and pauses before the next request. Together the users offer Count/ThinkTime requests per second. A
+// response that arrives after the latency objective counts as late. Users don't cancel late requests, because they
+// would then open thousands of new connections per second, which would cost more than the overload to be measured.
 type Users struct {
 	Target
 	Count            int
-	ThinkTime        time.Duration // mean of an exponential distribution
+	ThinkTime        time.Duration // mean of the exponentially distributed pauses
 	LatencyObjective time.Duration
-	HonorRetryAfter  bool // a rejected user waits at least for the response's Retry-After
+	HonorRetryAfter  bool // whether a rejected user waits at least for the Retry-After of the response
 }
 
-// UserRates are the outcomes of the users' requests, each a second.
+// UserRates holds the rates of the outcomes of the users' requests, in requests per second.
 type UserRates struct {
 	InTime   float64
 	Rejected float64
 	Late     float64
 	Failed   float64
-	CPU      float64 // of the server, cores
+	CPU      float64 // processor time of the server per second of the measurement, in cores
 }
 
-// userCounts counts the outcomes of the users' requests.
+// userCounts counts the requests of all users by outcome.
 type userCounts struct{ inTime, rejected, late, failed atomic.Int64 }
 
-// read returns the counts in the order of the fields.
+// read returns the counts in the order of the struct's fields.
 func (c *userCounts) read() [4]int64 {
 	return [4]int64{c.inTime.Load(), c.rejected.Load(), c.late.Load(), c.failed.Load()}
 }
 
-// Run runs the users and measures for d, after a warm-up during which the users start.
+// Run runs the users. They start during the warm-up. After the warm-up, Run measures the rates for the duration d.
 func (u *Users) Run(ctx context.Context, warmUp, d time.Duration) UserRates {
 	var counts userCounts
 	var wg sync.WaitGroup
 	end := time.Now().Add(warmUp + d)
 	for i := range u.Count {
 		wg.Go(func() {
-			one := user{load: u, counts: &counts, rng: rand.New(rand.NewPCG(1, uint64(i)))}
-			defer one.disconnect()
-			time.Sleep(time.Duration(one.rng.Float64() * float64(warmUp) / 2))
+			newUser := user{load: u, counts: &counts, rng: rand.New(rand.NewPCG(1, uint64(i)))}
+			defer newUser.disconnect()
+			time.Sleep(time.Duration(newUser.rng.Float64() * float64(warmUp) / 2))
 			for time.Now().Before(end) {
-				time.Sleep(min(one.request(ctx), time.Until(end)))
+				time.Sleep(min(newUser.request(ctx), time.Until(end)))
 			}
 		})
 	}
@@ -71,14 +71,14 @@
 	return rates
 }
 
-// user is one user with its connection.
+// user is one simulated user and its connection.
 type user struct {
 	load   *Users
 	counts *userCounts
 	rng    *rand.Rand
-	conn   net.Conn // nil: not connected
+	conn   net.Conn // nil while the user is not connected
 	reader *bufio.Reader
-	scan   http1.Head
+	parser http1.Head
 	resp   http1.Response
 }
 
@@ -89,7 +89,7 @@
 	}
 }
 
-// request sends one request, counts its outcome, and returns the pause before the next one.
+// request sends one request, counts its outcome, and returns the pause before the next request.
 func (u *user) request(ctx context.Context) time.Duration {
 	pause := time.Duration(u.rng.ExpFloat64() * float64(u.load.ThinkTime))
 	start := time.Now()
@@ -115,7 +115,7 @@
 	return pause
 }
 
-// retryAfter returns the response's Retry-After, or 0.
+// retryAfter returns the Retry-After of the last response, or 0 if the response has none.
 func (u *user) retryAfter() time.Duration {
 	ms, err := strconv.Atoi(string(u.resp.Headers.Get("x-chalkstand-retry-after-ms")))
 	if err != nil {
@@ -124,10 +124,10 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// userTimeout is when a user cancels a request after all.
+// userTimeout is the time after which a user gives up on a connection attempt or a request.
 const userTimeout = 30 * time.Second
 
-// exchange sends a request and reads its response, on a new connection if there is none.
+// exchange sends a request and reads its response. It opens a connection first if the user has none.
 func (u *user) exchange(ctx context.Context) error {
 	if u.conn == nil {
 		dialer := net.Dialer{Timeout: userTimeout}
@@ -144,7 +144,7 @@
 	if _, err := u.conn.Write(u.load.Head); err != nil {
 		return err
 	}
-	if err := readHead(u.reader, u.load.Method, &u.scan, &u.resp); err != nil {
+	if err := readHead(u.reader, u.load.Method, &u.parser, &u.resp); err != nil {
 		return err
 	}
 	_, err := io.CopyN(io.Discard, u.reader, u.resp.Length)
