--- a/lab/sigv4client/sigv4client.go
+++ b/lab/sigv4client/sigv4client.go
@@ -1,5 +1,5 @@
-// Package sigv4client signs requests of the object API with the AWS SDK's signer, for the tools in lab and
-// for tests.
+// Package sigv4client signs requests to the object API with the signer of the AWS SDK. The tools in lab and tests
+// use it as clients.
 package sigv4client
 
 import (
@@ -19,8 +19,8 @@
 	unsignedPayload = "UNSIGNED-PAYLOAD"
 )
 
-// signers caches one signer for each pair of key ID and secret, of type *v4.Signer by aws.Credentials. A
-// signer caches the keys that it derives, by key ID alone, so each secret needs a signer of its own.
+// signers maps aws.Credentials to a *v4.Signer, one for each pair of key ID and secret. A signer caches the keys
+// that it derives by key ID alone, so each secret needs a signer of its own.
 var signers sync.Map
 
 func signerFor(c aws.Credentials) *v4.Signer {
@@ -32,13 +32,14 @@
 	return s.(*v4.Signer)
 }
 
-// Request signs a request without signing its payload. It panics as Payload does.
+// Request signs a request without its payload. Like Payload, it panics if the request cannot be signed.
 func Request(r *http.Request, id, secret string, at time.Time) {
 	Payload(r, id, secret, at, unsignedPayload)
 }
 
-// Payload signs a request whose payload has the hash, a hexadecimal SHA-256 or one of the protocol's constants
-// such as UNSIGNED-PAYLOAD. It panics if the request cannot be signed, which is an error of the caller.
+// Payload signs a request and the hash of its payload. The hash is a hexadecimal SHA-256 or one of the constants of
+// the protocol, such as UNSIGNED-PAYLOAD. Payload panics if the request cannot be signed, because that is a bug in
+// the caller.
 func Payload(r *http.Request, id, secret string, at time.Time, hash string) {
 	r.Header.Set("x-amz-content-sha256", hash)
 	cred := aws.Credentials{AccessKeyID: id, SecretAccessKey: secret}
@@ -47,14 +48,14 @@
 	}
 }
 
-// URL returns a presigned URL that is valid from the time at on for a number of seconds, given in decimal
-// ("3600"). It panics as Payload does.
+// URL returns a presigned URL that becomes valid at the time at and stays valid for the given number of seconds, a
+// decimal number such as "3600". Like Payload, it panics if the request cannot be signed.
 func URL(method, url, id, secret string, at time.Time, seconds string) string {
 	separator := "?"
 	if strings.Contains(url, "?") {
 		separator = "&"
 	}
-	ctx := context.Background() // nothing is sent
+	ctx := context.Background() // URL does not send the request, so there is nothing to cancel
 	r, err := http.NewRequestWithContext(ctx, method, url+separator+"X-Amz-Expires="+seconds, nil)
 	if err != nil {
 		panic(err)
