--- a/lab/faultinjection/faultinjection_test.go
+++ b/lab/faultinjection/faultinjection_test.go
@@ -51,8 +51,8 @@
 	return r
 }
 
-// Runs the gateways with every kind of fault and checks that all invariants hold. It also replays the recorded trace
-// of each dispatcher and checks that the replay produces the same actions.
+// Runs the gateways with every kind of fault and checks that all invariants hold. It also replays the recorded
+// trace of each dispatcher and checks that the replay produces the same actions.
 func TestRunKeepsInvariants(t *testing.T) {
 	o := DefaultOptions(1)
 	o.Duration = 12 * time.Second
--- a/lab/faultinjection/gateways.go
+++ b/lab/faultinjection/gateways.go
@@ -84,8 +84,9 @@
 	return n
 }
 
-// notify passes an endpoint update to the gateway and records the drain notices in it. If the run disables the guard
-// of drains, notify omits draining and removed nodes from the update, so that the gateway does not learn of the drain.
+// notify passes an endpoint update to the gateway and records the drain notices in it. If the run disables the
+// guard of drains, notify omits draining and removed nodes from the update, so that the gateway does not learn of
+// the drain.
 func (g *gatewayInstance) notify(kind dispatch.EndpointUpdateKind, endpoints map[string]endpoint) {
 	var nodes []forwarder.Node
 	var draining []string
@@ -114,8 +115,8 @@
 // current one.
 const restartListDelay = 300 * time.Millisecond
 
-// crashGateway stops a gateway without a graceful shutdown. After restartDelay it starts a new instance with a stale
-// endpoint list, and after restartListDelay it passes the current list to that instance.
+// crashGateway stops a gateway without a graceful shutdown. After restartDelay it starts a new instance with a
+// stale endpoint list, and after restartListDelay it passes the current list to that instance.
 func (r *run) crashGateway(ctx context.Context, index int, restartDelay time.Duration) {
 	r.mu.Lock()
 	old := r.gateways[index]
--- a/lab/faultinjection/nodes.go
+++ b/lab/faultinjection/nodes.go
@@ -30,8 +30,8 @@
 	notifyDelaySpreadMillis = 180
 )
 
-// startNode starts a new node of a shard, makes it the shard's current node and adds it to the endpoint list. It does
-// not notify the gateways. If slowStart is set, the node begins at a low speed and warms up.
+// startNode starts a new node of a shard, makes it the shard's current node and adds it to the endpoint list. It
+// does not notify the gateways. If slowStart is set, the node begins at a low speed and warms up.
 func (r *run) startNode(shard int, slowStart bool) error {
 	r.mu.Lock()
 	r.nodeCount++
@@ -96,8 +96,8 @@
 	}
 }
 
-// copyStaleEndpoints copies the endpoint list every staleEndpointInterval, until ctx ends. Restarted gateways receive
-// the copy first.
+// copyStaleEndpoints copies the endpoint list every staleEndpointInterval, until ctx ends. Restarted gateways
+// receive the copy first.
 func (r *run) copyStaleEndpoints(ctx context.Context) {
 	for sleep(ctx, staleEndpointInterval) {
 		r.locked(func() { r.staleEndpoints = maps.Clone(r.endpoints) })
--- a/lab/faultinjection/options.go
+++ b/lab/faultinjection/options.go
@@ -67,7 +67,8 @@
 	guardDeadlines   = "time"
 )
 
-// GuardInvariants maps each guard that a run can disable to the invariant that a gateway without the guard violates.
+// GuardInvariants maps each guard that a run can disable to the invariant that a gateway without the guard
+// violates.
 var GuardInvariants = map[string]string{
 	guardBudget:      invariants.RetryBudget,
 	guardLimits:      invariants.RateLimits,
--- a/lab/faultinjection/site.go
+++ b/lab/faultinjection/site.go
@@ -102,8 +102,8 @@
 	return *s
 }
 
-// disableGuard changes a gateway's settings so that the guard no longer works. The guard of drains is not a setting:
-// gatewayInstance.notify disables it.
+// disableGuard changes a gateway's settings so that the guard no longer works. The guard of drains is not a
+// setting: gatewayInstance.notify disables it.
 func disableGuard(s *settings.Settings, guard string) {
 	switch guard {
 	case guardBudget:
--- a/lab/faultinjection/stored_test.go
+++ b/lab/faultinjection/stored_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Parses a script that an earlier build stored. Text must return the same text, and GenerateScript must generate the
-// same script from its seed 11.
+// Parses a script that an earlier build stored. Text must return the same text, and GenerateScript must generate
+// the same script from its seed 11.
 func TestStoredScript(t *testing.T) {
 	text, err := os.ReadFile("testdata/day.json")
 	if err != nil {
--- a/lab/soak/check.go
+++ b/lab/soak/check.go
@@ -10,7 +10,8 @@
 	"chalkstand/lab/invariants"
 )
 
-// Invariants that this package checks in addition to those of package invariants. The values are printed in reports.
+// Invariants that this package checks in addition to those of package invariants. The values are printed in
+// reports.
 const (
 	EndsInTime       = "the program ends in time and in order"
 	ReloadApplied    = "a reload is applied"
@@ -22,8 +23,8 @@
 // All lists all checked invariants in the order in which the report prints them.
 var All = append(slices.Clone(invariants.All), EndsInTime, ReloadApplied, BadClientsEnd, DescriptorsFreed, MemoryFreed)
 
-// Names of the guards that a run can disable to show that the checker then reports a violation. A guard is a mechanism
-// of the program that keeps an invariant.
+// Names of the guards that a run can disable to show that the checker then reports a violation. A guard is a
+// mechanism of the program that keeps an invariant.
 const (
 	guardDeadlines   = "time"
 	guardIdempotency = "effects"
@@ -46,16 +47,17 @@
 }
 
 const (
-	// closeRaceTime decides whether the program read an unanswered request. If the connection closed within this time
-	// after the request and no node received the request, the check assumes that the program did not read it.
+	// closeRaceTime decides whether the program read an unanswered request. If the connection closed within this
+	// time after the request and no node received the request, the check assumes that the program did not read it.
 	closeRaceTime = 100 * time.Millisecond
 	// spareDescriptors is how many more descriptors may be open after the load than before it.
 	spareDescriptors = 4
-	// The resident memory after the load may be at most memoryFactor times the memory before it plus spareMemoryMiB.
+	// The resident memory after the load may be at most memoryFactor times the memory before it plus
+	// spareMemoryMiB.
 	memoryFactor   = 2
 	spareMemoryMiB = 64
-	// endOfLogMargin is added to the time of the last client record to get the end of the log. It can be any long time,
-	// because nothing happens after the program has ended.
+	// endOfLogMargin is added to the time of the last client record to get the end of the log. It can be any long
+	// time, because nothing happens after the program has ended.
 	endOfLogMargin = time.Minute
 )
 
@@ -80,9 +82,9 @@
 	return r.violations, log
 }
 
-// excuseCloseRaces marks unanswered requests as canceled by the client if the program closed their connection before
-// it read them. The program may close a connection between two requests. A client then sends a request that the close
-// overtook again on another connection. seen holds the tags of the requests that reached a node.
+// excuseCloseRaces marks unanswered requests as canceled by the client if the program closed their connection
+// before it read them. The program may close a connection between two requests. A client then sends a request that
+// the close overtook again on another connection. seen holds the tags of the requests that reached a node.
 func (r *run) excuseCloseRaces(seen map[string]bool) {
 	for _, u := range r.clients.unanswered {
 		if !seen[u.record.Tag] && u.closedAt-u.record.Sent <= closeRaceTime {
@@ -123,8 +125,8 @@
 	}
 }
 
-// numberAttempts sorts the attempts by arrival and numbers the attempts of each request. It marks an executed write as
-// deduplicated, not executed, if a write with the same key was executed less than dedupWindow before.
+// numberAttempts sorts the attempts by arrival and numbers the attempts of each request. It marks an executed write
+// as deduplicated, not executed, if a write with the same key was executed less than dedupWindow before.
 func numberAttempts(entries []storagenode.LogEntry) {
 	slices.SortFunc(entries, func(a, b storagenode.LogEntry) int { return cmp.Compare(a.Arrived, b.Arrived) })
 	attempts := map[string]int{}
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -109,8 +109,8 @@
 	return c
 }
 
-// loop sends requests until ctx ends. More than lastDialAfter after SIGTERM, the client opens no new connections, so
-// loop ends with the client's current connection.
+// loop sends requests until ctx ends. More than lastDialAfter after SIGTERM, the client opens no new connections,
+// so loop ends with the client's current connection.
 func (c *client) loop(ctx context.Context) {
 	defer c.close()
 	for ctx.Err() == nil {
@@ -220,9 +220,9 @@
 	}
 }
 
-// record records a response. Pipelined responses arrive in the order of their requests, so a late response delays all
-// later ones. If the previous response arrived after this response was due, record shifts the request's send time to
-// a later time, so that the delay does not count against this response.
+// record records a response. Pipelined responses arrive in the order of their requests, so a late response delays
+// all later ones. If the previous response arrived after this response was due, record shifts the request's send
+// time to a later time, so that the delay does not count against this response.
 func (c *client) record(q request, sent, previous time.Duration, resp response) {
 	r := c.newRecord(q, max(sent, previous-c.run.params.Classes[q.class].Deadline))
 	r.Responses, r.Status, r.HasRetryAfter = 1, resp.status, resp.retryAfter
--- a/lab/soak/crowd.go
+++ b/lab/soak/crowd.go
@@ -24,8 +24,8 @@
 	"\x00\x01\x02\x03\r\n\r\n",
 }
 
-// idleClient keeps a connection open without sending anything, until ctx ends. If the program closes the connection,
-// idleClient opens a new one.
+// idleClient keeps a connection open without sending anything, until ctx ends. If the program closes the
+// connection, idleClient opens a new one.
 func (r *run) idleClient(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.holdConn(ctx, "")
--- a/lab/soak/process.go
+++ b/lab/soak/process.go
@@ -69,8 +69,8 @@
 	return append([]string(nil), p.lines...)
 }
 
-// awaitLog waits until a line of the log contains the text. It returns false if the timeout passes or the process ends
-// without such a line.
+// awaitLog waits until a line of the log contains the text. It returns false if the timeout passes or the process
+// ends without such a line.
 func (p *process) awaitLog(text string, timeout time.Duration) bool {
 	for deadline := time.Now().Add(timeout); ; time.Sleep(time.Millisecond) {
 		for _, line := range p.log() {
--- a/lab/soak/respsystem.go
+++ b/lab/soak/respsystem.go
@@ -14,8 +14,8 @@
 	"chalkstand/fake/storagenode"
 )
 
-// respKillMargin is added to the longest deadline to get the shortest time after SIGTERM at which the platform kills a
-// server.
+// respKillMargin is added to the longest deadline to get the shortest time after SIGTERM at which the platform
+// kills a server.
 const respKillMargin = 700 * time.Millisecond
 
 // Resource limits in the server's configuration.
--- a/lab/soak/servesystem.go
+++ b/lab/soak/servesystem.go
@@ -106,8 +106,8 @@
 	"nodes": [%s],
 }`
 
-// configuration returns the gateway's settings. They hold one unused key for each version. The gateway logs the number
-// of keys after a reload, so awaitReload recognizes the version by this number.
+// configuration returns the gateway's settings. They hold one unused key for each version. The gateway logs the
+// number of keys after a reload, so awaitReload recognizes the version by this number.
 func (s *serveSystem) configuration() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -1,7 +1,7 @@
-// Package soak runs the HTTP gateway or the RESP server as a process under load, faults and signals, until the process
-// has ended. It then checks the logs of the clients and the nodes: no request may be lost, no effect may happen twice,
-// and the program must have ended in time. After SIGTERM, clients keep using their connections until the earliest time
-// at which a supervisor may kill the program.
+// Package soak runs the HTTP gateway or the RESP server as a process under load, faults and signals, until the
+// process has ended. It then checks the logs of the clients and the nodes: no request may be lost, no effect may
+// happen twice, and the program must have ended in time. After SIGTERM, clients keep using their connections until
+// the earliest time at which a supervisor may kill the program.
 package soak
 
 import (
@@ -116,8 +116,8 @@
 	return r.playStop(ctx)
 }
 
-// reportEarlyEnd reports a violation if the process has ended early. If the process is still running, it returns err,
-// the error that made the caller suspect an early end.
+// reportEarlyEnd reports a violation if the process has ended early. If the process is still running, it returns
+// err, the error that made the caller suspect an early end.
 func (r *run) reportEarlyEnd(when string, err error) error {
 	if !r.process.hasEnded() {
 		return err
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// startProgram starts the program and waits until it serves. If the plan says so, it sends SIGHUP several times while
-// the program reads its configuration.
+// startProgram starts the program and waits until it serves. If the plan says so, it sends SIGHUP several times
+// while the program reads its configuration.
 func (r *run) startProgram(ctx context.Context, configFile string) error {
 	text := r.system.configuration()
 	command := append(append([]string(nil), r.options.Command...), r.system.arguments(configFile)...)
@@ -174,8 +174,8 @@
 	return false
 }
 
-// playLoad runs the first phase, with clients, idle and bad clients, faults and reloads. When it returns, all client
-// connections are closed.
+// playLoad runs the first phase, with clients, idle and bad clients, faults and reloads. When it returns, all
+// client connections are closed.
 func (r *run) playLoad(ctx context.Context, configFile string) error {
 	loadCtx, cancel := context.WithTimeout(ctx, r.plan.Load)
 	defer cancel()
@@ -205,8 +205,8 @@
 	}
 }
 
-// playSteps carries out the faults and reloads of the first phase in the order of their times, then waits for the end
-// of ctx.
+// playSteps carries out the faults and reloads of the first phase in the order of their times, then waits for the
+// end of ctx.
 func (r *run) playSteps(ctx context.Context, configFile string) error {
 	faults, reloads := r.plan.sortedSteps()
 	for len(faults)+len(reloads) > 0 && ctx.Err() == nil && !r.process.hasEnded() {
--- a/lab/soak/system.go
+++ b/lab/soak/system.go
@@ -99,7 +99,8 @@
 	awaitDrain(p *process) bool
 	// changeConfiguration changes the configuration, so that the next reload has something to apply.
 	changeConfiguration()
-	// awaitReload waits until the program logs that it has applied the change. It returns false if that takes too long.
+	// awaitReload waits until the program logs that it has applied the change. It returns false if that takes too
+	// long.
 	awaitReload(p *process) bool
 	// terminationDelay returns the shortest time after SIGTERM at which a supervisor may kill the program.
 	terminationDelay() time.Duration
