--- a/lab/faultinjection/client.go
+++ b/lab/faultinjection/client.go
@@ -16,7 +16,7 @@
 
 // clientRequest describes a request that a client sends.
 type clientRequest struct {
-	tag         string
+	tag         string // identifies the request in the logs of clients and nodes
 	method      string
 	path        string
 	byteRange   string // value of the Range header; if empty, the request has none
--- a/lab/faultinjection/faultinjection.go
+++ b/lab/faultinjection/faultinjection.go
@@ -18,7 +18,7 @@
 	"chalkstand/lab/stall"
 )
 
-// maxClients bounds the requests in progress. The load generator drops requests beyond it instead of queueing them.
+// maxClients bounds the requests in progress. The load generator drops further requests instead of queueing them.
 const maxClients = 2048
 
 // run holds the state of one run in progress.
--- a/lab/faultinjection/faultinjection_test.go
+++ b/lab/faultinjection/faultinjection_test.go
@@ -51,8 +51,8 @@
 	return r
 }
 
-// Runs the gateways with every kind of fault and checks that all invariants hold. It also replays the recorded
-// trace of each dispatcher and checks that the replay produces the same actions.
+// TestRunKeepsInvariants runs the gateways with every kind of fault and checks that all invariants hold. It also
+// replays the recorded trace of each dispatcher and checks that the replay produces the same actions.
 func TestRunKeepsInvariants(t *testing.T) {
 	o := DefaultOptions(1)
 	o.Duration = 12 * time.Second
@@ -100,7 +100,8 @@
 	return s
 }
 
-// Disables each guard in turn and checks that the checker reports a violation of the guard's invariant.
+// TestCheckerDetectsDisabledGuards disables each guard in turn. The checker must report a violation of the guard's
+// invariant.
 func TestCheckerDetectsDisabledGuards(t *testing.T) {
 	for guard, test := range map[string]struct {
 		script          Script
@@ -145,8 +146,8 @@
 	}
 }
 
-// Runs seeds that once failed. On some of them a gateway violated an invariant; on others the checker mistook a
-// canceled write for a write in flight.
+// TestSeedsThatBrokeInvariants runs seeds that once failed. On some of them a gateway violated an invariant. On others
+// the checker mistook a canceled write for a write in flight.
 func TestSeedsThatBrokeInvariants(t *testing.T) {
 	for _, seed := range []uint64{50002, 50003, 50016, 50024, 50039, 50010} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/lab/faultinjection/faults.go
+++ b/lab/faultinjection/faults.go
@@ -20,8 +20,8 @@
 	hotKeyShare      float64 // share of the writes that go to one key
 }
 
-// scheduleFaults starts a goroutine for each fault of the script. The goroutine injects the fault when its At has
-// passed since base. Faults that would start after the end of the run are left out.
+// scheduleFaults starts a goroutine for each fault of the script. The goroutine waits until f.At after base and then
+// injects the fault. Faults that would start after the end of the run are left out.
 func (r *run) scheduleFaults(ctx context.Context, base time.Duration) {
 	for _, f := range r.options.Script {
 		if f.At.Duration() >= r.options.Duration {
@@ -80,8 +80,8 @@
 	r.locked(end)
 }
 
-// drainWave replaces the nodes of f.Count consecutive shards, one after the other. Every second successor starts
-// only some time after the drain was published.
+// drainWave replaces the nodes of f.Count consecutive shards, one after the other. The successor of every
+// second node starts with a delay after the drain was published.
 func (r *run) drainWave(ctx context.Context, f Fault) {
 	for i := range f.Count {
 		successorDelay := time.Duration(0)
--- a/lab/faultinjection/options.go
+++ b/lab/faultinjection/options.go
@@ -15,7 +15,7 @@
 // RecordFunc records one event of a dispatcher and the actions that it caused.
 type RecordFunc = func(time.Duration, dispatch.Event, []dispatch.Action)
 
-// Options configure a run.
+// Options holds the parameters of a run.
 type Options struct {
 	Seed     uint64 // seeds the script, the load, the nodes and the gateways
 	Duration time.Duration
--- a/lab/faultinjection/script.go
+++ b/lab/faultinjection/script.go
@@ -45,7 +45,7 @@
 	Times float64 `json:"times"` // a factor or a share from 0 to 1, depending on the kind
 }
 
-// Millis is a time in milliseconds.
+// Millis is a duration in milliseconds, as scripts give it.
 type Millis int
 
 // Duration converts m to a time.Duration.
--- a/lab/faultinjection/stored_test.go
+++ b/lab/faultinjection/stored_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Parses a script that an earlier build stored. Text must return the same text, and GenerateScript must generate
-// the same script from its seed 11.
+// TestStoredScript parses a script that an earlier build generated from seed 11 and stored. Text must return the
+// stored text, and GenerateScript must generate the same script from the seed.
 func TestStoredScript(t *testing.T) {
 	text, err := os.ReadFile("testdata/day.json")
 	if err != nil {
--- a/lab/sigv4client/sigv4client_test.go
+++ b/lab/sigv4client/sigv4client_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Signs the same URL with two secrets for one key ID. The signatures must differ, although a signer caches derived
-// keys by key ID alone.
+// TestSecretsAreNotMixed signs the same URL with two secrets for one key ID. The signatures must differ, although a
+// signer of the SDK caches derived keys by key ID alone.
 func TestSecretsAreNotMixed(t *testing.T) {
 	at := time.Unix(1_800_000_000, 0)
 	right := URL("GET", "http://h/p/k", "ID", "right", at, "30")
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -28,7 +28,7 @@
 
 // request describes a request that a client sends.
 type request struct {
-	tag   string
+	tag   string // identifies the request in the logs of clients and nodes
 	class int
 	key   string
 	shard int
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -29,14 +29,14 @@
 	startHangupGap = time.Millisecond       // pause after each SIGHUP while the program reads its configuration
 )
 
-// Options are the parameters of a run.
+// Options holds the parameters of a run.
 type Options struct {
 	Seed          uint64
 	Program       Program
 	Listen        string   // host:port on which the program listens; the port must be free
 	Command       []string // the program's path and the arguments before its subcommand
 	Env           []string // variables that the program gets besides the environment of this process
-	DisabledGuard string   // the guard in Guards that is disabled; if empty, none is
+	DisabledGuard string   // the guard in Guards that the run disables; if empty, it disables none
 	Progress      io.Writer
 }
 
--- a/lab/soak/system.go
+++ b/lab/soak/system.go
@@ -14,7 +14,7 @@
 // The programs that a run can test.
 const (
 	Serve Program = "serve" // the HTTP gateway
-	RESP  Program = "run"   // the server of the platform's protocol
+	RESP  Program = "run"   // the RESP server, which speaks the platform's protocol
 )
 
 // programName is the program's name in its configuration and in the checker's logs.
