--- a/lab/bench/process.go
+++ b/lab/bench/process.go
@@ -81,7 +81,7 @@
 // Stop kills the process and waits until it has ended.
 func (p *Process) Stop() {
 	_ = p.cmd.Process.Kill() // fails only if the process has already ended
-	_ = p.cmd.Wait()         // always returns an error that reports the kill
+	_ = p.cmd.Wait()         // returns an error that reports the kill
 }
 
 // clockTick is the unit in which the kernel reports processor time in /proc/PID/stat.
--- a/lab/bench/users.go
+++ b/lab/bench/users.go
@@ -27,7 +27,7 @@
 	HonorRetryAfter  bool // whether a rejected user waits at least for the Retry-After of the response
 }
 
-// UserRates holds the rates of the outcomes of the users' requests, in requests per second.
+// UserRates holds the number of requests per second for each outcome, and the processor time of the server.
 type UserRates struct {
 	InTime   float64
 	Rejected float64
@@ -51,11 +51,11 @@
 	end := time.Now().Add(warmUp + d)
 	for i := range u.Count {
 		wg.Go(func() {
-			newUser := user{load: u, counts: &counts, rng: rand.New(rand.NewPCG(1, uint64(i)))}
-			defer newUser.disconnect()
-			time.Sleep(time.Duration(newUser.rng.Float64() * float64(warmUp) / 2))
+			simulated := user{load: u, counts: &counts, rng: rand.New(rand.NewPCG(1, uint64(i)))}
+			defer simulated.disconnect()
+			time.Sleep(time.Duration(simulated.rng.Float64() * float64(warmUp) / 2))
 			for time.Now().Before(end) {
-				time.Sleep(min(newUser.request(ctx), time.Until(end)))
+				time.Sleep(min(simulated.request(ctx), time.Until(end)))
 			}
 		})
 	}
