--- a/lab/faultinjection/client.go
+++ b/lab/faultinjection/client.go
@@ -53,7 +53,7 @@
 	pool    *connPool
 	now     func() time.Duration
 	timeout time.Duration
-	onExtra func(*invariants.Request) // called with a request if more bytes arrive after the response to it
+	onExtra func(*invariants.Request) // called with a connection's last request if bytes follow its response
 }
 
 // send sends a request once and records the outcome. It returns the Retry-After of a rejection, or 0.
@@ -99,7 +99,7 @@
 		return 0
 	}
 	body, err := io.ReadAll(resp.Body)
-	_ = resp.Body.Close() // the body was read to its end or to an error; the code below pools or closes the connection
+	_ = resp.Body.Close() // the error does not matter: the body was read to its end or to an error
 	record.Responses, record.Status = 1, resp.StatusCode
 	if err != nil {
 		record.Aborted = true
--- a/lab/faultinjection/faultinjection.go
+++ b/lab/faultinjection/faultinjection.go
@@ -139,7 +139,7 @@
 	r.log.End = r.now()
 }
 
-// now returns the time since the epoch.
+// now returns the time since the start of the run.
 func (r *run) now() time.Duration { return time.Since(r.epoch) }
 
 // sleep waits for d. It returns false if the context ends first.
--- a/lab/faultinjection/faultinjection_test.go
+++ b/lab/faultinjection/faultinjection_test.go
@@ -146,8 +146,8 @@
 	}
 }
 
-// TestSeedsThatBrokeInvariants runs seeds that once failed. On some of them a gateway violated an invariant. On others
-// the checker mistook a canceled write for a write in flight.
+// TestSeedsThatBrokeInvariants runs seeds that once failed. On some of them a gateway violated an invariant. On
+// others the checker mistook a canceled write for a write in flight.
 func TestSeedsThatBrokeInvariants(t *testing.T) {
 	for _, seed := range []uint64{50002, 50003, 50016, 50024, 50039, 50010} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/lab/faultinjection/faults.go
+++ b/lab/faultinjection/faults.go
@@ -20,8 +20,8 @@
 	hotKeyShare      float64 // share of the writes that go to one key
 }
 
-// scheduleFaults starts a goroutine for each fault of the script. The goroutine waits until f.At after base and then
-// injects the fault. Faults that would start after the end of the run are left out.
+// scheduleFaults starts a goroutine for each fault of the script. The goroutine waits until f.At after base and
+// then injects the fault. Faults that would start after the end of the run are left out.
 func (r *run) scheduleFaults(ctx context.Context, base time.Duration) {
 	for _, f := range r.options.Script {
 		if f.At.Duration() >= r.options.Duration {
--- a/lab/faultinjection/site.go
+++ b/lab/faultinjection/site.go
@@ -22,8 +22,8 @@
 	nodeDedupWindow = 6 * time.Second
 )
 
-// The rate limit of the volumes with the basic plan: limitRate is in cost units per second, limitBurst and limitSlack
-// are in cost units.
+// The rate limit of the volumes with the basic plan: limitRate is in cost units per second, limitBurst and
+// limitSlack are in cost units.
 const (
 	limitRate  = 40.0
 	limitBurst = 20.0
--- a/lab/soak/check.go
+++ b/lab/soak/check.go
@@ -83,8 +83,9 @@
 }
 
 // excuseCloseRaces marks unanswered requests as canceled by the client if the program closed their connection
-// before it read them. The program may close a connection between two requests. A client then sends a request that
-// the close overtook again on another connection. seen holds the tags of the requests that reached a node.
+// before it read them. The program may close an idle connection just when the client sends the next request on
+// it. The client can then send the request again on another connection. seen holds the tags of the requests that
+// reached a node.
 func (r *run) excuseCloseRaces(seen map[string]bool) {
 	for _, u := range r.clients.unanswered {
 		if !seen[u.record.Tag] && u.closedAt-u.record.Sent <= closeRaceTime {
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -109,8 +109,8 @@
 	return c
 }
 
-// loop sends requests until ctx ends. More than lastDialAfter after SIGTERM, the client opens no new connections,
-// so loop ends with the client's current connection.
+// loop sends requests until ctx ends. Once SIGTERM was sent more than lastDialAfter ago, the client opens no new
+// connections, and loop ends when the current connection closes.
 func (c *client) loop(ctx context.Context) {
 	defer c.close()
 	for ctx.Err() == nil {
@@ -174,7 +174,7 @@
 		return
 	}
 	sent := c.run.now()
-	previous := sent // time of the previous response
+	previous := sent // time of the previous response; before the first response, the send time
 	for i, q := range requests {
 		_ = c.conn.SetReadDeadline(time.Now().Add(deadline)) // fails only on a closed connection, where the read fails, too
 		resp, err := c.run.system.protocol().readResponse(c.reader, q)
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -196,8 +196,8 @@
 	return err
 }
 
-// startClients starts the plan's number of clients, each in a goroutine of tasks. Clients of different phases use
-// different tags and random numbers.
+// startClients starts the plan's number of clients, each in a goroutine for which tasks waits. Clients of
+// different phases use different tags and random numbers.
 func (r *run) startClients(ctx context.Context, tasks *sync.WaitGroup, phase int) {
 	for i := range r.plan.Clients {
 		c := newClient(r, phase, i)
@@ -232,7 +232,7 @@
 	return nil
 }
 
-// until returns the remaining time until the plan reaches the time at.
+// until returns how long it takes from now until the time at of the plan.
 func (r *run) until(at time.Duration) time.Duration { return r.startedAt + at - r.now() }
 
 func (r *run) playFault(f fault, configFile string) error {
@@ -331,7 +331,7 @@
 	return at > 0 && r.now()-at > d
 }
 
-// now returns the time since the epoch.
+// now returns the time since the start of the run.
 func (r *run) now() time.Duration { return time.Since(r.epoch) }
 
 func (r *run) progress(format string, args ...any) {
@@ -340,7 +340,7 @@
 	}
 }
 
-// report adds a violation that the run itself detects, not the check of the logs.
+// report adds a violation that the logs of clients and nodes do not show.
 func (r *run) report(invariant, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
