--- a/lab/invariants/evidence.go
+++ b/lab/invariants/evidence.go
@@ -8,10 +8,11 @@
 	"chalkstand/fake/storagenode"
 )
 
-// maxPrinted bounds the violations of each invariant that are printed.
+// maxPrinted is the maximum number of violations of one invariant that WriteViolations prints.
 const maxPrinted = 5
 
-// WriteViolations prints the violations of one invariant with their evidence, and returns their number.
+// WriteViolations prints the violations of the given invariant, each with the log records of its requests, and
+// returns the number of these violations.
 func (l *Log) WriteViolations(w io.Writer, invariant string, violations []Violation) int {
 	count := 0
 	for _, v := range violations {
@@ -30,7 +31,7 @@
 	return count
 }
 
-// writeEvidence prints what the logs of clients and nodes hold of the requests of a violation.
+// writeEvidence prints the client records and the node log entries of the requests that a violation names.
 func (l *Log) writeEvidence(w io.Writer, v Violation) {
 	for i := range l.Requests {
 		if r := &l.Requests[i]; slices.Contains(v.Tags, r.Tag) {
--- a/lab/invariants/invariants.go
+++ b/lab/invariants/invariants.go
@@ -1,6 +1,6 @@
-// Package invariants checks a gateway's invariants against what crossed the sockets: the
-// logs of clients and nodes, and the times at which each gateway was notified of changes.
-// It reads no state of a gateway.
+// Package invariants checks that a gateway kept its invariants during a test run. It compares
+// the logs of clients and nodes with the times at which each gateway was notified of drains.
+// It does not read the internal state of a gateway.
 package invariants
 
 import (
@@ -12,20 +12,20 @@
 	"chalkstand/fake/storagenode"
 )
 
-// The invariants, as they are printed.
+// Names of the invariants in printed reports.
 const (
 	NoRequestLost      = "no request is lost"
-	ExecutedOnce       = "no effect happens twice"
-	OneAttemptAtATime  = "never two attempts out"
-	DrainsRespected    = "drains are kept"
-	SlowStartRespected = "a cold node is not pushed over"
-	KeyOrder           = "order is kept"
-	RetryBudget        = "further attempts stay within the budget"
-	RateLimits         = "limits are kept"
-	ContentIntact      = "an answer is whole and true"
+	ExecutedOnce       = "no request is executed more often than its class allows"
+	OneAttemptAtATime  = "a request has at most one attempt in flight"
+	DrainsRespected    = "no request is sent to a draining node"
+	SlowStartRespected = "no node is overloaded in slow start"
+	KeyOrder           = "ordered requests of a key run one at a time"
+	RetryBudget        = "retries stay within the retry budget"
+	RateLimits         = "volumes stay within their rate limits"
+	ContentIntact      = "response content is complete and correct"
 )
 
-// All lists the invariants in the order of the report.
+// All lists the invariants in the order in which reports print them.
 var All = []string{
 	NoRequestLost,
 	OneAttemptAtATime,
@@ -41,21 +41,21 @@
 // Violation is one case in which an invariant did not hold.
 type Violation struct {
 	Invariant string
-	At        time.Duration
+	At        time.Duration // since the start of the run
 	Detail    string
-	Tags      []string // of the requests concerned, if it is about requests
+	Tags      []string // tags of the requests concerned; nil if the violation names no request
 }
 
-// checker holds the log, indexed, and the violations found so far.
+// checker holds the parameters, the log with its indexes, and the violations found so far.
 type checker struct {
 	params       Parameters
 	log          *Log
 	violations   []Violation
-	entriesByTag map[string][]storagenode.LogEntry // in the order of arrival
-	requests     map[string]*Request               // by tag
+	entriesByTag map[string][]storagenode.LogEntry // node log entries of each request, in the order of arrival
+	requests     map[string]*Request               // client records, keyed by the request's tag
 }
 
-// Check returns every violation that the log shows, in the order of time.
+// Check returns all violations that the log shows, sorted by time. It sorts the entries of the log by arrival.
 func Check(params Parameters, log *Log) []Violation {
 	c := newChecker(params, log)
 	c.checkResponses()
@@ -99,7 +99,7 @@
 	})
 }
 
-// crashTime returns when a gateway instance crashed, if it did.
+// crashTime returns when a gateway instance crashed. It returns false if the instance did not crash.
 func (c *checker) crashTime(gateway string) (time.Duration, bool) {
 	for _, crash := range c.log.Crashes {
 		if crash.Gateway == gateway {
@@ -114,8 +114,9 @@
 	return e.Disconnected > 0 && (e.Ended == 0 || e.Disconnected < e.Ended)
 }
 
-// endOf returns when an attempt was over for the gateway that sent it.
-func (c *checker) endOf(e storagenode.LogEntry) time.Duration {
+// attemptEnd returns when an attempt ended for the gateway that sent it: when the gateway canceled the attempt, or
+// when the node completed it. An attempt that the node never completed ends with the log.
+func (c *checker) attemptEnd(e storagenode.LogEntry) time.Duration {
 	switch {
 	case canceled(e):
 		return e.Disconnected
--- a/lab/invariants/invariants_test.go
+++ b/lab/invariants/invariants_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// okRequest returns a request that was sent at 0 and answered with 200.
+// okRequest returns a request that was sent at 0 and got a response with status 200.
 func okRequest(tag string, class int, ended time.Duration) Request {
 	return Request{Tag: tag, Gateway: "g", Class: class, Ended: ended, Status: 200, Responses: 1}
 }
@@ -44,15 +44,17 @@
 	return r
 }
 
-func changed(r Request, change func(*Request)) Request {
+// modified returns a copy of a request with a change applied.
+func modified(r Request, change func(*Request)) Request {
 	change(&r)
 	return r
 }
 
-func entry(tag string, id uint64, attempt int, at, end time.Duration) storagenode.LogEntry {
+// entry returns the log entry of an attempt that a node executed and answered with status 200.
+func entry(tag string, id uint64, attempt int, arrived, ended time.Duration) storagenode.LogEntry {
 	return storagenode.LogEntry{
 		Node: "n", Gateway: "g", Request: id, Attempt: attempt, Tag: tag,
-		Arrived: at, Ended: end, Status: 200, Executed: true, Units: 1,
+		Arrived: arrived, Ended: ended, Status: 200, Executed: true, Units: 1,
 	}
 }
 
@@ -75,7 +77,7 @@
 
 func entries(es ...storagenode.LogEntry) []storagenode.LogEntry { return es }
 
-// invariantCase has a log that violates the invariant, and a nearly equal one that does not.
+// invariantCase has a log that violates the invariant, and a similar log that violates no invariant.
 type invariantCase struct {
 	invariant string
 	bad, good Log
@@ -89,7 +91,7 @@
 	},
 	"two responses": {
 		NoRequestLost,
-		Log{Requests: requests(changed(okRequest("a", 0, ms), func(r *Request) { r.Responses = 2 }))},
+		Log{Requests: requests(modified(okRequest("a", 0, ms), func(r *Request) { r.Responses = 2 }))},
 		Log{Requests: requests(okRequest("a", 0, ms))},
 	},
 	"late response": {
@@ -99,17 +101,17 @@
 	},
 	"rejection without a Retry-After": {
 		NoRequestLost,
-		Log{Requests: requests(changed(okRequest("a", 0, ms), func(r *Request) { r.Status = 503 }))},
+		Log{Requests: requests(modified(okRequest("a", 0, ms), func(r *Request) { r.Status = 503 }))},
 		Log{Requests: requests(rejected("a", 0, ms))},
 	},
-	"sent after the response": {
+	"attempt after the final response": {
 		NoRequestLost,
 		Log{Requests: requests(okRequest("a", 0, 20*ms)), Entries: entries(entry("a", 1, 0, 31*ms, 40*ms))},
 		Log{Requests: requests(okRequest("a", 0, 20*ms)), Entries: entries(entry("a", 1, 0, 10*ms, 19*ms))},
 	},
-	"not as stored": {
+	"content differs from the stored object": {
 		ContentIntact,
-		Log{Requests: requests(changed(okRequest("a", 0, ms), func(r *Request) { r.ContentError = "short" }))},
+		Log{Requests: requests(modified(okRequest("a", 0, ms), func(r *Request) { r.ContentError = "short" }))},
 		Log{Requests: requests(okRequest("a", 0, ms))},
 	},
 }
@@ -120,7 +122,7 @@
 		Log{Entries: entries(entry("a", 1, 0, 0, 100*ms), entry("a", 1, 1, 50*ms, 60*ms))},
 		Log{Entries: entries(canceledAt(entry("a", 1, 0, 0, 100*ms), 50*ms), entry("a", 1, 1, 50*ms, 60*ms))},
 	},
-	"deduplicated executed twice": {
+	"deduplicated request executed twice": {
 		ExecutedOnce,
 		Log{
 			Requests: requests(okRequest("a", 1, 90*ms)),
@@ -131,12 +133,12 @@
 			Entries:  entries(entry("a", 1, 0, 0, 10*ms), entry("a", 1, 1, 50*ms, 60*ms)),
 		},
 	},
-	"rejected after it was executed": {
+	"rejected after an execution": {
 		ExecutedOnce,
 		Log{Requests: requests(rejected("a", 2, 90*ms)), Entries: entries(entry("a", 1, 0, 0, 10*ms))},
 		Log{Requests: requests(rejected("a", 2, 90*ms)), Entries: entries(notExecuted(entry("a", 1, 0, 0, 10*ms)))},
 	},
-	"beyond the retry budget": {
+	"retry budget exceeded": {
 		RetryBudget,
 		Log{
 			Requests: requests(okRequest("a", 0, 50*ms)),
@@ -150,13 +152,13 @@
 }
 
 var nodeCases = map[string]invariantCase{
-	"after a drain": {
+	"sent to a draining node": {
 		DrainsRespected,
 		Log{DrainNotices: []DrainNotice{{"g", "n", 0}}, Entries: entries(entry("a", 1, 0, 261*ms, 270*ms))},
 		Log{DrainNotices: []DrainNotice{{"h", "n", 0}}, Entries: entries(entry("a", 1, 0, 261*ms, 270*ms))},
 	},
-	"overloaded": {SlowStartRespected, Log{OverloadedNodes: []string{"n"}}, Log{}},
-	"out of order": {
+	"node overloaded in slow start": {SlowStartRespected, Log{OverloadedNodes: []string{"n"}}, Log{}},
+	"two requests of a key at a time": {
 		KeyOrder,
 		Log{
 			Requests: requests(okRequest("a", 1, 100*ms), okRequest("b", 1, 100*ms)),
@@ -167,7 +169,7 @@
 			Entries:  entries(entry("a", 1, 0, 0, 50*ms), entry("b", 2, 0, 50*ms, 60*ms)),
 		},
 	},
-	"no quiescence": {
+	"no quiescence after a canceled attempt": {
 		KeyOrder,
 		Log{
 			Requests: requests(okRequest("a", 1, 30*ms), okRequest("b", 1, 200*ms)),
@@ -178,7 +180,7 @@
 			Entries:  entries(canceledAt(entry("a", 1, 0, 0, 50*ms), 30*ms), entry("b", 2, 0, 131*ms, 140*ms)),
 		},
 	},
-	"beyond the rate limit": {
+	"rate limit exceeded": {
 		RateLimits,
 		Log{Entries: entries(
 			rateLimited(entry("a", 1, 0, 0, ms)),
@@ -194,23 +196,23 @@
 	},
 }
 
-// Each bad log violates the invariant that it is named for; its good twin violates none.
+// Each bad log violates the invariant of its case, and each good log violates no invariant.
 func TestEachInvariantIsChecked(t *testing.T) {
 	for _, cases := range []map[string]invariantCase{responseCases, attemptCases, nodeCases} {
 		for name, test := range cases {
 			t.Run(name, func(t *testing.T) {
 				if got := violated(&test.bad); !strings.Contains(fmt.Sprint(got), test.invariant) {
-					t.Errorf("bad log: violations %v", got)
+					t.Errorf("bad log: got violations %v, want one of the invariant of the case", got)
 				}
 				if got := violated(&test.good); len(got) > 0 {
-					t.Errorf("good log: violations %v", got)
+					t.Errorf("good log: got violations %v, want none", got)
 				}
 			})
 		}
 	}
 }
 
-// violated returns the names of the invariants that a log violates.
+// violated returns the invariant of each violation that Check finds in a log.
 func violated(log *Log) []string {
 	log.End = 5 * time.Second
 	var names []string
--- a/lab/invariants/log.go
+++ b/lab/invariants/log.go
@@ -6,62 +6,62 @@
 	"chalkstand/fake/storagenode"
 )
 
-// Idempotency says whether a request of a class may be executed more than once.
+// Idempotency says how often the requests of a class may be executed.
 type Idempotency int
 
 // The kinds of idempotency.
 const (
-	Idempotent    Idempotency = iota // may be executed any number of times
-	Deduplicated                     // nodes drop repeats by its idempotency key
-	NonIdempotent                    // must not be sent again once it may have been executed
+	Idempotent    Idempotency = iota // the request may be executed any number of times
+	Deduplicated                     // nodes recognize a repeat by the idempotency key and do not execute it
+	NonIdempotent                    // the request must not be sent again once it may have been executed
 )
 
-// Class holds what the invariants need to know of a request class.
+// Class holds the properties of a request class that the checks use.
 type Class struct {
-	Deadline    time.Duration
+	Deadline    time.Duration // time from sending a request to the end of its response
 	Idempotency Idempotency
 	Ordered     bool // requests of one key run one at a time
 }
 
-// Parameters are the bounds that the invariants check against, and the tolerances with
-// which logs of different observers are compared.
+// Parameters holds the bounds of the invariants and the tolerances for comparing the logs of
+// different observers.
 type Parameters struct {
 	Classes      []Class
-	DrainGrace   time.Duration        // after a drain notice, while requests may still arrive
+	DrainGrace   time.Duration        // time after a drain notice in which requests may still arrive at the node
 	Quiescence   time.Duration        // pause of a key after an ambiguous attempt
-	BudgetFree   float64              // retries allowed in a window without any requests
-	BudgetRatio  float64              // retries allowed for each request in the window
+	BudgetFree   float64              // retries allowed in a window that has no requests
+	BudgetRatio  float64              // additional retries allowed for each request in the window
 	BudgetWindow time.Duration        // 0: no retry budget
-	Limits       map[string]RateLimit // by volume
+	Limits       map[string]RateLimit // keyed by volume; a volume without an entry has no limit
 
-	LogTolerance      time.Duration // difference between two logs' times of one event
-	ResponseTolerance time.Duration // of a response after its deadline
+	LogTolerance      time.Duration // allowed difference between the times that two logs give for the same event
+	ResponseTolerance time.Duration // allowed delay of a response after its deadline
 }
 
-// RateLimit is a volume's limit with all tolerances included.
+// RateLimit is the rate limit of a volume, with all tolerances included.
 type RateLimit struct {
-	Rate     float64 // units a second
-	Capacity float64 // of the token bucket, units
+	Rate     float64 // cost units per second
+	Capacity float64 // capacity of the token bucket, in cost units
 }
 
-// Request is the client's record of one request. Times count from the start of the run.
+// Request is the client's record of one request. Its times count from the start of the run.
 type Request struct {
 	Tag     string
-	Gateway string // with the number of its instance: another one after each restart
-	Class   int
-	Key     string // of its object
+	Gateway string // name with an instance number, which changes at each restart
+	Class   int    // index in Parameters.Classes
+	Key     string // key of the object
 	Sent    time.Duration
-	Ended   time.Duration // the whole response was read, or the request ended without one
-	Status  int           // 0: no response
+	Ended   time.Duration // when the client had read the whole response, or when the request ended without one
+	Status  int           // HTTP status; 0: no response
 
-	Responses      int    // bytes after the response count as another one
-	HasRetryAfter  bool   // the response says when to retry
-	ClientCanceled bool   // the client closed the connection first
-	Aborted        bool   // the response began and broke off visibly
-	ContentError   string // what was wrong with the content; empty: nothing
+	Responses      int    // number of responses; bytes after the first response count as another one
+	HasRetryAfter  bool   // the response has a Retry-After header
+	ClientCanceled bool   // the client closed the connection before the response was complete
+	Aborted        bool   // the response began, and the client could see that it is incomplete
+	ContentError   string // difference between the received and the stored content; empty: no difference
 }
 
-// DrainNotice records when a gateway was notified that a node drains or is removed.
+// DrainNotice records when a gateway was notified that a node is draining or was removed.
 type DrainNotice struct {
 	Gateway string
 	Node    string
@@ -74,12 +74,12 @@
 	At      time.Duration
 }
 
-// Log is everything that was observed in a run.
+// Log holds all observations of a run.
 type Log struct {
 	Requests        []Request
-	Entries         []storagenode.LogEntry // of all nodes; Check sorts them by arrival
+	Entries         []storagenode.LogEntry // log entries of all nodes; Check sorts them by arrival
 	DrainNotices    []DrainNotice
 	Crashes         []Crash
-	OverloadedNodes []string // nodes overloaded during slow start
-	End             time.Duration
+	OverloadedNodes []string      // nodes that stopped because they were overloaded during slow start
+	End             time.Duration // end of the observation
 }
--- a/lab/invariants/nodes.go
+++ b/lab/invariants/nodes.go
@@ -7,8 +7,8 @@
 	"chalkstand/fake/storagenode"
 )
 
-// checkDrains checks that a gateway sends nothing to a node once the grace period after its first
-// drain notice is over.
+// checkDrains checks that no request of a gateway arrives at a draining node later than DrainGrace
+// after the gateway's first drain notice for this node.
 func (c *checker) checkDrains() {
 	type gatewayNode struct{ gateway, node string }
 	notified := map[gatewayNode]time.Duration{}
@@ -21,14 +21,14 @@
 	for _, e := range c.log.Entries {
 		at, ok := notified[gatewayNode{e.Gateway, e.Node}]
 		if ok && e.Arrived > at+c.params.DrainGrace+c.params.LogTolerance {
-			c.report(DrainsRespected, e.Arrived, []string{e.Tag}, "%s sent %s to %s %v after its drain notice",
+			c.report(DrainsRespected, e.Arrived, []string{e.Tag}, "%s sent %s to %s %v after its first drain notice",
 				e.Gateway, e.Tag, e.Node, e.Arrived-at)
 		}
 	}
 }
 
-// checkKeyOrder checks that ordered requests of one key through one gateway run one at a time, with
-// a quiescence period after an attempt that may still be running.
+// checkKeyOrder checks that the ordered requests that one gateway sends for a key run one at a time.
+// After a canceled attempt, which may still be running at its node, the key must also pause for Quiescence.
 func (c *checker) checkKeyOrder() {
 	type gatewayKey struct{ gateway, key string }
 	last := map[gatewayKey]storagenode.LogEntry{}
@@ -39,20 +39,20 @@
 		}
 		key := gatewayKey{e.Gateway, r.Key}
 		if previous, ok := last[key]; ok && previous.Tag != e.Tag {
-			free := c.endOf(previous)
+			earliest := c.attemptEnd(previous)
 			if canceled(previous) {
-				free += c.params.Quiescence
+				earliest += c.params.Quiescence
 			}
-			if e.Arrived < free-c.params.LogTolerance {
-				c.report(KeyOrder, e.Arrived, []string{previous.Tag, e.Tag}, "%s reached %s %v before %s, of the same key, was over",
-					e.Tag, e.Node, free-e.Arrived, previous.Tag)
+			if e.Arrived < earliest-c.params.LogTolerance {
+				c.report(KeyOrder, e.Arrived, []string{previous.Tag, e.Tag}, "%s arrived at %s %v too early after %s, which has the same key",
+					e.Tag, e.Node, earliest-e.Arrived, previous.Tag)
 			}
 		}
 		last[key] = e
 	}
 }
 
-// checkRetryBudget checks the retries of each gateway instance in every window.
+// checkRetryBudget checks that each gateway instance stays within its retry budget in every window of BudgetWindow.
 func (c *checker) checkRetryBudget() {
 	if c.params.BudgetWindow == 0 {
 		return
@@ -73,7 +73,8 @@
 	}
 }
 
-// checkRetryWindows checks each window that ends with a retry. Both lists are sorted.
+// checkRetryWindows checks the windows of one gateway that end with a retry. The times in requests
+// and retries must be sorted.
 func (c *checker) checkRetryWindows(gateway string, requests, retries []time.Duration) {
 	window, tolerance := c.params.BudgetWindow, c.params.LogTolerance
 	first := 0
@@ -86,20 +87,20 @@
 		count := float64(i - first + 1)
 		allowed := c.params.BudgetFree + c.params.BudgetRatio*float64(to-from)
 		if count > allowed {
-			c.report(RetryBudget, at, nil, "%s: %.0f retries within %v, %.1f allowed", gateway, count, window, allowed)
+			c.report(RetryBudget, at, nil, "%s sent %.0f retries within %v, %.1f are allowed", gateway, count, window, allowed)
 		}
 	}
 }
 
-// limitTolerance is the rounding error allowed in a token bucket, in units.
+// limitTolerance is the allowed rounding error of a token bucket's level, in cost units.
 const limitTolerance = 1e-6
 
-// checkRateLimits checks the first attempts that all gateways send for a volume against a
-// token bucket that fills at the limit's rate.
+// checkRateLimits checks the requests that all gateways together send for a volume against a
+// token bucket that fills at the volume's rate limit. Retries do not count.
 func (c *checker) checkRateLimits() {
 	type bucket struct {
-		level float64 // units
-		at    time.Duration
+		level float64       // tokens left, in cost units
+		at    time.Duration // time of level
 	}
 	buckets := map[string]*bucket{}
 	type gatewayRequest struct {
@@ -122,7 +123,7 @@
 		b.level = min(limit.Capacity, b.level+limit.Rate*(e.Arrived-b.at).Seconds()) - e.Units
 		b.at = e.Arrived
 		if b.level < -limit.Rate*c.params.LogTolerance.Seconds()-limitTolerance {
-			c.report(RateLimits, e.Arrived, []string{e.Tag}, "%s: %.2f units beyond its limit", e.Volume, -b.level)
+			c.report(RateLimits, e.Arrived, []string{e.Tag}, "volume %s exceeds its rate limit by %.2f units", e.Volume, -b.level)
 		}
 	}
 }
--- a/lab/invariants/requests.go
+++ b/lab/invariants/requests.go
@@ -6,9 +6,10 @@
 	"chalkstand/fake/storagenode"
 )
 
-// checkResponses checks that each request gets exactly one final response, in time and whole,
-// and that a rejection says when to retry. Requests that a crashed gateway held and
-// requests canceled by their client are exempt.
+// checkResponses checks that each request gets exactly one final response, that the response
+// ends before the deadline and has the right content, and that a rejection has a Retry-After
+// header. A request needs no response if its client canceled it, if its gateway crashed, or if the
+// log ends before the deadline.
 func (c *checker) checkResponses() {
 	for i := range c.log.Requests {
 		r := &c.log.Requests[i]
@@ -32,8 +33,8 @@
 	}
 }
 
-// checkAttempts checks that a request has at most one attempt in flight, none after its final
-// response, and as many executions as its class allows.
+// checkAttempts checks that a request has at most one attempt in flight, that no attempt arrives
+// after the final response, and that the request is not executed more often than its class allows.
 func (c *checker) checkAttempts() {
 	for tag, entries := range c.entriesByTag {
 		r := c.requests[tag]
@@ -42,7 +43,7 @@
 				c.checkConsecutive(entries[i-1], e)
 			}
 			if r != nil && r.Responses > 0 && !r.Aborted && e.Arrived > r.Ended+c.params.LogTolerance {
-				c.report(NoRequestLost, e.Arrived, []string{tag}, "%s reached %s after its final response", tag, e.Node)
+				c.report(NoRequestLost, e.Arrived, []string{tag}, "%s arrived at %s after its final response", tag, e.Node)
 			}
 		}
 		if r != nil {
@@ -51,10 +52,11 @@
 	}
 }
 
-// checkConsecutive checks two consecutive attempts of one request.
+// checkConsecutive checks that an attempt does not arrive before the previous attempt of its request has ended,
+// and that no attempt arrives twice.
 func (c *checker) checkConsecutive(previous, e storagenode.LogEntry) {
-	if e.Arrived < c.endOf(previous)-c.params.LogTolerance {
-		c.report(OneAttemptAtATime, e.Arrived, []string{e.Tag}, "%s: attempt %d reached %s while attempt %d was at %s",
+	if e.Arrived < c.attemptEnd(previous)-c.params.LogTolerance {
+		c.report(OneAttemptAtATime, e.Arrived, []string{e.Tag}, "%s: attempt %d arrived at %s while attempt %d was in flight at %s",
 			e.Tag, e.Attempt, e.Node, previous.Attempt, previous.Node)
 	}
 	if e.Gateway == previous.Gateway && e.Request == previous.Request && e.Attempt == previous.Attempt {
@@ -62,7 +64,8 @@
 	}
 }
 
-// checkExecutions checks how often a request that is not idempotent was executed.
+// checkExecutions checks that a request that is not idempotent was executed at most once, that a rejected one was
+// not executed, and that a non-idempotent one was not retried after an attempt that may have executed it.
 func (c *checker) checkExecutions(r *Request, entries []storagenode.LogEntry) {
 	idempotency := c.params.Classes[r.Class].Idempotency
 	if idempotency == Idempotent {
@@ -78,7 +81,7 @@
 		c.report(ExecutedOnce, entries[len(entries)-1].Arrived, []string{r.Tag}, "%s was executed %d times", r.Tag, executions)
 	}
 	if executions > 0 && r.Status == http.StatusServiceUnavailable && r.Responses == 1 {
-		c.report(ExecutedOnce, r.Ended, []string{r.Tag}, "%s was rejected, which promises that it was not executed, but it was", r.Tag)
+		c.report(ExecutedOnce, r.Ended, []string{r.Tag}, "%s was rejected although it was executed", r.Tag)
 	}
 	if idempotency != NonIdempotent {
 		return
