--- a/fake/disconnect/disconnect.go
+++ b/fake/disconnect/disconnect.go
@@ -1,5 +1,5 @@
-// Package disconnect tells fake nodes when the peer of a connection has closed it, though bytes that it sent before
-// are unread.
+// Package disconnect detects for fake nodes that the peer of a connection has closed it, even while bytes that the
+// peer sent earlier are still unread.
 package disconnect
 
 import (
@@ -9,11 +9,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// pollInterval is how often a connection is checked.
+// pollInterval is the time between two checks of a connection.
 const pollInterval = 5 * time.Millisecond
 
-// Watch calls onClose once its peer has closed a connection, unless ended is closed before. It returns when
-// either has happened, or when the connection is closed on this side.
+// Watch waits until the peer closes a connection, and then calls onClose. It returns without a call of onClose if
+// the ended channel is closed first, or if the connection is closed locally.
 func Watch(conn syscall.Conn, ended <-chan struct{}, onClose func()) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -38,8 +38,8 @@
 	}
 }
 
-// peerClosed reports whether the peer of a connection has closed it. The error is that of a connection that is
-// closed on this side.
+// peerClosed reports whether the peer of a connection has closed it. It returns an error if the connection is closed
+// locally.
 func peerClosed(raw syscall.RawConn) (bool, error) {
 	closed := false
 	err := raw.Control(func(fd uintptr) {
