--- a/fake/discovery/discovery.go
+++ b/fake/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery is a fake of the platform's discovery service, for tests and for chalkstand
-// fake-nodes: each watch receives the lines that the test sends.
+// Package discovery is a fake of the platform's discovery service, for tests and for the command
+// chalkstand fake-nodes. Each watch receives the lines that the caller of Send or Publish passes.
 package discovery
 
 import (
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// maxBufferedLines is how many lines a watch may lag behind before Send blocks.
+// maxBufferedLines is the number of unsent lines of a watch. Send and Publish block while a watch has this many.
 const maxBufferedLines = 64
 
-// heartbeatInterval is how often a watch gets an empty line once a list was published.
+// heartbeatInterval is the time between two empty lines that a watch receives after the first call of Publish.
 const heartbeatInterval = time.Second
 
 // Endpoint is a node's entry in an endpoint list.
@@ -24,8 +24,8 @@
 	ID        string
 	Addr      string
 	State     string // Ready, Terminating or Gone
-	Cell      int    // its shard
-	StartedMS int64  // Unix time in milliseconds
+	Cell      int    // shard of the node
+	StartedMS int64  // start of the node, as a Unix time in milliseconds
 }
 
 func (e Endpoint) json() string {
@@ -34,8 +34,8 @@
 		e.ID, e.Addr, e.Cell, e.State, e.StartedMS)
 }
 
-// Document returns an endpoint list in the service's form, without a line end. full tells a snapshot
-// from the changes since an earlier version.
+// Document returns an endpoint list in the service's JSON format, without a newline at the end. If full is
+// true, the list is a snapshot; otherwise it has only the changes since an earlier version.
 func Document(version int, full bool, endpoints ...Endpoint) string {
 	servers := make([]string, 0, len(endpoints))
 	for _, endpoint := range endpoints {
@@ -48,13 +48,13 @@
 type Server struct {
 	http   *http.Server
 	ln     net.Listener
-	served chan struct{} // closed once the listener is no longer served
+	served chan struct{} // closed when the goroutine that serves the listener ends
 
 	mu           sync.Mutex
 	calls        []string      // the since parameter of each call
-	watches      []chan string // lines to send
-	failingCalls int           // so many calls are still to fail
-	snapshot     string        // first line of each watch; empty: none
+	watches      []chan string // unsent lines of each watch opened since the last call of CloseWatches
+	failingCalls int           // number of future calls that fail
+	snapshot     string        // first line of each new watch; empty before the first call of Publish
 }
 
 // Start starts a server on a free port of the loopback address.
@@ -68,7 +68,7 @@
 	s.http = &http.Server{Handler: s}
 	go func() {
 		defer close(s.served)
-		_ = s.http.Serve(ln) // it returns an error in any case: the server was closed
+		_ = s.http.Serve(ln) // Serve always returns an error, also after Close
 	}()
 	return s, nil
 }
@@ -78,26 +78,27 @@
 
 // Stop stops the server and closes its watches.
 func (s *Server) Stop() {
-	_ = s.http.Close() // it only fails where the listener is closed already
+	_ = s.http.Close() // Close only fails if the listener is already closed
 	<-s.served
 }
 
-// FailCalls makes the next calls fail with 503.
+// FailCalls makes the given number of next calls fail with status 503.
 func (s *Server) FailCalls(calls int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failingCalls = calls
 }
 
-// Calls returns, for each call in order, the version from which a watch was asked for; it is empty
-// where none was given.
+// Calls returns the since parameter of each call, in the order of the calls. The parameter is the version
+// from which the client requests a watch. It is empty if the client sent none.
 func (s *Server) Calls() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.calls)
 }
 
-// Send sends a line on all watches that were opened and returns their number.
+// Send sends a line to all watches that were opened since the last call of CloseWatches, and returns their number.
+// The number includes watches whose client has disconnected.
 func (s *Server) Send(line string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,8 +108,9 @@
 	return len(s.watches)
 }
 
-// Publish sets the list with which each watch begins from now on, and sends the changes that lead to it on all
-// open watches. From the first call on watches get heartbeats, as those of the platform do.
+// Publish sets the snapshot that each new watch receives as its first line, and sends the changes from the previous
+// snapshot to the watches that are already open. After the first call, watches also get heartbeats, as in the
+// platform's service.
 func (s *Server) Publish(snapshot, changes string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,7 +130,7 @@
 	s.watches = nil
 }
 
-// ServeHTTP serves a watch.
+// ServeHTTP serves one watch: it sends lines and heartbeats until the client disconnects or CloseWatches is called.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	lines, ok := s.openWatch(r.FormValue("since"))
 	if !ok {
@@ -161,14 +163,14 @@
 	}
 }
 
-// published reports whether a list was published.
+// published reports whether Publish has set a snapshot.
 func (s *Server) published() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.snapshot != ""
 }
 
-// openWatch records a call and opens its watch. It reports false for a call that is to fail.
+// openWatch records a call and opens a watch for it. It returns false if FailCalls makes this call fail.
 func (s *Server) openWatch(since string) (lines chan string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
