--- a/fake/respnode/log.go
+++ b/fake/respnode/log.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// LogEntry records one command at a node.
+// LogEntry records one command that a node received.
 type LogEntry struct {
 	Args         []string
 	Arrived      time.Time
-	Ended        time.Time // zero: not yet
-	Disconnected time.Time // when the peer closed the connection before Ended; zero: it did not
-	Executed     bool      // neither held without a reply nor turned away
+	Ended        time.Time // end of the command's handling; zero while the command is handled
+	Disconnected time.Time // when the peer closed the connection; zero if it did not do so before Ended
+	Executed     bool      // the node neither hung without a reply nor rejected the command
 }
 
-// busyReply begins the reply to a command that was turned away.
+// busyReply is the prefix of the reply to a rejected command.
 const busyReply = "-BUSY"
 
-// Log returns a copy of the entries of all commands since the last ClearCommands, in the order of arrival.
+// Log returns a copy of the log entries since the last call of ClearCommands, in the order of arrival.
 func (n *Node) Log() []LogEntry {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -29,7 +29,7 @@
 	return log
 }
 
-// Commands returns the arguments of each command that was received whole, in order.
+// Commands returns the arguments of each completely received command, in the order of arrival.
 func (n *Node) Commands() [][]string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -40,14 +40,14 @@
 	return commands
 }
 
-// ClearCommands forgets the commands that were received.
+// ClearCommands deletes all log entries.
 func (n *Node) ClearCommands() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.log = nil
 }
 
-// record records a command and returns its entry and how it is to be handled.
+// record adds a command to the log and returns its log entry and the behavior for its handling.
 func (n *Node) record(args []string) (*LogEntry, Behavior) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -65,12 +65,12 @@
 	return e, behavior
 }
 
-// nextBehavior returns how the next command is handled. It is called with mu held.
+// nextBehavior returns the behavior for a command with the given arguments. The caller must hold mu.
 func (n *Node) nextBehavior(args []string) Behavior {
 	switch {
-	case len(n.next) > 0:
-		behavior := n.next[0]
-		n.next = n.next[1:]
+	case len(n.queuedBehaviors) > 0:
+		behavior := n.queuedBehaviors[0]
+		n.queuedBehaviors = n.queuedBehaviors[1:]
 		return behavior
 	case n.choose != nil:
 		return n.choose(args)
@@ -78,14 +78,15 @@
 	return n.defaultBehavior
 }
 
-// recordEnd records that a command has been handled.
+// recordEnd records the time at which the handling of a command ended.
 func (n *Node) recordEnd(e *LogEntry) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	e.Ended = time.Now()
 }
 
-// recordDisconnect records that the peer closed the connection of a command that is being handled.
+// recordDisconnect records the time at which the peer closed the connection. It does nothing if the handling of the
+// command has already ended.
 func (n *Node) recordDisconnect(e *LogEntry) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/fake/respnode/node.go
+++ b/fake/respnode/node.go
@@ -1,5 +1,5 @@
-// Package respnode is a fake storage node that speaks RESP2 on loopback. It records the commands that
-// it receives and replies with scripted faults.
+// Package respnode is a fake storage node that speaks RESP2 on the loopback interface. It records the
+// commands that it receives, and its replies can have faults that a test sets.
 package respnode
 
 import (
@@ -15,35 +15,35 @@
 	"chalkstand/fake/disconnect"
 )
 
-// Behavior says how a node handles a command. The zero value replies with the command's value, a usage
-// and a load report.
+// Behavior describes how a node handles a command. With the zero value the node replies at once with an
+// array of three bulk strings: the command's value, the resource usage and a load report.
 type Behavior struct {
-	Delay   time.Duration // before the reply
-	Reply   string        // raw bytes in place of the usual reply; "%v" stands for the value as a bulk string
-	Trailer string        // raw bytes behind the reply
-	Hang    bool          // no reply; the connection stays open
-	Close   bool          // the connection is closed after Reply, or at once where Reply is empty
-	Reset   bool          // a close resets the connection
+	Delay   time.Duration // time between the command's arrival and the reply
+	Reply   string        // raw bytes in place of the usual reply; "%v" is replaced by the value as a bulk string
+	Trailer string        // raw bytes that the node sends after the reply
+	Hang    bool          // the node sends no reply and leaves the connection open
+	Close   bool          // the node closes the connection after Reply, or without a reply if Reply is empty
+	Reset   bool          // closing the connection sends a TCP reset
 }
 
 // Node is a running fake storage node.
 type Node struct {
-	ln       net.Listener
-	received chan struct{} // has an entry after a command was recorded
-	stopping chan struct{} // closed by Stop
-	running  sync.WaitGroup
+	ln         net.Listener
+	received   chan struct{} // gets an element when a command is recorded, to wake up AwaitCommands
+	stopping   chan struct{} // closed by Stop
+	goroutines sync.WaitGroup
 
 	mu              sync.Mutex
-	next            []Behavior // of the next commands, one each
+	queuedBehaviors []Behavior // each behavior applies to one future command, in this order
 	defaultBehavior Behavior
-	choose          func(args []string) Behavior // in the place of defaultBehavior; may be nil
+	choose          func(args []string) Behavior // used in place of defaultBehavior; may be nil
 	log             []*LogEntry
-	conns           map[net.Conn]bool
-	connsOpened     int
+	conns           map[net.Conn]bool // open connections
+	connsOpened     int               // number of connections accepted so far
 	stopped         bool
 }
 
-// Start starts a node on a free port of the loopback address.
+// Start starts a node on a free port of the address 127.0.0.1.
 func Start() (*Node, error) {
 	var config net.ListenConfig
 	ln, err := config.Listen(context.Background(), "tcp", "127.0.0.1:0")
@@ -56,20 +56,20 @@
 		stopping: make(chan struct{}),
 		conns:    map[net.Conn]bool{},
 	}
-	n.running.Go(n.accept)
+	n.goroutines.Go(n.accept)
 	return n, nil
 }
 
-// Stop closes the listener, resets all connections and waits for the node's goroutines. It is to be
-// called once.
+// Stop closes the listener, resets all connections and waits for the node's goroutines. It must not be
+// called twice.
 func (n *Node) Stop() {
 	close(n.stopping)
-	_ = n.ln.Close() // it only fails where it is closed already
+	_ = n.ln.Close() // Close only fails if the listener is already closed
 	n.resetConns()
-	n.running.Wait()
+	n.goroutines.Wait()
 }
 
-// resetConns resets all connections and those that are accepted from here on.
+// resetConns resets all open connections. The node also resets a connection that it accepts afterwards.
 func (n *Node) resetConns() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -79,8 +79,8 @@
 	}
 }
 
-// reset closes a connection so that its peer gets a reset. Errors are ignored: the peer may have
-// closed it.
+// reset closes a connection with a TCP reset. It ignores errors, because the peer may already have
+// closed the connection.
 func reset(conn net.Conn) {
 	_ = conn.(*net.TCPConn).SetLinger(0)
 	_ = conn.Close()
@@ -89,36 +89,36 @@
 // Addr returns the address on which the node listens.
 func (n *Node) Addr() string { return n.ln.Addr().String() }
 
-// SetNext sets how the next commands are handled, one each, behind those that were set before.
+// SetNext appends behaviors to the queue of the node. Each behavior applies to one future command.
 func (n *Node) SetNext(behaviors ...Behavior) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.next = append(n.next, behaviors...)
+	n.queuedBehaviors = append(n.queuedBehaviors, behaviors...)
 }
 
-// SetDefault sets how commands are handled that SetNext says nothing of.
+// SetDefault sets the behavior for commands that arrive while the queue of SetNext is empty.
 func (n *Node) SetDefault(behavior Behavior) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.defaultBehavior = behavior
 }
 
-// SetChooser sets a function that says how commands are handled that SetNext says nothing of. It must not
-// call methods of the node.
+// SetChooser sets a function that returns the behavior for commands that arrive while the queue of SetNext
+// is empty. The function replaces the behavior of SetDefault. It must not call methods of the node.
 func (n *Node) SetChooser(choose func(args []string) Behavior) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.choose = choose
 }
 
-// ConnsOpened returns the number of connections that were accepted.
+// ConnsOpened returns the number of connections that the node has accepted.
 func (n *Node) ConnsOpened() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.connsOpened
 }
 
-// AwaitCommands waits until that many commands were received.
+// AwaitCommands waits until the node has received at least count commands. It returns an error after the timeout.
 func (n *Node) AwaitCommands(count int, timeout time.Duration) error {
 	expired := time.After(timeout)
 	for {
@@ -128,12 +128,13 @@
 		select {
 		case <-n.received:
 		case <-expired:
-			return fmt.Errorf("%d commands were not received within %v", count, timeout)
+			return fmt.Errorf("expected %d commands within %v, received fewer", count, timeout)
 		}
 	}
 }
 
-// WriteAll writes raw bytes on all open connections. Errors are ignored: a peer may have closed one.
+// WriteAll writes raw bytes on all open connections. It ignores errors, because a peer may have closed
+// its connection.
 func (n *Node) WriteAll(text string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -142,7 +143,7 @@
 	}
 }
 
-// accept serves connections until the listener is closed.
+// accept accepts and serves connections until the listener is closed.
 func (n *Node) accept() {
 	for {
 		conn, err := n.ln.Accept()
@@ -153,7 +154,7 @@
 			reset(conn)
 			return
 		}
-		n.running.Go(func() { n.serve(conn) })
+		n.goroutines.Go(func() { n.serve(conn) })
 	}
 }
 
@@ -175,7 +176,7 @@
 // serve handles the commands of a connection in order.
 func (n *Node) serve(conn net.Conn) {
 	defer n.removeConn(conn)
-	defer func() { _ = conn.Close() }() // Stop may have closed it
+	defer func() { _ = conn.Close() }() // Close fails if Stop has closed the connection
 	in := bufio.NewReader(conn)
 	for {
 		args, err := readCommand(in)
@@ -188,19 +189,19 @@
 	}
 }
 
-// handleCommand records and handles a command, and reports whether the connection stays open.
+// handleCommand records a command in the log and handles it. It reports whether the connection stays open.
 func (n *Node) handleCommand(conn net.Conn, args []string) bool {
 	entry, behavior := n.record(args)
 	ended := make(chan struct{})
 	defer n.recordEnd(entry)
 	defer close(ended)
-	n.running.Go(func() {
+	n.goroutines.Go(func() {
 		disconnect.Watch(conn.(*net.TCPConn), ended, func() { n.recordDisconnect(entry) })
 	})
 	return n.handle(conn, args, behavior)
 }
 
-// handle replies to a command and reports whether the connection stays open.
+// handle replies to a command as the behavior says, and reports whether the connection stays open.
 func (n *Node) handle(conn net.Conn, args []string, behavior Behavior) bool {
 	if behavior.Delay > 0 {
 		select {
@@ -210,11 +211,11 @@
 		}
 	}
 	if behavior.Hang {
-		_, _ = io.Copy(io.Discard, conn) // until the connection ends, however it does
+		_, _ = io.Copy(io.Discard, conn) // Copy returns when the connection ends, with or without an error
 		return false
 	}
 	if behavior.Reset {
-		_ = conn.(*net.TCPConn).SetLinger(0) // it fails where the peer has closed the connection
+		_ = conn.(*net.TCPConn).SetLinger(0) // SetLinger fails if the peer has closed the connection
 	}
 	if behavior.Reply == "" && behavior.Close {
 		return false
@@ -228,7 +229,8 @@
 	return err == nil && !behavior.Close
 }
 
-// Value returns the value with which a node replies to a command. It differs for each piece and id.
+// Value returns the value with which a node replies to a command. Commands with different piece IDs or
+// request IDs have different values.
 func Value(args []string) string {
 	if len(args) < 3 {
 		return ""
