--- a/fake/storagenode/blob.go
+++ b/fake/storagenode/blob.go
@@ -18,21 +18,21 @@
 	"chalkstand/internal/payload"
 )
 
-// checksumPrefix begins the name of a checksum's header, before its algorithm.
+// checksumPrefix is the prefix of a checksum header's name. The name of the algorithm follows it.
 const checksumPrefix = "x-amz-checksum-"
 
-// minBuffer is the initial buffer of a body in memory, in bytes.
-const minBuffer = 512
+// minBufferSize is the minimum initial size of the buffer for a body in memory, in bytes.
+const minBufferSize = 512
 
-// blob is bytes in memory, or in files one after another.
+// blob holds the content of an object or a part, either in memory or as the concatenation of several files.
 type blob struct {
 	mem   []byte
-	files []string // nil: in memory
-	sizes []int64  // of files
-	size  int64
+	files []string // names of the files; nil if the content is in memory
+	sizes []int64  // sizes of the files, in bytes
+	size  int64    // total size in bytes
 }
 
-// open returns a reader of n bytes from offset on.
+// open returns a reader of n bytes of the blob, which start at offset.
 func (b blob) open(offset, n int64) (io.ReadCloser, error) {
 	if b.files == nil {
 		return io.NopCloser(bytes.NewReader(b.mem[offset : offset+n])), nil
@@ -63,7 +63,7 @@
 	}{io.MultiReader(readers...), files}, nil
 }
 
-// multiCloser closes several files as one.
+// multiCloser is an io.Closer that closes several files.
 type multiCloser []io.Closer
 
 // Close implements io.Closer.
@@ -75,7 +75,7 @@
 	return err
 }
 
-// concatenate returns the blob of several parts, one after another.
+// concatenate returns a blob with the contents of all parts, in the given order.
 func concatenate(parts []*object) blob {
 	var b blob
 	for _, p := range parts {
@@ -92,20 +92,21 @@
 	return b
 }
 
-// receivedBody is a request's body with its checksums.
+// receivedBody is a request's body with its calculated checksums.
 type receivedBody struct {
 	blob     blob
-	md5      string // hexadecimal
-	checksum string // base64; empty unless one was named
+	md5      string // hexadecimal MD5 of the body
+	checksum string // base64 checksum with the algorithm that receive was given; empty without an algorithm
 }
 
-// receive reads a body to its end. It calculates the checksum of the header sumName, if that is
-// not empty. size is the length that the client announced, -1 where it did not.
-func (d *Dataset) receive(r io.Reader, size int64, sumName string) (receivedBody, error) {
+// receive stores a body and calculates its checksums. checksumName is the name of the header that the
+// checksum belongs to and selects its algorithm; it may be empty. size is the Content-Length of the body,
+// or -1 if the length is unknown.
+func (d *Dataset) receive(r io.Reader, size int64, checksumName string) (receivedBody, error) {
 	m := md5.New()
 	hashes := io.Writer(m)
 	var sum hash.Hash
-	if algorithm, ok := strings.CutPrefix(sumName, checksumPrefix); ok {
+	if algorithm, ok := strings.CutPrefix(checksumName, checksumPrefix); ok {
 		if sum = payload.NewChecksum(algorithm); sum != nil {
 			hashes = io.MultiWriter(m, sum)
 		}
@@ -118,12 +119,12 @@
 	return got, err
 }
 
-// store reads a body to its end into a blob, in memory or in a new file.
+// store reads a body to its end and returns it as a blob, which is in memory or in a new file.
 func (d *Dataset) store(r io.Reader, size int64) (blob, error) {
 	var b blob
 	var err error
 	if d.dir == "" {
-		b.mem = make([]byte, 0, max(size, minBuffer))
+		b.mem = make([]byte, 0, max(size, minBufferSize))
 		b.size, err = io.Copy((*appender)(&b.mem), r)
 		return b, err
 	}
@@ -142,13 +143,13 @@
 	b.files = []string{name}
 	b.sizes = []int64{b.size}
 	if err != nil {
-		_ = os.Remove(name) // err says more
+		_ = os.Remove(name) // the caller gets err, which is the cause
 	}
 	return b, err
 }
 
-// yieldingReader yields the processor before each read of a body, so that a node's other requests
-// are not held up for long while one that has arrived already is hashed.
+// yieldingReader yields the processor before each read of a body. Without this, hashing a body whose
+// bytes have all arrived would delay the node's other requests.
 type yieldingReader struct{ io.Reader }
 
 func (y yieldingReader) Read(p []byte) (int, error) {
--- a/fake/storagenode/buckets.go
+++ b/fake/storagenode/buckets.go
@@ -24,50 +24,50 @@
 	return xmlResponse(res), nil
 }
 
-func (d *Dataset) createBucket(o objectapi.Operation, _ *http.Request) (response, *objectapi.Error) {
-	if !d.AddBucket(o.Bucket, time.Now()) {
+func (d *Dataset) createBucket(op objectapi.Operation, _ *http.Request) (response, *objectapi.Error) {
+	if !d.AddBucket(op.Bucket, time.Now()) {
 		return response{}, objectapi.NewError(objectapi.CodeBucketAlreadyOwnedByYou, "The bucket is there already and is yours.")
 	}
-	return response{status: http.StatusOK, header: map[string]string{"Location": "/" + o.Bucket}}, nil
+	return response{status: http.StatusOK, header: map[string]string{"Location": "/" + op.Bucket}}, nil
 }
 
-func (d *Dataset) headBucket(o objectapi.Operation, _ *http.Request) (response, *objectapi.Error) {
-	if d.Objects(o.Bucket) < 0 {
+func (d *Dataset) headBucket(op objectapi.Operation, _ *http.Request) (response, *objectapi.Error) {
+	if d.Objects(op.Bucket) < 0 {
 		return response{}, errNoSuchBucket()
 	}
 	return response{status: http.StatusOK}, nil
 }
 
-func (d *Dataset) bucketLocation(o objectapi.Operation, _ *http.Request) (response, *objectapi.Error) {
-	if d.Objects(o.Bucket) < 0 {
+func (d *Dataset) bucketLocation(op objectapi.Operation, _ *http.Request) (response, *objectapi.Error) {
+	if d.Objects(op.Bucket) < 0 {
 		return response{}, errNoSuchBucket()
 	}
 	return xmlResponse(objectapi.LocationConstraint{}), nil
 }
 
-func (d *Dataset) bucketVersioning(o objectapi.Operation, _ *http.Request) (response, *objectapi.Error) {
-	if d.Objects(o.Bucket) < 0 {
+func (d *Dataset) bucketVersioning(op objectapi.Operation, _ *http.Request) (response, *objectapi.Error) {
+	if d.Objects(op.Bucket) < 0 {
 		return response{}, errNoSuchBucket()
 	}
 	return xmlResponse(objectapi.VersioningConfiguration{}), nil
 }
 
-func (d *Dataset) deleteBucket(o objectapi.Operation, _ *http.Request) (response, *objectapi.Error) {
+func (d *Dataset) deleteBucket(op objectapi.Operation, _ *http.Request) (response, *objectapi.Error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	b := d.buckets[o.Bucket]
+	b := d.buckets[op.Bucket]
 	if b == nil {
 		return response{}, errNoSuchBucket()
 	}
 	if len(b.objects) > 0 {
 		return response{}, objectapi.NewError(objectapi.CodeBucketNotEmpty, "The bucket you tried to delete is not empty.")
 	}
-	delete(d.buckets, o.Bucket)
-	d.appendJournal(journalEntry{What: entryDeleteBucket, Bucket: o.Bucket})
+	delete(d.buckets, op.Bucket)
+	d.appendJournal(journalEntry{What: entryDeleteBucket, Bucket: op.Bucket})
 	return response{status: http.StatusNoContent}, nil
 }
 
-// Objects returns the number of objects in a bucket, -1 if there is no such bucket.
+// Objects returns the number of objects in a bucket, or -1 if the bucket does not exist.
 func (d *Dataset) Objects(bucket string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -77,7 +77,7 @@
 	return -1
 }
 
-// AddBucket creates a bucket, and returns false if it exists already.
+// AddBucket creates a bucket. It returns false if the bucket already exists.
 func (d *Dataset) AddBucket(name string, created time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/fake/storagenode/capacity.go
+++ b/fake/storagenode/capacity.go
@@ -6,14 +6,14 @@
 	"chalkstand/internal/objectapi"
 )
 
-// recentLoad is a request that arrived at a node that has just started.
+// recentLoad records the arrival time and the cost of a request during a node's warm-up.
 type recentLoad struct {
 	at    time.Time
 	units float64
 }
 
-// checkOverload stops a node that has just started if it receives too much. It is called with mu
-// held.
+// checkOverload stops the node if the requests of the last OverloadWindow exceed the limits that Config sets for a
+// warm-up. It does nothing once the node's age exceeds WarmUp by more than OverloadWindow. The caller must hold mu.
 func (n *Node) checkOverload(now time.Time, units float64) {
 	c := n.cfg
 	age := now.Sub(n.started)
@@ -31,30 +31,30 @@
 	capacity := n.speed(now) * float64(max(c.Cores, 1)) * c.OverloadWindow.Seconds() / c.PerUnit.Seconds()
 	if sum > max(c.OverloadFactor*capacity, c.InitialUnits) && !n.overloaded {
 		n.overloaded = true
-		go n.shutdown() // mu is held
+		go n.shutdown() // in a goroutine, because the caller holds mu
 	}
 }
 
-// speed returns the speed of a core, by the node's age.
+// speed returns the speed of a core at the given time. It rises linearly during the warm-up.
 func (n *Node) speed(now time.Time) float64 {
 	c := n.cfg
 	if c.InitialSpeed <= 0 || c.WarmUp <= 0 {
 		return c.Speed
 	}
-	warm := min(1, now.Sub(n.started).Seconds()/c.WarmUp.Seconds())
-	return c.Speed * (c.InitialSpeed + (1-c.InitialSpeed)*warm)
+	progress := min(1, now.Sub(n.started).Seconds()/c.WarmUp.Seconds())
+	return c.Speed * (c.InitialSpeed + (1-c.InitialSpeed)*progress)
 }
 
-// work waits for a core and uses it as long as the request takes. It returns false if the queue is
-// full or the node stops.
-func (n *Node) work(op objectapi.Operation, e *LogEntry, f *activeFault) bool {
+// simulateWork waits for a free core and occupies it for the request's service time. It returns false if the
+// queue is full or the node stops.
+func (n *Node) simulateWork(op objectapi.Operation, e *LogEntry, f *activeFault) bool {
 	if n.cfg.PerUnit <= 0 && n.cores == nil {
 		return true
 	}
-	if !n.enqueue() {
+	if !n.admit() {
 		return false
 	}
-	defer n.dequeue()
+	defer n.release()
 	queuedAt := time.Now()
 	if n.cores != nil {
 		select {
@@ -74,25 +74,25 @@
 	return ok
 }
 
-// enqueue counts a request in, and returns false if the queue is full.
-func (n *Node) enqueue() bool {
+// admit counts a request that will wait for a core or occupy one. It returns false if the queue is full.
+func (n *Node) admit() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.cores != nil && n.waiting >= n.cfg.Cores+n.cfg.Queue {
+	if n.cores != nil && n.admitted >= n.cfg.Cores+n.cfg.Queue {
 		return false
 	}
-	n.waiting++
+	n.admitted++
 	return true
 }
 
-func (n *Node) dequeue() {
+func (n *Node) release() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.waiting--
+	n.admitted--
 }
 
-// serviceTime returns the time at which a request's service starts and how long it takes, a pause
-// included. Of a write it puts off the deferred share.
+// serviceTime returns the start of a request's service and its duration, which includes the rest of a
+// running pause. It adds the deferred share of a write to the deferred work, not to the duration.
 func (n *Node) serviceTime(op objectapi.Operation, units float64, f *activeFault) (time.Time, time.Duration) {
 	units = max(units, 1)
 	n.mu.Lock()
@@ -111,7 +111,8 @@
 	return now, max(pause, 0) + d
 }
 
-// runDeferredWork does the work that was put off, with all cores, until the node stops.
+// runDeferredWork runs until the node stops. Every DeferEvery it pauses the node for as long as all
+// cores together need for the deferred work.
 func (n *Node) runDeferredWork() {
 	for n.sleep(n.cfg.DeferEvery) {
 		n.mu.Lock()
--- a/fake/storagenode/conditions.go
+++ b/fake/storagenode/conditions.go
@@ -11,7 +11,7 @@
 	"chalkstand/internal/objectapi"
 )
 
-// condition decides whether a write may replace an object, nil if there is none.
+// condition returns an error if a write must not replace the old object. old is nil if there is no object yet.
 type condition func(old *object) *objectapi.Error
 
 func unconditional(*object) *objectapi.Error { return nil }
@@ -20,7 +20,7 @@
 	return objectapi.NewError(objectapi.CodePreconditionFailed, "At least one of the pre-conditions you specified did not hold")
 }
 
-// writeCondition returns the condition of If-Match and If-None-Match of a write.
+// writeCondition returns the condition that the headers If-Match and If-None-Match of a write express.
 func writeCondition(r *http.Request) condition {
 	return func(old *object) *objectapi.Error {
 		if m := r.Header.Get("If-Match"); m != "" {
@@ -38,7 +38,8 @@
 	}
 }
 
-// matchesETag reports whether a list as in If-Match contains an entity tag.
+// matchesETag reports whether a list of entity tags contains etag or "*". The list has the format of
+// the header If-Match.
 func matchesETag(list, etag string) bool {
 	for t := range strings.SplitSeq(list, ",") {
 		t = strings.Trim(strings.TrimPrefix(strings.TrimSpace(t), "W/"), `"`)
@@ -49,18 +50,19 @@
 	return false
 }
 
-// readCondition checks the conditions of a read in the order of RFC 9110. prefix is the one of the
-// headers' names: empty, or that of a copy's source.
-func readCondition(h http.Header, prefix string, o *object) *objectapi.Error {
-	since := func(name string) (time.Time, bool) {
+// readCondition checks the conditional headers of a read in the order that RFC 9110 requires, and returns an error
+// for the first condition that does not hold. prefix is the prefix of the headers' names: it is empty for a read, and
+// "x-amz-copy-source-" for the source of a copy.
+func readCondition(h http.Header, prefix string, obj *object) *objectapi.Error {
+	headerTime := func(name string) (time.Time, bool) {
 		t, err := http.ParseTime(h.Get(prefix + name))
 		return t, err == nil
 	}
 	if m := h.Get(prefix + "If-Match"); m != "" {
-		if !matchesETag(m, o.etag) {
+		if !matchesETag(m, obj.etag) {
 			return errPreconditionFailed()
 		}
-	} else if t, ok := since("If-Unmodified-Since"); ok && o.modified.After(t) {
+	} else if t, ok := headerTime("If-Unmodified-Since"); ok && obj.modified.After(t) {
 		return errPreconditionFailed()
 	}
 	notModified := objectapi.NewError(objectapi.CodeNotModified, "")
@@ -68,39 +70,39 @@
 		notModified = errPreconditionFailed()
 	}
 	if m := h.Get(prefix + "If-None-Match"); m != "" {
-		if matchesETag(m, o.etag) {
+		if matchesETag(m, obj.etag) {
 			return notModified
 		}
-	} else if t, ok := since("If-Modified-Since"); ok && !o.modified.After(t) {
+	} else if t, ok := headerTime("If-Modified-Since"); ok && !obj.modified.After(t) {
 		return notModified
 	}
 	return nil
 }
 
-// byteRange is length bytes from offset on.
+// byteRange is a range of an object's bytes.
 type byteRange struct{ offset, length int64 }
 
-// rangeResult is how a range header is to be handled.
+// rangeResult says how the node handles a Range header.
 type rangeResult int
 
 const (
-	rangeIgnored       rangeResult = iota // other units, several ranges, malformed
-	rangeValid                            // the range is sent
-	rangeUnsatisfiable                    // nothing of the object is in the range
+	rangeIgnored       rangeResult = iota // the header has another unit, several ranges or invalid syntax
+	rangeValid                            // the node sends the range
+	rangeUnsatisfiable                    // the range contains no byte of the object
 )
 
-// applyRange narrows a response to the range or part that a request asks for.
-func applyRange(o objectapi.Operation, r *http.Request, ob *object, resp *response) *objectapi.Error {
-	size := ob.blob.size
+// applyRange limits a response to the byte range or part that its request selects.
+func applyRange(op objectapi.Operation, r *http.Request, obj *object, resp *response) *objectapi.Error {
+	size := obj.blob.size
 	var br byteRange
 	result := rangeIgnored
-	if p := o.Query.Get("partNumber"); p != "" {
+	if p := op.Query.Get("partNumber"); p != "" {
 		var ok bool
-		if br, ok = ob.partRange(p); !ok {
+		if br, ok = obj.partRange(p); !ok {
 			return objectapi.NewError(objectapi.CodeInvalidRange, "The requested partnumber is not satisfiable")
 		}
 		result = rangeValid
-	} else if v := r.Header.Get("Range"); v != "" && rangeApplies(r, ob) {
+	} else if v := r.Header.Get("Range"); v != "" && rangeApplies(r, obj) {
 		br, result = parseRange(v, size)
 	}
 	switch result {
@@ -115,7 +117,7 @@
 	return nil
 }
 
-// partRange returns the range of a part by its number, and false if there is no such part.
+// partRange returns the byte range of the part with the given number. It returns false if the part does not exist.
 func (o *object) partRange(number string) (byteRange, bool) {
 	parts := o.parts
 	if len(parts) == 0 {
@@ -132,40 +134,40 @@
 	return br, true
 }
 
-// rangeApplies reports whether the condition If-Range holds.
-func rangeApplies(r *http.Request, ob *object) bool {
+// rangeApplies reports whether the condition in the If-Range header holds. A missing header counts as true.
+func rangeApplies(r *http.Request, obj *object) bool {
 	v := r.Header.Get("If-Range")
 	if v == "" {
 		return true
 	}
 	if t, err := http.ParseTime(v); err == nil {
-		return ob.modified.Equal(t)
+		return obj.modified.Equal(t)
 	}
-	return strings.Trim(v, `"`) == ob.etag
+	return strings.Trim(v, `"`) == obj.etag
 }
 
-// parseRange parses a header with one byte range of an object of a size.
+// parseRange parses a Range header with one byte range, for an object of the given size in bytes.
 func parseRange(v string, size int64) (byteRange, rangeResult) {
 	spec, found := strings.CutPrefix(v, "bytes=")
 	first, last, dash := strings.Cut(strings.TrimSpace(spec), "-")
 	if !found || !dash || strings.Contains(spec, ",") {
 		return byteRange{}, rangeIgnored
 	}
-	a, aOK := http1.ParseLength([]byte(first))
-	z, zOK := http1.ParseLength([]byte(last))
+	start, startOK := http1.ParseLength([]byte(first))
+	end, endOK := http1.ParseLength([]byte(last))
 	switch {
-	case first == "" && zOK: // suffix
-		if z == 0 || size == 0 {
+	case first == "" && endOK: // bytes=-N requests the last N bytes
+		if end == 0 || size == 0 {
 			return byteRange{}, rangeUnsatisfiable
 		}
-		z = min(z, size)
-		return byteRange{offset: size - z, length: z}, rangeValid
-	case !aOK || last != "" && !zOK || zOK && z < a:
+		end = min(end, size)
+		return byteRange{offset: size - end, length: end}, rangeValid
+	case !startOK || last != "" && !endOK || endOK && end < start:
 		return byteRange{}, rangeIgnored
-	case a >= size:
+	case start >= size:
 		return byteRange{}, rangeUnsatisfiable
 	case last == "":
-		z = size - 1
+		end = size - 1
 	}
-	return byteRange{offset: a, length: min(z, size-1) - a + 1}, rangeValid
+	return byteRange{offset: start, length: min(end, size-1) - start + 1}, rangeValid
 }
--- a/fake/storagenode/dataset.go
+++ b/fake/storagenode/dataset.go
@@ -13,31 +13,31 @@
 	"chalkstand/internal/objectapi"
 )
 
-// Dataset is the contents of a shard. A node's successor takes over the same one.
+// Dataset holds the contents of a shard. When one node replaces another, it takes over the Dataset.
 type Dataset struct {
-	dir string // of blobs; "" keeps them in memory
+	dir string // directory of the blob files; empty: blobs are in memory
 
 	mu         sync.Mutex
-	logger     *zap.Logger // of the node that started last
+	logger     *zap.Logger // logger of the node that started last
 	buckets    map[string]*bucket
-	uploads    map[string]*upload // by ID
-	dedup      map[string]*dedupEntry
-	dedupOrder []*dedupEntry // in the order in which they expire
-	nextID     uint64
-	journal    *os.File // nil: nothing outlasts the process
+	uploads    map[string]*upload     // open multipart uploads, keyed by upload ID
+	dedup      map[string]*dedupEntry // keyed by idempotency key
+	dedupOrder []*dedupEntry          // finished entries in the order of their expiry
+	nextID     uint64                 // makes the names of blob files and the upload IDs unique
+	journal    *os.File               // nil: the data set is lost when the process ends
 }
 
 type bucket struct {
 	created time.Time
-	objects map[string]*object
-	keys    []string // sorted; nil when they have to be sorted again
+	objects map[string]*object // keyed by object key
+	keys    []string           // sorted keys of objects; nil after a change until sorted is called
 }
 
 func newBucket(created time.Time) *bucket {
 	return &bucket{created: created, objects: map[string]*object{}}
 }
 
-// sorted returns the keys in order.
+// sorted returns the keys of all objects in ascending order.
 func (b *bucket) sorted() []string {
 	if b.keys == nil {
 		b.keys = make([]string, 0, len(b.objects))
@@ -49,24 +49,25 @@
 	return b.keys
 }
 
-// object is immutable once it is stored.
+// object is an object or a part of an upload. It does not change after it is stored.
 type object struct {
 	blob     blob
-	etag     string // without quotes
+	etag     string // entity tag without quotes
 	modified time.Time
-	header   map[string]string // canonical names
+	header   map[string]string // values keyed by canonical header names
 	sum      checksum
-	parts    []int64 // sizes of a multipart object's parts
+	parts    []int64 // sizes in bytes of the parts from which the object was completed; empty for other objects
 }
 
-// checksum is one that the client sent, by its header's name; empty without one.
+// checksum is the checksum that the client sent with an object. It is the zero value if the client sent none.
 type checksum struct {
-	name  string
+	name  string // name of the header
 	value string
 }
 
-// NewDataset returns an empty shard. With a directory the blobs are files in it; what they are
-// called outlasts the process only with OpenDataset.
+// NewDataset returns an empty data set. If dir is not empty, the blobs are files in this directory;
+// otherwise they are in memory. The data set has no journal, so it is lost when the process ends.
+// Use OpenDataset to keep it.
 func NewDataset(dir string) *Dataset {
 	return &Dataset{
 		dir:     dir,
@@ -83,13 +84,13 @@
 	d.logger = logger
 }
 
-// internalError logs that an object's bytes cannot be read or written and returns the error for the client,
-// which does not name the file.
-func (d *Dataset) internalError(object string, err error) *objectapi.Error {
+// internalError logs an error of reading or writing an object's bytes. It returns the error for the client, which
+// does not contain the name of the file.
+func (d *Dataset) internalError(resource string, err error) *objectapi.Error {
 	d.mu.Lock()
 	logger := d.logger
 	d.mu.Unlock()
-	logger.Error("object data unavailable", zap.String("object", object), zap.Error(err))
+	logger.Error("object data unavailable", zap.String("object", resource), zap.Error(err))
 	return objectapi.NewError(objectapi.CodeInternalError, "We encountered an internal error.")
 }
 
@@ -104,15 +105,15 @@
 	if b == nil {
 		return nil, errNoSuchBucket()
 	}
-	o := b.objects[key]
-	if o == nil {
+	obj := b.objects[key]
+	if obj == nil {
 		return nil, errNoSuchKey()
 	}
-	return o, nil
+	return obj, nil
 }
 
-// put stores an object if the condition holds.
-func (d *Dataset) put(bucketName, key string, o *object, cond condition) *objectapi.Error {
+// put stores an object under a key if the condition holds for the old object with this key.
+func (d *Dataset) put(bucketName, key string, obj *object, cond condition) *objectapi.Error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	b := d.buckets[bucketName]
@@ -126,12 +127,12 @@
 	if old == nil {
 		b.keys = nil
 	}
-	b.objects[key] = o
-	d.appendJournal(journalEntry{What: entryPut, Bucket: bucketName, Key: key, Object: o.record()})
+	b.objects[key] = obj
+	d.appendJournal(journalEntry{What: entryPut, Bucket: bucketName, Key: key, Object: obj.record()})
 	return nil
 }
 
-// delete removes an object, if there is one and the condition holds.
+// delete removes an object if the condition holds. It returns no error if the object does not exist.
 func (d *Dataset) delete(bucketName, key string, cond condition) *objectapi.Error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -150,8 +151,8 @@
 	return nil
 }
 
-// Store puts an object into a bucket without a request, as the state before a test. It does nothing
-// if there is no such bucket.
+// Store puts an object into a bucket without a request, to prepare the data for a test. It does nothing
+// if the bucket does not exist.
 func (d *Dataset) Store(bucketName, key string, b []byte) {
 	sum := md5.Sum(b)
 	_ = d.put(bucketName, key, &object{
--- a/fake/storagenode/dedup.go
+++ b/fake/storagenode/dedup.go
@@ -8,25 +8,26 @@
 	"chalkstand/internal/objectapi"
 )
 
-// dedupEntry remembers a keyed write, so that repeats of it are not executed.
+// dedupEntry records a write with an idempotency key and its response. The node does not execute repeats of the write.
 type dedupEntry struct {
 	key      string
-	until    time.Time     // zero while the write is running
+	expires  time.Time     // end of the deduplication window; zero while the write is running
 	done     chan struct{} // closed when response is set
 	response response
 }
 
-// execute runs an operation, or returns the first response for a repeat of a keyed write.
+// execute executes an operation and returns its response. A repeat of a keyed write within the
+// deduplication window is not executed and gets the response of the first write.
 func (n *Node) execute(op objectapi.Operation, r *http.Request, e *LogEntry) response {
-	key := r.Header.Get(headerKey)
+	key := r.Header.Get(headerIdempotencyKey)
 	if key == "" || n.cfg.DedupWindow <= 0 || !op.Kind.Writes() {
 		n.recordExecution(r, e)
 		return n.data.run(op, r)
 	}
 	now := time.Now()
-	entry, first := n.data.startKeyed(key, now)
+	entry, first := n.data.startKeyedWrite(key, now)
 	if !first {
-		_, _ = io.Copy(io.Discard, r.Body) // the response does not depend on it
+		_, _ = io.Copy(io.Discard, r.Body) // the response does not depend on the body, even if it is incomplete
 		n.update(e, func(x *LogEntry) { x.Deduplicated = true })
 		select {
 		case <-entry.done:
@@ -36,16 +37,17 @@
 	}
 	n.recordExecution(r, e)
 	entry.response = n.data.run(op, r)
-	n.data.finishKeyed(entry, now, n.cfg.DedupWindow)
+	n.data.finishKeyedWrite(entry, now, n.cfg.DedupWindow)
 	return entry.response
 }
 
-// startKeyed returns the entry of a key and reports whether it is a new one.
-func (d *Dataset) startKeyed(key string, now time.Time) (entry *dedupEntry, first bool) {
+// startKeyedWrite returns the entry of an idempotency key. It creates the entry and returns true if the key has none or
+// its entry has expired.
+func (d *Dataset) startKeyedWrite(key string, now time.Time) (entry *dedupEntry, first bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	entry = d.dedup[key]
-	if entry != nil && (entry.until.IsZero() || now.Before(entry.until)) {
+	if entry != nil && (entry.expires.IsZero() || now.Before(entry.expires)) {
 		return entry, false
 	}
 	entry = &dedupEntry{key: key, done: make(chan struct{})}
@@ -53,15 +55,15 @@
 	return entry, true
 }
 
-// finishKeyed ends a keyed write that was started at a time, and forgets the entries that had
-// expired then.
-func (d *Dataset) finishKeyed(entry *dedupEntry, started time.Time, window time.Duration) {
+// finishKeyedWrite starts the deduplication window of a keyed write whose response is set. It also deletes
+// the entries that had already expired when the write started.
+func (d *Dataset) finishKeyedWrite(entry *dedupEntry, started time.Time, window time.Duration) {
 	d.mu.Lock()
-	entry.until = time.Now().Add(window)
+	entry.expires = time.Now().Add(window)
 	d.dedupOrder = append(d.dedupOrder, entry)
-	for len(d.dedupOrder) > 0 && started.After(d.dedupOrder[0].until) {
+	for len(d.dedupOrder) > 0 && started.After(d.dedupOrder[0].expires) {
 		expired := d.dedupOrder[0]
-		if d.dedup[expired.key] == expired { // not replaced by a later write of its key
+		if d.dedup[expired.key] == expired { // a later write with the same key may have replaced the entry
 			delete(d.dedup, expired.key)
 		}
 		d.dedupOrder = d.dedupOrder[1:]
@@ -70,7 +72,7 @@
 	close(entry.done)
 }
 
-// recordExecution logs that an operation is executed and adds its units to the ledger.
+// recordExecution marks a request as executed in the log and adds its cost units to the ledger.
 func (n *Node) recordExecution(r *http.Request, e *LogEntry) {
 	n.update(e, func(x *LogEntry) { x.Executed = true })
 	if n.ledger != nil {
--- a/fake/storagenode/dedup_test.go
+++ b/fake/storagenode/dedup_test.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Header.Set(headerKey, key)
+	r.Header.Set(headerIdempotencyKey, key)
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 5 * time.Second}
 	resp, err := client.Do(r)
 	if err != nil {
@@ -58,16 +58,16 @@
 	d := NewDataset("")
 	const window = time.Minute
 	start := time.Now()
-	first, _ := d.startKeyed("k", start)
-	d.finishKeyed(first, start, -window) // expired at once
-	second, isFirst := d.startKeyed("k", start)
+	first, _ := d.startKeyedWrite("k", start)
+	d.finishKeyedWrite(first, start, -window) // expired at once
+	second, isFirst := d.startKeyedWrite("k", start)
 	if !isFirst {
 		t.Fatal("the expired entry is still in force")
 	}
-	d.finishKeyed(second, start, window)
-	other, _ := d.startKeyed("other", start)
-	d.finishKeyed(other, start, window)
-	if entry, isFirst := d.startKeyed("k", start); isFirst || entry != second {
+	d.finishKeyedWrite(second, start, window)
+	other, _ := d.startKeyedWrite("other", start)
+	d.finishKeyedWrite(other, start, window)
+	if entry, isFirst := d.startKeyedWrite("k", start); isFirst || entry != second {
 		t.Error("the repeat is executed")
 	}
 }
--- a/fake/storagenode/disconnect.go
+++ b/fake/storagenode/disconnect.go
@@ -10,10 +10,10 @@
 	"chalkstand/fake/disconnect"
 )
 
-// connKey is the context key of a request's connection.
+// connKey is the context key under which withConn stores a request's connection.
 type connKey struct{}
 
-// withConn is the ConnContext of a node's server.
+// withConn adds the connection to the context of its requests. It is the ConnContext of a node's HTTP server.
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	if l, ok := c.(*linkConn); ok {
 		c = l.Conn
@@ -21,9 +21,9 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// watchDisconnect logs when the client of a request disconnects, until stop is called. The request's context
-// alone does not tell: the server watches a connection only once the request body has been read to its end,
-// and a request that waits for a core has not been read.
+// watchDisconnect logs when the client of a request disconnects, until the returned function is called. The request's
+// context alone is not enough: the HTTP server detects a disconnection only after the request body has been read, and
+// the body of a request that waits for a core is still unread.
 func (n *Node) watchDisconnect(r *http.Request, e *LogEntry) (stop func()) {
 	ended := make(chan struct{})
 	record := func() { n.recordDisconnect(e) }
@@ -37,7 +37,7 @@
 	}
 }
 
-// recordDisconnect logs the disconnection of a request that has not ended.
+// recordDisconnect logs the time at which the client disconnected, unless the request has already ended.
 func (n *Node) recordDisconnect(e *LogEntry) {
 	at := time.Since(n.epoch)
 	n.update(e, func(x *LogEntry) {
--- a/fake/storagenode/doc.go
+++ b/fake/storagenode/doc.go
@@ -1,4 +1,4 @@
 // Package storagenode is a fake storage node for tests, experiments and the quick start. It serves
-// the object API over HTTP on loopback, stores a shard's objects, has a limited capacity, reports
-// its load, and shows faults on request.
+// the object API over HTTP on the loopback interface and stores the objects of a shard. It simulates
+// a limited capacity, reports its load, and injects the faults that its user requests.
 package storagenode
--- a/fake/storagenode/fault.go
+++ b/fake/storagenode/fault.go
@@ -6,48 +6,48 @@
 	"time"
 )
 
-// FaultKind is a way to fail.
+// FaultKind says how a node fails.
 type FaultKind int
 
-// noFault is the kind of no fault.
+// noFault is the FaultKind of a request without a fault.
 const noFault FaultKind = 0
 
 // The kinds of faults.
 const (
-	Stall            FaultKind = iota + 1 // no response for a time, then reset the connection
-	StallInResponse                       // stall in the middle of the response
-	Reject                                // respond 503 without executing the request
-	ServerError                           // respond 500 without executing the request
-	ResetConnection                       // reset the connection without executing the request
-	LoseResponse                          // execute the request, then reset the connection
-	TruncateResponse                      // reset the connection in the middle of the response
-	Slow                                  // Factor times the service time
-	Pause                                 // serve nothing until For has passed
-	Exit                                  // stop the node; only in scripts
+	Stall            FaultKind = iota + 1 // the node waits for the time Hold and then resets the connection
+	StallInResponse                       // the node sends half of the body, waits for the time Hold and sends the rest
+	Reject                                // the node responds with status 503 and does not execute the request
+	ServerError                           // the node responds with status 500 and does not execute the request
+	ResetConnection                       // the node resets the connection and does not execute the request
+	LoseResponse                          // the node executes the request, waits for the time Hold and resets the connection
+	TruncateResponse                      // the node sends half of the body and resets the connection
+	Slow                                  // the service time is multiplied by Factor
+	Pause                                 // the node serves no request for the time For
+	Exit                                  // the node stops; only RunScript supports this kind
 )
 
-// Fault is a fault to inject.
+// Fault describes a fault for Inject.
 type Fault struct {
 	Kind   FaultKind
-	Match  func(*http.Request) bool // nil: all requests
-	Count  int                      // of requests; 0: no limit
-	For    time.Duration            // from the injection on; 0: no end
-	Hold   time.Duration            // length of a stall; 0: For, or until the client disconnects
-	Share  float64                  // of the matching requests; 0: all
-	Factor float64                  // of Slow
+	Match  func(*http.Request) bool // selects the affected requests; nil: all requests
+	Count  int                      // maximum number of affected requests; 0: no limit
+	For    time.Duration            // time from the injection to the end of the fault; 0: no end
+	Hold   time.Duration            // duration of a stall; 0: the value of For, or maxHold if For is 0 too
+	Share  float64                  // share of the matching requests that is affected; 0: all
+	Factor float64                  // factor of the service time for the kind Slow
 }
 
-// maxHold is the length of a stall without one of its own.
+// maxHold is the duration of a stall if neither Hold nor For is set.
 const maxHold = time.Hour
 
-// activeFault is an injected fault.
+// activeFault is an injected fault with its state.
 type activeFault struct {
 	Fault
-	until     time.Time // zero: no end
-	remaining int       // requests, if Count is not 0
+	until     time.Time // end of the fault; zero: no end
+	remaining int       // number of requests that the fault can still affect; not used if Count is 0
 }
 
-// kind returns the fault's kind; the receiver may be nil.
+// kind returns the kind of a fault. It returns noFault if f is nil.
 func (f *activeFault) kind() FaultKind {
 	if f == nil {
 		return noFault
@@ -55,7 +55,7 @@
 	return f.Kind
 }
 
-// Inject makes the node show a fault from now on.
+// Inject activates a fault.
 func (n *Node) Inject(f Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -70,7 +70,7 @@
 	n.faults = append(n.faults, active)
 }
 
-// ClearFaults ends all faults.
+// ClearFaults ends all faults, including a running pause.
 func (n *Node) ClearFaults() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -78,7 +78,7 @@
 	n.pausedUntil = time.Time{}
 }
 
-// matchFault returns the first fault that applies to a request, nil if none does.
+// matchFault returns the first fault that affects a request, or nil. It counts the request for this fault.
 func (n *Node) matchFault(r *http.Request) *activeFault {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -102,7 +102,7 @@
 	return !expired && !usedUp && (f.Match == nil || f.Match(r))
 }
 
-// stall waits as long as a fault says, or until the client disconnects or the node stops.
+// stall waits for the duration of a fault's stall. It returns earlier if the client disconnects or the node stops.
 func (n *Node) stall(r *http.Request, f *activeFault) {
 	d := f.Hold
 	if d <= 0 {
@@ -120,12 +120,12 @@
 	}
 }
 
-// resetConnection resets a request's connection.
+// resetConnection closes a request's connection with a TCP reset.
 func resetConnection(w http.ResponseWriter) {
 	if h, ok := w.(http.Hijacker); ok {
 		if c, _, err := h.Hijack(); err == nil {
 			if t, ok := c.(*net.TCPConn); ok {
-				_ = t.SetLinger(0) // without it the connection ends by FIN
+				_ = t.SetLinger(0) // makes Close send a TCP reset in place of a FIN
 			}
 			_ = c.Close()
 			return
--- a/fake/storagenode/journal.go
+++ b/fake/storagenode/journal.go
@@ -13,13 +13,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// A data set in a directory keeps a journal of its changes, as JSON lines, beside the files with
-// the objects' bytes. A process that takes the directory over replays it; an incomplete last line
-// counts as not written.
+// A data set from OpenDataset keeps a journal in its directory, which also has the blob files. The
+// journal is a file of JSON lines, one for each change. A process that opens the directory later
+// replays the journal. It ignores and removes an incomplete last line.
 
 const journalName = "journal"
 
-// Kinds of changes in the journal.
+// Kinds of changes, as the field What of a journal entry names them.
 const (
 	entryBucket       = "bucket"
 	entryDeleteBucket = "unbucket"
@@ -30,19 +30,19 @@
 	entryEndUpload    = "end"
 )
 
-// journalEntry is one change.
+// journalEntry is one change of a data set.
 type journalEntry struct {
 	What   string            `json:"What"`
 	Bucket string            `json:"Bucket"`
 	Key    string            `json:"Key,omitempty"`
-	ID     string            `json:"ID,omitempty"` // of an upload
+	ID     string            `json:"ID,omitempty"` // upload ID
 	Part   int               `json:"Part,omitempty"`
 	At     time.Time         `json:"At,omitempty"`
 	Header map[string]string `json:"Header,omitempty"`
 	Object *objectRecord     `json:"Object,omitempty"`
 }
 
-// objectRecord is an object in the journal.
+// objectRecord is the form in which the journal stores an object or a part of an upload.
 type objectRecord struct {
 	Files    []string          `json:"Files,omitempty"`
 	Sizes    []int64           `json:"Sizes,omitempty"`
@@ -51,7 +51,7 @@
 	Modified time.Time         `json:"Modified"`
 	Header   map[string]string `json:"Header,omitempty"`
 	Sum      string            `json:"Sum,omitempty"`   // header name of the checksum
-	Value    string            `json:"Value,omitempty"` // of the checksum
+	Value    string            `json:"Value,omitempty"` // value of the checksum
 	Parts    []int64           `json:"Parts,omitempty"`
 }
 
@@ -69,8 +69,8 @@
 	}
 }
 
-// object returns the object of a record. Its files are looked for in dir, whatever directory the
-// record names: that is where they were when it was written, and the directory may have been moved.
+// object returns the object of a record, with its blob files in dir. The record has the paths that the files had
+// when it was written. Only their base names are used, because the directory may have been moved since then.
 func (r *objectRecord) object(dir string) *object {
 	var files []string
 	for _, name := range r.Files {
@@ -86,28 +86,28 @@
 	}
 }
 
-// OpenDataset opens the data set of a directory, which no other process may have open. An empty
-// directory is an empty shard.
+// OpenDataset opens the data set in a directory and creates the directory if necessary. It fails if
+// the data set is already open, in this or another process. An empty directory is an empty data set.
 func OpenDataset(dir string) (*Dataset, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return nil, fmt.Errorf("data set: %w", err)
+		return nil, fmt.Errorf("create data set directory: %w", err)
 	}
 	f, err := os.OpenFile(filepath.Join(dir, journalName), os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
-		return nil, fmt.Errorf("data set: %w", err)
+		return nil, fmt.Errorf("open data set: %w", err)
 	}
 	d := NewDataset(dir)
 	if err := d.openJournal(f); err != nil {
-		_ = f.Close() // err says more
-		return nil, fmt.Errorf("data set %s: %w", dir, err)
+		_ = f.Close() // the caller gets err, which is the cause
+		return nil, fmt.Errorf("open data set %s: %w", dir, err)
 	}
 	return d, nil
 }
 
-// openJournal locks a journal, replays it and cuts off an incomplete last line.
+// openJournal locks and replays a journal file, and removes its last line if that is incomplete.
 func (d *Dataset) openJournal(f *os.File) error {
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		return fmt.Errorf("another node holds it: %w", err)
+		return fmt.Errorf("lock journal, which another node may have open: %w", err)
 	}
 	end, err := d.replay(f)
 	if err != nil {
@@ -123,7 +123,8 @@
 	return nil
 }
 
-// Close releases the directory for a successor.
+// Close closes the journal, so that another node can open the directory. Changes after Close are not written to the
+// journal.
 func (d *Dataset) Close() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -135,22 +136,22 @@
 	return err
 }
 
-// appendJournal writes a change to the journal, if there is one. It is called with mu held, and panics
-// if it fails, as the node must not confirm a change that its successor would not see.
-func (d *Dataset) appendJournal(c journalEntry) {
+// appendJournal writes a change to the journal if the data set has one. The caller must hold mu. It panics
+// on a write error, because the node must not confirm a change that is missing after a restart.
+func (d *Dataset) appendJournal(entry journalEntry) {
 	if d.journal == nil {
 		return
 	}
-	b, err := json.Marshal(c)
+	b, err := json.Marshal(entry)
 	if err == nil {
 		_, err = d.journal.Write(append(b, '\n'))
 	}
 	if err != nil {
-		panic(fmt.Sprintf("storage node: journal: %v", err))
+		panic(fmt.Sprintf("storage node: append to journal: %v", err))
 	}
 }
 
-// replay reads the journal and returns where its last whole line ends.
+// replay applies the entries of a journal and returns the offset at which its last complete line ends.
 func (d *Dataset) replay(r io.Reader) (int64, error) {
 	br := bufio.NewReader(r)
 	end := int64(0)
@@ -162,39 +163,39 @@
 		if err != nil {
 			return end, err
 		}
-		var c journalEntry
-		if err := json.Unmarshal(line, &c); err != nil {
-			return end, fmt.Errorf("journal, line %d: %w", n, err)
+		var entry journalEntry
+		if err := json.Unmarshal(line, &entry); err != nil {
+			return end, fmt.Errorf("journal line %d: %w", n, err)
 		}
-		d.apply(c)
+		d.apply(entry)
 		end += int64(len(line))
 	}
 }
 
-// apply replays one change.
-func (d *Dataset) apply(c journalEntry) {
-	switch b := d.buckets[c.Bucket]; c.What {
+// apply applies one journal entry to the data set.
+func (d *Dataset) apply(entry journalEntry) {
+	switch b := d.buckets[entry.Bucket]; entry.What {
 	case entryBucket:
-		d.buckets[c.Bucket] = newBucket(c.At)
+		d.buckets[entry.Bucket] = newBucket(entry.At)
 	case entryDeleteBucket:
-		delete(d.buckets, c.Bucket)
+		delete(d.buckets, entry.Bucket)
 	case entryPut:
-		b.objects[c.Key] = c.Object.object(d.dir)
+		b.objects[entry.Key] = entry.Object.object(d.dir)
 	case entryDelete:
-		delete(b.objects, c.Key)
+		delete(b.objects, entry.Key)
 	case entryUpload:
-		d.uploads[c.ID] = &upload{
-			bucket:  c.Bucket,
-			key:     c.Key,
-			started: c.At,
-			header:  c.Header,
+		d.uploads[entry.ID] = &upload{
+			bucket:  entry.Bucket,
+			key:     entry.Key,
+			started: entry.At,
+			header:  entry.Header,
 			parts:   map[int]*object{},
 		}
 	case entryPart:
-		if u := d.uploads[c.ID]; u != nil {
-			u.parts[c.Part] = c.Object.object(d.dir)
+		if u := d.uploads[entry.ID]; u != nil {
+			u.parts[entry.Part] = entry.Object.object(d.dir)
 		}
 	case entryEndUpload:
-		delete(d.uploads, c.ID)
+		delete(d.uploads, entry.ID)
 	}
 }
--- a/fake/storagenode/ledger.go
+++ b/fake/storagenode/ledger.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// maxPeriods is how many periods of a volume a ledger keeps.
+// maxPeriods is the maximum number of periods that a ledger keeps for each volume.
 const maxPeriods = 16
 
-// Ledger is the accounting by volume that the nodes of one installation share: the units served in
-// the last finished period, reported with a delay, and the units that each node served for other
-// gateways since its last report to one.
+// Ledger is the usage accounting that the nodes of one installation share. For each volume it counts the
+// cost units served in each period. For each node and gateway, it also counts the units that the node
+// served for other gateways since its last report to this gateway.
 type Ledger struct {
-	Period time.Duration // over which a rate is measured
-	Delay  time.Duration // until a finished period is reported
+	Period time.Duration // interval over which a volume's rate is measured
+	Delay  time.Duration // time between the end of a period and the first report of its rate
 
 	mu      sync.Mutex
 	volumes map[string]*volumeAccount
 }
 
 type volumeAccount struct {
-	periods    []period                 // oldest first
-	unreported map[nodeGateway]float64  // units that the node served for other gateways
-	reported   map[nodeGateway]struct{} // to which the node has reported
+	periods    []period                 // in ascending order of index
+	unreported map[nodeGateway]float64  // units that the node served for other gateways since its last report to this one
+	reported   map[nodeGateway]struct{} // pairs for which the node has sent the gateway at least one report
 }
 
 type period struct {
-	index int64 // Unix time of its start, in periods
-	units float64
+	index int64   // Unix time of the period's start, divided by Period
+	units float64 // cost units that all nodes served in the period
 }
 
 type nodeGateway struct{ node, gateway string }
@@ -37,7 +37,7 @@
 	return &Ledger{Period: period, Delay: delay, volumes: map[string]*volumeAccount{}}
 }
 
-// account returns a volume's account. It is called with mu held.
+// account returns the account of a volume and creates it if necessary. The caller must hold mu.
 func (l *Ledger) account(volume string) *volumeAccount {
 	a := l.volumes[volume]
 	if a == nil {
@@ -47,7 +47,7 @@
 	return a
 }
 
-// Add adds units that a node served for a volume through a gateway.
+// Add adds the cost units of a request that a node served for a volume and a gateway.
 func (l *Ledger) Add(volume, node, gateway string, units float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -67,8 +67,9 @@
 	}
 }
 
-// Report returns a volume's rate, in units a second, in the last period that may be reported, and
-// the units that the node served of it through other gateways since its last report to this one.
+// Report returns the figures for a node's report to a gateway. rate is the volume's rate in the last
+// period that ended at least Delay ago, in cost units per second. elsewhere is the number of units that
+// the node served for the volume through other gateways since its last report to this gateway.
 func (l *Ledger) Report(volume, node, gateway string) (rate, elsewhere float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/fake/storagenode/link.go
+++ b/fake/storagenode/link.go
@@ -6,39 +6,40 @@
 	"time"
 )
 
-// sharedLink is the link that all connections of a node send through, at a limited rate, in pieces
-// in the order in which they come. A client with more connections gets more of it.
+// sharedLink simulates a network link with a limited rate that all connections of a node share. The
+// connections send in pieces, and the link sends the pieces in the order of their arrival. A client with
+// more connections therefore gets a larger share of the rate.
 type sharedLink struct {
-	rate   float64 // bytes a second; 0: no limit
+	rate   float64 // rate in bytes per second; 0: no limit
 	mu     sync.Mutex
-	freeAt time.Time // when all pieces so far have been sent
+	freeAt time.Time // when the link has sent all pieces that it was given
 }
 
-// linkPiece is how much a connection sends at a time, in bytes.
-const linkPiece = 32 << 10
+// linkPieceSize is the maximum size of a piece that a connection sends at a time, in bytes.
+const linkPieceSize = 32 << 10
 
-// linkSlack is how much idle time a link makes up for, so that sleeps that last too long do not
-// reduce its rate.
+// linkSlack is the maximum idle time that a link can catch up on. Without it, sleeps that last too long
+// would reduce the link's rate.
 const linkSlack = 5 * time.Millisecond
 
-// send waits until a piece of so many bytes has been sent.
-func (l *sharedLink) send(bytes int) {
+// send waits until the link has sent a piece of the given size.
+func (l *sharedLink) send(size int) {
 	l.mu.Lock()
 	now := time.Now()
-	if early := now.Add(-linkSlack); l.freeAt.Before(early) {
-		l.freeAt = early
+	if earliest := now.Add(-linkSlack); l.freeAt.Before(earliest) {
+		l.freeAt = earliest
 	}
-	l.freeAt = l.freeAt.Add(time.Duration(float64(bytes) / l.rate * 1e9))
+	l.freeAt = l.freeAt.Add(time.Duration(float64(size) / l.rate * 1e9))
 	sent := l.freeAt
 	l.mu.Unlock()
 	time.Sleep(time.Until(sent))
 }
 
-// linkListener accepts connections that send through a link.
+// linkListener is a listener whose connections send through a shared link.
 type linkListener struct {
 	net.Listener
 	link       *sharedLink
-	sendBuffer int // kernel send buffer of a connection, bytes; 0: the kernel's default
+	sendBuffer int // size of a connection's kernel send buffer, in bytes; 0: the kernel's default
 }
 
 // Accept implements net.Listener.
@@ -49,7 +50,7 @@
 	}
 	if t, ok := c.(*net.TCPConn); ok && l.sendBuffer > 0 {
 		if err := t.SetWriteBuffer(l.sendBuffer); err != nil {
-			_ = c.Close() // err says more
+			_ = c.Close() // the caller gets err, which is the cause
 			return nil, err
 		}
 	}
@@ -64,10 +65,11 @@
 	link *sharedLink
 }
 
-// Write implements net.Conn. A connection whose peer does not read keeps no other from the link.
+// Write implements net.Conn. It takes time of the link only for a piece that the kernel has accepted, so that a
+// connection whose peer does not read cannot block the others.
 func (c *linkConn) Write(b []byte) (sum int, err error) {
 	for len(b) > 0 && err == nil {
-		piece := b[:min(len(b), linkPiece)]
+		piece := b[:min(len(b), linkPieceSize)]
 		var n int
 		n, err = c.Conn.Write(piece)
 		c.link.send(n)
--- a/fake/storagenode/lists.go
+++ b/fake/storagenode/lists.go
@@ -10,10 +10,10 @@
 	"chalkstand/internal/objectapi"
 )
 
-// maxListed is the most entries of a page of a list.
-const maxListed = 1000
+// maxPageEntries is the maximum number of entries on one page of a list.
+const maxPageEntries = 1000
 
-// parseLimit parses the size of a page; without a number it is limit.
+// parseLimit parses the requested size of a page, which is at most limit. It returns limit if s is not a number.
 func parseLimit(s string, limit int) int {
 	if n, err := strconv.Atoi(s); err == nil {
 		return min(n, limit)
@@ -21,16 +21,17 @@
 	return limit
 }
 
-// nameEncoder returns how names are written under a request's encoding-type.
-func nameEncoder(o objectapi.Operation) func(string) string {
-	if o.Query.Get("encoding-type") == "url" {
+// nameEncoder returns the function that encodes names as the parameter encoding-type of a request requires.
+func nameEncoder(op objectapi.Operation) func(string) string {
+	if op.Query.Get("encoding-type") == "url" {
 		return objectapi.EncodeName
 	}
 	return func(s string) string { return s }
 }
 
-// rollUp cuts a key behind the first delimiter after the prefix, and reports whether there is one.
-func rollUp(key, prefix, delimiter string) (string, bool) {
+// commonPrefix cuts a key after the first delimiter that follows the prefix. If the key has no such delimiter, it returns
+// the whole key and false.
+func commonPrefix(key, prefix, delimiter string) (string, bool) {
 	if delimiter == "" {
 		return key, false
 	}
@@ -41,24 +42,24 @@
 	return key[:len(prefix)+i+len(delimiter)], true
 }
 
-// listQuery selects the names of a list.
+// listQuery selects the keys and common prefixes of a list page.
 type listQuery struct {
 	prefix    string
 	delimiter string
-	after     string // names up to this are left out
-	limit     int    // of keys and prefixes together
+	after     string // the page starts with the first name that is greater than this
+	limit     int    // maximum number of keys and common prefixes together
 }
 
-// listPage is a page of a list.
+// listPage is one page of a list of objects.
 type listPage struct {
 	keys     []string
-	objects  []*object // by keys
-	prefixes []string
-	last     string // the last name in it
-	more     bool   // names follow
+	objects  []*object // the objects of keys, in the same order
+	prefixes []string  // common prefixes
+	last     string    // the last key or common prefix on the page
+	more     bool      // the list continues after this page
 }
 
-// list returns a page of a bucket's names, in order.
+// list returns a page of a bucket's keys and common prefixes in ascending order.
 func (d *Dataset) list(bucketName string, q listQuery) (listPage, *objectapi.Error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -76,7 +77,7 @@
 		if key <= q.after && q.after != "" {
 			continue
 		}
-		name, isPrefix := rollUp(key, q.prefix, q.delimiter)
+		name, isPrefix := commonPrefix(key, q.prefix, q.delimiter)
 		if isPrefix && (name == q.after || page.endsWithPrefix(name)) {
 			continue
 		}
@@ -99,14 +100,14 @@
 	return len(p.prefixes) > 0 && p.prefixes[len(p.prefixes)-1] == name
 }
 
-// listStart returns the name after which a list of objects starts.
-func listStart(o objectapi.Operation) (string, *objectapi.Error) {
-	if o.Kind != objectapi.ListObjectsV2 {
-		return o.Query.Get("marker"), nil
+// listStart returns the name after which the requested page of objects starts.
+func listStart(op objectapi.Operation) (string, *objectapi.Error) {
+	if op.Kind != objectapi.ListObjectsV2 {
+		return op.Query.Get("marker"), nil
 	}
-	token := o.Query.Get("continuation-token")
+	token := op.Query.Get("continuation-token")
 	if token == "" {
-		return o.Query.Get("start-after"), nil
+		return op.Query.Get("start-after"), nil
 	}
 	b, err := base64.URLEncoding.DecodeString(token)
 	if err != nil {
@@ -115,15 +116,15 @@
 	return string(b), nil
 }
 
-// listObjects responds to both versions of ListObjects.
-func (d *Dataset) listObjects(o objectapi.Operation, _ *http.Request) (response, *objectapi.Error) {
-	q, encode := o.Query, nameEncoder(o)
-	after, err := listStart(o)
+// listObjects handles both versions of ListObjects.
+func (d *Dataset) listObjects(op objectapi.Operation, _ *http.Request) (response, *objectapi.Error) {
+	q, encode := op.Query, nameEncoder(op)
+	after, err := listStart(op)
 	if err != nil {
 		return response{}, err
 	}
-	limit := parseLimit(q.Get("max-keys"), maxListed)
-	page, err := d.list(o.Bucket, listQuery{
+	limit := parseLimit(q.Get("max-keys"), maxPageEntries)
+	page, err := d.list(op.Bucket, listQuery{
 		prefix:    q.Get("prefix"),
 		delimiter: q.Get("delimiter"),
 		after:     after,
@@ -133,7 +134,7 @@
 		return response{}, err
 	}
 	res := objectapi.ListBucketResult{
-		Name:         o.Bucket,
+		Name:         op.Bucket,
 		Prefix:       encode(q.Get("prefix")),
 		Delimiter:    encode(q.Get("delimiter")),
 		MaxKeys:      limit,
@@ -141,28 +142,28 @@
 		IsTruncated:  page.more && limit > 0,
 	}
 	for i, key := range page.keys {
-		ob := page.objects[i]
+		obj := page.objects[i]
 		res.Contents = append(res.Contents, objectapi.Content{
 			Key:          encode(key),
-			LastModified: objectapi.FormatTime(ob.modified),
-			ETag:         quoted(ob.etag),
-			Size:         ob.blob.size,
+			LastModified: objectapi.FormatTime(obj.modified),
+			ETag:         quoted(obj.etag),
+			Size:         obj.blob.size,
 			StorageClass: "STANDARD",
 		})
 	}
 	for _, p := range page.prefixes {
 		res.CommonPrefixes = append(res.CommonPrefixes, objectapi.CommonPrefix{Prefix: encode(p)})
 	}
-	setContinuation(&res, o, &page, encode)
+	setContinuation(&res, op, &page, encode)
 	return xmlResponse(res), nil
 }
 
-// setContinuation sets how the next page of a list of objects is requested.
+// setContinuation sets the fields of a list response that tell the client how to request the next page.
 func setContinuation(
-	res *objectapi.ListBucketResult, o objectapi.Operation, page *listPage, encode func(string) string,
+	res *objectapi.ListBucketResult, op objectapi.Operation, page *listPage, encode func(string) string,
 ) {
-	if o.Kind == objectapi.ListObjectsV1 {
-		marker := encode(o.Query.Get("marker"))
+	if op.Kind == objectapi.ListObjectsV1 {
+		marker := encode(op.Query.Get("marker"))
 		res.Marker = &marker
 		if res.IsTruncated {
 			res.NextMarker = encode(page.last)
@@ -171,8 +172,8 @@
 	}
 	count := len(page.keys) + len(page.prefixes)
 	res.KeyCount = &count
-	res.StartAfter = encode(o.Query.Get("start-after"))
-	res.ContinuationToken = o.Query.Get("continuation-token")
+	res.StartAfter = encode(op.Query.Get("start-after"))
+	res.ContinuationToken = op.Query.Get("continuation-token")
 	if res.IsTruncated {
 		res.NextContinuationToken = base64.URLEncoding.EncodeToString([]byte(page.last))
 	}
--- a/fake/storagenode/loadreport.go
+++ b/fake/storagenode/loadreport.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// loadReport returns the node's load and the volume's use, in the text format of the Open Request
-// Cost Aggregation report.
+// loadReport returns the node's load and the volume's usage in the text format of an Open Request Cost
+// Aggregation (ORCA) report.
 func (n *Node) loadReport(h http.Header) string {
 	report := n.currentReport()
 	if n.ledger != nil {
@@ -17,7 +17,7 @@
 	return report
 }
 
-// currentReport returns the node's load as it is reported now.
+// currentReport returns the load report that responses carry now, and updates it if necessary.
 func (n *Node) currentReport() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -26,7 +26,7 @@
 		noise := 1 + n.cfg.ReportNoise*(2*n.rng.Float64()-1)
 		utilization := 0.0
 		if n.cfg.Cores > 0 {
-			utilization = min(1, float64(n.waiting)/float64(n.cfg.Cores))
+			utilization = min(1, float64(n.admitted)/float64(n.cfg.Cores))
 		}
 		n.nextReport = fmt.Sprintf("TEXT cpu_utilization=%.3f, named_metrics.inflight=%.2f",
 			utilization*noise, float64(n.inflight)*noise)
@@ -39,7 +39,7 @@
 	return n.report
 }
 
-// FreezeReport keeps the load report as it is for a time.
+// FreezeReport prevents updates of the load report for the time d and the ReportEvery after it.
 func (n *Node) FreezeReport(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/fake/storagenode/log.go
+++ b/fake/storagenode/log.go
@@ -9,7 +9,7 @@
 	"chalkstand/internal/objectapi"
 )
 
-// LogEntry records one request at a node. Times count from the node's epoch.
+// LogEntry records one request that a node received. Its times count from the node's epoch.
 type LogEntry struct {
 	Node         string
 	Gateway      string
@@ -19,21 +19,21 @@
 	Units        float64
 	Op           objectapi.Kind
 	Path         string
-	Key          string // of a keyed write
-	Tag          string // the client's own name for its request
+	Key          string // idempotency key of a keyed write
+	Tag          string // tag by which the client identifies its request
 	Arrived      time.Duration
-	Ended        time.Duration // 0: not yet
-	Disconnected time.Duration // when its connection ended before the response; 0: it did not
-	Executed     bool          // the operation was executed
-	Deduplicated bool          // dropped as a repeated write
-	Status       int           // 0: no response
-	ParseError   string
-	QueueTime    time.Duration // until it had a core
-	ServiceTime  time.Duration // while it had one
-	requestName  string        // as its gateway named it
+	Ended        time.Duration // when the node completed the request; 0: not yet
+	Disconnected time.Duration // when the client disconnected before the request ended; 0: it did not
+	Executed     bool          // the node executed the operation
+	Deduplicated bool          // the node did not execute the request, because it repeats a keyed write
+	Status       int           // HTTP status of the response; 0: no response
+	ParseError   string        // error in the request's syntax; empty: none
+	QueueTime    time.Duration // time that the request waited for a core
+	ServiceTime  time.Duration // time that the request occupied a core
+	requestName  string        // value of the header x-chalkstand-request
 }
 
-// Log returns a copy of the entries of all requests so far.
+// Log returns a copy of the log entries of all requests so far.
 func (n *Node) Log() []LogEntry {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -44,22 +44,23 @@
 	return out
 }
 
-// OnArrival has f called with the entry of each request as it arrives. f must not call methods of
-// the node.
+// OnArrival sets a function that the node calls with the log entry of each request when it arrives.
+// The function must not call methods of the node.
 func (n *Node) OnArrival(f func(LogEntry)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.onArrival = f
 }
 
-// recordArrival logs a request and counts what it adds to the load of a node that has just started.
+// recordArrival creates the log entry of a request. It also checks whether the request overloads a node
+// that is still warming up.
 func (n *Node) recordArrival(r *http.Request) *LogEntry {
 	h := r.Header
 	e := &LogEntry{
 		Node:   n.cfg.ID,
 		Volume: h.Get(headerVolume),
 		Path:   r.RequestURI,
-		Key:    h.Get(headerKey),
+		Key:    h.Get(headerIdempotencyKey),
 		Tag:    h.Get(headerTag),
 	}
 	e.Units, _ = strconv.ParseFloat(h.Get(headerUnits), 64)
@@ -84,7 +85,7 @@
 	return e
 }
 
-// recordEnd logs the end of a request.
+// recordEnd logs the time at which a request ended.
 func (n *Node) recordEnd(e *LogEntry) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -92,7 +93,7 @@
 	e.Ended = time.Since(n.epoch)
 }
 
-// update changes an entry.
+// update applies a change to a log entry while it holds mu.
 func (n *Node) update(e *LogEntry, change func(*LogEntry)) {
 	n.mu.Lock()
 	change(e)
--- a/fake/storagenode/multipart.go
+++ b/fake/storagenode/multipart.go
@@ -12,8 +12,8 @@
 	"chalkstand/internal/objectapi"
 )
 
-// minPart is the smallest size of a part that is not the last, by the specification, in bytes.
-const minPart = 5 << 20
+// minPartSize is the minimum size of each part except the last, in bytes. The specification of the object API sets it.
+const minPartSize = 5 << 20
 
 // upload is an open multipart upload.
 type upload struct {
@@ -21,7 +21,7 @@
 	key     string
 	started time.Time
 	header  map[string]string
-	parts   map[int]*object
+	parts   map[int]*object // keyed by part number
 }
 
 func errNoSuchUpload() *objectapi.Error {
@@ -30,82 +30,82 @@
 }
 
 // upload returns the upload that an operation names.
-func (d *Dataset) upload(o objectapi.Operation) (*upload, *objectapi.Error) {
+func (d *Dataset) upload(op objectapi.Operation) (*upload, *objectapi.Error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.lookupUpload(o)
+	return d.lookupUpload(op)
 }
 
 // removeUpload removes the upload that an operation names.
-func (d *Dataset) removeUpload(o objectapi.Operation) *objectapi.Error {
+func (d *Dataset) removeUpload(op objectapi.Operation) *objectapi.Error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if _, err := d.lookupUpload(o); err != nil {
+	if _, err := d.lookupUpload(op); err != nil {
 		return err
 	}
-	id := o.Query.Get("uploadId")
+	id := op.Query.Get("uploadId")
 	delete(d.uploads, id)
 	d.appendJournal(journalEntry{What: entryEndUpload, ID: id})
 	return nil
 }
 
-// lookupUpload is called with mu held.
-func (d *Dataset) lookupUpload(o objectapi.Operation) (*upload, *objectapi.Error) {
-	if d.buckets[o.Bucket] == nil {
+// lookupUpload returns the upload that an operation names. The caller must hold mu.
+func (d *Dataset) lookupUpload(op objectapi.Operation) (*upload, *objectapi.Error) {
+	if d.buckets[op.Bucket] == nil {
 		return nil, errNoSuchBucket()
 	}
-	u := d.uploads[o.Query.Get("uploadId")]
-	if u == nil || u.bucket != o.Bucket || u.key != o.Key {
+	u := d.uploads[op.Query.Get("uploadId")]
+	if u == nil || u.bucket != op.Bucket || u.key != op.Key {
 		return nil, errNoSuchUpload()
 	}
 	return u, nil
 }
 
-func (d *Dataset) createUpload(o objectapi.Operation, r *http.Request) (response, *objectapi.Error) {
+func (d *Dataset) createUpload(op objectapi.Operation, r *http.Request) (response, *objectapi.Error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.buckets[o.Bucket] == nil {
+	if d.buckets[op.Bucket] == nil {
 		return response{}, errNoSuchBucket()
 	}
 	d.nextID++
 	now := time.Now()
 	id := fmt.Sprintf("%016x%08x", now.UnixNano(), d.nextID)
 	u := &upload{
-		bucket:  o.Bucket,
-		key:     o.Key,
+		bucket:  op.Bucket,
+		key:     op.Key,
 		started: now,
 		header:  storedHeaders(r.Header),
 		parts:   map[int]*object{},
 	}
 	d.uploads[id] = u
-	d.appendJournal(journalEntry{What: entryUpload, Bucket: o.Bucket, Key: o.Key, ID: id, At: now, Header: u.header})
-	return xmlResponse(objectapi.InitiateMultipartUploadResult{Bucket: o.Bucket, Key: o.Key, UploadID: id}), nil
+	d.appendJournal(journalEntry{What: entryUpload, Bucket: op.Bucket, Key: op.Key, ID: id, At: now, Header: u.header})
+	return xmlResponse(objectapi.InitiateMultipartUploadResult{Bucket: op.Bucket, Key: op.Key, UploadID: id}), nil
 }
 
-func (d *Dataset) abortUpload(o objectapi.Operation, _ *http.Request) (response, *objectapi.Error) {
-	if err := d.removeUpload(o); err != nil {
+func (d *Dataset) abortUpload(op objectapi.Operation, _ *http.Request) (response, *objectapi.Error) {
+	if err := d.removeUpload(op); err != nil {
 		return response{}, err
 	}
 	return response{status: http.StatusNoContent}, nil
 }
 
 // putPart stores a part of the upload that an operation names.
-func (d *Dataset) putPart(o objectapi.Operation, part *object) *objectapi.Error {
-	u, err := d.upload(o)
+func (d *Dataset) putPart(op objectapi.Operation, part *object) *objectapi.Error {
+	u, err := d.upload(op)
 	if err != nil {
 		return err
 	}
-	n, _ := strconv.Atoi(o.Query.Get("partNumber"))
+	n, _ := strconv.Atoi(op.Query.Get("partNumber"))
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	u.parts[n] = part
-	d.appendJournal(journalEntry{What: entryPart, ID: o.Query.Get("uploadId"), Part: n, Object: part.record()})
+	d.appendJournal(journalEntry{What: entryPart, ID: op.Query.Get("uploadId"), Part: n, Object: part.record()})
 	return nil
 }
 
-// copyPart stores a range of another object as a part.
-func (d *Dataset) copyPart(o objectapi.Operation, r *http.Request) (response, *objectapi.Error) {
-	src, err := d.copySource(o, r)
+// copyPart stores a range of an existing object as a part of an upload.
+func (d *Dataset) copyPart(op objectapi.Operation, r *http.Request) (response, *objectapi.Error) {
+	src, err := d.copySource(op, r)
 	if err != nil {
 		return response{}, err
 	}
@@ -122,17 +122,17 @@
 	if openErr != nil {
 		return response{}, d.internalError(r.Header.Get(headerCopySource), openErr)
 	}
-	defer func() { _ = body.Close() }() // it was only read
+	defer func() { _ = body.Close() }() // closing files that were only read loses no data
 	got, receiveErr := d.receive(body, br.length, "")
 	if receiveErr != nil {
 		return response{}, d.internalError(r.Header.Get(headerCopySource), receiveErr)
 	}
 	part := &object{blob: got.blob, etag: got.md5, modified: modified, header: src.header, parts: src.parts}
 	res := objectapi.CopyPartResult{LastModified: objectapi.FormatTime(modified), ETag: quoted(part.etag)}
-	return xmlResponse(res), d.putPart(o, part)
+	return xmlResponse(res), d.putPart(op, part)
 }
 
-func (d *Dataset) completeUpload(o objectapi.Operation, r *http.Request) (response, *objectapi.Error) {
+func (d *Dataset) completeUpload(op objectapi.Operation, r *http.Request) (response, *objectapi.Error) {
 	body, err := readDocument(r)
 	if err != nil {
 		return response{}, err
@@ -141,7 +141,7 @@
 	if err != nil {
 		return response{}, err
 	}
-	u, err := d.upload(o)
+	u, err := d.upload(op)
 	if err != nil {
 		return response{}, err
 	}
@@ -149,23 +149,23 @@
 	if err != nil {
 		return response{}, err
 	}
-	ob := &object{modified: modificationTime(), header: u.header, blob: concatenate(parts), etag: multipartETag(parts)}
+	obj := &object{modified: modificationTime(), header: u.header, blob: concatenate(parts), etag: multipartETag(parts)}
 	for _, p := range parts {
-		ob.parts = append(ob.parts, p.blob.size)
+		obj.parts = append(obj.parts, p.blob.size)
 	}
-	if err := d.put(o.Bucket, o.Key, ob, writeCondition(r)); err != nil {
+	if err := d.put(op.Bucket, op.Key, obj, writeCondition(r)); err != nil {
 		return response{}, err
 	}
-	_ = d.removeUpload(o) // a concurrent request may have removed it
+	_ = d.removeUpload(op) // a concurrent request may have removed the upload
 	return xmlResponse(objectapi.CompleteMultipartUploadResult{
-		Location: "/" + o.Bucket + "/" + o.Key,
-		Bucket:   o.Bucket,
-		Key:      o.Key,
-		ETag:     quoted(ob.etag),
+		Location: "/" + op.Bucket + "/" + op.Key,
+		Bucket:   op.Bucket,
+		Key:      op.Key,
+		ETag:     quoted(obj.etag),
 	}), nil
 }
 
-// listedParts returns the parts that a completion lists.
+// listedParts returns the parts that a CompleteMultipartUpload request lists.
 func (d *Dataset) listedParts(u *upload, listed []objectapi.CompletedPart) ([]*object, *objectapi.Error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -175,7 +175,7 @@
 		if p == nil || p.etag != strings.Trim(l.ETag, `"`) {
 			return nil, objectapi.NewError(objectapi.CodeInvalidPart, "One or more of the specified parts could not be found.")
 		}
-		if i < len(listed)-1 && p.blob.size < minPart {
+		if i < len(listed)-1 && p.blob.size < minPartSize {
 			return nil, objectapi.NewError(objectapi.CodeEntityTooSmall,
 				"Your proposed upload is smaller than the minimum allowed object size.")
 		}
@@ -184,8 +184,8 @@
 	return parts, nil
 }
 
-// multipartETag returns the entity tag of an object of several parts: the MD5 of their MD5 sums and
-// their number.
+// multipartETag returns the entity tag of a multipart object. It consists of the MD5 sum of all the
+// parts' MD5 sums and the number of parts.
 func multipartETag(parts []*object) string {
 	all := md5.New()
 	for _, p := range parts {
--- a/fake/storagenode/operations.go
+++ b/fake/storagenode/operations.go
@@ -7,7 +7,7 @@
 	"chalkstand/internal/objectapi"
 )
 
-// parseOperation parses a request of net/http as the gateway's own parser does.
+// parseOperation parses a net/http request with the parser that the gateway uses.
 func parseOperation(r *http.Request) (objectapi.Operation, *objectapi.Error) {
 	h := http1.Request{
 		Method:  []byte(r.Method),
@@ -47,13 +47,13 @@
 	objectapi.ListParts:               (*Dataset).listParts,
 }
 
-// run executes an operation on the data set.
-func (d *Dataset) run(o objectapi.Operation, r *http.Request) response {
-	handle, ok := handlers[o.Kind]
+// run executes an operation on the data set and returns the response to it.
+func (d *Dataset) run(op objectapi.Operation, r *http.Request) response {
+	handle, ok := handlers[op.Kind]
 	if !ok {
 		return errorResponse(objectapi.NewError(objectapi.CodeNotImplemented, "Not offered."), r.URL.Path)
 	}
-	resp, err := handle(d, o, r)
+	resp, err := handle(d, op, r)
 	if err != nil {
 		return errorResponse(err, r.URL.Path)
 	}
--- a/fake/storagenode/script.go
+++ b/fake/storagenode/script.go
@@ -11,7 +11,7 @@
 	"github.com/tailscale/hujson"
 )
 
-// faultNames are the kinds of faults by their names in scripts.
+// faultNames maps the names of faults in scripts to their kinds.
 var faultNames = map[string]FaultKind{
 	"stall":  Stall,
 	"within": StallInResponse,
@@ -25,19 +25,20 @@
 	"die":    Exit,
 }
 
-// ScriptedFault is one entry of a script of faults.
+// ScriptedFault is one entry of a fault script. The fields correspond to those of Fault.
 type ScriptedFault struct {
-	AtMS   int     `json:"at_ms"` // since the node's start
-	ForMS  int     `json:"for_ms"`
-	Kind   string  `json:"kind"`
+	AtMS   int     `json:"at_ms"`  // time from the call of RunScript to the injection, in milliseconds
+	ForMS  int     `json:"for_ms"` // time from the injection to the end of the fault, in milliseconds; 0: no end
+	Kind   string  `json:"kind"`   // a key of faultNames
 	Count  int     `json:"count"`
 	Share  float64 `json:"share"`
 	Factor float64 `json:"factor"`
-	Method string  `json:"method"` // "": all
-	Path   string  `json:"path"`   // substring of the request's path; "": all
+	Method string  `json:"method"` // HTTP method of the affected requests; empty: all methods
+	Path   string  `json:"path"`   // substring of the affected requests' paths; empty: all paths
 }
 
-// ParseScript parses a script: a JSON list, which may contain comments.
+// ParseScript parses a fault script. A script is a JSON array of faults and may contain comments and
+// trailing commas.
 func ParseScript(text []byte) ([]ScriptedFault, error) {
 	plain, err := hujson.Standardize(slices.Clone(text))
 	if err != nil {
@@ -51,16 +52,18 @@
 	}
 	for i, s := range script {
 		if _, ok := faultNames[s.Kind]; !ok {
-			return nil, fmt.Errorf("faults: entry %d: unknown kind %q", i+1, s.Kind)
+			return nil, fmt.Errorf("faults: entry %d: unknown kind %q, expected one of "+
+				"stall, within, refuse, broken, reset, lose, half, slow, pause or die", i+1, s.Kind)
 		}
 		if s.AtMS < 0 || s.ForMS < 0 || s.Count < 0 || s.Share < 0 || s.Share > 1 || s.Factor < 0 {
-			return nil, fmt.Errorf("faults: entry %d: figures must not be negative, a share at most 1", i+1)
+			return nil, fmt.Errorf("faults: entry %d: at_ms, for_ms, count, share and factor "+
+				"must not be negative, and share must be at most 1", i+1)
 		}
 	}
 	return script, nil
 }
 
-// fault returns the fault to inject.
+// fault returns the Fault that a script entry describes.
 func (s *ScriptedFault) fault() Fault {
 	f := Fault{
 		Kind:   faultNames[s.Kind],
@@ -77,7 +80,7 @@
 	return f
 }
 
-// RunScript injects the faults of a script, each at its time, until the node stops.
+// RunScript starts to run a fault script and returns at once. It injects each fault at its time, until the node stops.
 func (n *Node) RunScript(script []ScriptedFault) {
 	for _, s := range script {
 		n.tasks.Go(func() {
--- a/fake/storagenode/serve.go
+++ b/fake/storagenode/serve.go
@@ -32,7 +32,7 @@
 		return
 	}
 	n.update(e, func(x *LogEntry) { x.Op = op.Kind })
-	if !n.work(op, e, f) {
+	if !n.simulateWork(op, e, f) {
 		if n.canceled(r) {
 			resetConnection(w)
 			return
@@ -51,7 +51,8 @@
 	n.writeResponse(w, r, e, resp, f)
 }
 
-// failEarly shows a fault that comes before the operation, and reports whether it did.
+// failEarly applies a fault that prevents the execution of the operation. It returns false if f is another
+// kind of fault or nil.
 func (n *Node) failEarly(w http.ResponseWriter, r *http.Request, e *LogEntry, f *activeFault) bool {
 	switch f.kind() {
 	case Reject:
@@ -74,7 +75,7 @@
 // canceled reports whether the client has disconnected or the node has stopped.
 func (n *Node) canceled(r *http.Request) bool { return r.Context().Err() != nil || n.ctx.Err() != nil }
 
-// reject responds that the request was not executed.
+// reject sends a response with status 503, which tells the client that the request was not executed.
 func (n *Node) reject(w http.ResponseWriter, e *LogEntry) {
 	n.update(e, func(x *LogEntry) { x.Status = http.StatusServiceUnavailable })
 	w.Header().Set("Retry-After", "1")
@@ -83,8 +84,8 @@
 	_, _ = w.Write(objectapi.NewError(objectapi.CodeSlowDown, "Please reduce your request rate.").Document("", "0"))
 }
 
-// writeResponse sends a response, whole or with a fault that breaks it. Errors of sending are
-// ignored: the client has disconnected.
+// writeResponse sends a response. It applies the faults TruncateResponse and StallInResponse. It ignores
+// errors of sending, because they mean that the client has disconnected.
 func (n *Node) writeResponse(w http.ResponseWriter, r *http.Request, e *LogEntry, resp response, f *activeFault) {
 	h := w.Header()
 	for k, v := range resp.header {
@@ -120,24 +121,24 @@
 	}
 }
 
-// copyBody sends a body to its end, which is length bytes from its beginning. If it cannot be read to there,
-// the connection is reset, so that the client sees the response as incomplete.
+// copyBody sends the rest of a body whose total length is given. If reading fails or ends early, it resets the
+// connection, so that the client detects the incomplete response.
 func (n *Node) copyBody(w http.ResponseWriter, r *http.Request, body *bodyReader, length int64) {
 	_, err := io.Copy(w, body)
 	if body.err == nil && err == nil && body.read < length {
 		body.err = io.ErrUnexpectedEOF
 	}
 	if body.err != nil {
-		_ = n.data.internalError(r.URL.Path, body.err) // the client has the response's headers
+		_ = n.data.internalError(r.URL.Path, body.err) // only for the log: the response has already started
 		resetConnection(w)
 	}
 }
 
-// bodyReader tells errors of reading a body from those of sending it.
+// bodyReader records the read errors of a body, so that they can be distinguished from errors of sending it.
 type bodyReader struct {
 	io.Reader
-	read int64 // bytes
-	err  error // of reading
+	read int64 // number of bytes read so far
+	err  error // error of the last failed read, except io.EOF
 }
 
 // Read implements io.Reader.
@@ -150,8 +151,9 @@
 	return n, err
 }
 
-// openBody opens the body of a response, also where it is not sent, as to HEAD. If that fails, it returns an
-// internal error in its place.
+// openBody opens the body of a response and returns the response with it. If the body cannot be opened, it returns an
+// internal error as the response. It also opens the body of a response to HEAD, which is not sent, so that HEAD and
+// GET have the same status.
 func (n *Node) openBody(r *http.Request, resp response) response {
 	if resp.blob == nil || resp.length == 0 {
 		return resp
@@ -164,15 +166,15 @@
 	return resp
 }
 
-// response is a response of the object API: a document, or a part of a blob.
+// response is a response of the object API. Its body is a document or a range of a blob.
 type response struct {
 	status int
 	header map[string]string
-	body   []byte // if blob is nil
-	blob   *blob
-	offset int64         // in blob
-	length int64         // of the part of blob
-	opened io.ReadCloser // the part of blob; nil before it is opened
+	body   []byte        // document; not used if blob is set
+	blob   *blob         // blob with the content; nil if the body is a document
+	offset int64         // start of the range in blob
+	length int64         // length of the range in bytes
+	opened io.ReadCloser // reader of the range; nil before openBody is called
 }
 
 func xmlResponse(v any) response {
@@ -198,7 +200,7 @@
 	return int64(len(p.body))
 }
 
-// content returns the reader of an opened body.
+// content returns a reader of the body. openBody must have been called.
 func (p *response) content() io.Reader {
 	if p.opened != nil {
 		return p.opened
@@ -206,7 +208,7 @@
 	return bytes.NewReader(p.body)
 }
 
-// close closes the body. It was only read, so that an error does not matter.
+// close closes the body. It ignores errors, because closing files that were only read loses no data.
 func (p *response) close() {
 	if p.opened != nil {
 		_ = p.opened.Close()
--- a/fake/storagenode/timing.go
+++ b/fake/storagenode/timing.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// serverTiming is how a request's time at the node divided, to be reported later.
+// serverTiming holds the queue time and the service time of a request until the node reports them.
 type serverTiming struct {
-	due         time.Time
+	due         time.Time // earliest time of the report
 	gateway     string
-	requestName string
+	requestName string // value of the header x-chalkstand-request
 	queued      time.Duration
 	service     time.Duration
 }
 
-// Bounds of late timings.
+// Limits of the timings that a node reports with a delay.
 const (
-	maxLateTimings     = 4096 // waiting to be reported
-	timingsPerResponse = 8
+	maxLateTimings     = 4096 // maximum number of timings that wait; the node drops further ones
+	timingsPerResponse = 8    // maximum number of timings in one response
 )
 
-// timings returns the Server-Timing of a response: that of its own request or, where the node
-// reports with a delay, those of the same gateway's requests that are due.
+// timings returns the value of a response's Server-Timing header. Without TimingDelay, the value is the
+// timing of the response's own request. With TimingDelay, it has the timings of earlier requests of the
+// same gateway that are due. The value is empty if there is nothing to report.
 func (n *Node) timings(e *LogEntry) string {
 	if !n.cfg.Timing {
 		return ""
@@ -46,7 +47,7 @@
 		})
 	}
 	var metrics []string
-	waiting := n.lateTimings[:0]
+	remaining := n.lateTimings[:0]
 	for _, t := range n.lateTimings {
 		if len(metrics) < 2*timingsPerResponse && t.gateway == e.Gateway && !now.Before(t.due) {
 			metrics = append(metrics,
@@ -54,14 +55,14 @@
 				timingMetric("work", t.service, t.requestName))
 			continue
 		}
-		waiting = append(waiting, t)
+		remaining = append(remaining, t)
 	}
-	n.lateTimings = waiting
+	n.lateTimings = remaining
 	return strings.Join(metrics, ", ")
 }
 
-// timingMetric formats one metric of Server-Timing, in milliseconds, of a request's name unless
-// that is empty.
+// timingMetric formats one metric of a Server-Timing header, with its duration in milliseconds. If request
+// is not empty, the metric's description is this name of a request.
 func timingMetric(name string, d time.Duration, request string) string {
 	s := fmt.Sprintf("%s;dur=%.3f", name, float64(d)/float64(time.Millisecond))
 	if request != "" {
--- a/fake/storagenode/uploadlists.go
+++ b/fake/storagenode/uploadlists.go
@@ -9,22 +9,22 @@
 	"chalkstand/internal/objectapi"
 )
 
-// listParts responds with the parts of an upload.
-func (d *Dataset) listParts(o objectapi.Operation, _ *http.Request) (response, *objectapi.Error) {
-	u, err := d.upload(o)
+// listParts handles ListParts: it responds with the parts of an upload.
+func (d *Dataset) listParts(op objectapi.Operation, _ *http.Request) (response, *objectapi.Error) {
+	u, err := d.upload(op)
 	if err != nil {
 		return response{}, err
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	limit, after := parseLimit(o.Query.Get("max-parts"), maxListed), 0
-	if m := o.Query.Get("part-number-marker"); m != "" {
+	limit, after := parseLimit(op.Query.Get("max-parts"), maxPageEntries), 0
+	if m := op.Query.Get("part-number-marker"); m != "" {
 		after = parseLimit(m, objectapi.MaxPart)
 	}
 	res := objectapi.ListPartsResult{
-		Bucket:           o.Bucket,
-		Key:              o.Key,
-		UploadID:         o.Query.Get("uploadId"),
+		Bucket:           op.Bucket,
+		Key:              op.Key,
+		UploadID:         op.Query.Get("uploadId"),
 		Initiator:        objectapi.TheOwner,
 		Owner:            objectapi.TheOwner,
 		StorageClass:     "STANDARD",
@@ -55,21 +55,21 @@
 	return xmlResponse(res), nil
 }
 
-// openUpload is an upload in a list.
+// openUpload is an open upload with its ID.
 type openUpload struct {
 	id string
 	*upload
 }
 
-// uploadsAfter returns a bucket's uploads after the markers of a request, in order. It is called
-// with mu held.
-func (d *Dataset) uploadsAfter(o objectapi.Operation) []openUpload {
-	prefix := o.Query.Get("prefix")
-	keyMarker, idMarker := o.Query.Get("key-marker"), o.Query.Get("upload-id-marker")
+// uploadsAfter returns the open uploads of a bucket that follow the markers of a request, sorted by key
+// and upload ID. The caller must hold mu.
+func (d *Dataset) uploadsAfter(op objectapi.Operation) []openUpload {
+	prefix := op.Query.Get("prefix")
+	keyMarker, idMarker := op.Query.Get("key-marker"), op.Query.Get("upload-id-marker")
 	var all []openUpload
 	for id, u := range d.uploads {
 		after := u.key > keyMarker || u.key == keyMarker && idMarker != "" && id > idMarker
-		if u.bucket == o.Bucket && strings.HasPrefix(u.key, prefix) && after {
+		if u.bucket == op.Bucket && strings.HasPrefix(u.key, prefix) && after {
 			all = append(all, openUpload{id: id, upload: u})
 		}
 	}
@@ -79,17 +79,17 @@
 	return all
 }
 
-// listUploads responds with the open multipart uploads of a bucket.
-func (d *Dataset) listUploads(o objectapi.Operation, _ *http.Request) (response, *objectapi.Error) {
+// listUploads handles ListMultipartUploads: it responds with the open multipart uploads of a bucket.
+func (d *Dataset) listUploads(op objectapi.Operation, _ *http.Request) (response, *objectapi.Error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.buckets[o.Bucket] == nil {
+	if d.buckets[op.Bucket] == nil {
 		return response{}, errNoSuchBucket()
 	}
-	q, encode := o.Query, nameEncoder(o)
-	limit := parseLimit(q.Get("max-uploads"), maxListed)
+	q, encode := op.Query, nameEncoder(op)
+	limit := parseLimit(q.Get("max-uploads"), maxPageEntries)
 	res := objectapi.ListMultipartUploadsResult{
-		Bucket:         o.Bucket,
+		Bucket:         op.Bucket,
 		KeyMarker:      encode(q.Get("key-marker")),
 		UploadIDMarker: q.Get("upload-id-marker"),
 		Prefix:         encode(q.Get("prefix")),
@@ -97,8 +97,8 @@
 		EncodingType:   q.Get("encoding-type"),
 		MaxUploads:     limit,
 	}
-	for _, u := range d.uploadsAfter(o) {
-		name, isPrefix := rollUp(u.key, q.Get("prefix"), q.Get("delimiter"))
+	for _, u := range d.uploadsAfter(op) {
+		name, isPrefix := commonPrefix(u.key, q.Get("prefix"), q.Get("delimiter"))
 		if isPrefix && (endsWithPrefix(res.CommonPrefixes, encode(name)) || name == q.Get("key-marker")) {
 			continue
 		}
