--- a/fake/storagenode/dedup_test.go
+++ b/fake/storagenode/dedup_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// putKeyed writes an object with an idempotency key and returns the status, 0 without a response.
+// putKeyed writes an object with an idempotency key. It returns the status of the response, or 0 if there is none.
 func putKeyed(t *testing.T, n *Node, key, body string) int {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodPut, "http://"+n.Addr()+"/photos/k", strings.NewReader(body))
@@ -25,8 +25,8 @@
 	return resp.StatusCode
 }
 
-// A key that is written again after its window does not make a later keyed write panic, which left
-// the data set locked.
+// A write that reuses a key after its deduplication window is executed. Such a write must not make a later keyed
+// write panic. The panic left the data set locked.
 func TestKeyWrittenAgainAfterItsWindow(t *testing.T) {
 	const window = 20 * time.Millisecond
 	d := NewDataset("")
@@ -34,7 +34,7 @@
 	n := startNode(t, d, Config{ID: "a", DedupWindow: window})
 	for _, key := range []string{"one", "one", "two", "two", "one"} {
 		if status := putKeyed(t, n, key, "text"); status != http.StatusOK {
-			t.Fatalf("%s: status %d", key, status)
+			t.Fatalf("PUT with key %q: got status %d, want 200", key, status)
 		}
 		time.Sleep(2 * window)
 	}
@@ -45,29 +45,29 @@
 		}
 	}
 	if executed != 5 {
-		t.Errorf("%d writes executed, each came after the window of the one before", executed)
+		t.Errorf("got %d executed writes, want 5, because each is sent after the window of the previous one", executed)
 	}
 	if len(d.dedup) != 1 || len(d.dedupOrder) != 1 {
-		t.Errorf("%d entries and %d in order of expiry are kept, want the last one", len(d.dedup), len(d.dedupOrder))
+		t.Errorf("got %d entries by key and %d in order of expiry, want 1 each", len(d.dedup), len(d.dedupOrder))
 	}
 }
 
-// A repeat within the window of a key that was written again is dropped: the expiry of the first
-// write does not forget the second.
-func TestExpiredEntryLeavesItsSuccessor(t *testing.T) {
+// When the entry of a keyed write expires, a newer entry with the same key must stay, so that a repeat of the
+// newer write is not executed.
+func TestExpiryKeepsNewerEntryOfTheKey(t *testing.T) {
 	d := NewDataset("")
 	const window = time.Minute
 	start := time.Now()
 	first, _ := d.startKeyedWrite("k", start)
-	d.finishKeyedWrite(first, start, -window) // expired at once
+	d.finishKeyedWrite(first, start, -window) // the negative window makes the entry expire at once
 	second, isFirst := d.startKeyedWrite("k", start)
 	if !isFirst {
-		t.Fatal("the expired entry is still in force")
+		t.Fatal("startKeyedWrite returned the expired entry, want a new one")
 	}
 	d.finishKeyedWrite(second, start, window)
 	other, _ := d.startKeyedWrite("other", start)
 	d.finishKeyedWrite(other, start, window)
 	if entry, isFirst := d.startKeyedWrite("k", start); isFirst || entry != second {
-		t.Error("the repeat is executed")
+		t.Error("startKeyedWrite did not return the entry of the second write, so the repeat is executed")
 	}
 }
--- a/fake/storagenode/disconnect_test.go
+++ b/fake/storagenode/disconnect_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// The log has the time at which a client disconnected, also while the body of its request is unread: without it
-// the checkers take the attempt to be in flight until the node is done with it.
+// The log has the time at which a client disconnects, even if the node has not read the body of its request yet.
+// Without this time, the invariant checks would count the attempt as in flight until the node completes it.
 func TestDisconnectIsLoggedWhileTheBodyIsUnread(t *testing.T) {
 	const (
 		serviceTime = 400 * time.Millisecond
@@ -30,17 +30,18 @@
 		waitFor(t, n.Idle)
 		e := n.Log()[0]
 		if e.Disconnected == 0 || e.Disconnected > e.Ended-serviceTime/4 {
-			t.Errorf("link %g: disconnected at %v, ended at %v", link, e.Disconnected, e.Ended)
+			t.Errorf("link rate %g: got a disconnection at %v and the end at %v, want the disconnection at least "+
+				"100ms before the end", link, e.Disconnected, e.Ended)
 		}
 	}
 }
 
-// waitFor waits until a condition holds.
+// waitFor waits until a condition holds, and fails the test after 10 seconds.
 func waitFor(t *testing.T, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the condition does not hold after 10 s")
+			t.Fatal("the awaited condition does not hold after 10 s")
 		}
 	}
 }
--- a/fake/storagenode/moved_test.go
+++ b/fake/storagenode/moved_test.go
@@ -9,8 +9,8 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// A data directory that was moved serves its objects, also where it is moved again after a write: its journal
-// holds the names of files with the directory in which they were written.
+// A node finds its objects after the data directory was moved, even if it is written to and moved again. The journal
+// contains paths with the directory in which each file was written.
 func TestMovedDirectoryServesItsObjects(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "first")
 	d, n, _ := openNode(t, dir)
@@ -29,14 +29,15 @@
 		d, n, logs = openNode(t, dir)
 		for i := range 6 {
 			if s, b := request(t, n, "GET", fmt.Sprint("/photos/k", i), ""); s != 200 || b != objectText(i) {
-				t.Errorf("%s: k%d: %d, %d bytes", name, i, s, len(b))
+				t.Errorf("directory %q: GET k%d: got status %d and %d bytes, want 200 and the stored bytes",
+					name, i, s, len(b))
 			}
 		}
 		if s, b := request(t, n, "PUT", "/photos/k0", objectText(0)); s != 200 {
 			t.Fatal(s, b)
 		}
 		if logs.Len() > 0 {
-			t.Errorf("logged: %v", logs.All())
+			t.Errorf("got log entries %v, want none", logs.All())
 		}
 	}
 	if err := d.Close(); err != nil {
--- a/fake/storagenode/node_test.go
+++ b/fake/storagenode/node_test.go
@@ -11,8 +11,9 @@
 	"time"
 )
 
-// request sends a request on a connection of its own and returns the status and the body: status 0
-// and the error without a response, the negative status and the error if its body broke off.
+// request sends a request on a new connection and returns the status and the body of the response. It
+// returns 0 and the error if there is no response. If reading the body fails, it returns the negated
+// status and the error.
 func request(t *testing.T, n *Node, method, path, body string) (int, string) {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), method, "http://"+n.Addr()+path, strings.NewReader(body))
@@ -41,16 +42,16 @@
 	return n
 }
 
-// A successor takes over what its predecessor stored, also after an incomplete line; two nodes
-// never hold one directory.
-func TestSuccessorTakesTheDirectoryOver(t *testing.T) {
+// A node that opens the directory of a stopped node has its objects and uploads, even if the journal
+// ends with an incomplete line. Two nodes cannot open a directory at the same time.
+func TestReopenDataset(t *testing.T) {
 	dir := t.TempDir()
 	d, err := OpenDataset(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := OpenDataset(dir); err == nil {
-		t.Fatal("two nodes hold the directory")
+		t.Fatal("opening the data set twice succeeded, want an error")
 	}
 	n := startNode(t, d, Config{ID: "a"})
 	request(t, n, "PUT", "/photos", "")
@@ -79,13 +80,13 @@
 	defer d.Close()
 	n = startNode(t, d, Config{ID: "b"})
 	if _, after := request(t, n, "GET", "/photos", ""); after != before || strings.Contains(after, "k3") {
-		t.Fatalf("before %s\nafter %s", before, after)
+		t.Fatalf("want the list of objects to stay the same without k3\nbefore reopening: %s\nafter: %s", before, after)
 	}
 	if _, b := request(t, n, "GET", "/photos/k4", ""); b != strings.Repeat("x", 4000) {
-		t.Fatalf("%d bytes", len(b))
+		t.Fatalf("GET /photos/k4 returned %d bytes, want the 4000 stored bytes", len(b))
 	}
 	if s, _ := request(t, n, "GET", "/gone", ""); s != 404 {
-		t.Fatal("a deleted bucket is back")
+		t.Fatal("the deleted bucket /gone exists after reopening, want status 404")
 	}
 	completion := `<CompleteMultipartUpload><Part><PartNumber>1</PartNumber><ETag>` + etagOf(t, "part one") +
 		`</ETag></Part></CompleteMultipartUpload>`
@@ -97,7 +98,7 @@
 	}
 }
 
-// appendToJournal appends to a journal what a crash may have left at its end.
+// appendToJournal appends text to the journal in dir, such as an incomplete line that a crash may leave.
 func appendToJournal(t *testing.T, dir, text string) {
 	t.Helper()
 	f, err := os.OpenFile(filepath.Join(dir, journalName), os.O_APPEND|os.O_WRONLY, 0)
@@ -112,6 +113,7 @@
 	}
 }
 
+// etagOf returns the entity tag of a part with the given body.
 func etagOf(t *testing.T, body string) string {
 	t.Helper()
 	got, err := NewDataset("").receive(strings.NewReader(body), -1, "")
@@ -142,13 +144,13 @@
 			x.fault.Count = 1
 			n.Inject(x.fault)
 			if s, b := request(t, n, "GET", "/photos/k", ""); s != x.want {
-				t.Errorf("%d %.60s", s, b)
+				t.Errorf("GET got status %d and body %.60s, want another status", s, b)
 			}
 			n.ClearFaults()
 		})
 	}
 	if s, _ := request(t, n, "GET", "/photos/k", ""); s != 200 {
-		t.Errorf("after all faults: %d", s)
+		t.Errorf("GET after all faults: got status %d, want 200", s)
 	}
 }
 
@@ -167,7 +169,7 @@
 	n.RunScript(script[1:])
 	<-n.Done()
 	if s, _ := request(t, n, "GET", "/photos/k", ""); s != 0 {
-		t.Errorf("a stopped node responds %d", s)
+		t.Errorf("GET from the stopped node: got status %d, want no response", s)
 	}
 }
 
@@ -180,7 +182,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := ParseScript([]byte(script)); err == nil {
-				t.Errorf("%s is accepted", script)
+				t.Errorf("ParseScript accepted %s, want an error", script)
 			}
 		})
 	}
--- a/fake/storagenode/stored_test.go
+++ b/fake/storagenode/stored_test.go
@@ -10,17 +10,17 @@
 	"testing"
 )
 
-// directoryMark stands for the directory in the stored journal, which names its blobs by
-// their full paths.
+// directoryMark is the placeholder for the data directory in the journal below testdata. A journal contains the full
+// paths of blob files.
 const directoryMark = "@DIR@"
 
-// storedDataset copies the stored data set into a directory of the test's own.
+// storedDataset copies the data set below testdata into a temporary directory and returns the directory.
 func storedDataset(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	files, err := filepath.Glob("testdata/dataset/*")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no stored data set", err)
+		t.Fatal("found no files of the stored data set in testdata/dataset:", err)
 	}
 	for _, f := range files {
 		b, err := os.ReadFile(f)
@@ -37,8 +37,8 @@
 	return dir
 }
 
-// A data set that an earlier build wrote is read back: the same objects, byte for byte, with
-// their headers, and uploads that were open.
+// A data set that an earlier build wrote can still be opened. It has the same objects, with their headers
+// and byte for byte, and the same open uploads.
 func TestStoredDataset(t *testing.T) {
 	dir := storedDataset(t)
 	d, err := OpenDataset(dir)
@@ -66,29 +66,29 @@
 		t.Run(c.path, func(t *testing.T) {
 			status, body := request(t, n, "GET", c.path, "")
 			if status != c.status || status == 200 && body != c.body {
-				t.Errorf("%d, %d bytes; want %d, %d bytes", status, len(body), c.status, len(c.body))
+				t.Errorf("GET: got status %d and %d bytes, want %d and the stored %d bytes", status, len(body), c.status, len(c.body))
 			}
 		})
 	}
 	o, e := d.get("photos", "a.txt")
 	if e != nil || o.etag != "17d4f96a28e154f4d3078a24cffab007" || o.header["X-Amz-Meta-Camera"] != "north" ||
 		o.modified.IsZero() {
-		t.Errorf("%+v %v", o, e)
+		t.Errorf("photos/a.txt: got object %+v and error %v, want the stored ETag, camera header and modification time", o, e)
 	}
 	if o, e := d.get("photos", "multi.bin"); e != nil || !slices.Equal(o.parts, []int64{20}) {
-		t.Errorf("%+v %v", o, e)
+		t.Errorf("photos/multi.bin: got object %+v and error %v, want one part of 20 bytes", o, e)
 	}
 	if len(d.uploads) != 1 {
-		t.Errorf("%d open uploads, want 1", len(d.uploads))
+		t.Errorf("got %d open uploads, want 1", len(d.uploads))
 	}
 	for _, u := range d.uploads {
 		if u.key != "open.bin" || u.started.IsZero() || u.parts[2] == nil || u.parts[2].blob.size != int64(len(long)) {
-			t.Errorf("%+v", u)
+			t.Errorf("got open upload %+v, want key open.bin, a start time and the stored part 2", u)
 		}
 	}
 }
 
-// What a data set writes to its journal keeps the names that earlier builds wrote.
+// The journal has the same field names and kinds of changes as journals of earlier builds.
 func TestJournalNames(t *testing.T) {
 	dir := t.TempDir()
 	d, err := OpenDataset(dir)
@@ -113,21 +113,21 @@
 		`{"What":"upload","Bucket":"photos","Key":"big","ID":"`,
 	} {
 		if !strings.HasPrefix(lines[i], want) {
-			t.Errorf("line %d is %s, want %s...", i+1, lines[i], want)
+			t.Errorf("journal line %d: got %s, want it to start with %s", i+1, lines[i], want)
 		}
 	}
 	for _, name := range []string{`"Sizes":[4]`, `"Size":4`, `"ETag":"`, `"Modified":"`, `"Header":{`} {
 		if !strings.Contains(lines[1], name) {
-			t.Errorf("%s is not in %s", name, lines[1])
+			t.Errorf("%s is missing in the journal line %s", name, lines[1])
 		}
 	}
 	record, err := json.Marshal((&object{sum: checksum{name: "crc32", value: "AAAA"}, parts: []int64{1, 2}}).record())
 	if want := `"Sum":"crc32","Value":"AAAA","Parts":[1,2]}`; err != nil || !strings.HasSuffix(string(record), want) {
-		t.Errorf("%s %v, want it to end with %s", record, err, want)
+		t.Errorf("marshaled record: got %s and error %v, want it to end with %s", record, err, want)
 	}
 }
 
-// A script of faults that names every kind is read whole.
+// A stored fault script with every kind of fault is parsed completely.
 func TestStoredFaultScript(t *testing.T) {
 	text, err := os.ReadFile("testdata/faults.json")
 	if err != nil {
@@ -135,18 +135,18 @@
 	}
 	script, err := ParseScript(text)
 	if err != nil || len(script) != 10 {
-		t.Fatalf("%d entries, %v", len(script), err)
+		t.Fatalf("got %d entries and error %v, want 10 entries", len(script), err)
 	}
 	want := ScriptedFault{AtMS: 60000, ForMS: 1000, Kind: "stall", Share: 0.5, Method: "GET", Path: "/photos/"}
 	if script[0] != want || script[7].Factor != 2.5 || script[2].Count != 2 {
-		t.Errorf("%+v", script)
+		t.Errorf("got script %+v, want the entries of testdata/faults.json", script)
 	}
 	kinds := []FaultKind{
 		Stall, StallInResponse, Reject, ServerError, ResetConnection, LoseResponse, TruncateResponse, Slow, Pause, Exit,
 	}
 	for i, s := range script {
 		if faultNames[s.Kind] != kinds[i] {
-			t.Errorf("%q means %v, want %v", s.Kind, faultNames[s.Kind], kinds[i])
+			t.Errorf("fault name %q: got kind %v, want %v", s.Kind, faultNames[s.Kind], kinds[i])
 		}
 	}
 }
--- a/fake/storagenode/unreadable_test.go
+++ b/fake/storagenode/unreadable_test.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// openNode starts a node on the data set of a directory, whose errors are observed.
+// openNode opens the data set in a directory and starts a node on it. It also returns the logs of the node.
 func openNode(t *testing.T, dir string) (*Dataset, *Node, *observer.ObservedLogs) {
 	t.Helper()
 	d, err := OpenDataset(dir)
@@ -23,7 +23,7 @@
 	return d, startNode(t, d, Config{ID: "a", Logger: zap.New(core)}), logs
 }
 
-// storeObjects creates a bucket with objects k0 to k5 of different lengths.
+// storeObjects creates the bucket photos with the objects k0 to k5, which have different lengths.
 func storeObjects(t *testing.T, n *Node) {
 	t.Helper()
 	request(t, n, "PUT", "/photos", "")
@@ -34,10 +34,11 @@
 	}
 }
 
+// objectText returns the content of the object with number i, which has 1000*i bytes.
 func objectText(i int) string { return strings.Repeat(strconv.Itoa(i), 1000*i) }
 
-// An object whose file is missing is an internal error and is logged with the file; one whose file is too short
-// is a response that breaks off, logged too. Neither tells the client that a retry helps.
+// A request for an object with a missing file gets an internal error. A request for an object whose file is too short
+// gets an incomplete response. The node logs both, the missing file with its path. No response asks the client to retry.
 func TestUnreadableObjectIsAnInternalError(t *testing.T) {
 	dir := t.TempDir()
 	d, n, logs := openNode(t, dir)
@@ -59,24 +60,24 @@
 	}
 	status, body := request(t, n, "GET", "/photos/k1", "")
 	if status != 500 || !strings.Contains(body, "InternalError") || strings.Contains(body, dir) {
-		t.Errorf("missing file: %d %s", status, body)
+		t.Errorf("GET with a missing file: got status %d and body %s, want 500 and InternalError without the path", status, body)
 	}
 	if s, _ := request(t, n, "HEAD", "/photos/k1", ""); s != 500 {
-		t.Errorf("HEAD, missing file: %d", s)
+		t.Errorf("HEAD with a missing file: got status %d, want 500", s)
 	}
 	if s, _ := request(t, n, "GET", "/photos/k5", ""); s != -200 {
-		t.Errorf("short file: %d, want a response that breaks off", s)
+		t.Errorf("GET with a short file: got status %d, want -200 for an incomplete response", s)
 	}
 	if entries := logs.All(); len(entries) != 3 || !strings.Contains(fmt.Sprint(entries[0].ContextMap()["error"]), missing) ||
 		entries[2].ContextMap()["object"] != "/photos/k5" {
-		t.Errorf("logged: %v", entries)
+		t.Errorf("got log entries %v, want 3, the first with the path of k1 and the last with the object k5", entries)
 	}
 	if s, _ := request(t, n, "GET", "/photos/k2", ""); s != 200 {
-		t.Errorf("an object beside them: %d", s)
+		t.Errorf("GET of an intact object: got status %d, want 200", s)
 	}
 }
 
-// A directory that cannot be written to is the node's fault, not the client's.
+// If the node cannot write to its directory, a PUT gets an internal error and not an error about the request.
 func TestUnwritableDirectoryIsAnInternalError(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "data")
 	d, n, logs := openNode(t, dir)
@@ -86,9 +87,9 @@
 		t.Fatal(err)
 	}
 	if status, body := request(t, n, "PUT", "/photos/k", "text"); status != 500 || strings.Contains(body, dir) {
-		t.Errorf("%d %s", status, body)
+		t.Errorf("PUT: got status %d and body %s, want 500 and a body without the directory", status, body)
 	}
 	if logs.Len() != 1 {
-		t.Errorf("logged: %v", logs.All())
+		t.Errorf("got log entries %v, want 1", logs.All())
 	}
 }
