--- a/fake/discovery/discovery.go
+++ b/fake/discovery/discovery.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// maxBufferedLines is the number of unsent lines of a watch. Send and Publish block while a watch has this many.
+// maxBufferedLines is the maximum number of unsent lines of a watch. Send and Publish block while a watch has this many.
 const maxBufferedLines = 64
 
 // heartbeatInterval is the time between two empty lines that a watch receives after the first call of Publish.
@@ -82,7 +82,7 @@
 	<-s.served
 }
 
-// FailCalls makes the given number of next calls fail with status 503.
+// FailCalls makes future calls fail with status 503. calls is the number of calls that fail.
 func (s *Server) FailCalls(calls int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/fake/respnode/log.go
+++ b/fake/respnode/log.go
@@ -12,7 +12,7 @@
 	Arrived      time.Time
 	Ended        time.Time // end of the command's handling; zero while the command is handled
 	Disconnected time.Time // when the peer closed the connection; zero if it did not do so before Ended
-	Executed     bool      // the node neither hung without a reply nor rejected the command
+	Executed     bool      // false if the node rejected the command or hung without a reply
 }
 
 // busyReply is the prefix of the reply to a rejected command.
--- a/fake/storagenode/loadreport.go
+++ b/fake/storagenode/loadreport.go
@@ -39,7 +39,7 @@
 	return n.report
 }
 
-// FreezeReport prevents updates of the load report for the time d and the ReportEvery after it.
+// FreezeReport prevents updates of the load report for the duration d, and then for another ReportEvery.
 func (n *Node) FreezeReport(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/fake/storagenode/node.go
+++ b/fake/storagenode/node.go
@@ -41,7 +41,7 @@
 	recentLoads  []recentLoad   // requests of the last OverloadWindow, while the node warms up
 	deferredWork time.Duration  // service time of the deferred work at one core
 	report       string         // the load report that responses carry
-	reportedAt   time.Time      // the node updates nextReport when this is ReportEvery ago
+	reportedAt   time.Time      // the node updates nextReport once ReportEvery has passed since this time
 	nextReport   string         // replaces report after ReportDelay
 	nextReportAt time.Time      // when nextReport was set
 	lateTimings  []serverTiming // timings that the node has not reported yet
--- a/lab/invariants/invariants.go
+++ b/lab/invariants/invariants.go
@@ -1,6 +1,6 @@
-// Package invariants checks that a gateway kept its invariants during a test run. It compares
-// the logs of clients and nodes with the times at which each gateway was notified of drains.
-// It does not read the internal state of a gateway.
+// Package invariants checks that a gateway kept its invariants during a test run. The evidence is
+// the logs of clients and nodes, and the times at which each gateway was notified of drains. The
+// checks do not read the internal state of a gateway.
 package invariants
 
 import (
@@ -41,7 +41,7 @@
 // Violation is one case in which an invariant did not hold.
 type Violation struct {
 	Invariant string
-	At        time.Duration // since the start of the run
+	At        time.Duration // time of the violation, since the start of the run
 	Detail    string
 	Tags      []string // tags of the requests concerned; nil if the violation names no request
 }
@@ -115,7 +115,7 @@
 }
 
 // attemptEnd returns when an attempt ended for the gateway that sent it: when the gateway canceled the attempt, or
-// when the node completed it. An attempt that the node never completed ends with the log.
+// when the node completed it. If neither happened, the attempt ends at the end of the log.
 func (c *checker) attemptEnd(e storagenode.LogEntry) time.Duration {
 	switch {
 	case canceled(e):
--- a/lab/invariants/log.go
+++ b/lab/invariants/log.go
@@ -31,7 +31,7 @@
 	Quiescence   time.Duration        // pause of a key after an ambiguous attempt
 	BudgetFree   float64              // retries allowed in a window that has no requests
 	BudgetRatio  float64              // additional retries allowed for each request in the window
-	BudgetWindow time.Duration        // 0: no retry budget
+	BudgetWindow time.Duration        // length of the retry budget's window; 0: no retry budget
 	Limits       map[string]RateLimit // keyed by volume; a volume without an entry has no limit
 
 	LogTolerance      time.Duration // allowed difference between the times that two logs give for the same event
--- a/lab/invariants/nodes.go
+++ b/lab/invariants/nodes.go
@@ -28,7 +28,8 @@
 }
 
 // checkKeyOrder checks that the ordered requests that one gateway sends for a key run one at a time.
-// After a canceled attempt, which may still be running at its node, the key must also pause for Quiescence.
+// After a canceled attempt, which may still be running at its node, the key must also pause for the duration
+// Quiescence.
 func (c *checker) checkKeyOrder() {
 	type gatewayKey struct{ gateway, key string }
 	last := map[gatewayKey]storagenode.LogEntry{}
@@ -52,7 +53,8 @@
 	}
 }
 
-// checkRetryBudget checks that each gateway instance stays within its retry budget in every window of BudgetWindow.
+// checkRetryBudget checks that each gateway instance stays within its retry budget in every window of length
+// BudgetWindow.
 func (c *checker) checkRetryBudget() {
 	if c.params.BudgetWindow == 0 {
 		return
@@ -100,7 +102,7 @@
 func (c *checker) checkRateLimits() {
 	type bucket struct {
 		level float64       // tokens left, in cost units
-		at    time.Duration // time of level
+		at    time.Duration // when level was calculated
 	}
 	buckets := map[string]*bucket{}
 	type gatewayRequest struct {
--- a/lab/invariants/requests.go
+++ b/lab/invariants/requests.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// checkExecutions checks that a request that is not idempotent was executed at most once, that a rejected one was
-// not executed, and that a non-idempotent one was not retried after an attempt that may have executed it.
+// checkExecutions checks a request that is not idempotent. The request must be executed at most once, and not at all
+// if it was rejected. If its class is NonIdempotent, it must not be retried after an attempt that may have executed it.
 func (c *checker) checkExecutions(r *Request, entries []storagenode.LogEntry) {
 	idempotency := c.params.Classes[r.Class].Idempotency
 	if idempotency == Idempotent {
