--- a/fake/storagenode/moved_test.go
+++ b/fake/storagenode/moved_test.go
@@ -34,7 +34,7 @@
 			}
 		}
 		if s, b := request(t, n, "PUT", "/photos/k0", objectText(0)); s != 200 {
-			t.Fatal(s, b)
+			t.Fatalf("PUT of k0 in directory %q: got status %d and body %s, want 200", name, s, b)
 		}
 		if logs.Len() > 0 {
 			t.Errorf("got log entries %v, want none", logs.All())
--- a/fake/storagenode/node_test.go
+++ b/fake/storagenode/node_test.go
@@ -58,7 +58,7 @@
 	request(t, n, "PUT", "/gone", "")
 	for i := range 5 {
 		if s, b := request(t, n, "PUT", fmt.Sprint("/photos/k", i), strings.Repeat("x", 1000*i)); s != 200 {
-			t.Fatal(s, b)
+			t.Fatalf("PUT of k%d: got status %d and body %s, want 200", i, s, b)
 		}
 	}
 	request(t, n, "DELETE", "/photos/k3", "")
@@ -66,7 +66,7 @@
 	_, doc := request(t, n, "POST", "/photos/big?uploads", "")
 	id := doc[strings.Index(doc, "<UploadId>")+10 : strings.Index(doc, "</UploadId>")]
 	if s, b := request(t, n, "PUT", "/photos/big?partNumber=1&uploadId="+id, "part one"); s != 200 {
-		t.Fatal(s, b)
+		t.Fatalf("PUT of part 1: got status %d and body %s, want 200", s, b)
 	}
 	_, before := request(t, n, "GET", "/photos", "")
 	n.Stop()
@@ -91,10 +91,10 @@
 	completion := `<CompleteMultipartUpload><Part><PartNumber>1</PartNumber><ETag>` + etagOf(t, "part one") +
 		`</ETag></Part></CompleteMultipartUpload>`
 	if s, b := request(t, n, "POST", "/photos/big?uploadId="+id, completion); s != 200 {
-		t.Fatal(s, b)
+		t.Fatalf("completing the upload: got status %d and body %s, want 200", s, b)
 	}
 	if _, b := request(t, n, "GET", "/photos/big", ""); b != "part one" {
-		t.Fatal(b)
+		t.Fatalf("GET of the completed object: got body %s, want %q", b, "part one")
 	}
 }
 
@@ -144,7 +144,7 @@
 			x.fault.Count = 1
 			n.Inject(x.fault)
 			if s, b := request(t, n, "GET", "/photos/k", ""); s != x.want {
-				t.Errorf("GET got status %d and body %.60s, want another status", s, b)
+				t.Errorf("GET: got status %d and body %.60s, want status %d", s, b, x.want)
 			}
 			n.ClearFaults()
 		})
@@ -164,7 +164,7 @@
 		t.Fatal(err)
 	}
 	if s, b := request(t, n, "GET", "/photos/k", ""); s != 200 {
-		t.Fatal(s, b)
+		t.Fatalf("GET before the script: got status %d and body %s, want 200", s, b)
 	}
 	n.RunScript(script[1:])
 	<-n.Done()
--- a/fake/storagenode/unreadable_test.go
+++ b/fake/storagenode/unreadable_test.go
@@ -29,7 +29,7 @@
 	request(t, n, "PUT", "/photos", "")
 	for i := range 6 {
 		if s, b := request(t, n, "PUT", fmt.Sprint("/photos/k", i), objectText(i)); s != 200 {
-			t.Fatal(s, b)
+			t.Fatalf("PUT of k%d: got status %d and body %s, want 200", i, s, b)
 		}
 	}
 }
