--- a/internal/modelcheck/apply.go
+++ b/internal/modelcheck/apply.go
@@ -37,7 +37,7 @@
 	case RestartGateway:
 		w.restartGateway()
 	case RefreshEndpoints:
-		w.stale = false
+		w.endpointsStale = false
 		w.handle(w.endpointList(dispatch.Snapshot), noLoop)
 	case AdvanceBefore:
 		w.now = justBefore(w.nextDeadline())
@@ -78,7 +78,7 @@
 	r.started = true
 	r.onLoop = true
 	r.deadline = w.now + timeout
-	w.noteStart(r)
+	w.recordArrival(r)
 	w.handle(forwarder.StartRequest{
 		NotReplayable: r.notReplayable,
 		Loop:          r.loop,
@@ -136,7 +136,7 @@
 		c.atNode = false
 		c.partial = false
 	}
-	w.noteResponse(kind, c)
+	w.recordResponse(kind, c)
 	if c.request == nil {
 		c.unusable = true // bytes without a request
 	}
@@ -160,14 +160,14 @@
 		w.counts.nodeRestarts++
 		n.started = max(w.now, n.started+1) // two processes have distinct start times
 	}
-	if w.stale { // RefreshEndpoints reports it
+	if w.endpointsStale { // RefreshEndpoints reports it
 		return
 	}
 	if kind == RestartNode {
-		w.noteNodeRestart(n.id)
+		w.markIdleConnsUnusable(n.id)
 	}
 	update := forwarder.EndpointUpdate{Kind: dispatch.Delta, Nodes: []forwarder.Node{n.endpoint(n.state)}}
-	w.noteEndpoints(update)
+	w.recordEndpointUpdate(update)
 	w.handle(update, noLoop)
 }
 
@@ -177,8 +177,8 @@
 	w.counts.gatewayRestarts++
 	w.loopQueues = [loopCount][]forwarder.Action{}
 	for _, c := range w.sortedConns() {
-		w.noteInterrupted(c)
-		w.freeConn(c)
+		w.recordInterruption(c)
+		w.unlinkRequest(c)
 		delete(w.conns, c.id)
 	}
 	for _, r := range w.requests {
@@ -188,7 +188,7 @@
 		}
 	}
 	clear(w.unusableSince)
-	w.stale = true
+	w.endpointsStale = true
 	w.startGateway(dispatch.Cached)
 }
 
--- a/internal/modelcheck/checkend.go
+++ b/internal/modelcheck/checkend.go
@@ -16,7 +16,7 @@
 func (w *World) checkDeadlines() {
 	for _, r := range w.requests {
 		if r.responseDue() && w.now > r.deadline {
-			w.violate(ruleAnswer, "request %d has no response %v after its deadline", r.id, w.now-r.deadline)
+			w.reportViolation(ruleAnswer, "request %d has no response %v after its deadline", r.id, w.now-r.deadline)
 		}
 	}
 }
@@ -26,7 +26,7 @@
 func (w *World) checkOrphans() {
 	for _, r := range w.requests {
 		if (r.headersForwarded || r.bodyStreaming) && !r.finished() && r.conn == nil && !w.responsePending(r) {
-			w.violate(ruleStuck, "request %d streams, its connection is closed, and it has no end", r.id)
+			w.reportViolation(ruleStuck, "request %d streams, its connection is closed, and it has no end", r.id)
 		}
 	}
 }
@@ -35,17 +35,17 @@
 func (w *World) checkEnd() {
 	for _, r := range w.requests {
 		if r.unfinished() && !r.headersForwarded && !r.bodyStreaming {
-			w.violate(ruleStuck, "request %d waits, and nothing is due", r.id)
+			w.reportViolation(ruleStuck, "request %d waits, and nothing is due", r.id)
 		}
 	}
 	if w.anyUnfinished() {
 		return // a body that streams and stands still
 	}
 	if n := w.fwd.Requests(); n > 0 {
-		w.violate(ruleStuck, "the forwarder still has %d requests", n)
+		w.reportViolation(ruleStuck, "the forwarder still has %d requests", n)
 	}
 	if n := dispatcherRequests(w.fwd); n > 0 {
-		w.violate(ruleStuck, "the dispatcher still has %d requests", n)
+		w.reportViolation(ruleStuck, "the dispatcher still has %d requests", n)
 	}
 	w.checkConns()
 }
@@ -68,7 +68,7 @@
 		w.handle(forwarder.TimerFired{}, noLoop)
 	}
 	if len(w.conns) > 0 || w.fwd.Conns() > 0 {
-		w.violate(ruleConnection, "%d connections are left on the loops and %d in the forwarder",
+		w.reportViolation(ruleConnection, "%d connections are left on the loops and %d in the forwarder",
 			len(w.conns), w.fwd.Conns())
 	}
 }
--- a/internal/modelcheck/checker.go
+++ b/internal/modelcheck/checker.go
@@ -68,14 +68,14 @@
 }
 
 // violate notes a violation, if it is the first one.
-func (w *World) violate(rule, format string, args ...any) {
+func (w *World) reportViolation(rule, format string, args ...any) {
 	if w.checker.violation == nil {
 		w.checker.violation = &Violation{Rule: rule, Message: fmt.Sprintf(format, args...)}
 	}
 }
 
 // noteStart notes that a request arrives.
-func (w *World) noteStart(r *request) {
+func (w *World) recordArrival(r *request) {
 	w.checker.requestTimes = append(w.checker.requestTimes, w.now)
 	if w.class(r).Ordered && r.key != "" {
 		w.checker.byKey[r.key] = append(w.checker.byKey[r.key], r)
@@ -92,7 +92,7 @@
 		}
 	}
 	if count > w.cfg.MaxConnsPerNode {
-		w.violate(ruleBounds, "%d connections to %s, bound %d", count, a.Node, w.cfg.MaxConnsPerNode)
+		w.reportViolation(ruleBounds, "%d connections to %s, bound %d", count, a.Node, w.cfg.MaxConnsPerNode)
 	}
 }
 
@@ -112,7 +112,7 @@
 
 // noteNodeRestart notes that a node's idle connections must not be used any more: they are to
 // the earlier process. What was decided to be sent on one before is allowed.
-func (w *World) noteNodeRestart(id dispatch.NodeID) {
+func (w *World) markIdleConnsUnusable(id dispatch.NodeID) {
 	for _, c := range w.conns {
 		if c.node == id && c.open && c.request == nil && !w.sendPending(c) {
 			c.unusable = true
--- a/internal/modelcheck/checkresponse.go
+++ b/internal/modelcheck/checkresponse.go
@@ -9,7 +9,7 @@
 )
 
 // noteResponse notes what a response says on whether the request was executed.
-func (w *World) noteResponse(kind Kind, c *conn) {
+func (w *World) recordResponse(kind Kind, c *conn) {
 	r := c.request
 	if r == nil {
 		return
@@ -18,11 +18,11 @@
 		r.ambiguous = true
 	}
 	if kind == RespondInvalid {
-		w.noteQuiescence(r)
+		w.startQuiescence(r)
 	}
 }
 
-func (w *World) noteQuiescence(r *request) {
+func (w *World) startQuiescence(r *request) {
 	r.quiescentAt = max(r.quiescentAt, w.now+w.cfg.Dispatch.Quiescence)
 }
 
@@ -30,19 +30,19 @@
 func (w *World) checkForwarded(a forwarder.ForwardResponse, r *request, c *conn) {
 	switch {
 	case c == nil:
-		w.violate(ruleConnection, "request %d is given the response of connection %d, which is closed", a.ID, a.Conn)
+		w.reportViolation(ruleConnection, "request %d is given the response of connection %d, which is closed", a.ID, a.Conn)
 	case r == nil || c.request != r:
-		w.violate(ruleConnection, "request %d is given the response of connection %d, which carries another", a.ID, a.Conn)
+		w.reportViolation(ruleConnection, "request %d is given the response of connection %d, which carries another", a.ID, a.Conn)
 	case c.reader.State() != upstreamhttp.Complete:
-		w.violate(ruleConnection, "request %d is given a response that is %v", a.ID, c.reader.State())
+		w.reportViolation(ruleConnection, "request %d is given a response that is %v", a.ID, c.reader.State())
 	}
 }
 
 // noteHeaders notes that a response's headers are forwarded to the client.
-func (w *World) noteHeaders(c *conn) {
+func (w *World) recordHeadersForwarded(c *conn) {
 	r := c.request
 	if r.headersForwarded || r.finished() {
-		w.violate(ruleAnswer, "request %d: a response starts after another, or after its end", r.id)
+		w.reportViolation(ruleAnswer, "request %d: a response starts after another, or after its end", r.id)
 	}
 	r.headersForwarded = true
 }
@@ -50,7 +50,7 @@
 // finish gives a client its final response and checks it.
 func (w *World) finish(r *request, response forwarder.Action) {
 	if r == nil {
-		w.violate(ruleAnswer, "%T for an unknown request", response)
+		w.reportViolation(ruleAnswer, "%T for an unknown request", response)
 		return
 	}
 	if r.canceled {
@@ -60,17 +60,17 @@
 	r.outcome = outcomeName(response)
 	r.responses++
 	if r.responses > 1 {
-		w.violate(ruleAnswer, "request %d has %d final responses", r.id, r.responses)
+		w.reportViolation(ruleAnswer, "request %d has %d final responses", r.id, r.responses)
 	}
 	_, aborted := response.(forwarder.AbortResponse)
 	_, forwarded := response.(forwarder.ForwardResponse)
 	switch {
 	case r.headersForwarded && !aborted && !forwarded:
-		w.violate(ruleAnswer, "request %d: %T after its response has started", r.id, response)
+		w.reportViolation(ruleAnswer, "request %d: %T after its response has started", r.id, response)
 	case !r.headersForwarded && aborted:
-		w.violate(ruleAnswer, "request %d: its response is aborted before it has started", r.id)
+		w.reportViolation(ruleAnswer, "request %d: its response is aborted before it has started", r.id)
 	case w.now > r.deadline && !r.headersForwarded && !r.bodyStreaming:
-		w.violate(ruleAnswer, "request %d gets its response %v after its deadline", r.id, w.now-r.deadline)
+		w.reportViolation(ruleAnswer, "request %d gets its response %v after its deadline", r.id, w.now-r.deadline)
 	}
 	if reject, ok := response.(forwarder.Reject); ok {
 		w.checkRejection(r, reject)
@@ -80,10 +80,10 @@
 // checkRejection checks that a rejected request may be sent again by its client.
 func (w *World) checkRejection(r *request, reject forwarder.Reject) {
 	if r.ambiguous && !repeatableByClient(w.class(r)) {
-		w.violate(ruleEffects, "request %d is rejected as safe to retry, though it may have been executed", r.id)
+		w.reportViolation(ruleEffects, "request %d is rejected as safe to retry, though it may have been executed", r.id)
 	}
 	if reject.RetryAfter <= 0 {
-		w.violate(ruleAnswer, "request %d is rejected without a time to retry", r.id)
+		w.reportViolation(ruleAnswer, "request %d is rejected without a time to retry", r.id)
 	}
 }
 
--- a/internal/modelcheck/checksend.go
+++ b/internal/modelcheck/checksend.go
@@ -17,7 +17,7 @@
 		return
 	}
 	if since, unusable := w.unusableSince[send.Node]; unusable {
-		w.violate(ruleDrain, "request %d is sent to %s, which has been draining or removed for %v",
+		w.reportViolation(ruleDrain, "request %d is sent to %s, which has been draining or removed for %v",
 			send.ID, send.Node, w.now-since)
 	}
 }
@@ -26,18 +26,18 @@
 func (w *World) checkSend(c *conn, r *request, a forwarder.SendRequest) {
 	switch {
 	case r.responses > 0 || r.canceled:
-		w.violate(ruleAnswer, "request %d is sent after its end", r.id)
+		w.reportViolation(ruleAnswer, "request %d is sent after its end", r.id)
 	case r.conn != nil:
-		w.violate(ruleAttempts, "request %d is sent on connection %d while in flight on %d", r.id, c.id, r.conn.id)
+		w.reportViolation(ruleAttempts, "request %d is sent on connection %d while in flight on %d", r.id, c.id, r.conn.id)
 	default:
 		w.checkSendConn(c, r, a)
 		w.checkRepeat(r)
 	}
 	if a.Attempt < r.attempts {
-		w.violate(ruleAttempts, "request %d: attempt %d is sent after %d others", r.id, a.Attempt, r.attempts)
+		w.reportViolation(ruleAttempts, "request %d: attempt %d is sent after %d others", r.id, a.Attempt, r.attempts)
 	}
 	if bound := w.cfg.Dispatch.MaxAttempts; bound > 0 && r.attempts >= bound {
-		w.violate(ruleBounds, "request %d is sent for the %dth time, bound %d", r.id, r.attempts+1, bound)
+		w.reportViolation(ruleBounds, "request %d is sent for the %dth time, bound %d", r.id, r.attempts+1, bound)
 	}
 	w.checkOrder(r)
 	r.attempts++
@@ -53,14 +53,14 @@
 func (w *World) checkSendConn(c *conn, r *request, a forwarder.SendRequest) {
 	switch busy := c.request != nil || c.atNode; {
 	case !c.open || busy || c.unusable:
-		w.violate(ruleConnection, "request %d is sent on connection %d: open %v, busy %v, unusable %v",
+		w.reportViolation(ruleConnection, "request %d is sent on connection %d: open %v, busy %v, unusable %v",
 			r.id, c.id, c.open, busy, c.unusable)
 	case a.Loop != c.loop || a.Loop != r.loop:
-		w.violate(ruleConnection, "request %d of loop %d is sent on connection %d of loop %d", r.id, r.loop, c.id, c.loop)
+		w.reportViolation(ruleConnection, "request %d of loop %d is sent on connection %d of loop %d", r.id, r.loop, c.id, c.loop)
 	case a.Node != c.node:
-		w.violate(ruleConnection, "request %d for %s is sent on connection %d to %s", r.id, a.Node, c.id, c.node)
+		w.reportViolation(ruleConnection, "request %d for %s is sent on connection %d to %s", r.id, a.Node, c.id, c.node)
 	case w.shardOf(c.node) != r.shard:
-		w.violate(ruleEffects, "request %d of shard %d is sent to %s", r.id, r.shard, c.node)
+		w.reportViolation(ruleEffects, "request %d of shard %d is sent to %s", r.id, r.shard, c.node)
 	}
 }
 
@@ -69,12 +69,12 @@
 	class := w.class(r)
 	switch {
 	case r.notReplayable && r.attempts > 0:
-		w.violate(ruleEffects, "request %d is not replayable and is sent again", r.id)
+		w.reportViolation(ruleEffects, "request %d is not replayable and is sent again", r.id)
 	case !r.ambiguous:
 	case class.Idempotency == dispatch.NonIdempotent:
-		w.violate(ruleEffects, "request %d is not idempotent and is sent again though it may have been executed", r.id)
+		w.reportViolation(ruleEffects, "request %d is not idempotent and is sent again though it may have been executed", r.id)
 	case class.Idempotency == dispatch.Deduplicated && w.now-r.ambiguousSince >= class.DedupWindow:
-		w.violate(ruleEffects, "request %d is sent again %v after it may have been executed, beyond its window",
+		w.reportViolation(ruleEffects, "request %d is sent again %v after it may have been executed, beyond its window",
 			r.id, w.now-r.ambiguousSince)
 	}
 }
@@ -94,7 +94,7 @@
 	}
 	retries, requests := inWindow(k.retryTimes), inWindow(k.requestTimes)
 	if budget.Window > 0 && float64(retries) > budget.MinRetries+budget.Ratio*float64(requests) {
-		w.violate(ruleBudget, "%d retries within %v", retries, budget.Window)
+		w.reportViolation(ruleBudget, "%d retries within %v", retries, budget.Window)
 	}
 }
 
@@ -113,9 +113,9 @@
 		case earlier == r:
 			return
 		case (!earlier.finished() || earlier.conn != nil) && !w.responsePending(earlier):
-			w.violate(ruleOrder, "request %d is sent before %d of its key is over", r.id, earlier.id)
+			w.reportViolation(ruleOrder, "request %d is sent before %d of its key is over", r.id, earlier.id)
 		case w.now < earlier.quiescentAt:
-			w.violate(ruleOrder, "request %d is sent %v before the quiescence of its key ends",
+			w.reportViolation(ruleOrder, "request %d is sent %v before the quiescence of its key ends",
 				r.id, earlier.quiescentAt-w.now)
 		}
 	}
@@ -140,11 +140,11 @@
 }
 
 // noteInterrupted notes that a connection ends while the node may execute its request.
-func (w *World) noteInterrupted(c *conn) {
+func (w *World) recordInterruption(c *conn) {
 	r := c.request
 	if r == nil || !c.atNode {
 		return
 	}
 	r.ambiguous = true
-	w.noteQuiescence(r)
+	w.startQuiescence(r)
 }
--- a/internal/modelcheck/coverage.go
+++ b/internal/modelcheck/coverage.go
@@ -99,25 +99,25 @@
 
 // observation is an event with the stages of all requests before it.
 type observation struct {
-	event   string
-	request dispatch.RequestID // of the event; 0 where it is of none
-	from    map[dispatch.RequestID]string
+	event        string
+	request      dispatch.RequestID // of the event; 0 where it is of none
+	stagesBefore map[dispatch.RequestID]string
 }
 
-// before observes an event that is about to be handled; it returns nil on a nil Coverage.
-func (c *Coverage) before(w *World, ev forwarder.Event) *observation {
+// beforeEvent observes an event that is about to be handled; it returns nil on a nil Coverage.
+func (c *Coverage) beforeEvent(w *World, ev forwarder.Event) *observation {
 	if c == nil {
 		return nil
 	}
 	return &observation{
-		event:   strings.TrimPrefix(fmt.Sprintf("%T", ev), "forwarder."),
-		request: eventRequest(w.fwd, ev),
-		from:    stages(w.fwd),
+		event:        strings.TrimPrefix(fmt.Sprintf("%T", ev), "forwarder."),
+		request:      eventRequest(w.fwd, ev),
+		stagesBefore: stages(w.fwd),
 	}
 }
 
-// after counts the transitions of an observed event, once it was handled.
-func (c *Coverage) after(w *World, o *observation) {
+// afterEvent counts the transitions of an observed event, once it was handled.
+func (c *Coverage) afterEvent(w *World, o *observation) {
 	if o == nil {
 		return
 	}
@@ -126,7 +126,7 @@
 	for id := range to {
 		requests[id] = true
 	}
-	for id := range o.from {
+	for id := range o.stagesBefore {
 		requests[id] = true
 	}
 	requests[o.request] = requests[o.request] || o.request != 0
@@ -135,8 +135,8 @@
 	for id := range requests {
 		t := Transition{
 			Event:      o.event,
-			From:       stageOr(o.from[id]),
-			To:         stageOr(to[id]),
+			From:       stageOrNone(o.stagesBefore[id]),
+			To:         stageOrNone(to[id]),
 			OtherEvent: id != o.request && o.request != 0,
 		}
 		if !t.OtherEvent || t.From != t.To {
@@ -145,7 +145,7 @@
 	}
 }
 
-func stageOr(stage string) string {
+func stageOrNone(stage string) string {
 	if stage == "" {
 		return noStage
 	}
--- a/internal/modelcheck/fingerprint.go
+++ b/internal/modelcheck/fingerprint.go
@@ -34,9 +34,9 @@
 	ignored                              // no influence on the future
 )
 
-// fields has the fields that do not count as they are. Each duration needs an entry: a walk
+// fieldUses has the fieldUses that do not count as they are. Each duration needs an entry: a walk
 // that meets one without panics.
-var fields = map[string]fieldUse{
+var fieldUses = map[string]fieldUse{
 	"modelcheck.World.scenario":      ignored,
 	"modelcheck.World.cfg":           ignored,
 	"modelcheck.World.now":           ignored,
@@ -174,7 +174,7 @@
 
 // heaps are the types of heaps with the fields by which they are ordered. Their entries
 // count in this order, not in that of their slice.
-var heaps = map[string][]string{
+var heapOrders = map[string][]string{
 	"timerqueue.timerHeap": {"at", "seq"}, "dispatch.flowHeap": {"startTag"},
 }
 
@@ -182,7 +182,7 @@
 // concurrent use.
 type fingerprinter struct {
 	exact             bool            // else learned values count with two digits
-	inert             map[string]bool // fields without influence under the scenario's settings
+	irrelevant        map[string]bool // fields without influence under the scenario's settings
 	tightestObjective time.Duration   // the lowest latency objective
 	types             map[reflect.Type]*typeInfo
 
@@ -204,11 +204,11 @@
 const horizon = 1500 * ms
 
 // inertFields returns the fields without influence under a world's settings.
-func inertFields(w *World) map[string]bool {
-	inert := map[string]bool{}
+func irrelevantFields(w *World) map[string]bool {
+	irrelevant := map[string]bool{}
 	ignore := func(names ...string) {
 		for _, n := range names {
-			inert[n] = true
+			irrelevant[n] = true
 		}
 	}
 	c := &w.cfg.Dispatch
@@ -245,7 +245,7 @@
 	if w.cfg.IdleTimeout > horizon && w.cfg.MaxConnAge > horizon {
 		ignore("forwarder.conn.createdAt", "forwarder.conn.idleSince")
 	}
-	return inert
+	return irrelevant
 }
 
 func newFingerprinter(exact bool) *fingerprinter {
@@ -259,8 +259,8 @@
 
 // fingerprint returns the fingerprint of a world.
 func (p *fingerprinter) fingerprint(w *World) Fingerprint {
-	if p.inert == nil {
-		p.learnSettings(w)
+	if p.irrelevant == nil {
+		p.deriveFromSettings(w)
 	}
 	p.now = w.now
 	p.buf = p.buf[:0]
@@ -269,13 +269,13 @@
 		p.ranks[group] = p.ranks[group][:0]
 	}
 	p.walk(reflect.ValueOf(w).Elem(), 0)
-	p.u64(arrivalsEnd(w))
+	p.u64(remainingArrivalTime(w))
 	p.writeRanks()
 	return p.sum()
 }
 
-func (p *fingerprinter) learnSettings(w *World) {
-	p.inert = inertFields(w)
+func (p *fingerprinter) deriveFromSettings(w *World) {
+	p.irrelevant = irrelevantFields(w)
 	p.tightestObjective = w.cfg.Dispatch.Classes[0].LatencyObjective
 	for _, c := range w.cfg.Dispatch.Classes {
 		p.tightestObjective = min(p.tightestObjective, c.LatencyObjective)
@@ -284,12 +284,12 @@
 
 // arrivalsEnd returns for how long requests may still arrive; 0 where none has arrived or all
 // have.
-func arrivalsEnd(w *World) uint64 {
+func remainingArrivalTime(w *World) uint64 {
 	allStarted := !slices.ContainsFunc(w.requests, func(r *request) bool { return !r.started })
 	if allStarted || w.firstArrival == 0 {
 		return 0
 	}
-	return uint64(w.firstArrival + w.scenario.spread - w.now)
+	return uint64(w.firstArrival + w.scenario.arrivalWindow - w.now)
 }
 
 // writeRanks writes the ranks of the values that count by them into their places.
@@ -308,10 +308,10 @@
 }
 
 // secondSeed is the seed of a fingerprint's second half.
-const secondSeed = 0x9e3779b97f4a7c15
+const secondHashSeed = 0x9e3779b97f4a7c15
 
 func (p *fingerprinter) sum() Fingerprint {
-	h := xxhash.NewWithSeed(secondSeed)
+	h := xxhash.NewWithSeed(secondHashSeed)
 	_, _ = h.Write(p.buf) // never fails
 	return Fingerprint{xxhash.Sum64(p.buf), h.Sum64()}
 }
@@ -320,7 +320,7 @@
 const controllerTimer = 0
 
 // heap writes the entries of a heap in its order.
-func (p *fingerprinter) heap(v reflect.Value, by []string) {
+func (p *fingerprinter) heap(v reflect.Value, order []string) {
 	idx := make([]int, v.Len())
 	for i := range idx {
 		idx[i] = i
@@ -333,7 +333,7 @@
 	})
 	slices.SortFunc(idx, func(a, b int) int {
 		x, y := v.Index(a).Elem(), v.Index(b).Elem()
-		for _, f := range by {
+		for _, f := range order {
 			if c := compareValues(x.FieldByName(f), y.FieldByName(f)); c != 0 {
 				return c
 			}
--- a/internal/modelcheck/fingerprint_test.go
+++ b/internal/modelcheck/fingerprint_test.go
@@ -47,13 +47,13 @@
 	} {
 		names.visit(reflect.TypeOf(x))
 	}
-	for name := range fields {
+	for name := range fieldUses {
 		if !names[name] {
 			t.Errorf("the table has %s, which does not exist", name)
 		}
 	}
 	w := newWorld(&Scenario{requests: []requestSpec{{}}, nodes: []nodeSpec{{id: "a", initial: true}}})
-	for name := range inertFields(w) {
+	for name := range irrelevantFields(w) {
 		if !names[name] {
 			t.Errorf("%s, without influence under some settings, does not exist", name)
 		}
--- a/internal/modelcheck/loop.go
+++ b/internal/modelcheck/loop.go
@@ -43,7 +43,7 @@
 // handle passes an event to the forwarder. A loop performs the actions for itself before
 // anything else happens there; the actions for other loops wait until these run.
 func (w *World) handle(ev forwarder.Event, from forwarder.LoopID) {
-	observed := w.coverage.before(w, ev)
+	observed := w.coverage.beforeEvent(w, ev)
 	for _, a := range w.fwd.Handle(w.now, ev) {
 		w.checkDecision(a)
 		if t, ok := a.(forwarder.SetTimer); ok {
@@ -54,7 +54,7 @@
 			w.loopQueues[loop] = append(w.loopQueues[loop], a)
 		}
 	}
-	w.coverage.after(w, observed)
+	w.coverage.afterEvent(w, observed)
 	if from != noLoop {
 		w.runLoop(from)
 	}
@@ -131,7 +131,7 @@
 	}
 	w.checkSend(c, r, a)
 	if !c.reader.RequestSent(requestMethod, maxBuffered) {
-		w.violate(ruleConnection, "request %d is sent on connection %d, whose reader is %v", r.id, c.id, c.reader.State())
+		w.reportViolation(ruleConnection, "request %d is sent on connection %d, whose reader is %v", r.id, c.id, c.reader.State())
 	}
 	c.request = r
 	c.atNode = true
@@ -143,11 +143,11 @@
 // takeResponse takes a complete response from its connection.
 func (w *World) takeResponse(c *conn) {
 	c.reader.ResponseTaken()
-	w.freeConn(c)
+	w.unlinkRequest(c)
 }
 
 // freeConn separates a connection from its request.
-func (w *World) freeConn(c *conn) {
+func (w *World) unlinkRequest(c *conn) {
 	if r := c.request; r != nil {
 		r.sendingBody = false
 		if r.conn == c {
@@ -159,9 +159,9 @@
 
 // closeConn closes a connection from the gateway's side. A request may go on at the node.
 func (w *World) closeConn(c *conn) {
-	w.noteInterrupted(c)
+	w.recordInterruption(c)
 	c.reader.Break()
-	w.freeConn(c)
+	w.unlinkRequest(c)
 	delete(w.conns, c.id)
 }
 
@@ -182,7 +182,7 @@
 
 // receiveStep handles one step of a connection's reader, with so many bytes left after it.
 // It returns false where the loop stops reading.
-func (w *World) receiveStep(c *conn, step upstreamhttp.Step, left int) bool {
+func (w *World) receiveStep(c *conn, step upstreamhttp.Step, remaining int) bool {
 	switch step.Kind {
 	case upstreamhttp.NeedMore:
 		return false
@@ -197,7 +197,7 @@
 	case upstreamhttp.BodyData:
 		return c.request != nil
 	case upstreamhttp.BufferedResponse, upstreamhttp.ResponseEnd:
-		return w.receiveEnd(c, left)
+		return w.receiveEnd(c, remaining)
 	}
 	return true
 }
@@ -217,11 +217,11 @@
 	if c.request == nil {
 		return false
 	}
-	w.noteHeaders(c)
+	w.recordHeadersForwarded(c)
 	return true
 }
 
-func (w *World) receiveEnd(c *conn, left int) bool {
+func (w *World) receiveEnd(c *conn, remaining int) bool {
 	w.handle(forwarder.ResponseCompleted{
 		Conn:  c.id,
 		Info:  responseInfo(c),
@@ -230,8 +230,8 @@
 	if w.conns[c.id] != c {
 		return false
 	}
-	if c.request != nil && left > 0 {
-		w.violate(ruleConnection, "bytes that came before request %d was sent are read as its response", c.request.id)
+	if c.request != nil && remaining > 0 {
+		w.reportViolation(ruleConnection, "bytes that came before request %d was sent are read as its response", c.request.id)
 		return false
 	}
 	return true
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -44,14 +44,14 @@
 		{"limits", 20_000},
 	} {
 		s := scenario(t, c.name)
-		maxStates := max(c.maxStates, (slower-1)*2000) / slower
+		maxStates := max(c.maxStates, (workDivisor-1)*2000) / workDivisor
 		r := Search(t.Context(), s, Options{MaxStates: maxStates, Reduce: true})
 		t.Log(r)
 		if r.Violation != nil {
 			Explain(s, r.Path, t.Logf)
 			t.Fatal(r.Violation)
 		}
-		if c.maxStates == 0 && slower == 1 && !r.Complete {
+		if c.maxStates == 0 && workDivisor == 1 && !r.Complete {
 			t.Errorf("%s is not complete", c.name)
 		}
 	}
@@ -114,7 +114,7 @@
 		rng := rand.New(rand.NewPCG(seed, 1))
 		for range maxMoves {
 			disturb(w)
-			m, ok := w.pick(rng.IntN)
+			m, ok := w.pickMove(rng.IntN)
 			if !ok {
 				break
 			}
@@ -130,7 +130,7 @@
 // Long random walks through a large scenario keep every rule.
 func TestRandomWalks(t *testing.T) {
 	coverage := NewCoverage()
-	for seed := range uint64(60 / slower) {
+	for seed := range uint64(60 / workDivisor) {
 		if path, v := Walk(LargeScenario(24, 200), seed, 6000, coverage); v != nil {
 			Explain(LargeScenario(24, 200), path, t.Logf)
 			t.Fatalf("seed %d: %v", seed, v)
@@ -145,7 +145,7 @@
 	s := LargeScenario(rapid.IntRange(2, 8).Draw(t, "nodes"), rapid.IntRange(1, 12).Draw(t, "requests"))
 	w := newWorld(&s)
 	for range rapid.IntRange(0, 200).Draw(t, "moves") {
-		m, ok := w.pick(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "which") })
+		m, ok := w.pickMove(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "which") })
 		if !ok {
 			w.checkEnd()
 			break
--- a/internal/modelcheck/moves.go
+++ b/internal/modelcheck/moves.go
@@ -57,7 +57,7 @@
 	if w.anyUnfinished() {
 		l.addWithin(w.counts.gatewayRestarts, w.scenario.limits.gatewayRestarts, RestartGateway, 0)
 	}
-	if w.stale {
+	if w.endpointsStale {
 		l.add(RefreshEndpoints, 0)
 	}
 	if !w.loopsPending() && !timerDue && w.anyResponseDue() {
@@ -69,7 +69,7 @@
 func (l *moveList) addRequestMoves(r *request, number int) {
 	w, counts, limits := l.world, &l.world.counts, &l.world.scenario.limits
 	if !r.started {
-		if w.firstArrival == 0 || w.now <= w.firstArrival+w.scenario.spread {
+		if w.firstArrival == 0 || w.now <= w.firstArrival+w.scenario.arrivalWindow {
 			l.add(StartRequest, number)
 		}
 		return
@@ -197,7 +197,7 @@
 	}
 	for _, r := range w.requests {
 		if !r.started && w.firstArrival > 0 {
-			consider(w.firstArrival + w.scenario.spread)
+			consider(w.firstArrival + w.scenario.arrivalWindow)
 		}
 		if !r.unfinished() {
 			continue
--- a/internal/modelcheck/norace_test.go
+++ b/internal/modelcheck/norace_test.go
@@ -2,5 +2,5 @@
 
 package modelcheck
 
-// slower is how much less is explored under the race detector.
-const slower = 1
+// workDivisor is how much less is explored under the race detector.
+const workDivisor = 1
--- a/internal/modelcheck/race_test.go
+++ b/internal/modelcheck/race_test.go
@@ -3,4 +3,4 @@
 package modelcheck
 
 // slower is how much less is explored under the race detector.
-const slower = 12
+const workDivisor = 12
--- a/internal/modelcheck/replay.go
+++ b/internal/modelcheck/replay.go
@@ -14,7 +14,7 @@
 // scenario, and one move on each further line. Empty lines, and the rest of a line after a
 // #, are ignored. Replays are stored: the form and its words are frozen.
 const (
-	replayForm    = "chalkstand-explore"
+	replayFormat  = "chalkstand-explore"
 	replayVersion = "1"
 )
 
@@ -34,7 +34,7 @@
 // WriteReplay writes a path as a replay.
 func WriteReplay(out io.Writer, s Scenario, path []Move) error {
 	w := newWorld(&s)
-	if _, err := fmt.Fprintf(out, "%s %s\nscenario %s\n", replayForm, replayVersion, s.Name); err != nil {
+	if _, err := fmt.Fprintf(out, "%s %s\nscenario %s\n", replayFormat, replayVersion, s.Name); err != nil {
 		return err
 	}
 	for _, m := range path {
@@ -133,8 +133,8 @@
 }
 
 func (p *player) readHeader(words []string) error {
-	if want := []string{replayForm, replayVersion}; !slices.Equal(words, want) {
-		return fmt.Errorf("%q: want %q", strings.Join(words, " "), strings.Join(want, " "))
+	if expected := []string{replayFormat, replayVersion}; !slices.Equal(words, expected) {
+		return fmt.Errorf("%q: want %q", strings.Join(words, " "), strings.Join(expected, " "))
 	}
 	p.headerRead = true
 	return nil
--- a/internal/modelcheck/scenario.go
+++ b/internal/modelcheck/scenario.go
@@ -41,8 +41,8 @@
 	nodes    []nodeSpec
 	limits   moveCounts
 
-	// spread is the longest time from the first request's arrival to the last one's.
-	spread time.Duration
+	// arrivalWindow is the longest time from the first request's arrival to the last one's.
+	arrivalWindow time.Duration
 
 	// configure changes the settings; nil: not at all.
 	configure func(*forwarder.Config)
--- a/internal/modelcheck/scenarios.go
+++ b/internal/modelcheck/scenarios.go
@@ -52,34 +52,34 @@
 
 func drainScenario() Scenario {
 	return Scenario{
-		Name:        "drain",
-		Description: "a node drains, its successor is listed, then it is removed, while two requests run",
-		requests:    idempotentAndKeyed(),
-		nodes:       nodeAndSuccessor(),
-		limits:      moveCounts{drains: 1, adds: 1, removes: 1, resets: 1},
-		spread:      20 * ms,
+		Name:          "drain",
+		Description:   "a node drains, its successor is listed, then it is removed, while two requests run",
+		requests:      idempotentAndKeyed(),
+		nodes:         nodeAndSuccessor(),
+		limits:        moveCounts{drains: 1, adds: 1, removes: 1, resets: 1},
+		arrivalWindow: 20 * ms,
 	}
 }
 
 func leaveScenario() Scenario {
 	return Scenario{
-		Name:        "leave",
-		Description: "clients cancel at any time, also while a retry waits",
-		requests:    idempotentAndKeyed(),
-		nodes:       nodeAndSuccessor(),
-		limits:      moveCounts{cancels: 2, resets: 1, errors: 1, failedDials: 1},
-		spread:      60 * ms,
+		Name:          "leave",
+		Description:   "clients cancel at any time, also while a retry waits",
+		requests:      idempotentAndKeyed(),
+		nodes:         nodeAndSuccessor(),
+		limits:        moveCounts{cancels: 2, resets: 1, errors: 1, failedDials: 1},
+		arrivalWindow: 60 * ms,
 	}
 }
 
 func turnScenario() Scenario {
 	return Scenario{
-		Name:        "turn",
-		Description: "two writes of one key, across a reset, a lost response and a client that cancels",
-		requests:    []requestSpec{{class: orderedClass, key: "k"}, {class: orderedClass, key: "k"}},
-		nodes:       nodeAndSuccessor(),
-		limits:      moveCounts{cancels: 1, resets: 1, drains: 1, adds: 1},
-		spread:      60 * ms,
+		Name:          "turn",
+		Description:   "two writes of one key, across a reset, a lost response and a client that cancels",
+		requests:      []requestSpec{{class: orderedClass, key: "k"}, {class: orderedClass, key: "k"}},
+		nodes:         nodeAndSuccessor(),
+		limits:        moveCounts{cancels: 1, resets: 1, drains: 1, adds: 1},
+		arrivalWindow: 60 * ms,
 	}
 }
 
@@ -98,12 +98,12 @@
 
 func streamScenario() Scenario {
 	return Scenario{
-		Name:        "stream",
-		Description: "bodies that are streamed, in both directions, and break off",
-		requests:    []requestSpec{{class: idempotentClass, streamed: true}, {class: keyedClass, notReplayable: true}},
-		nodes:       nodeAndSuccessor(),
-		limits:      moveCounts{cancels: 1, resets: 1, streams: 2, bodyStreams: 1, rejects: 1},
-		spread:      20 * ms,
+		Name:          "stream",
+		Description:   "bodies that are streamed, in both directions, and break off",
+		requests:      []requestSpec{{class: idempotentClass, streamed: true}, {class: keyedClass, notReplayable: true}},
+		nodes:         nodeAndSuccessor(),
+		limits:        moveCounts{cancels: 1, resets: 1, streams: 2, bodyStreams: 1, rejects: 1},
+		arrivalWindow: 20 * ms,
 	}
 }
 
@@ -115,20 +115,20 @@
 			{class: orderedClass, key: "k", notReplayable: true},
 			{class: orderedClass, key: "k"},
 		},
-		nodes:  nodeAndSuccessor(),
-		limits: moveCounts{cancels: 1, resets: 1, bodyStreams: 2},
-		spread: 20 * ms,
+		nodes:         nodeAndSuccessor(),
+		limits:        moveCounts{cancels: 1, resets: 1, bodyStreams: 2},
+		arrivalWindow: 20 * ms,
 	}
 }
 
 func renewScenario() Scenario {
 	return Scenario{
-		Name:        "renew",
-		Description: "a node is listed as a new process; connections reach their age and idle time",
-		requests:    twoIdempotent(),
-		nodes:       nodeAndSuccessor(),
-		limits:      moveCounts{nodeRestarts: 1, drains: 1, resets: 1, closes: 1},
-		spread:      100 * ms,
+		Name:          "renew",
+		Description:   "a node is listed as a new process; connections reach their age and idle time",
+		requests:      twoIdempotent(),
+		nodes:         nodeAndSuccessor(),
+		limits:        moveCounts{nodeRestarts: 1, drains: 1, resets: 1, closes: 1},
+		arrivalWindow: 100 * ms,
 		configure: func(c *forwarder.Config) {
 			c.IdleTimeout = 60 * ms
 			c.MaxConnAge = 100 * ms
@@ -138,11 +138,11 @@
 
 func silentScenario() Scenario {
 	return Scenario{
-		Name:        "silent",
-		Description: "responses that do not come, so that attempts are canceled early",
-		requests:    []requestSpec{{class: idempotentClass}, {class: idempotentClass}, {class: idempotentClass}},
-		nodes:       nodeAndSuccessor()[:1],
-		spread:      500 * ms,
+		Name:          "silent",
+		Description:   "responses that do not come, so that attempts are canceled early",
+		requests:      []requestSpec{{class: idempotentClass}, {class: idempotentClass}, {class: idempotentClass}},
+		nodes:         nodeAndSuccessor()[:1],
+		arrivalWindow: 500 * ms,
 	}
 }
 
@@ -189,43 +189,43 @@
 			{class: idempotentClass},
 			{class: keyedClass},
 		},
-		nodes:   nodeAndSuccessor(),
-		limits:  moveCounts{drains: 1, resets: 1},
-		spread:  20 * ms,
-		prepare: learnLostResponse,
+		nodes:         nodeAndSuccessor(),
+		limits:        moveCounts{drains: 1, resets: 1},
+		arrivalWindow: 20 * ms,
+		prepare:       learnLostResponse,
 	}
 }
 
 func crashScenario() Scenario {
 	return Scenario{
-		Name:        "crash",
-		Description: "the gateway restarts with a stale endpoint list, while a node drains",
-		requests:    idempotentAndKeyed(),
-		nodes:       nodeAndSuccessor(),
-		limits:      moveCounts{gatewayRestarts: 1, drains: 1, adds: 1},
-		spread:      60 * ms,
+		Name:          "crash",
+		Description:   "the gateway restarts with a stale endpoint list, while a node drains",
+		requests:      idempotentAndKeyed(),
+		nodes:         nodeAndSuccessor(),
+		limits:        moveCounts{gatewayRestarts: 1, drains: 1, adds: 1},
+		arrivalWindow: 60 * ms,
 	}
 }
 
 func doubtScenario() Scenario {
 	return Scenario{
-		Name:        "doubt",
-		Description: "invalid responses, bytes after a response, nodes that close idle connections",
-		requests:    twoIdempotent(),
-		nodes:       nodeAndSuccessor(),
-		limits:      moveCounts{invalids: 1, closes: 1, rejects: 1, resets: 1},
-		spread:      20 * ms,
+		Name:          "doubt",
+		Description:   "invalid responses, bytes after a response, nodes that close idle connections",
+		requests:      twoIdempotent(),
+		nodes:         nodeAndSuccessor(),
+		limits:        moveCounts{invalids: 1, closes: 1, rejects: 1, resets: 1},
+		arrivalWindow: 20 * ms,
 	}
 }
 
 func loopsScenario() Scenario {
 	return Scenario{
-		Name:        "loops",
-		Description: "two event loops that share one connection to a node",
-		requests:    []requestSpec{{class: idempotentClass}, {class: keyedClass, loop: 1}},
-		nodes:       nodeAndSuccessor(),
-		limits:      moveCounts{cancels: 1, resets: 1, drains: 1, adds: 1},
-		spread:      60 * ms,
+		Name:          "loops",
+		Description:   "two event loops that share one connection to a node",
+		requests:      []requestSpec{{class: idempotentClass}, {class: keyedClass, loop: 1}},
+		nodes:         nodeAndSuccessor(),
+		limits:        moveCounts{cancels: 1, resets: 1, drains: 1, adds: 1},
+		arrivalWindow: 60 * ms,
 		configure: func(c *forwarder.Config) {
 			c.MaxConnsPerNode = 1
 			c.MaxStreamsPerNode = 0
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -193,7 +193,7 @@
 		w.endStates++
 		world.checkEnd()
 		if v := world.checker.violation; v != nil {
-			w.noteViolation(v, path)
+			w.recordViolation(v, path)
 		}
 		return next
 	}
@@ -205,7 +205,7 @@
 		world.apply(m)
 		w.moves++
 		if v := world.checker.violation; v != nil {
-			w.noteViolation(v, append(slices.Clone(path), m))
+			w.recordViolation(v, append(slices.Clone(path), m))
 			return next
 		}
 		if w.known.add(w.fingerprinter.fingerprint(world)) {
@@ -225,7 +225,7 @@
 }
 
 // noteViolation notes a violation; of several at one depth, that of the least path.
-func (w *worker) noteViolation(v *Violation, path []Move) {
+func (w *worker) recordViolation(v *Violation, path []Move) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.result.Violation == nil || slices.CompareFunc(path, w.result.Path, compareMoves) < 0 {
--- a/internal/modelcheck/statewalk.go
+++ b/internal/modelcheck/statewalk.go
@@ -18,7 +18,7 @@
 const (
 	markNil      byte = 0
 	markValue    byte = 1
-	markKnown    byte = 2 // a pointer that was met before
+	markVisited  byte = 2 // a pointer that was met before
 	markFinished byte = 7 // a request that is finished
 )
 
@@ -42,23 +42,23 @@
 }
 
 type fieldInfo struct {
-	name   string
-	use    fieldUse
-	heapBy []string // of a heap: the fields by which it is ordered
+	name      string
+	use       fieldUse
+	heapOrder []string // of a heap: the fields by which it is ordered
 }
 
-func (p *fingerprinter) info(t reflect.Type) *typeInfo {
+func (p *fingerprinter) typeInfoOf(t reflect.Type) *typeInfo {
 	if info := p.types[t]; info != nil {
 		return info
 	}
 	info := &typeInfo{name: typeName(t)}
 	for field := range t.Fields() {
 		name := info.name + "." + field.Name
-		use := fields[name]
-		if p.inert[name] {
+		use := fieldUses[name]
+		if p.irrelevant[name] {
 			use = ignored
 		}
-		info.fields = append(info.fields, fieldInfo{name: name, use: use, heapBy: heaps[typeName(field.Type)]})
+		info.fields = append(info.fields, fieldInfo{name: name, use: use, heapOrder: heapOrders[typeName(field.Type)]})
 	}
 	p.types[t] = info
 	return info
@@ -81,7 +81,7 @@
 	case reflect.Pointer:
 		p.pointer(v)
 	case reflect.Interface:
-		p.dynamicValue(v, use)
+		p.interfaceValue(v, use)
 	case reflect.Slice, reflect.Array:
 		p.u64(uint64(v.Len()))
 		for i := range v.Len() {
@@ -145,7 +145,7 @@
 		return
 	}
 	if number, known := p.pointers[v.Pointer()]; known {
-		p.buf = append(p.buf, markKnown)
+		p.buf = append(p.buf, markVisited)
 		p.u64(number)
 		return
 	}
@@ -155,7 +155,7 @@
 }
 
 // dynamicValue writes the value of an interface with its type.
-func (p *fingerprinter) dynamicValue(v reflect.Value, use fieldUse) {
+func (p *fingerprinter) interfaceValue(v reflect.Value, use fieldUse) {
 	if v.IsNil() {
 		p.buf = append(p.buf, markNil)
 		return
@@ -166,7 +166,7 @@
 }
 
 func (p *fingerprinter) structFields(v reflect.Value) {
-	info := p.info(v.Type())
+	info := p.typeInfoOf(v.Type())
 	switch info.name {
 	case "modelcheck.request":
 		if p.finishedRequest(v) {
@@ -180,8 +180,8 @@
 		value := v.Field(i)
 		switch {
 		case f.use == ignored:
-		case f.heapBy != nil:
-			p.heap(value, f.heapBy)
+		case f.heapOrder != nil:
+			p.heap(value, f.heapOrder)
 		case value.Type() == durationType && f.use == 0:
 			panic("modelcheck: the duration " + f.name + " has no entry in the table of fields")
 		default:
--- a/internal/modelcheck/walk.go
+++ b/internal/modelcheck/walk.go
@@ -14,9 +14,9 @@
 func LargeScenario(nodes, requests int) Scenario {
 	shards := max(1, nodes*2/3)
 	s := Scenario{
-		Name:        "large",
-		Description: "many nodes and requests, at random",
-		spread:      1 << 40, // requests may arrive at any time
+		Name:          "large",
+		Description:   "many nodes and requests, at random",
+		arrivalWindow: 1 << 40, // requests may arrive at any time
 		limits: moveCounts{
 			drains:          shards / 2,
 			removes:         shards / 2,
@@ -79,7 +79,7 @@
 	w.coverage = coverage
 	var path []Move
 	for range maxMoves {
-		m, ok := w.pick(rng.IntN)
+		m, ok := w.pickMove(rng.IntN)
 		if !ok {
 			w.checkEnd()
 			break
@@ -93,9 +93,9 @@
 	return path, w.checker.violation
 }
 
-// pick draws one of the moves that can happen, by the weights of their kinds. It returns
+// pickMove draws one of the moves that can happen, by the weights of their kinds. It returns
 // false where there is none. intN returns a random number from 0 to below its argument.
-func (w *World) pick(intN func(int) int) (Move, bool) {
+func (w *World) pickMove(intN func(int) int) (Move, bool) {
 	moves := w.enabledMoves(false)
 	total := 0
 	for _, m := range moves {
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -29,10 +29,10 @@
 	conns        map[forwarder.ConnID]*conn
 	nodes        []node
 	// unusableSince has the nodes that the gateway must not use, with the time since when.
-	unusableSince map[dispatch.NodeID]time.Duration
-	stale         bool // the gateway restarted with an old endpoint list
-	counts        moveCounts
-	checker       checker
+	unusableSince  map[dispatch.NodeID]time.Duration
+	endpointsStale bool // the gateway restarted with an old endpoint list
+	counts         moveCounts
+	checker        checker
 
 	coverage *Coverage // nil: not counted
 	log      func(format string, args ...any)
@@ -171,27 +171,27 @@
 			update.Nodes = append(update.Nodes, n.endpoint(n.state))
 		}
 	}
-	w.noteEndpoints(update)
+	w.recordEndpointUpdate(update)
 	return update
 }
 
 // noteEndpoints notes which nodes the gateway must not use from now on.
-func (w *World) noteEndpoints(update forwarder.EndpointUpdate) {
+func (w *World) recordEndpointUpdate(update forwarder.EndpointUpdate) {
 	if update.Kind != dispatch.Delta {
 		for i := range w.nodes {
-			w.noteUnusable(w.nodes[i].id)
+			w.recordUnusable(w.nodes[i].id)
 		}
 	}
 	for _, n := range update.Nodes {
 		if n.State == dispatch.Ready {
 			delete(w.unusableSince, n.ID)
 		} else {
-			w.noteUnusable(n.ID)
+			w.recordUnusable(n.ID)
 		}
 	}
 }
 
-func (w *World) noteUnusable(id dispatch.NodeID) {
+func (w *World) recordUnusable(id dispatch.NodeID) {
 	if _, known := w.unusableSince[id]; !known {
 		w.unusableSince[id] = w.now
 	}
