--- a/internal/modelcheck/apply.go
+++ b/internal/modelcheck/apply.go
@@ -7,7 +7,7 @@
 	"chalkstand/forwarder"
 )
 
-// apply makes a move, which must be one of enabledMoves.
+// apply executes a move. The move must be one that enabledMoves returns.
 func (w *World) apply(m Move) {
 	if w.log != nil {
 		w.log("%v  %s", w.now-startTime, w.moveText(m))
@@ -116,12 +116,12 @@
 	}
 }
 
-// respond has a node send bytes on a connection.
+// respond simulates a node that sends the bytes for a kind of response on a connection.
 func (w *World) respond(kind Kind, c *conn) {
 	switch kind {
 	case RespondAndClose:
 		w.counts.closes++
-		c.unusable = true // the node closes it
+		c.unusable = true // the node closes the connection after this response
 	case RespondError:
 		w.counts.errors++
 	case RespondReject:
@@ -138,12 +138,12 @@
 	}
 	w.recordResponse(kind, c)
 	if c.request == nil {
-		c.unusable = true // bytes without a request
+		c.unusable = true // the node has sent bytes although the connection carries no request
 	}
 	w.receive(c, []byte(responseText[kind]))
 }
 
-// applyToNode changes a node and reports that to the gateway.
+// applyToNode changes the state of a node and reports the change to the gateway.
 func (w *World) applyToNode(kind Kind, n *node) {
 	switch kind {
 	case DrainNode:
@@ -158,9 +158,9 @@
 		n.started = w.now
 	case RestartNode:
 		w.counts.nodeRestarts++
-		n.started = max(w.now, n.started+1) // two processes have distinct start times
+		n.started = max(w.now, n.started+1) // the gateway tells two processes apart by their start times
 	}
-	if w.endpointsStale { // RefreshEndpoints reports it
+	if w.endpointsStale { // a later RefreshEndpoints move reports this change
 		return
 	}
 	if kind == RestartNode {
@@ -171,8 +171,8 @@
 	w.handle(update, noLoop)
 }
 
-// restartGateway restarts the gateway with the endpoint list of the start. Its clients and
-// nodes lose their connections.
+// restartGateway restarts the gateway with the endpoint list that it had when the scenario
+// started. The clients and nodes lose their connections to the gateway.
 func (w *World) restartGateway() {
 	w.counts.gatewayRestarts++
 	w.loopQueues = [loopCount][]forwarder.Action{}
@@ -192,7 +192,7 @@
 	w.startGateway(dispatch.Cached)
 }
 
-// advanceUntil moves the time from timer to timer until a condition holds.
+// advanceUntil advances the simulated clock from one timer to the next until a condition holds.
 func (w *World) advanceUntil(condition func() bool) {
 	for !condition() {
 		w.now = max(w.now, w.wakeAt)
--- a/internal/modelcheck/checkend.go
+++ b/internal/modelcheck/checkend.go
@@ -1,6 +1,6 @@
 package modelcheck
 
-// Checks of a state in which no more events happen.
+// This file checks the states in which no more events can happen.
 
 import (
 	"reflect"
@@ -8,11 +8,12 @@
 	"chalkstand/forwarder"
 )
 
-// maxTimers bounds the timers that fire while idle connections time out.
+// maxTimers limits how many timers checkConns fires while it waits for idle connections to
+// time out.
 const maxTimers = 1000
 
-// checkDeadlines looks for requests without a response after their deadline. The gateway's
-// own timeouts of streamed bodies are not part of this.
+// checkDeadlines reports a violation for each request that has no response after its deadline.
+// It does not check the gateway's timeouts for streamed bodies.
 func (w *World) checkDeadlines() {
 	for _, r := range w.requests {
 		if r.responseDue() && w.now > r.deadline {
@@ -21,8 +22,8 @@
 	}
 }
 
-// checkOrphans looks for requests that stream but have lost their connection: no event could
-// end them.
+// checkOrphans reports a violation for each request that streams a body without a connection.
+// No event can end such a request.
 func (w *World) checkOrphans() {
 	for _, r := range w.requests {
 		if (r.headersForwarded || r.bodyStreaming) && !r.finished() && r.conn == nil && !w.responsePending(r) {
@@ -31,7 +32,7 @@
 	}
 }
 
-// checkEnd checks a world in which no move is left.
+// checkEnd checks a world in which no move can happen any more.
 func (w *World) checkEnd() {
 	for _, r := range w.requests {
 		if r.unfinished() && !r.headersForwarded && !r.bodyStreaming {
@@ -39,7 +40,7 @@
 		}
 	}
 	if w.anyUnfinished() {
-		return // a body that streams and stands still
+		return // a request streams a body that makes no more progress
 	}
 	if n := w.fwd.Requests(); n > 0 {
 		w.reportViolation(ruleStuck, "the forwarder still has %d requests", n)
@@ -50,12 +51,13 @@
 	w.checkConns()
 }
 
-// dispatcherRequests returns the number of the dispatcher's requests, by reflection.
+// dispatcherRequests uses reflection to return how many requests the dispatcher holds.
 func dispatcherRequests(f *forwarder.Forwarder) int {
 	return reflect.ValueOf(f).Elem().FieldByName("dispatcher").Elem().FieldByName("requests").Len()
 }
 
-// checkConns lets idle connections time out and checks that none is left on either side.
+// checkConns lets idle connections time out. It then checks that neither the event loops nor
+// the forwarder have a connection left.
 func (w *World) checkConns() {
 	for range maxTimers {
 		w.runLoops()
@@ -73,6 +75,7 @@
 	}
 }
 
+// completeDials establishes every connection that is still being dialed.
 func (w *World) completeDials() {
 	for _, c := range w.sortedConns() {
 		if !c.open {
--- a/internal/modelcheck/checker.go
+++ b/internal/modelcheck/checker.go
@@ -9,33 +9,37 @@
 	"chalkstand/forwarder"
 )
 
-// The rules, checked from what crosses the wire.
+// These constants name the rules. The checker enforces a rule by observing the requests and
+// responses that cross the wire.
 const (
-	// ruleAnswer: each request gets exactly one final response, in time, and is not sent
-	// after it.
+	// ruleAnswer requires that each request gets exactly one final response before its
+	// deadline, and that the gateway does not send the request to a node after that response.
 	ruleAnswer = "answer"
-	// ruleAttempts: a request has at most one attempt in flight.
+	// ruleAttempts requires that a request has at most one attempt in flight.
 	ruleAttempts = "attempts"
-	// ruleDrain: nothing is sent to a node that discovery reported as draining or removed.
+	// ruleDrain requires that the gateway sends no request to a node that discovery has
+	// reported as draining or removed.
 	ruleDrain = "drain"
-	// ruleEffects: a request is executed again only as its class allows.
+	// ruleEffects requires that a request is executed again only if its class allows that.
 	ruleEffects = "effects"
-	// ruleOrder: the requests of one key run one at a time and in order, and not before the
-	// quiescence after one that may still run.
+	// ruleOrder requires that the requests of one key run one at a time and in order. If an
+	// earlier request may still run at a node, the next one waits for the quiescence period.
 	ruleOrder = "order"
-	// ruleBudget: retries stay within the retry budget, by the time of their decision.
+	// ruleBudget requires that retries stay within the retry budget. A retry counts from the
+	// time at which it is decided.
 	ruleBudget = "budget"
-	// ruleConnection: a connection never carries a response to the wrong request, is not
-	// reused when it may hold unexpected bytes, and is never leaked.
+	// ruleConnection requires that a connection never delivers a response to the wrong
+	// request, is not reused while it may hold unexpected bytes, and is never leaked.
 	ruleConnection = "connection"
-	// ruleBounds: connections and streams of a node, and attempts of a request, stay within
-	// their bounds.
+	// ruleBounds requires that the connections and streams of a node, and the attempts of a
+	// request, stay within their configured limits.
 	ruleBounds = "bounds"
-	// ruleStuck: when no more events happen, each request ends by its deadline.
+	// ruleStuck requires that each request ends by its deadline if no more events happen.
 	ruleStuck = "stuck"
 )
 
-// The outcomes of requests. The names are stored in scripts: they are frozen.
+// These constants name the outcomes of requests. Scripts store the names, so the names must
+// not change.
 const (
 	outcomeForwarded = "deliver"
 	outcomeRejected  = "refuse"
@@ -44,7 +48,7 @@
 	outcomeCanceled  = "left"
 )
 
-// Violation reports a rule that does not hold.
+// Violation describes how a run broke a rule.
 type Violation struct {
 	Rule    string
 	Message string
@@ -52,29 +56,29 @@
 
 func (v *Violation) String() string { return v.Rule + ": " + v.Message }
 
-// checker has what the checks need to remember.
+// checker holds the history that the rule checks need.
 type checker struct {
 	requestTimes []time.Duration
 	retryTimes   []time.Duration
-	byKey        map[string][]*request // of ordered classes, in order of arrival
-	violation    *Violation            // the first one
+	byKey        map[string][]*request // the requests of ordered classes by key, in order of arrival
+	violation    *Violation            // the first violation, or nil
 }
 
-// reset forgets what a gateway did that has ended.
+// reset discards the history of the previous gateway when the gateway restarts.
 func (k *checker) reset() {
 	k.requestTimes = nil
 	k.retryTimes = nil
 	k.byKey = map[string][]*request{}
 }
 
-// violate notes a violation, if it is the first one.
+// reportViolation records a violation of a rule, unless the checker already has one.
 func (w *World) reportViolation(rule, format string, args ...any) {
 	if w.checker.violation == nil {
 		w.checker.violation = &Violation{Rule: rule, Message: fmt.Sprintf(format, args...)}
 	}
 }
 
-// noteStart notes that a request arrives.
+// recordArrival records that a request has arrived at the gateway.
 func (w *World) recordArrival(r *request) {
 	w.checker.requestTimes = append(w.checker.requestTimes, w.now)
 	if w.class(r).Ordered && r.key != "" {
@@ -82,8 +86,9 @@
 	}
 }
 
-// checkDial checks the bound on connections to a node. Those that their loop has yet to
-// close do not count: the forwarder has already decided to close them.
+// checkDial checks that a new connection keeps the number of connections to its node within
+// the limit. A connection does not count if the forwarder has already decided to close it and
+// the event loop has not yet done so.
 func (w *World) checkDial(a forwarder.Dial) {
 	count := 1
 	for _, c := range w.conns {
@@ -96,6 +101,7 @@
 	}
 }
 
+// closePending reports whether the event loop of a connection still has to close it.
 func (w *World) closePending(c *conn) bool {
 	return slices.ContainsFunc(w.loopQueues[c.loop], func(a forwarder.Action) bool {
 		closing, ok := a.(forwarder.CloseConn)
@@ -103,6 +109,7 @@
 	})
 }
 
+// sendPending reports whether the event loop of a connection still has to send a request on it.
 func (w *World) sendPending(c *conn) bool {
 	return slices.ContainsFunc(w.loopQueues[c.loop], func(a forwarder.Action) bool {
 		send, ok := a.(forwarder.SendRequest)
@@ -110,8 +117,9 @@
 	})
 }
 
-// noteNodeRestart notes that a node's idle connections must not be used any more: they are to
-// the earlier process. What was decided to be sent on one before is allowed.
+// markIdleConnsUnusable marks the idle connections to a restarted node as unusable, because
+// they lead to the node's earlier process. It excepts a connection on which the gateway has
+// decided to send a request before the restart.
 func (w *World) markIdleConnsUnusable(id dispatch.NodeID) {
 	for _, c := range w.conns {
 		if c.node == id && c.open && c.request == nil && !w.sendPending(c) {
--- a/internal/modelcheck/checkresponse.go
+++ b/internal/modelcheck/checkresponse.go
@@ -1,6 +1,6 @@
 package modelcheck
 
-// Checks of the final responses that clients get.
+// This file checks the final responses that the gateway gives to clients.
 
 import (
 	"chalkstand/dispatch"
@@ -8,7 +8,9 @@
 	"chalkstand/internal/upstreamhttp"
 )
 
-// noteResponse notes what a response says on whether the request was executed.
+// recordResponse marks the request of a response as possibly executed, unless the node has
+// rejected the request. After an invalid response the node may still execute the request, so
+// the quiescence period of the request's key starts.
 func (w *World) recordResponse(kind Kind, c *conn) {
 	r := c.request
 	if r == nil {
@@ -22,11 +24,14 @@
 	}
 }
 
+// startQuiescence starts the quiescence period after a request. Until the period ends, the
+// gateway must not send a later request with the same key.
 func (w *World) startQuiescence(r *request) {
 	r.quiescentAt = max(r.quiescentAt, w.now+w.cfg.Dispatch.Quiescence)
 }
 
-// checkForwarded checks that a response belongs to its request.
+// checkForwarded checks that a forwarded response is complete and that its connection carries
+// the request it is forwarded for.
 func (w *World) checkForwarded(a forwarder.ForwardResponse, r *request, c *conn) {
 	switch {
 	case c == nil:
@@ -38,7 +43,8 @@
 	}
 }
 
-// noteHeaders notes that a response's headers are forwarded to the client.
+// recordHeadersForwarded records that the gateway forwards the headers of a response to the
+// client, and checks that no other response came before.
 func (w *World) recordHeadersForwarded(c *conn) {
 	r := c.request
 	if r.headersForwarded || r.finished() {
@@ -47,14 +53,14 @@
 	r.headersForwarded = true
 }
 
-// finish gives a client its final response and checks it.
+// finish checks a final response and records it as the outcome of the request.
 func (w *World) finish(r *request, response forwarder.Action) {
 	if r == nil {
 		w.reportViolation(ruleAnswer, "%T for an unknown request", response)
 		return
 	}
 	if r.canceled {
-		return // the client has disconnected
+		return // the client has disconnected and receives no response
 	}
 	r.onLoop = false
 	r.outcome = outcomeName(response)
@@ -77,7 +83,7 @@
 	}
 }
 
-// checkRejection checks that a rejected request may be sent again by its client.
+// checkRejection checks that the client may send a rejected request again.
 func (w *World) checkRejection(r *request, reject forwarder.Reject) {
 	if r.ambiguous && !repeatableByClient(w.class(r)) {
 		w.reportViolation(ruleEffects, "request %d is rejected as safe to retry, though it may have been executed", r.id)
@@ -87,14 +93,14 @@
 	}
 }
 
-// repeatableByClient reports whether requests of a class may be executed again wherever the
-// client's retry is sent to.
+// repeatableByClient reports whether a client may retry a request of a class after the request
+// has been executed, regardless of the node that receives the retry.
 func repeatableByClient(class *dispatch.Class) bool {
 	return class.Idempotency == dispatch.Idempotent ||
 		class.Idempotency == dispatch.Deduplicated && class.DedupScope == dispatch.DedupEverywhere
 }
 
-// outcomeName returns the outcome of a final response.
+// outcomeName returns the outcome constant for a type of final response.
 func outcomeName(response forwarder.Action) string {
 	switch response.(type) {
 	case forwarder.ForwardResponse:
--- a/internal/modelcheck/checksend.go
+++ b/internal/modelcheck/checksend.go
@@ -1,6 +1,7 @@
 package modelcheck
 
-// Checks of what the forwarder sends: drains, attempts, repeats, retry budget and order.
+// This file checks the requests that the forwarder sends. The checks cover drains, attempts,
+// repeated execution, the retry budget and the order by key.
 
 import (
 	"slices"
@@ -10,7 +11,8 @@
 	"chalkstand/forwarder"
 )
 
-// checkDecision checks that a decision sends no request to a node that must not be used.
+// checkDecision checks that the forwarder decides to send no request to a node that is draining
+// or removed.
 func (w *World) checkDecision(a forwarder.Action) {
 	send, ok := a.(forwarder.SendRequest)
 	if !ok {
@@ -22,7 +24,7 @@
 	}
 }
 
-// checkSend checks a request that is sent.
+// checkSend checks a request at the moment when the event loop sends it.
 func (w *World) checkSend(c *conn, r *request, a forwarder.SendRequest) {
 	switch {
 	case r.responses > 0 || r.canceled:
@@ -49,7 +51,8 @@
 	}
 }
 
-// checkSendConn checks that a request is sent on a connection that can carry it, to its node.
+// checkSendConn checks that a request is sent on an open, unused connection to the node that
+// the forwarder chose.
 func (w *World) checkSendConn(c *conn, r *request, a forwarder.SendRequest) {
 	switch busy := c.request != nil || c.atNode; {
 	case !c.open || busy || c.unusable:
@@ -64,7 +67,8 @@
 	}
 }
 
-// checkRepeat checks that a request which may have been executed may be executed again.
+// checkRepeat checks that a request that may have been executed is sent again only if its class
+// allows a second execution.
 func (w *World) checkRepeat(r *request) {
 	class := w.class(r)
 	switch {
@@ -79,7 +83,7 @@
 	}
 }
 
-// checkBudget counts a retry against the retry budget.
+// checkBudget records a retry and checks that the retries stay within the retry budget.
 func (w *World) checkBudget() {
 	k, budget := &w.checker, w.cfg.Dispatch.RetryBudget
 	k.retryTimes = append(k.retryTimes, w.now)
@@ -103,7 +107,8 @@
 	return w.nodes[i].shard
 }
 
-// checkOrder checks that the earlier requests of a request's key are over and quiescent.
+// checkOrder checks that a request is sent only after all earlier requests with the same key
+// have ended and their quiescence periods are over.
 func (w *World) checkOrder(r *request) {
 	if !w.class(r).Ordered || r.key == "" {
 		return
@@ -121,8 +126,9 @@
 	}
 }
 
-// responsePending reports whether a request's final response was decided and waits for its
-// loop: another loop may first act on what follows from the decision.
+// responsePending reports whether the forwarder has decided on a request's final response and
+// the request's event loop has not delivered it yet. Another event loop may act on a consequence
+// of the same decision first.
 func (w *World) responsePending(r *request) bool {
 	return slices.ContainsFunc(w.loopQueues[r.loop], func(a forwarder.Action) bool {
 		switch a := a.(type) {
@@ -139,7 +145,8 @@
 	})
 }
 
-// noteInterrupted notes that a connection ends while the node may execute its request.
+// recordInterruption records that a connection ends while the node may still execute its
+// request.
 func (w *World) recordInterruption(c *conn) {
 	r := c.request
 	if r == nil || !c.atNode {
--- a/internal/modelcheck/coverage.go
+++ b/internal/modelcheck/coverage.go
@@ -11,18 +11,18 @@
 	"chalkstand/forwarder"
 )
 
-// Coverage counts the transitions of requests between the forwarder's stages. It is safe for
-// concurrent use by walks and searches; its other methods are not.
+// Coverage counts the transitions of requests between the forwarder's stages. Concurrent walks
+// and searches may share one Coverage. Its exported methods are not safe for concurrent use.
 type Coverage struct {
 	mu    sync.Mutex
 	taken map[Transition]int64
 }
 
-// Transition is a change of a request's stage, or an event that left the stage as it was.
+// Transition is a change of a request's stage, or an event that left the stage unchanged.
 type Transition struct {
-	Event      string // its type in package forwarder
-	From, To   string // stages; noStage for a request that the forwarder does not have
-	OtherEvent bool   // the event was that of another request
+	Event      string // type name of the event in package forwarder
+	From, To   string // stages before and after the event; noStage if the forwarder does not have the request
+	OtherEvent bool   // the event belonged to another request
 }
 
 func (t Transition) String() string {
@@ -33,12 +33,14 @@
 	return s
 }
 
-// stageNames are the names of the forwarder's stages, by their values.
+// stageNames lists the names of the forwarder's stages. The numeric value of a stage is its index.
 var stageNames = []string{"waiting", "dialing", "inFlight", "streaming", "detached", "done"}
 
+// noStage stands for the stage of a request that the forwarder does not have.
 const noStage = "-"
 
-// eventStages are the events with the stages at which they can find their request.
+// eventStages lists, for each event, the stages in which its request can be when the event
+// happens.
 var eventStages = []struct {
 	event  string
 	stages []string
@@ -55,7 +57,8 @@
 	{"EndpointUpdate", []string{"waiting", "dialing", "inFlight", "streaming", "detached"}},
 }
 
-// EventStages returns each event with each stage at which it can find its request.
+// EventStages returns every possible pair of an event and the stage of its request, separated
+// by a space.
 func EventStages() []string {
 	var pairs []string
 	for _, e := range eventStages {
@@ -66,17 +69,18 @@
 	return pairs
 }
 
-// NewCoverage returns an empty Coverage.
+// NewCoverage returns a Coverage without counts.
 func NewCoverage() *Coverage { return &Coverage{taken: map[Transition]int64{}} }
 
-// Add adds the counts of another.
+// Add adds the counts of another Coverage to this one.
 func (c *Coverage) Add(o *Coverage) {
 	for t, n := range o.taken {
 		c.taken[t] += n
 	}
 }
 
-// Transitions returns the transitions that were taken, in order, and their counts.
+// Transitions returns the transitions that were taken, sorted by their text, and the count of
+// each one.
 func (c *Coverage) Transitions() ([]Transition, map[Transition]int64) {
 	var transitions []Transition
 	for t := range c.taken {
@@ -86,7 +90,7 @@
 	return transitions, c.taken
 }
 
-// Missing returns the entries of EventStages that were never met.
+// Missing returns the entries of EventStages that no walk or search has reached.
 func (c *Coverage) Missing() []string {
 	met := map[string]bool{}
 	for t := range c.taken {
@@ -97,14 +101,15 @@
 	return slices.DeleteFunc(EventStages(), func(pair string) bool { return met[pair] })
 }
 
-// observation is an event with the stages of all requests before it.
+// observation holds an event and the stages of all requests before it.
 type observation struct {
 	event        string
-	request      dispatch.RequestID // of the event; 0 where it is of none
+	request      dispatch.RequestID // request that the event belongs to; 0 if there is none
 	stagesBefore map[dispatch.RequestID]string
 }
 
-// beforeEvent observes an event that is about to be handled; it returns nil on a nil Coverage.
+// beforeEvent records the stages of all requests before the forwarder handles an event. It
+// returns nil if the Coverage is nil.
 func (c *Coverage) beforeEvent(w *World, ev forwarder.Event) *observation {
 	if c == nil {
 		return nil
@@ -116,7 +121,7 @@
 	}
 }
 
-// afterEvent counts the transitions of an observed event, once it was handled.
+// afterEvent counts the transitions that an event caused, after the forwarder has handled it.
 func (c *Coverage) afterEvent(w *World, o *observation) {
 	if o == nil {
 		return
@@ -145,6 +150,7 @@
 	}
 }
 
+// stageOrNone returns the stage, or noStage for an empty string.
 func stageOrNone(stage string) string {
 	if stage == "" {
 		return noStage
@@ -152,7 +158,7 @@
 	return stage
 }
 
-// stages returns the stage of each of a forwarder's requests, by reflection.
+// stages uses reflection to return the stage of each request that a forwarder holds.
 func stages(f *forwarder.Forwarder) map[dispatch.RequestID]string {
 	out := map[dispatch.RequestID]string{}
 	requests := reflect.ValueOf(f).Elem().FieldByName("requests")
@@ -162,7 +168,7 @@
 	return out
 }
 
-// eventRequest returns the request that an event is of; 0 where it is of none.
+// eventRequest returns the ID of the request that an event belongs to, or 0 if there is none.
 func eventRequest(f *forwarder.Forwarder, ev forwarder.Event) dispatch.RequestID {
 	switch e := ev.(type) {
 	case forwarder.StartRequest:
@@ -185,8 +191,8 @@
 	return 0
 }
 
-// connRequest returns the request of one of a forwarder's connections, by reflection; 0
-// where there is none.
+// connRequest uses reflection to return the ID of the request that a forwarder's connection
+// carries, or 0 if there is none.
 func connRequest(f *forwarder.Forwarder, id forwarder.ConnID) dispatch.RequestID {
 	c := reflect.ValueOf(f).Elem().FieldByName("conns").MapIndex(reflect.ValueOf(id))
 	if !c.IsValid() {
--- a/internal/modelcheck/fingerprint.go
+++ b/internal/modelcheck/fingerprint.go
@@ -11,31 +11,31 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fingerprint identifies a state. Two states have the same fingerprint if all that can
+// Fingerprint identifies a state. Two states have the same fingerprint if everything that can
 // influence their future is the same, apart from hash collisions.
 //
-// It is taken by walking the real state by reflection, unexported fields included, so that
-// a new field is part of it without an entry here. The table fields has the exceptions:
-// times count relative to now, numbers of connections and sequences by their rank, and
-// fields without influence not at all.
+// The fingerprinter walks the real state by reflection, including unexported fields. A new
+// field therefore becomes part of the fingerprint without an entry in this file. The table
+// fieldUses lists the exceptions. Times are included relative to now, and connection IDs and
+// sequence numbers by their rank. Fields that do not influence the future are left out.
 type Fingerprint [2]uint64
 
-// fieldUse is how a field counts in a fingerprint. The zero value is for a field that counts as
-// it is and is not a duration.
+// fieldUse says how a fingerprint includes a field. The zero value means that the field is not
+// a duration and that the fingerprint includes its value unchanged.
 type fieldUse uint8
 
 const (
-	asDuration       fieldUse = iota + 1 // a length of time, as it is
-	relative                             // a time, relative to now
-	relativeIfFuture                     // a time, relative to now; all in the past count as the same
-	byRank                               // a number, by its rank among those of its type
-	presence                             // a time, of which only counts that it is set
-	relativeIfNear                       // a time, relative to now; all beyond the horizon count as the same
-	ignored                              // no influence on the future
+	asDuration       fieldUse = iota + 1 // a length of time, included unchanged
+	relative                             // a point in time, included relative to now
+	relativeIfFuture                     // a point in time, included relative to now; all past times are equal
+	byRank                               // a number, included as its rank among the numbers of its type
+	presence                             // the keys of a map from keys to points in time; the times are left out
+	relativeIfNear                       // a point in time, included relative to now; all times beyond the horizon are equal
+	ignored                              // a field that does not influence the future
 )
 
-// fieldUses has the fieldUses that do not count as they are. Each duration needs an entry: a walk
-// that meets one without panics.
+// fieldUses lists the fields whose values a fingerprint does not include unchanged. Each field
+// of type time.Duration needs an entry. The fingerprinter panics if one is missing.
 var fieldUses = map[string]fieldUse{
 	"modelcheck.World.scenario":      ignored,
 	"modelcheck.World.cfg":           ignored,
@@ -62,14 +62,14 @@
 	"modelcheck.checker.retryTimes":   relative,
 
 	"upstreamhttp.Reader.Limits":   ignored,
-	"upstreamhttp.Reader.Response": ignored, // what matters of it follows from state and scan
+	"upstreamhttp.Reader.Response": ignored, // the fields state and scan determine its relevant part
 
 	"forwarder.Forwarder.cfg":         ignored,
 	"forwarder.Forwarder.now":         ignored,
 	"forwarder.Forwarder.lastConnID":  ignored,
 	"forwarder.Forwarder.actions":     ignored,
 	"forwarder.Forwarder.wakeAt":      relativeIfNear,
-	"forwarder.Forwarder.sortedNodes": ignored, // follows from nodes
+	"forwarder.Forwarder.sortedNodes": ignored, // the field nodes determines it
 
 	"forwarder.dispatcherTimer.at": relativeIfNear,
 
@@ -78,7 +78,7 @@
 	"forwarder.request.attemptStartedAt": relative,
 	"forwarder.request.headersAt":        relative,
 	"forwarder.request.ambiguousSince":   relative,
-	"forwarder.request.attribution":      ignored, // no decision depends on it
+	"forwarder.request.attribution":      ignored, // the forwarder makes no decision from it
 
 	"forwarder.node.occupancyHistory": ignored,
 
@@ -117,7 +117,7 @@
 
 	"dispatch.Node.Started": relative,
 
-	"dispatch.Request.Timeout": ignored, // only on arrival
+	"dispatch.Request.Timeout": ignored, // the dispatcher reads it only when the request arrives
 
 	"dispatch.request.class":            ignored,
 	"dispatch.request.sequence":         byRank,
@@ -126,16 +126,16 @@
 	"dispatch.request.objectiveAt":      relativeIfFuture,
 	"dispatch.request.ambiguousSince":   relative,
 	"dispatch.request.queueTime":        ignored,
-	"dispatch.request.blockedAtEnqueue": ignored, // accounts
+	"dispatch.request.blockedAtEnqueue": ignored, // only accounting uses this field and queueTime
 
 	"dispatch.volume.plan":             ignored,
 	"dispatch.volume.tokensUpdatedAt":  relative,
 	"dispatch.volume.reserveUpdatedAt": relative,
-	"dispatch.volume.lastSeen":         ignored, // forgotten after 30 s
+	"dispatch.volume.lastSeen":         ignored, // the dispatcher reads it only to forget a volume after 30 s without requests
 
 	"dispatch.node.delay":                ignored,
-	"dispatch.node.secondsPerUnit":       ignored, // learned; compared as decayed
-	"dispatch.node.completions":          ignored, // it raises the concurrency limit only from 20 responses per second on
+	"dispatch.node.secondsPerUnit":       ignored, // nodeLatency writes this learned value separately
+	"dispatch.node.completions":          ignored, // it raises the concurrency limit only at 20 or more responses per second
 	"dispatch.node.lastSentAt":           relative,
 	"dispatch.node.lastUnansweredSentAt": relative,
 	"dispatch.node.lastPromptSentAt":     relative,
@@ -147,7 +147,7 @@
 	"dispatch.node.blockedAt":            ignored,
 	"dispatch.node.blockedByEjection":    ignored,
 	"dispatch.node.slowStartTime":        ignored,
-	"dispatch.node.ejectedTime":          ignored, // accounts
+	"dispatch.node.ejectedTime":          ignored, // only accounting uses it
 
 	"dispatch.decayingSum.updatedAt": relative,
 
@@ -169,11 +169,11 @@
 
 	"dispatch.flow.throttledAt":   ignored,
 	"dispatch.flow.throttledTime": ignored,
-	"dispatch.flow.heapIndex":     ignored, // accounts, and a place in the heap that follows from its order
+	"dispatch.flow.heapIndex":     ignored, // the order of the heap determines the index
 }
 
-// heaps are the types of heaps with the fields by which they are ordered. Their entries
-// count in this order, not in that of their slice.
+// heapOrders maps each heap type to the fields that order its entries. A fingerprint includes
+// the entries in this order, because their order in the slice does not influence the future.
 var heapOrders = map[string][]string{
 	"timerqueue.timerHeap": {"at", "seq"}, "dispatch.flowHeap": {"startTag"},
 }
@@ -181,29 +181,29 @@
 // fingerprinter takes fingerprints of the worlds of one scenario. It is not safe for
 // concurrent use.
 type fingerprinter struct {
-	exact             bool            // else learned values count with two digits
-	irrelevant        map[string]bool // fields without influence under the scenario's settings
-	tightestObjective time.Duration   // the lowest latency objective
+	exact             bool            // if false, learned values are rounded to two digits
+	irrelevant        map[string]bool // fields that have no influence under the scenario's settings
+	tightestObjective time.Duration   // the lowest latency objective of all classes
 	types             map[reflect.Type]*typeInfo
 
-	// Of the current fingerprint.
+	// The remaining fields hold the state of the fingerprint in progress.
 	now      time.Duration
 	buf      []byte
-	pointers map[uintptr]uint64 // by address: the order in which they were met
+	pointers map[uintptr]uint64 // numbers each pointer, by its address, in the order of the walk
 	ranks    map[string][]rankedValue
 }
 
-// rankedValue is a value that counts by its rank.
+// rankedValue is a value that the fingerprint replaces by its rank.
 type rankedValue struct {
 	value  uint64
-	offset int // of its rank in the buffer
+	offset int // position in the buffer where the rank is written
 }
 
-// horizon is how far ahead times are distinguished. No request of a scenario lives longer, and
-// time passes only while there is one.
+// horizon is the time ahead of now beyond which a fingerprint does not distinguish times. No
+// request of a scenario lives longer than this, and time passes only while a request exists.
 const horizon = 1500 * ms
 
-// inertFields returns the fields without influence under a world's settings.
+// irrelevantFields returns the fields that do not influence the future under a world's settings.
 func irrelevantFields(w *World) map[string]bool {
 	irrelevant := map[string]bool{}
 	ignore := func(names ...string) {
@@ -229,7 +229,7 @@
 	if !reserve {
 		ignore("dispatch.volume.reserveUpdatedAt")
 	}
-	// There is one volume, so the tags at each node order nothing.
+	// All requests belong to one volume, so the dispatcher has nothing to order by these tags.
 	ignore(
 		"dispatch.node.virtualTime",
 		"dispatch.request.arrivalVirtualTime",
@@ -257,7 +257,7 @@
 	}
 }
 
-// fingerprint returns the fingerprint of a world.
+// fingerprint computes the fingerprint of a world.
 func (p *fingerprinter) fingerprint(w *World) Fingerprint {
 	if p.irrelevant == nil {
 		p.deriveFromSettings(w)
@@ -274,6 +274,7 @@
 	return p.sum()
 }
 
+// deriveFromSettings sets the fields of the fingerprinter that depend on the scenario's settings.
 func (p *fingerprinter) deriveFromSettings(w *World) {
 	p.irrelevant = irrelevantFields(w)
 	p.tightestObjective = w.cfg.Dispatch.Classes[0].LatencyObjective
@@ -282,8 +283,8 @@
 	}
 }
 
-// arrivalsEnd returns for how long requests may still arrive; 0 where none has arrived or all
-// have.
+// remainingArrivalTime returns for how long requests may still arrive. It returns 0 if either no
+// request or every request has arrived.
 func remainingArrivalTime(w *World) uint64 {
 	allStarted := !slices.ContainsFunc(w.requests, func(r *request) bool { return !r.started })
 	if allStarted || w.firstArrival == 0 {
@@ -292,7 +293,8 @@
 	return uint64(w.firstArrival + w.scenario.arrivalWindow - w.now)
 }
 
-// writeRanks writes the ranks of the values that count by them into their places.
+// writeRanks writes the ranks of the ranked values into the places that the walk reserved in
+// the buffer.
 func (p *fingerprinter) writeRanks() {
 	for _, values := range p.ranks {
 		slices.SortStableFunc(values, func(a, b rankedValue) int { return cmp.Compare(a.value, b.value) })
@@ -307,25 +309,26 @@
 	}
 }
 
-// secondSeed is the seed of a fingerprint's second half.
+// secondHashSeed is the hash seed for the second half of a fingerprint.
 const secondHashSeed = 0x9e3779b97f4a7c15
 
 func (p *fingerprinter) sum() Fingerprint {
 	h := xxhash.NewWithSeed(secondHashSeed)
-	_, _ = h.Write(p.buf) // never fails
+	_, _ = h.Write(p.buf) // a write to an xxhash digest never fails
 	return Fingerprint{xxhash.Sum64(p.buf), h.Sum64()}
 }
 
-// controllerTimer is the value of the dispatcher's kind of task that runs its controller.
+// controllerTimer is the numeric kind of the dispatcher's timer that runs its controller.
 const controllerTimer = 0
 
-// heap writes the entries of a heap in its order.
+// heap writes the entries of a heap, sorted by the given fields.
 func (p *fingerprinter) heap(v reflect.Value, order []string) {
 	idx := make([]int, v.Len())
 	for i := range idx {
 		idx[i] = i
 	}
-	// The controller acts on the nodes' quota usage, which they do not report here.
+	// The controller's timer is left out: the controller acts on the quota usage that nodes
+	// report, and the nodes of the model checker report none.
 	idx = slices.DeleteFunc(idx, func(i int) bool {
 		e := v.Index(i).Elem()
 		timer := e.FieldByName("Value")
@@ -346,7 +349,7 @@
 	}
 }
 
-// nodeLatency writes a node's latency estimate, decayed until now.
+// nodeLatency writes a node's latency estimate, with the delay decayed to the current time.
 func (p *fingerprinter) nodeLatency(v reflect.Value) {
 	delay, at := v.FieldByName("delay").Float(), time.Duration(v.FieldByName("delayUpdatedAt").Int())
 	p.seconds(delay * math.Exp2(-float64(p.now-at)/(3*float64(p.tightestObjective))))
--- a/internal/modelcheck/loop.go
+++ b/internal/modelcheck/loop.go
@@ -10,25 +10,26 @@
 	"chalkstand/internal/upstreamhttp"
 )
 
-// The event loops' part: what the gateway's loops do with sockets, done here with the
-// world's connections.
+// This file simulates the gateway's event loops. It does with the world's connections what the
+// real event loops do with sockets.
 
-// noLoop is the origin of events that come from no loop: the timer and discovery.
+// noLoop is the origin of the events that come from no event loop, which are those of the
+// timer and of discovery.
 const noLoop forwarder.LoopID = -1
 
-// maxBuffered is the largest body, in bytes, that a loop buffers. A larger one is streamed.
+// maxBuffered is the largest response body, in bytes, that an event loop buffers. An event loop
+// streams larger bodies.
 const maxBuffered = 8
 
-// requestMethod is the method of all requests; responses to it have bodies.
+// requestMethod is the HTTP method of all requests. Responses to it have bodies.
 const requestMethod = "GET"
 
-// HTTP status codes.
 const (
 	statusServerError = 500
 	statusUnavailable = 503
 )
 
-// responseText has the bytes that nodes send.
+// responseText holds the bytes that a node sends for each kind of response.
 var responseText = map[Kind]string{
 	RespondOK:       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
 	RespondAndClose: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok",
@@ -40,8 +41,9 @@
 	RespondTwice:    "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n\r\n",
 }
 
-// handle passes an event to the forwarder. A loop performs the actions for itself before
-// anything else happens there; the actions for other loops wait until these run.
+// handle passes an event to the forwarder and queues the resulting actions. The event loop that
+// caused the event performs its own actions at once. The actions for the other event loop wait
+// until that loop runs.
 func (w *World) handle(ev forwarder.Event, from forwarder.LoopID) {
 	observed := w.coverage.beforeEvent(w, ev)
 	for _, a := range w.fwd.Handle(w.now, ev) {
@@ -60,7 +62,7 @@
 	}
 }
 
-// runLoop performs the pending actions of a loop.
+// runLoop performs the pending actions of an event loop.
 func (w *World) runLoop(loop forwarder.LoopID) {
 	for len(w.loopQueues[loop]) > 0 {
 		a := w.loopQueues[loop][0]
@@ -70,16 +72,17 @@
 	w.loopQueues[loop] = nil
 }
 
+// runLoops performs the pending actions of all event loops.
 func (w *World) runLoops() {
 	for loop := range forwarder.LoopID(loopCount) {
 		w.runLoop(loop)
 	}
 }
 
-// loopsPending reports whether a loop has pending actions.
+// loopsPending reports whether any event loop has pending actions.
 func (w *World) loopsPending() bool { return len(w.loopQueues[0])+len(w.loopQueues[1]) > 0 }
 
-// perform performs an action as the gateway's event loops do.
+// perform performs an action as the gateway's event loops would.
 func (w *World) perform(a forwarder.Action) {
 	if w.log != nil {
 		w.log("    %s", strings.TrimPrefix(fmt.Sprintf("%T %+v", a, a), "forwarder."))
@@ -113,6 +116,7 @@
 	}
 }
 
+// dial starts a connection to a node.
 func (w *World) dial(a forwarder.Dial) {
 	w.checkDial(a)
 	w.conns[a.Conn] = &conn{
@@ -123,7 +127,8 @@
 	}
 }
 
-// send sends a request that the loop still serves on a connection.
+// send sends a request on a connection. It does nothing if the event loop no longer serves the
+// request or the connection is closed.
 func (w *World) send(a forwarder.SendRequest) {
 	c, r := w.conns[a.Conn], w.requestByID(a.ID)
 	if c == nil || r == nil || !r.onLoop {
@@ -140,13 +145,14 @@
 	r.sendingBody = r.notReplayable
 }
 
-// takeResponse takes a complete response from its connection.
+// takeResponse removes a complete response from its connection, so that the connection can
+// carry the next request.
 func (w *World) takeResponse(c *conn) {
 	c.reader.ResponseTaken()
 	w.unlinkRequest(c)
 }
 
-// freeConn separates a connection from its request.
+// unlinkRequest separates a connection from the request that it carries, if any.
 func (w *World) unlinkRequest(c *conn) {
 	if r := c.request; r != nil {
 		r.sendingBody = false
@@ -157,7 +163,8 @@
 	c.request = nil
 }
 
-// closeConn closes a connection from the gateway's side. A request may go on at the node.
+// closeConn closes a connection from the gateway's side. The node may still execute the
+// connection's request.
 func (w *World) closeConn(c *conn) {
 	w.recordInterruption(c)
 	c.reader.Break()
@@ -165,13 +172,14 @@
 	delete(w.conns, c.id)
 }
 
-// loseConn ends a connection that the node closed, or whose input is not valid.
+// loseConn ends a connection that the node has closed or on which it has sent invalid bytes,
+// and reports the loss to the forwarder.
 func (w *World) loseConn(c *conn) {
 	w.closeConn(c)
 	w.handle(forwarder.ConnectionLost{Conn: c.id}, c.loop)
 }
 
-// receive reads bytes that a node sent.
+// receive passes the bytes that a node has sent through the connection's reader.
 func (w *World) receive(c *conn, b []byte) {
 	for more := true; more; {
 		step := c.reader.Next(b)
@@ -180,8 +188,8 @@
 	}
 }
 
-// receiveStep handles one step of a connection's reader, with so many bytes left after it.
-// It returns false where the loop stops reading.
+// receiveStep handles one step of a connection's reader. remaining is the number of bytes that
+// the reader has not consumed yet. It returns false if the event loop must stop reading.
 func (w *World) receiveStep(c *conn, step upstreamhttp.Step, remaining int) bool {
 	switch step.Kind {
 	case upstreamhttp.NeedMore:
@@ -202,7 +210,9 @@
 	return true
 }
 
-// receiveHeaders streams a successful response and buffers another one.
+// receiveHeaders handles the headers of a response that the reader does not buffer by itself.
+// It streams a successful response and buffers any other. It returns false if the event loop
+// must stop reading.
 func (w *World) receiveHeaders(c *conn) bool {
 	info := responseInfo(c)
 	if info.Result != dispatch.OK {
@@ -221,6 +231,8 @@
 	return true
 }
 
+// receiveEnd reports a complete response to the forwarder. It returns false if the event loop
+// must stop reading.
 func (w *World) receiveEnd(c *conn, remaining int) bool {
 	w.handle(forwarder.ResponseCompleted{
 		Conn:  c.id,
@@ -237,7 +249,7 @@
 	return true
 }
 
-// responseInfo returns what a response's status says.
+// responseInfo derives the result of an attempt from the status of its response.
 func responseInfo(c *conn) forwarder.ResponseInfo {
 	switch status := c.reader.Response.Status; {
 	case status == statusUnavailable:
--- a/internal/modelcheck/move.go
+++ b/internal/modelcheck/move.go
@@ -8,38 +8,38 @@
 // Kind is a kind of move.
 type Kind uint8
 
-// The kinds of move.
+// These constants are the kinds of moves that can happen in a world.
 const (
 	StartRequest     Kind = iota // a client sends a request
 	RunLoop0                     // event loop 0 performs its pending actions
-	RunLoop1                     // event loop 1 does
+	RunLoop1                     // event loop 1 performs its pending actions
 	FireTimer                    // the forwarder's timer fires
 	CompleteDial                 // a connection is established
-	FailDial                     // a connection is refused
+	FailDial                     // a node refuses a connection
 	RespondOK                    // a node responds with status 200
-	RespondAndClose              // it responds with status 200 and closes the connection
-	RespondError                 // it responds with status 500
-	RespondReject                // it responds with status 503
-	RespondStart                 // it sends the headers of a large response and half of the body
-	RespondRest                  // it sends the rest of the body
-	RespondInvalid               // it sends bytes that are not a response
-	RespondTwice                 // it sends a response and the start of another
+	RespondAndClose              // a node responds with status 200 and closes the connection
+	RespondError                 // a node responds with status 500
+	RespondReject                // a node responds with status 503
+	RespondStart                 // a node sends the headers and half of the body of a large response
+	RespondRest                  // a node sends the second half of the body of a large response
+	RespondInvalid               // a node sends bytes that are not an HTTP response
+	RespondTwice                 // a node sends a response and the start of a second one
 	ResetConn                    // a connection breaks
 	CancelRequest                // a client disconnects
-	StreamBody                   // the node starts to read a request's body
-	FinishBody                   // the whole body has been sent
+	StreamBody                   // a node starts to read the body of a request
+	FinishBody                   // the gateway has sent the whole body of a request
 	DrainNode                    // discovery reports a node as draining
 	RemoveNode                   // discovery reports a node as removed
 	AddNode                      // discovery reports a new node
-	RestartNode                  // discovery reports another process at a node's address
+	RestartNode                  // discovery reports a new process at the address of a node
 	RestartGateway               // the gateway restarts with a stale endpoint list
 	RefreshEndpoints             // the gateway receives the current endpoint list
-	AdvanceBefore                // time passes until just before the next deadline
-	AdvanceTo                    // time passes until the next deadline
+	AdvanceBefore                // the clock advances to just before the next deadline
+	AdvanceTo                    // the clock advances to the next deadline
 	kindCount
 )
 
-// target is what a kind of move acts on.
+// target is the type of object that a kind of move acts on.
 type target uint8
 
 const (
@@ -53,8 +53,8 @@
 	return [...]string{"", "request", "connection", "node"}[t]
 }
 
-// kinds describes the kinds of move. The names are those in replays, which are stored: they
-// are frozen. The weights are relative frequencies in a random walk.
+// kinds describes each kind of move. Stored replays contain the names, so the names must not
+// change. The weights are the relative frequencies of the kinds in a random walk.
 var kinds = [kindCount]struct {
 	name   string
 	target target
@@ -88,12 +88,13 @@
 	AdvanceTo:        {"reach", noTarget, 3},
 }
 
-// String returns the kind's name in replays.
+// String returns the name that replays use for the kind.
 func (k Kind) String() string { return kinds[k].name }
 
+// target returns the type of object that the kind of move acts on.
 func (k Kind) target() target { return kinds[k].target }
 
-// kindNames returns the names of all kinds.
+// kindNames returns the names of all kinds of moves.
 func kindNames() []string {
 	var names []string
 	for k := range kindCount {
@@ -102,7 +103,7 @@
 	return names
 }
 
-// kindByName returns the kind of a name; false where there is none.
+// kindByName returns the kind of move with a name, and false if no kind has that name.
 func kindByName(name string) (Kind, bool) {
 	i := slices.Index(kindNames(), name)
 	return Kind(max(i, 0)), i >= 0
@@ -111,12 +112,12 @@
 // Move is one event in a world.
 type Move struct {
 	Kind Kind
-	// Target is the number of a request or a connection, or the index of a node in the
-	// scenario; 0 where the kind acts on none of these.
+	// Target is the number of a request or connection, or the index of a node in the scenario.
+	// It is 0 if the kind acts on none of these.
 	Target uint32
 }
 
-// moveText returns a move as it stands in a replay.
+// moveText returns the text of a move in a replay.
 func (w *World) moveText(m Move) string {
 	switch m.Kind.target() {
 	case nodeTarget:
--- a/internal/modelcheck/moves.go
+++ b/internal/modelcheck/moves.go
@@ -11,7 +11,7 @@
 	"chalkstand/forwarder"
 )
 
-// moveList collects the moves that can happen in a world.
+// moveList collects the moves that can happen next in a world.
 type moveList struct {
 	world *World
 	moves []Move
@@ -21,15 +21,15 @@
 	l.moves = append(l.moves, Move{Kind: kind, Target: uint32(target)})
 }
 
-// addWithin adds a move whose kind has a limit, where that is not reached.
+// addWithin adds a move unless its kind has happened as often as the scenario allows.
 func (l *moveList) addWithin(count, limit int, kind Kind, target int) {
 	if count < limit {
 		l.add(kind, target)
 	}
 }
 
-// enabledMoves returns the moves that can happen now, in a fixed order. With reduce set,
-// orders of moves that commute are left out.
+// enabledMoves returns the moves that can happen now, in a fixed order. If reduce is set, it
+// applies partial-order reduction: it omits alternative orders of moves that commute.
 func (w *World) enabledMoves(reduce bool) []Move {
 	l := &moveList{world: w}
 	for loop, kind := range [loopCount]Kind{RunLoop0, RunLoop1} {
@@ -105,14 +105,14 @@
 	case c.partial:
 		l.add(RespondRest, id)
 	case c.sendingBody():
-		// A node may respond before it has read the body, but only to reject the request.
+		// A node may respond before it has read the whole body, but only to reject the request.
 		l.addWithin(counts.rejects, limits.rejects, RespondReject, id)
 	default:
 		l.addResponses(c)
 	}
 }
 
-// addResponses adds the responses of a node that has read the whole request.
+// addResponses adds the possible responses of a node that has read a whole request.
 func (l *moveList) addResponses(c *conn) {
 	counts, limits, id := &l.world.counts, &l.world.scenario.limits, int(c.id)
 	if c.request != nil && c.request.streamed {
@@ -143,7 +143,7 @@
 	}
 }
 
-// addTimeMoves adds the one move in time that is next, if anything is due later.
+// addTimeMoves adds the next move that advances the clock, if anything is due later.
 func (l *moveList) addTimeMoves() {
 	t := l.world.nextDeadline()
 	switch {
@@ -155,14 +155,15 @@
 	}
 }
 
+// sortedConns returns the open connections and those being dialed, ordered by their IDs.
 func (w *World) sortedConns() []*conn {
 	return slices.SortedFunc(maps.Values(w.conns), func(a, b *conn) int { return cmp.Compare(a.id, b.id) })
 }
 
-// onlyResponses reports whether all pending actions of a loop are responses to clients that
-// concern no connection. Performing them at once commutes with every other move: none that
-// can happen before depends on what they change. Only the client may cancel meanwhile, but
-// its response counts as given.
+// onlyResponses reports whether all pending actions of an event loop are responses to clients
+// that involve no connection. Performing these actions at once commutes with every other move,
+// because no move that can happen before them depends on the state that they change. The
+// exception is a client that cancels in between. The model treats its response as delivered.
 func onlyResponses(queue []forwarder.Action) bool {
 	for _, a := range queue {
 		switch a.(type) {
@@ -174,20 +175,20 @@
 	return true
 }
 
-// anyUnfinished reports whether a request is unfinished.
+// anyUnfinished reports whether any request has started and not finished.
 func (w *World) anyUnfinished() bool {
 	return slices.ContainsFunc(w.requests, (*request).unfinished)
 }
 
-// anyResponseDue reports whether a request has a deadline. Without one time does not matter,
-// and a search in which it passed would not end.
+// anyResponseDue reports whether any response must start by a deadline. Without such a
+// deadline the time has no influence, and a search that advanced the clock would never end.
 func (w *World) anyResponseDue() bool {
 	return slices.ContainsFunc(w.requests, (*request).responseDue)
 }
 
-// nextDeadline returns the next time at which something is due: the forwarder's timer, the
-// end of a deduplication window, a request's deadline, or the last time for requests to
-// arrive. It returns math.MaxInt64 where nothing is due.
+// nextDeadline returns the next time at which something is due. This is the forwarder's timer,
+// the end of a deduplication window, the deadline of a request, or the last time at which
+// requests may arrive. It returns math.MaxInt64 if nothing is due.
 func (w *World) nextDeadline() time.Duration {
 	next := w.wakeAt
 	consider := func(at time.Duration) {
@@ -210,5 +211,5 @@
 	return next
 }
 
-// justBefore returns the last time on the grid before a time.
+// justBefore returns the last multiple of timeGrid before a point in time.
 func justBefore(t time.Duration) time.Duration { return (t - 1) / timeGrid * timeGrid }
