--- a/internal/modelcheck/fingerprint.go
+++ b/internal/modelcheck/fingerprint.go
@@ -29,7 +29,7 @@
 	relative                             // a point in time, included relative to now
 	relativeIfFuture                     // a point in time, included relative to now; all past times are equal
 	byRank                               // a number, included as its rank among the numbers of its type
-	presence                             // the keys of a map from keys to points in time; the times are left out
+	presence                             // a point in time in a map, of which the fingerprint includes only the key
 	relativeIfNear                       // a point in time, included relative to now; all times beyond the horizon are equal
 	ignored                              // a field that does not influence the future
 )
--- a/internal/modelcheck/fingerprint_test.go
+++ b/internal/modelcheck/fingerprint_test.go
@@ -9,7 +9,7 @@
 	"chalkstand/forwarder"
 )
 
-// fieldNames collects the names of all fields that a type refers to.
+// fieldNames is the set of the names of all struct fields that the visited types refer to.
 type fieldNames map[string]bool
 
 func (names fieldNames) visit(t reflect.Type) {
@@ -28,7 +28,8 @@
 	}
 }
 
-// The table has an entry only for fields that exist.
+// TestFingerprintKnowsTheFields checks that fieldUses and irrelevantFields name only fields that
+// exist.
 func TestFingerprintKnowsTheFields(t *testing.T) {
 	names := fieldNames{}
 	for _, x := range []any{
@@ -49,24 +50,25 @@
 	}
 	for name := range fieldUses {
 		if !names[name] {
-			t.Errorf("the table has %s, which does not exist", name)
+			t.Errorf("fieldUses has an entry for %s, want only fields that exist", name)
 		}
 	}
 	w := newWorld(&Scenario{requests: []requestSpec{{}}, nodes: []nodeSpec{{id: "a", initial: true}}})
 	for name := range irrelevantFields(w) {
 		if !names[name] {
-			t.Errorf("%s, without influence under some settings, does not exist", name)
+			t.Errorf("irrelevantFields returned %s, want only fields that exist", name)
 		}
 	}
-	// The controller's task is the kind that is left out.
+	// The fingerprinter leaves out the timer whose kind is controllerTimer. It must be the only
+	// timer of a new dispatcher.
 	timers := reflect.ValueOf(w.fwd).Elem().FieldByName("dispatcher").Elem().FieldByName("timers").FieldByName("timers")
 	if timers.Len() != 1 || timers.Index(0).Elem().FieldByName("Value").FieldByName("kind").Int() != controllerTimer {
-		t.Error("the first task of a dispatcher is not its controller's")
+		t.Error("the timers of a new dispatcher differ from what the fingerprinter expects: want one timer, of the controller")
 	}
 }
 
-// States that differ in what matters have distinct fingerprints; those that differ only by
-// numbers of connections have the same.
+// TestFingerprint checks that states with a relevant difference have distinct fingerprints, and
+// that states that differ only in connection IDs have the same fingerprint.
 func TestFingerprint(t *testing.T) {
 	s := scenario(t, "two")
 	p := newFingerprinter(false)
@@ -74,7 +76,7 @@
 		w := newWorld(&s)
 		for _, m := range moves {
 			if !slices.Contains(w.enabledMoves(false), m) {
-				t.Fatalf("%s cannot happen", w.moveText(m))
+				t.Fatalf("move %s cannot happen, want it to be enabled", w.moveText(m))
 			}
 			w.apply(m)
 		}
@@ -83,15 +85,15 @@
 	start1, start2 := Move{StartRequest, 1}, Move{StartRequest, 2}
 	dial1, dial2 := Move{CompleteDial, 1}, Move{CompleteDial, 2}
 	if after(start1) == after(start2) || after(start1) == after() || after(start1, start2) == after(start1) {
-		t.Error("distinct states have one fingerprint")
+		t.Error("states with different started requests have the same fingerprint, want distinct ones")
 	}
 	if after(start1, start2, dial1) == after(start1, start2, dial2) {
-		t.Error("it does not matter whose connection is open")
+		t.Error("states with the connections of different requests open have the same fingerprint, want distinct ones")
 	}
 	if after(start1, start2, dial1, dial2) != after(start1, start2, dial2, dial1) {
-		t.Error("two paths to one state have distinct fingerprints")
+		t.Error("two paths to one state have distinct fingerprints, want the same")
 	}
 	if after(start1, dial1, Move{RespondOK, 1}) == after(start1, dial1) {
-		t.Error("a response does not matter")
+		t.Error("the states before and after a response have the same fingerprint, want distinct ones")
 	}
 }
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -10,6 +10,7 @@
 	"pgregory.net/rapid"
 )
 
+// scenario returns the scenario with a name, or fails the test if there is none.
 func scenario(t *testing.T, name string) Scenario {
 	t.Helper()
 	s, err := ScenarioByName(name)
@@ -19,11 +20,12 @@
 	return s
 }
 
-// Every ordering of events: of small scenarios all states, of the others up to a bound.
+// TestEveryOrdering checks that no ordering of events violates a rule. It visits all states of
+// the small scenarios, and a limited number of states of the others.
 func TestEveryOrdering(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		maxStates int // 0: all
+		maxStates int // number of states to visit; 0 visits all
 	}{
 		{"window", 0},
 		{"body", 0},
@@ -52,23 +54,23 @@
 			t.Fatal(r.Violation)
 		}
 		if c.maxStates == 0 && workDivisor == 1 && !r.Complete {
-			t.Errorf("%s is not complete", c.name)
+			t.Errorf("scenario %s: got an incomplete search, want a complete one", c.name)
 		}
 	}
 }
 
-// With and without the reduction a search finds the same end states and no violation. Its
-// result does not depend on the workers.
+// TestReductionAndWorkers checks that a search finds the same end states and no violation with
+// and without the reduction, and that its result does not depend on the number of workers.
 func TestReductionAndWorkers(t *testing.T) {
 	s := scenario(t, "window")
 	one := Search(t.Context(), s, Options{Reduce: true, Workers: 1})
 	three := Search(t.Context(), s, Options{Reduce: true, Workers: 3})
 	full := Search(t.Context(), s, Options{})
 	if one.States != three.States || one.EndStates != three.EndStates || one.Moves != three.Moves {
-		t.Errorf("one worker: %v\nthree: %v", one, three)
+		t.Errorf("searches with one and three workers differ, want equal results\none worker:    %v\nthree workers: %v", one, three)
 	}
 	if full.States < one.States || full.Violation != nil || one.Violation != nil || full.EndStates != one.EndStates {
-		t.Errorf("reduced: %v\nfull: %v", one, full)
+		t.Errorf("reduced and full search: want equal numbers of end states, no violation, and at least as many states in the full one\nreduced: %v\nfull:    %v", one, full)
 	}
 }
 
@@ -80,8 +82,9 @@
 	}
 }
 
-// Each rule's check can fail: the worlds' settings are changed while the gateway keeps its
-// own. lab/mutation changes the code instead.
+// TestChecksCanFail shows that the checks of the rules detect violations. It changes the
+// settings of the world, while the gateway keeps the original ones. Package lab/mutation tests
+// the checks by changing the code of the gateway instead.
 func TestChecksCanFail(t *testing.T) {
 	for _, c := range []struct {
 		scenario, rule string
@@ -89,8 +92,8 @@
 	}{
 		{"window", ruleEffects, func(w *World) { w.cfg.Dispatch.Classes[keyedClass].DedupWindow = 20 * ms }},
 		{"turn", ruleOrder, func(w *World) { w.cfg.Dispatch.Quiescence = 200 * ms }},
-		{"drain", ruleAnswer, func(w *World) { w.wakeAt = math.MaxInt64 }},    // the timer is lost
-		{"drain", ruleDrain, func(w *World) { w.unusableSince["a"] = w.now }}, // without the gateway's knowledge
+		{"drain", ruleAnswer, func(w *World) { w.wakeAt = math.MaxInt64 }},    // the forwarder's timer never fires
+		{"drain", ruleDrain, func(w *World) { w.unusableSince["a"] = w.now }}, // the gateway does not know of the drain
 		{"limits", ruleBudget, func(w *World) { w.cfg.Dispatch.RetryBudget.MinRetries = 0 }},
 		{"doubt", ruleConnection, func(w *World) {
 			for _, conn := range w.conns {
@@ -99,18 +102,18 @@
 		}},
 	} {
 		if !anyWalkViolates(scenario(t, c.scenario), c.rule, c.disturb) {
-			t.Errorf("%s: no walk violates %s", c.scenario, c.rule)
+			t.Errorf("scenario %s: no random walk violates rule %q, want at least one", c.scenario, c.rule)
 		}
 	}
 }
 
-// anyWalkViolates reports whether a random walk violates a rule when the world is disturbed
-// before each move.
+// anyWalkViolates reports whether at least one of many random walks violates a rule. It calls
+// disturb on the world before each move.
 func anyWalkViolates(s Scenario, rule string, disturb func(*World)) bool {
 	const walks, maxMoves = 3000, 200
 	for seed := range uint64(walks) {
 		w := newWorld(&s)
-		w.cfg.Dispatch.Classes = slices.Clone(w.cfg.Dispatch.Classes) // the gateway keeps its own
+		w.cfg.Dispatch.Classes = slices.Clone(w.cfg.Dispatch.Classes) // the gateway keeps the original classes
 		rng := rand.New(rand.NewPCG(seed, 1))
 		for range maxMoves {
 			disturb(w)
@@ -127,20 +130,21 @@
 	return false
 }
 
-// Long random walks through a large scenario keep every rule.
+// TestRandomWalks checks that long random walks through a large scenario violate no rule.
 func TestRandomWalks(t *testing.T) {
 	coverage := NewCoverage()
 	for seed := range uint64(60 / workDivisor) {
 		if path, v := Walk(LargeScenario(24, 200), seed, 6000, coverage); v != nil {
 			Explain(LargeScenario(24, 200), path, t.Logf)
-			t.Fatalf("seed %d: %v", seed, v)
+			t.Fatalf("random walk with seed %d violates rule %v", seed, v)
 		}
 	}
-	t.Logf("never taken: %v", coverage.Missing())
+	t.Logf("event and stage pairs that no walk has reached: %v", coverage.Missing())
 	rapid.Check(t, checkSmallerWalk)
 }
 
-// checkSmallerWalk walks a smaller scenario; rapid shortens a walk that violates a rule.
+// checkSmallerWalk checks that a random walk through a smaller scenario violates no rule. The
+// rapid package shortens a walk that does.
 func checkSmallerWalk(t *rapid.T) {
 	s := LargeScenario(rapid.IntRange(2, 8).Draw(t, "nodes"), rapid.IntRange(1, 12).Draw(t, "requests"))
 	w := newWorld(&s)
--- a/internal/modelcheck/norace_test.go
+++ b/internal/modelcheck/norace_test.go
@@ -2,5 +2,6 @@
 
 package modelcheck
 
-// workDivisor is how much less is explored under the race detector.
+// workDivisor reduces the number of states and walks that the tests explore. It is 1 without the
+// race detector, which means no reduction.
 const workDivisor = 1
--- a/internal/modelcheck/race_test.go
+++ b/internal/modelcheck/race_test.go
@@ -2,5 +2,6 @@
 
 package modelcheck
 
-// slower is how much less is explored under the race detector.
+// workDivisor reduces the number of states and walks that the tests explore, because code runs
+// slowly under the race detector.
 const workDivisor = 12
--- a/internal/modelcheck/replay.go
+++ b/internal/modelcheck/replay.go
@@ -10,9 +10,10 @@
 	"strings"
 )
 
-// A replay is a text with a header of two lines, the form's name with its version and the
-// scenario, and one move on each further line. Empty lines, and the rest of a line after a
-// #, are ignored. Replays are stored: the form and its words are frozen.
+// A replay is a text file. Its first line has the name and the version of the format, and its
+// second line names the scenario. Each further line has one move. The player ignores empty
+// lines, and the rest of a line after a #. Replays are stored, so the format and its words must
+// not change.
 const (
 	replayFormat  = "chalkstand-explore"
 	replayVersion = "1"
@@ -20,18 +21,18 @@
 
 var errNoScenario = errors.New("the replay ends before its scenario is named")
 
-// ReplayError reports a line of a replay that cannot be played.
+// ReplayError describes a line of a replay that cannot be played.
 type ReplayError struct {
-	Line int // from 1
+	Line int // line number, starting at 1
 	Err  error
 }
 
 func (e *ReplayError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
-// Unwrap returns what is wrong with the line.
+// Unwrap returns the reason why the line cannot be played.
 func (e *ReplayError) Unwrap() error { return e.Err }
 
-// WriteReplay writes a path as a replay.
+// WriteReplay writes the moves of a path as a replay of the scenario.
 func WriteReplay(out io.Writer, s Scenario, path []Move) error {
 	w := newWorld(&s)
 	if _, err := fmt.Fprintf(out, "%s %s\nscenario %s\n", replayFormat, replayVersion, s.Name); err != nil {
@@ -46,7 +47,8 @@
 	return nil
 }
 
-// GoTest writes a path that violates a rule as a test of this package.
+// GoTest writes the Go source of a test of this package. The test plays the path, which
+// violates a rule, and fails until the violation is fixed.
 func GoTest(out io.Writer, s Scenario, path []Move, v *Violation) error {
 	var replay strings.Builder
 	if err := WriteReplay(&replay, s, path); err != nil {
@@ -64,21 +66,22 @@
 	return err
 }
 
-// Play plays a replay and returns the violation that it leads to, or nil. It logs each move
-// with the actions that follow, if log is not nil. It returns a *ReplayError for a move that
-// cannot happen, or a line that names an unknown scenario, move, request, connection or node.
+// Play plays a replay and returns the violation that the moves lead to, or nil. If log is not
+// nil, Play logs each move and the actions that follow from it. Play returns a *ReplayError for
+// a move that cannot happen, and for a line that names an unknown scenario, move, request,
+// connection or node.
 func Play(in io.Reader, log func(format string, args ...any)) (*Violation, error) {
 	return (&player{log: log}).play(in)
 }
 
-// player plays a replay.
+// player plays one replay.
 type player struct {
 	log        func(format string, args ...any)
-	beforeMove func(line int, m Move) // nil: not called
-	afterMove  func()                 // nil: not called
+	beforeMove func(line int, m Move) // called before each move, unless nil
+	afterMove  func()                 // called after each move, unless nil
 
 	headerRead bool
-	world      *World // nil until the scenario is named
+	world      *World // nil until the player has read the scenario line
 }
 
 func (p *player) play(in io.Reader) (*Violation, error) {
@@ -134,7 +137,7 @@
 
 func (p *player) readHeader(words []string) error {
 	if expected := []string{replayFormat, replayVersion}; !slices.Equal(words, expected) {
-		return fmt.Errorf("%q: want %q", strings.Join(words, " "), strings.Join(expected, " "))
+		return fmt.Errorf("%q: expected %q", strings.Join(words, " "), strings.Join(expected, " "))
 	}
 	p.headerRead = true
 	return nil
@@ -142,7 +145,7 @@
 
 func (p *player) readScenario(words []string) error {
 	if len(words) != 2 || words[0] != "scenario" {
-		return fmt.Errorf("%q: want \"scenario NAME\"", strings.Join(words, " "))
+		return fmt.Errorf("%q: expected \"scenario NAME\"", strings.Join(words, " "))
 	}
 	s, err := ScenarioByName(words[1])
 	if err != nil {
@@ -153,7 +156,7 @@
 	return nil
 }
 
-// checkEnabled returns an error for a move that cannot happen now.
+// checkEnabled returns an error if a move cannot happen now.
 func (w *World) checkEnabled(m Move) error {
 	enabled := w.enabledMoves(false)
 	if slices.Contains(enabled, m) {
@@ -163,23 +166,23 @@
 	for _, e := range enabled {
 		names = append(names, w.moveText(e))
 	}
-	return fmt.Errorf("%s cannot happen here; what can: %s", w.moveText(m), strings.Join(names, ", "))
+	return fmt.Errorf("%s cannot happen here; possible moves: %s", w.moveText(m), strings.Join(names, ", "))
 }
 
-// parseMove parses the words of a move, of which there is at least one.
+// parseMove parses a move. words are the words of its line and must not be empty.
 func (w *World) parseMove(words []string) (Move, error) {
 	kind, ok := kindByName(words[0])
 	if !ok {
-		return Move{}, fmt.Errorf("%q: want a move, one of %s", words[0], strings.Join(kindNames(), ", "))
+		return Move{}, fmt.Errorf("unknown move %q: expected one of %s", words[0], strings.Join(kindNames(), ", "))
 	}
 	if kind.target() == noTarget {
 		if len(words) != 1 {
-			return Move{}, fmt.Errorf("%v takes nothing, not %q", kind, words[1])
+			return Move{}, fmt.Errorf("%v: unexpected argument %q: this move takes none", kind, words[1])
 		}
 		return Move{Kind: kind}, nil
 	}
 	if len(words) != 2 {
-		return Move{}, fmt.Errorf("%v: want one %v", kind, kind.target())
+		return Move{}, fmt.Errorf("%v: expected exactly one %v", kind, kind.target())
 	}
 	if kind.target() == nodeTarget {
 		i := slices.IndexFunc(w.nodes, func(n node) bool { return string(n.id) == words[1] })
--- a/internal/modelcheck/scenario.go
+++ b/internal/modelcheck/scenario.go
@@ -11,20 +11,21 @@
 
 const ms = time.Millisecond
 
-// timeGrid is the resolution of "just before a deadline". All times of a scenario's settings
-// are multiples of twice as much, so that deadlines which follow from each other in
-// different ways coincide, and so do states.
+// timeGrid is the time unit of the simulated clock: "just before a deadline" is the last
+// multiple of timeGrid before it. All times in a scenario's settings are multiples of twice
+// this unit. Deadlines that are computed in different ways therefore coincide, and a search
+// has to visit fewer distinct states.
 const timeGrid = 10 * ms
 
-// The classes of all scenarios.
+// These constants are the indexes of the request classes. All scenarios have the same classes.
 const (
 	idempotentClass = iota
-	keyedClass      // deduplicated
-	orderedClass    // deduplicated and ordered by key
-	unsafeClass     // not idempotent
+	keyedClass      // requests that the nodes deduplicate
+	orderedClass    // requests that the nodes deduplicate and the gateway orders by key
+	unsafeClass     // requests that are not idempotent
 )
 
-// classNames are the names of the classes, as replays on sockets know them.
+// classNames holds the names of the classes. Package schedulereplay refers to them.
 var classNames = [...]string{
 	idempotentClass: "safe",
 	keyedClass:      "keyed",
@@ -32,7 +33,8 @@
 	unsafeClass:     "unsafe",
 }
 
-// Scenario is a small world: its requests and nodes, and how often its faults may happen.
+// Scenario describes a small world: its requests, its nodes, and how often each fault may
+// happen.
 type Scenario struct {
 	Name        string
 	Description string
@@ -41,44 +43,45 @@
 	nodes    []nodeSpec
 	limits   moveCounts
 
-	// arrivalWindow is the longest time from the first request's arrival to the last one's.
+	// arrivalWindow is the maximum time between the arrivals of the first and the last request.
 	arrivalWindow time.Duration
 
-	// configure changes the settings; nil: not at all.
+	// configure changes the default settings of the gateway. If it is nil, the defaults apply.
 	configure func(*forwarder.Config)
 
-	// prepare gives the gateway a history before the search starts, for what takes more
-	// moves to learn than a search goes deep; nil: none.
+	// prepare gives the gateway a history before the search starts. It serves scenarios in
+	// which the gateway must learn from more moves than a search is deep. If it is nil, the
+	// gateway has no history.
 	prepare func(*World)
 }
 
-// requestSpec is a request that a client may send.
+// requestSpec describes a request that a client may send.
 type requestSpec struct {
 	class         int
 	key           string
 	shard         dispatch.Shard
-	notReplayable bool // its body is streamed
-	streamed      bool // its response is streamed
+	notReplayable bool // the gateway streams the request body and cannot send it again
+	streamed      bool // the gateway streams the response
 	loop          forwarder.LoopID
 }
 
-// nodeSpec is a node that may be listed.
+// nodeSpec describes a node that may be in the endpoint list.
 type nodeSpec struct {
 	id      dispatch.NodeID
 	shard   dispatch.Shard
-	initial bool // listed from the start
+	initial bool // the node is in the endpoint list from the start
 }
 
 // HasHistory reports whether the gateway has a history before the first move. A replay does
-// not contain it.
+// not contain this history.
 func (s *Scenario) HasHistory() bool { return s.prepare != nil }
 
-// ScenarioByName returns a scenario.
+// ScenarioByName returns the scenario with a name, or an error that lists all names.
 func ScenarioByName(name string) (Scenario, error) {
 	all := Scenarios()
 	i := slices.IndexFunc(all, func(s Scenario) bool { return s.Name == name })
 	if i < 0 {
-		return Scenario{}, fmt.Errorf("no scenario is called %q; there are %v", name, ScenarioNames())
+		return Scenario{}, fmt.Errorf("scenario %q does not exist; available scenarios: %v", name, ScenarioNames())
 	}
 	return all[i], nil
 }
@@ -92,15 +95,16 @@
 	return names
 }
 
-// ScenarioRequest describes a request of a scenario to those who replay it elsewhere.
+// ScenarioRequest describes a request of a scenario to a package that replays the scenario
+// outside the model checker.
 type ScenarioRequest struct {
-	Class                   string // safe, keyed, in turn or unsafe
+	Class                   string // class name: safe, keyed, in turn or unsafe
 	Key                     string
 	Shard                   int
 	NotReplayable, Streamed bool
 }
 
-// Requests returns the scenario's requests; the first one is number 1.
+// Requests returns the scenario's requests in order. Moves refer to the first one as request 1.
 func (s *Scenario) Requests() []ScenarioRequest {
 	var requests []ScenarioRequest
 	for _, r := range s.requests {
@@ -115,7 +119,8 @@
 	return requests
 }
 
-// Nodes returns the scenario's nodes, and whether each is listed from the start.
+// Nodes returns the names of the scenario's nodes. The value of a name says whether the node is
+// in the endpoint list from the start.
 func (s *Scenario) Nodes() map[string]bool {
 	nodes := map[string]bool{}
 	for _, n := range s.nodes {
@@ -154,6 +159,7 @@
 	return c
 }
 
+// classes returns the settings of the request classes.
 func classes() []dispatch.Class {
 	deduplicated := dispatch.Class{
 		LatencyObjective: 300 * ms,
--- a/internal/modelcheck/scenarios.go
+++ b/internal/modelcheck/scenarios.go
@@ -7,8 +7,8 @@
 	"chalkstand/forwarder"
 )
 
-// Scenarios returns the scenarios that are searched exhaustively. Their names are stored in
-// replays: they are frozen.
+// Scenarios returns the scenarios that Search can visit exhaustively. Stored replays contain the
+// scenario names, so the names must not change.
 func Scenarios() []Scenario {
 	return []Scenario{
 		drainScenario(),
@@ -33,7 +33,7 @@
 	}
 }
 
-// nodeAndSuccessor returns a node and one that may replace it.
+// nodeAndSuccessor returns a listed node "a" and an unlisted node "b" that may replace it.
 func nodeAndSuccessor() []nodeSpec {
 	return []nodeSpec{{id: "a", initial: true}, {id: "b"}}
 }
@@ -278,9 +278,9 @@
 	}
 }
 
-// learnLostResponse gives the dispatcher a history: the first request's response takes 5 ms,
-// the second one's never comes, and the third one's takes 5 ms again, so that the node works
-// and loses responses.
+// learnLostResponse gives the dispatcher a history with a node that works but loses responses.
+// The response to the first request takes 5 ms, the response to the second never arrives, and
+// the response to the third takes 5 ms again.
 func learnLostResponse(w *World) {
 	complete := func(r *request) {
 		w.startRequest(r)
--- a/internal/modelcheck/script.go
+++ b/internal/modelcheck/script.go
@@ -7,25 +7,27 @@
 	"chalkstand/forwarder"
 )
 
-// Step is a move of a replay with what it refers to, for those who replay it elsewhere.
+// Step is a move of a replay with the request, attempt and node that it refers to. A package
+// that replays the scenario outside the model checker uses it.
 type Step struct {
-	Line         int // in the replay, from 1
+	Line         int // line number in the replay, starting at 1
 	Move         Move
-	Text         string // of the move
-	Request      int    // its number, or that of the connection's request; 0: none
-	Attempt      int    // that the connection carries
-	Node         string // of the connection, or the one that discovery reports
-	AttemptsSent []int  // of each request, after the move
+	Text         string // text of the move in the replay
+	Request      int    // number of the move's request or of its connection's request; 0 if there is none
+	Attempt      int    // number of the attempt that the move's connection carries, starting at 0
+	Node         string // node of the move's connection, or the node that discovery reports
+	AttemptsSent []int  // number of attempts that each request has sent after the move
 }
 
-// Script is a replay with the outcome of each request.
+// Script holds the steps of a replay and the outcome of each request.
 type Script struct {
 	Scenario Scenario
 	Steps    []Step
-	Outcomes []string // by request: deliver, refuse, fail, cut, left, or "" for none
+	Outcomes []string // outcome of each request: deliver, refuse, fail, cut, left, or "" if it has none
 }
 
-// ReadScript plays a replay and returns its steps. A replay that violates a rule is an error.
+// ReadScript plays a replay and returns its script. It returns an error if the replay violates a
+// rule.
 func ReadScript(in io.Reader) (*Script, error) {
 	script := &Script{}
 	p := &player{}
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -10,14 +10,14 @@
 	"sync/atomic"
 )
 
-// Options bound a search.
+// Options configures a search.
 type Options struct {
-	Workers   int  // 0: one for each core
-	MaxStates int  // after which the search ends; 0: no bound
-	Reduce    bool // leave out orders of moves that commute
+	Workers   int  // number of workers; 0 starts one worker for each core
+	MaxStates int  // number of states after which the search stops; 0 sets no limit
+	Reduce    bool // omit alternative orders of moves that commute
 	Exact     bool // distinguish states by every digit of learned values
-	Coverage  bool // count the transitions taken
-	// Progress is called after each depth; nil: not at all.
+	Coverage  bool // count the transitions that the search takes
+	// Progress is called after each depth of the search, unless it is nil.
 	Progress func(depth, states int)
 }
 
@@ -25,13 +25,13 @@
 type Result struct {
 	Scenario  string
 	States    int
-	Moves     int64 // taken, including those that led to known states
-	Depth     int   // of the deepest state, in moves
-	EndStates int   // states without a further move
-	Complete  bool  // every state was visited
+	Moves     int64 // number of moves taken, including moves that led to known states
+	Depth     int   // number of moves from the start to the deepest state
+	EndStates int   // number of states in which no further move can happen
+	Complete  bool  // the search visited every state
 	Violation *Violation
 	Path      []Move    // a shortest path to the violation
-	Coverage  *Coverage // nil where it was not asked for
+	Coverage  *Coverage // nil unless Options.Coverage is set
 }
 
 // String returns the result in one line.
@@ -46,8 +46,8 @@
 	return b.String()
 }
 
-// Search visits every state of a scenario once, breadth first, so that a shortest path leads
-// to the first violation. The result does not depend on the number of workers.
+// Search visits every state of a scenario once, in breadth-first order. The path to the first
+// violation is therefore a shortest one. The result does not depend on the number of workers.
 func Search(ctx context.Context, s Scenario, o Options) Result {
 	if o.Workers <= 0 {
 		o.Workers = runtime.GOMAXPROCS(0)
@@ -78,7 +78,8 @@
 	return e.result
 }
 
-// searchNode is a state, as the move that first led to it. The root has no parent.
+// searchNode represents a state by its parent and the move that first led to it. The root has
+// no parent.
 type searchNode struct {
 	parent *searchNode
 	move   Move
@@ -94,10 +95,10 @@
 	return path
 }
 
-// stateShards is the number of parts of a stateSet, each with its own lock.
+// stateShards is the number of shards of a stateSet. Each shard has its own lock.
 const stateShards = 64
 
-// stateSet is a set of states that workers share.
+// stateSet is the set of known states, which all workers share.
 type stateSet struct {
 	shards [stateShards]struct {
 		mu     sync.Mutex
@@ -108,7 +109,7 @@
 
 func (s *stateSet) len() int { return int(s.size.Load()) }
 
-// add adds a state. It returns false where the set had it.
+// add adds a state. It returns false if the set already has the state.
 func (s *stateSet) add(state Fingerprint) bool {
 	shard := &s.shards[state[0]%stateShards]
 	shard.mu.Lock()
@@ -124,20 +125,21 @@
 	return true
 }
 
-// searcher is a search in progress.
+// searcher holds the state of a search in progress.
 type searcher struct {
 	scenario *Scenario
 	options  Options
 	known    stateSet
 
 	mu     sync.Mutex
-	result Result // guarded by mu while workers run
+	result Result // mu guards it while workers run
 }
 
-// batchSize is the number of states that a worker takes at a time.
+// batchSize is the number of states that a worker claims at a time.
 const batchSize = 16
 
-// expandAll takes every move from each state of one depth and returns the new states.
+// expandAll takes every possible move from each state of one depth. It returns the states that
+// the search has not seen before.
 func (e *searcher) expandAll(ctx context.Context, frontier []*searchNode) []*searchNode {
 	next := make([][]*searchNode, e.options.Workers)
 	var taken atomic.Int64
@@ -164,7 +166,8 @@
 	return slices.Concat(next...)
 }
 
-// worker expands states for a searcher. Its counts are its own until merge.
+// worker expands states for a searcher. It keeps counts of its own, which merge adds to the
+// result of the search.
 type worker struct {
 	*searcher
 	fingerprinter *fingerprinter
@@ -173,6 +176,7 @@
 	endStates     int
 }
 
+// merge adds the worker's counts to the result of the search.
 func (w *worker) merge() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -183,8 +187,9 @@
 	}
 }
 
-// expand takes every move from a state and returns next with the new states. The state is
-// rebuilt from its path for each move, as the code that is checked has no copy of its state.
+// expand takes every possible move from a state, appends the new states to next and returns it.
+// It rebuilds the state from its path for each move, because the code under test cannot copy
+// its state.
 func (w *worker) expand(n *searchNode, next []*searchNode) []*searchNode {
 	path := n.path()
 	world := w.rebuild(path)
@@ -215,7 +220,7 @@
 	return next
 }
 
-// rebuild returns the world at the end of a path.
+// rebuild starts a new world, applies the moves of a path and returns the world.
 func (w *worker) rebuild(path []Move) *World {
 	world := newWorld(w.scenario)
 	for _, m := range path {
@@ -224,7 +229,8 @@
 	return world
 }
 
-// noteViolation notes a violation; of several at one depth, that of the least path.
+// recordViolation records a violation and its path. Among several violations at one depth it
+// keeps the one whose path sorts first, so that the result does not depend on the workers.
 func (w *worker) recordViolation(v *Violation, path []Move) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -234,6 +240,7 @@
 	}
 }
 
+// compareMoves orders moves by kind and then by target.
 func compareMoves(a, b Move) int {
 	if a.Kind != b.Kind {
 		return int(a.Kind) - int(b.Kind)
@@ -241,8 +248,8 @@
 	return int(a.Target) - int(b.Target)
 }
 
-// Explain plays a path and logs each move with the actions that follow. It returns the
-// violation at the end of the path, or nil.
+// Explain plays a path and logs each move with the actions that follow from it. It returns the
+// violation that the path leads to, or nil.
 func Explain(s Scenario, path []Move, log func(format string, args ...any)) *Violation {
 	w := newWorld(&s)
 	w.log = log
--- a/internal/modelcheck/statewalk.go
+++ b/internal/modelcheck/statewalk.go
@@ -11,31 +11,31 @@
 	"time"
 )
 
-// The walk over a state by reflection: it writes what counts of the state to a
-// fingerprinter's buffer.
+// This file walks over a state by reflection. The walk writes the relevant parts of the state
+// to a fingerprinter's buffer.
 
-// Bytes that precede values.
+// These marks precede the values in the buffer.
 const (
 	markNil      byte = 0
 	markValue    byte = 1
-	markVisited  byte = 2 // a pointer that was met before
-	markFinished byte = 7 // a request that is finished
+	markVisited  byte = 2 // precedes the number of a pointer that the walk has visited before
+	markFinished byte = 7 // precedes a finished request
 )
 
-// Numbers that stand for times.
+// These numbers encode special points in time.
 const (
-	timeUnset uint64 = iota + 1 // 0
-	timeNever                   // math.MaxInt64
+	timeUnset uint64 = iota + 1 // encodes the time 0, which means that no time is set
+	timeNever                   // encodes math.MaxInt64, which means that the time never comes
 	timePast
 	timeBeyondHorizon
 )
 
-// timeOffset distinguishes relative times from the numbers that stand for times.
+// timeOffset separates the encoded relative times from the numbers for special points in time.
 const timeOffset = 1 << 62
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// typeInfo caches how the fields of a struct type count.
+// typeInfo caches how a fingerprint includes the fields of a struct type.
 type typeInfo struct {
 	name   string
 	fields []fieldInfo
@@ -44,9 +44,10 @@
 type fieldInfo struct {
 	name      string
 	use       fieldUse
-	heapOrder []string // of a heap: the fields by which it is ordered
+	heapOrder []string // the fields that order the entries, if this field is a heap; otherwise nil
 }
 
+// typeInfoOf returns the cached information about a struct type, and collects it on first use.
 func (p *fingerprinter) typeInfoOf(t reflect.Type) *typeInfo {
 	if info := p.types[t]; info != nil {
 		return info
@@ -64,14 +65,14 @@
 	return info
 }
 
-// typeName returns a type's name with that of its package, and without type arguments.
+// typeName returns the name of a type, qualified by its package and without type arguments.
 func typeName(t reflect.Type) string {
 	path := t.PkgPath()
 	name, _, _ := strings.Cut(t.Name(), "[")
 	return path[strings.LastIndexByte(path, '/')+1:] + "." + name
 }
 
-// walk writes a value, and what it refers to.
+// walk writes a value and all values that it refers to.
 func (p *fingerprinter) walk(v reflect.Value, use fieldUse) {
 	if v.Type() == durationType {
 		p.duration(time.Duration(v.Int()), use)
@@ -112,12 +113,14 @@
 	case v.CanFloat():
 		p.float(v.Float())
 	default:
-		panic(fmt.Sprintf("modelcheck: values of type %v cannot be compared", v.Type()))
+		panic(fmt.Sprintf("modelcheck: a fingerprint cannot include a value of type %v", v.Type()))
 	}
 }
 
+// u64 writes a number of 8 bytes.
 func (p *fingerprinter) u64(v uint64) { p.buf = binary.LittleEndian.AppendUint64(p.buf, v) }
 
+// bool writes a boolean as one byte.
 func (p *fingerprinter) bool(b bool) {
 	if b {
 		p.buf = append(p.buf, 1)
@@ -126,8 +129,8 @@
 	}
 }
 
-// unsigned writes a number, or leaves a place for its rank. The numbers of connections count
-// by their rank wherever they are.
+// unsigned writes an unsigned number, or reserves a place in the buffer for its rank. It always
+// uses the rank for connection IDs, whatever field they are in.
 func (p *fingerprinter) unsigned(v reflect.Value, use fieldUse) {
 	group := v.Type().Name()
 	if use != byRank && group != "ConnID" {
@@ -138,7 +141,8 @@
 	p.u64(0)
 }
 
-// pointer writes what a pointer points to, where it is met for the first time.
+// pointer writes the value that a pointer refers to. If the walk has visited the pointer before,
+// it writes the pointer's number instead.
 func (p *fingerprinter) pointer(v reflect.Value) {
 	if v.IsNil() {
 		p.buf = append(p.buf, markNil)
@@ -154,7 +158,7 @@
 	p.walk(v.Elem(), 0)
 }
 
-// dynamicValue writes the value of an interface with its type.
+// interfaceValue writes the dynamic type and value of an interface.
 func (p *fingerprinter) interfaceValue(v reflect.Value, use fieldUse) {
 	if v.IsNil() {
 		p.buf = append(p.buf, markNil)
@@ -165,6 +169,7 @@
 	p.walk(v.Elem(), use)
 }
 
+// structFields writes the relevant fields of a struct.
 func (p *fingerprinter) structFields(v reflect.Value) {
 	info := p.typeInfoOf(v.Type())
 	switch info.name {
@@ -183,15 +188,15 @@
 		case f.heapOrder != nil:
 			p.heap(value, f.heapOrder)
 		case value.Type() == durationType && f.use == 0:
-			panic("modelcheck: the duration " + f.name + " has no entry in the table of fields")
+			panic("modelcheck: the duration " + f.name + " has no entry in fieldUses")
 		default:
 			p.walk(value, f.use)
 		}
 	}
 }
 
-// finishedRequest writes what counts of a request that is finished. It returns false where
-// the request is not, and writes nothing.
+// finishedRequest writes the relevant fields of a finished request. If the request is not
+// finished, it writes nothing and returns false.
 func (p *fingerprinter) finishedRequest(v reflect.Value) bool {
 	finished := v.FieldByName("canceled").Bool() || v.FieldByName("responses").Int() > 0
 	if !finished {
@@ -204,7 +209,7 @@
 	return true
 }
 
-// mapEntries writes the entries of a map by the order of their keys.
+// mapEntries writes the entries of a map, sorted by key.
 func (p *fingerprinter) mapEntries(v reflect.Value, use fieldUse) {
 	keys := v.MapKeys()
 	slices.SortFunc(keys, compareValues)
@@ -215,7 +220,7 @@
 	}
 }
 
-// compareValues compares two strings or two numbers.
+// compareValues compares two strings or two numbers of the same type.
 func compareValues(a, b reflect.Value) int {
 	switch a.Kind() {
 	case reflect.String:
@@ -228,14 +233,14 @@
 	return cmp.Compare(a.Int(), b.Int())
 }
 
-// duration writes a length of time or a time.
+// duration writes a length of time or a point in time. The use says which one it is.
 func (p *fingerprinter) duration(d time.Duration, use fieldUse) {
 	switch {
 	case use == presence:
 	case use == asDuration:
 		p.u64(uint64(d))
 	case use == byRank:
-		panic("modelcheck: a duration has no rank")
+		panic("modelcheck: a fingerprint cannot include a duration by its rank")
 	case d == 0:
 		p.u64(timeUnset)
 	case d == math.MaxInt64:
@@ -249,7 +254,8 @@
 	}
 }
 
-// seconds writes a learned length of time, to the millisecond where that is enough.
+// seconds writes a learned length of time. It rounds the time to a millisecond unless the
+// fingerprint is exact.
 func (p *fingerprinter) seconds(s float64) {
 	if !p.exact {
 		s = math.Round(s * 1e3)
@@ -257,7 +263,8 @@
 	p.u64(math.Float64bits(s))
 }
 
-// float writes a number, with two significant digits where that is enough.
+// float writes a floating-point number. It rounds the number to two significant digits unless
+// the fingerprint is exact.
 func (p *fingerprinter) float(f float64) {
 	if p.exact || f == 0 || math.IsInf(f, 0) {
 		p.u64(math.Float64bits(f))
--- a/internal/modelcheck/walk.go
+++ b/internal/modelcheck/walk.go
@@ -9,14 +9,15 @@
 	"chalkstand/forwarder"
 )
 
-// LargeScenario returns a scenario that is too large for a search: so many nodes, two in
-// three of them listed from the start, and requests of all kinds. It is for random walks.
+// LargeScenario returns a scenario for random walks, which is too large for a search. It has the
+// given numbers of nodes and requests. Two in three nodes are listed from the start, and there
+// are requests of all kinds.
 func LargeScenario(nodes, requests int) Scenario {
 	shards := max(1, nodes*2/3)
 	s := Scenario{
 		Name:          "large",
 		Description:   "many nodes and requests, at random",
-		arrivalWindow: 1 << 40, // requests may arrive at any time
+		arrivalWindow: 1 << 40, // so long that requests may arrive at any time
 		limits: moveCounts{
 			drains:          shards / 2,
 			removes:         shards / 2,
@@ -52,8 +53,8 @@
 	return s
 }
 
-// largeRequest returns the request with an index: classes, shards, loops and kinds of body
-// take turns.
+// largeRequest returns the request with an index in a large scenario. The class, shard, event
+// loop and kind of body alternate with the index.
 func largeRequest(i, shards int) requestSpec {
 	r := requestSpec{
 		class: i % len(classNames),
@@ -71,8 +72,8 @@
 	return r
 }
 
-// Walk takes random moves, at most maxMoves, until no move is left or a rule is violated. It
-// returns the path and the violation, or nil. The same seed takes the same path.
+// Walk takes random moves until no move is left, a rule is violated, or it has taken maxMoves
+// moves. It returns the path and the violation, if any. The same seed leads to the same path.
 func Walk(s Scenario, seed uint64, maxMoves int, coverage *Coverage) ([]Move, *Violation) {
 	rng := rand.New(rand.NewPCG(seed, 23))
 	w := newWorld(&s)
@@ -93,8 +94,9 @@
 	return path, w.checker.violation
 }
 
-// pickMove draws one of the moves that can happen, by the weights of their kinds. It returns
-// false where there is none. intN returns a random number from 0 to below its argument.
+// pickMove chooses one of the moves that can happen, with a probability in proportion to the
+// weight of its kind. It returns false if no move can happen. intN must return a random number
+// that is at least 0 and less than its argument.
 func (w *World) pickMove(intN func(int) int) (Move, bool) {
 	moves := w.enabledMoves(false)
 	total := 0
