--- a/lab/schedulereplay/clients.go
+++ b/lab/schedulereplay/clients.go
@@ -14,7 +14,7 @@
 	"chalkstand/lab/sigv4client"
 )
 
-// The outcomes of requests, as the model checker names them.
+// These constants are the outcomes of requests, with the names that the model checker uses.
 const (
 	outcomeDelivered = "deliver"
 	outcomeRejected  = "refuse"
@@ -24,7 +24,7 @@
 	outcomeNone      = "none" // the connection ended without a response; the model checker has no such outcome
 )
 
-// sendRequest sends a client's request and awaits that the gateway has accepted it.
+// sendRequest sends a client's request and waits until the gateway has accepted it.
 func (p *player) sendRequest(ctx context.Context, i int) error {
 	req, err := p.newRequest(ctx, i)
 	if err != nil {
@@ -41,16 +41,16 @@
 	if err := req.Write(c); err != nil {
 		return err
 	}
-	p.work.Go(func() { p.receiveResponse(i, c, req) })
-	return p.awaitGateway(func() bool { return p.gateway.InFlight() == p.unanswered() || p.ended(i) })
+	p.goroutines.Go(func() { p.receiveResponse(i, c, req) })
+	return p.awaitGateway(func() bool { return p.gateway.InFlight() == p.unanswered() || p.hasOutcome(i) })
 }
 
-// newRequest returns a signed request with the class and key of the scenario's.
+// newRequest returns a signed HTTP request with the class and key of a request in the scenario.
 func (p *player) newRequest(ctx context.Context, i int) (*http.Request, error) {
 	r := p.requests[i-1]
 	method := methods[r.Class]
 	if method == "" || r.NotReplayable || r.Shard != 0 {
-		return nil, fmt.Errorf("a request of this kind %w", ErrUnsupported)
+		return nil, fmt.Errorf("a request that is not replayable, is not of shard 0, or has a class without a method %w", ErrUnsupported)
 	}
 	key := r.Key
 	if key == "" {
@@ -70,7 +70,7 @@
 	return req, nil
 }
 
-// cancelRequest closes a client's connection and awaits that the gateway has noticed it.
+// cancelRequest closes a client's connection and waits until the gateway has noticed that.
 func (p *player) cancelRequest(i int) error {
 	p.mu.Lock()
 	c := p.clients[i]
@@ -82,7 +82,7 @@
 	return p.awaitGateway(func() bool { return p.gateway.InFlight() == p.unanswered() })
 }
 
-// unanswered returns how many requests have no outcome.
+// unanswered returns the number of requests that were sent and have no outcome yet.
 func (p *player) unanswered() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,8 +95,8 @@
 	return n
 }
 
-// ended reports whether a request has an outcome.
-func (p *player) ended(i int) bool {
+// hasOutcome reports whether the player has recorded an outcome for a request.
+func (p *player) hasOutcome(i int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.outcomes[i] != ""
@@ -113,14 +113,14 @@
 	p.changed.Broadcast()
 }
 
-// readOutcome reads a response.
+// readOutcome reads a response and returns the outcome of its request.
 func readOutcome(c net.Conn, req *http.Request) string {
 	resp, err := http.ReadResponse(bufio.NewReader(c), req)
 	if err != nil {
 		return outcomeNone
 	}
 	_, err = io.Copy(io.Discard, resp.Body)
-	_ = resp.Body.Close() // read to its end; the connection is closed at the end of the play
+	_ = resp.Body.Close() // the body has been read; stop closes the connection
 	switch {
 	case err != nil:
 		return outcomeAborted
--- a/lab/schedulereplay/nodes.go
+++ b/lab/schedulereplay/nodes.go
@@ -14,12 +14,12 @@
 	"chalkstand/internal/modelcheck"
 )
 
-// node is a storage node that responds only as the replay says.
+// node is a simulated storage node. It responds only when a move of the replay says so.
 type node struct {
 	listener net.Listener
 }
 
-// startNode starts a node on a port of its own.
+// startNode starts a node on a free port of the loopback address.
 func (p *player) startNode(ctx context.Context, name string) error {
 	var config net.ListenConfig
 	ln, err := config.Listen(ctx, "tcp", "127.0.0.1:0")
@@ -28,12 +28,12 @@
 	}
 	n := &node{listener: ln}
 	p.nodes[name] = n
-	p.work.Go(func() { p.acceptAt(n) })
+	p.goroutines.Go(func() { p.acceptConns(n) })
 	return nil
 }
 
-// acceptAt accepts the gateway's connections to a node until its listener is closed.
-func (p *player) acceptAt(n *node) {
+// acceptConns accepts the gateway's connections to a node until the node's listener is closed.
+func (p *player) acceptConns(n *node) {
 	for {
 		c, err := n.listener.Accept()
 		if err != nil {
@@ -43,11 +43,12 @@
 			closeConn(c)
 			continue
 		}
-		p.work.Go(func() { p.receiveAttempts(c) })
+		p.goroutines.Go(func() { p.receiveAttempts(c) })
 	}
 }
 
-// addAccepted records a node's connection for stop, and reports false once stop has begun.
+// addAccepted records a connection that a node has accepted, so that stop can close it. It
+// returns false after stop has begun.
 func (p *player) addAccepted(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,11 +59,12 @@
 	return true
 }
 
-// receiveAttempts records the requests on a connection. The replay's moves respond to them.
+// receiveAttempts reads the requests on a node's connection and records them as attempts. It
+// sends no responses, because the moves of the replay do that.
 func (p *player) receiveAttempts(c net.Conn) {
 	defer closeConn(c)
 	r := bufio.NewReader(c)
-	var last attempt // on this connection; no tag: none
+	var last attempt // latest attempt on this connection; its tag is "" if there is none
 	for {
 		req, err := http.ReadRequest(r)
 		if last.tag != "" {
@@ -71,7 +73,7 @@
 		if err != nil {
 			return
 		}
-		last = attemptOf(req)
+		last = parseAttempt(req)
 		p.startAttempt(last, c)
 		if _, err := io.Copy(io.Discard, req.Body); err != nil {
 			p.endAttempt(last, c)
@@ -80,10 +82,10 @@
 	}
 }
 
-// attemptOf returns the attempt that a request carries in its headers.
-func attemptOf(req *http.Request) attempt {
+// parseAttempt returns the attempt that the headers of a request identify.
+func parseAttempt(req *http.Request) attempt {
 	parts := strings.Split(req.Header.Get("x-chalkstand-request"), "/")
-	number, _ := strconv.Atoi(parts[len(parts)-1]) // the gateway writes a number
+	number, _ := strconv.Atoi(parts[len(parts)-1]) // the gateway always writes a valid number
 	return attempt{tag: req.Header.Get("x-amz-meta-tag"), number: number}
 }
 
@@ -100,7 +102,7 @@
 	p.changed.Broadcast()
 }
 
-// endAttempt records the end of an attempt, if the connection still carries it.
+// endAttempt records the end of an attempt if the connection still carries the attempt.
 func (p *player) endAttempt(a attempt, c net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -113,21 +115,22 @@
 
 // resetConn resets the connection that a move refers to.
 func (p *player) resetConn(s modelcheck.Step) error {
-	c, err := p.connOf(s)
+	c, err := p.connForStep(s)
 	if err != nil {
 		return err
 	}
 	if t, ok := c.(*net.TCPConn); ok {
-		if err := t.SetLinger(0); err != nil { // makes Close reset the connection
+		if err := t.SetLinger(0); err != nil { // makes Close reset the connection instead of closing it gracefully
 			return errors.Join(err, c.Close())
 		}
 	}
 	return c.Close()
 }
 
-// connOf returns the connection that a move refers to: the one that carries the move's request, or the one
-// that was found for the connection's number before.
-func (p *player) connOf(s modelcheck.Step) (net.Conn, error) {
+// connForStep returns the connection that a move refers to. If the move refers to a request, this is the
+// connection that carries the attempt. Otherwise it is the connection that an earlier move with the same
+// connection number referred to.
+func (p *player) connForStep(s modelcheck.Step) (net.Conn, error) {
 	if s.Request > 0 {
 		a := attempt{tag: strconv.Itoa(s.Request), number: s.Attempt}
 		arrived := func() bool {
@@ -138,11 +141,11 @@
 			return false
 		}
 		if err := p.await(arrived); err != nil {
-			return nil, fmt.Errorf("attempt %d of request %d is at no node: %w", s.Attempt, s.Request, err)
+			return nil, fmt.Errorf("no node has attempt %d of request %d: %w", s.Attempt, s.Request, err)
 		}
 	}
 	if c := p.conns[s.Move.Target]; c != nil {
 		return c, nil
 	}
-	return nil, fmt.Errorf("the connection has carried no request, which would identify it: it %w", ErrUnsupported)
+	return nil, fmt.Errorf("a move on a connection that has not carried a request %w", ErrUnsupported)
 }
--- a/lab/schedulereplay/schedulereplay.go
+++ b/lab/schedulereplay/schedulereplay.go
@@ -1,8 +1,9 @@
-// Package schedulereplay plays the model checker's replays over sockets: a real gateway on loopback, with
-// clients and nodes that do what the replay says in its order. The model checker plays the replay,
-// too, and says what each move refers to and how each request must end. No step waits for a fixed
-// time: what the gateway does by itself (connections that open, its timers) is awaited where a later
-// move needs it. A replay with moves that sockets cannot make is rejected.
+// Package schedulereplay plays the model checker's replays over sockets. It runs a real gateway on the
+// loopback address, with clients and nodes that act in the order of the replay. The model checker plays
+// the replay, too. It tells which request, connection or node each move refers to, and how each request must
+// end. No step waits for a fixed time. The gateway opens connections and fires timers by itself, and a
+// later move that depends on such an event waits for it. Play rejects a replay with moves that cannot be
+// made over sockets.
 package schedulereplay
 
 import (
@@ -22,72 +23,73 @@
 	"chalkstand/internal/settings"
 )
 
-// stepTimeout bounds each wait.
+// stepTimeout limits each wait for the gateway or for a node.
 const stepTimeout = 5 * time.Second
 
 var (
 	// ErrUnsupported is returned for a replay that cannot be played over sockets.
-	ErrUnsupported = errors.New("cannot be forced on sockets")
+	ErrUnsupported = errors.New("cannot be reproduced over sockets")
 
-	// ErrTimeout is returned when the gateway does not do in time what the replay needs.
+	// ErrTimeout is returned if the gateway takes longer than stepTimeout to do what a move needs.
 	ErrTimeout = fmt.Errorf("timed out after %v", stepTimeout)
 )
 
-// StepError is an error at one line of a replay.
+// StepError describes an error at one line of a replay.
 type StepError struct {
 	Line int
 	Text string
 	Err  error
 }
 
-// Error names the line.
+// Error returns the line number, the move and the cause.
 func (e *StepError) Error() string { return fmt.Sprintf("line %d: %s: %v", e.Line, e.Text, e.Err) }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause of the error.
 func (e *StepError) Unwrap() error { return e.Err }
 
-// Report is the outcome of a replay. Outcomes are in the order of the requests; "" is one without an end.
+// Report is the result of a replay. Its outcomes are in the order of the requests. The outcome of a
+// request that has not ended is "".
 type Report struct {
-	Outcomes []string // as the clients observed them
-	Expected []string // as the model checker has them
-	Failures []string
+	Outcomes []string // outcomes that the clients observed
+	Expected []string // outcomes that the model checker computed
+	Failures []string // messages about requests with two attempts in flight, and about a failed gateway
 }
 
 // player plays one replay.
 type player struct {
-	gateway  *gateway.Gateway
-	addr     string // of the gateway
-	requests []modelcheck.ScenarioRequest
-	nodes    map[string]*node
-	conns    map[uint32]net.Conn // connections at nodes, by the model checker's number
-	work     sync.WaitGroup
+	gateway    *gateway.Gateway
+	addr       string // address that the gateway listens on
+	requests   []modelcheck.ScenarioRequest
+	nodes      map[string]*node
+	conns      map[uint32]net.Conn // connections at the nodes, by the model checker's connection number
+	goroutines sync.WaitGroup
 
 	mu       sync.Mutex
-	changed  *sync.Cond           // on a change of the fields below
-	atNode   map[attempt]net.Conn // attempts that nodes have received and not ended
-	received map[attempt]bool     // attempts that nodes have received
-	inFlight map[string]int       // attempts that have not ended, by tag
-	outcomes map[int]string       // by request, from 1 on
+	changed  *sync.Cond           // signals each change of the fields below
+	atNode   map[attempt]net.Conn // connections of the attempts that nodes have received and that have not ended
+	received map[attempt]bool     // all attempts that nodes have received
+	inFlight map[string]int       // number of attempts that have not ended, by tag
+	outcomes map[int]string       // outcomes by request number, starting at 1
 	failures []string
-	clients  map[int]net.Conn // by request
+	clients  map[int]net.Conn // connections of the clients, by request number
 	closed   bool
-	accepted []net.Conn // at the nodes; not changed once closed is set
+	accepted []net.Conn // connections that the nodes have accepted; not changed after closed is set
 }
 
-// attempt is an attempt of the request with the tag, from 0 on.
+// attempt identifies an attempt by the tag of its request and its number, which starts at 0.
 type attempt struct {
 	tag    string
 	number int
 }
 
-// Play plays a replay.
+// Play plays a replay over sockets and reports the outcome of each request.
 func Play(ctx context.Context, in io.Reader) (_ *Report, err error) {
 	script, err := modelcheck.ReadScript(in)
 	if err != nil {
 		return nil, err
 	}
 	if script.Scenario.HasHistory() {
-		return nil, fmt.Errorf("scenario %s begins with a history, which is not part of the replay: it %w",
+		return nil, fmt.Errorf("scenario %s begins with a history, which the replay does not contain: it %w",
 			script.Scenario.Name, ErrUnsupported)
 	}
 	p := newPlayer(script.Scenario.Requests())
@@ -118,9 +120,10 @@
 	return p
 }
 
-// start starts the nodes and the gateway. listed says which nodes are in the first endpoint list.
+// start starts the nodes and the gateway. For each node name, listed says whether the first endpoint list
+// has the node.
 func (p *player) start(ctx context.Context, listed map[string]bool) error {
-	cfg, err := settings.Parse("schedulereplay", []byte(siteText))
+	cfg, err := settings.Parse("schedulereplay", []byte(gatewaySettings))
 	if err != nil {
 		return err
 	}
@@ -128,11 +131,11 @@
 		return err
 	}
 	var endpoints []forwarder.Node
-	for name, inList := range listed {
+	for name, isListed := range listed {
 		if err := p.startNode(ctx, name); err != nil {
 			return err
 		}
-		if inList {
+		if isListed {
 			endpoints = append(endpoints, p.endpoint(name, dispatch.Ready))
 		}
 	}
@@ -142,15 +145,15 @@
 		return err
 	}
 	p.addr = ln.Addr().String()
-	p.work.Go(func() {
+	p.goroutines.Go(func() {
 		if err := p.gateway.Serve(ctx, ln); err != nil {
-			p.failf("%v", err)
+			p.addFailure("the gateway stopped serving: %v", err)
 		}
 	})
 	return nil
 }
 
-// endpoint returns a node as the endpoint list has it.
+// endpoint returns the endpoint list entry of a node in the given state.
 func (p *player) endpoint(name string, state dispatch.NodeState) forwarder.Node {
 	return forwarder.Node{
 		Addr: p.nodes[name].listener.Addr().String(),
@@ -158,7 +161,7 @@
 	}
 }
 
-// stop closes everything and waits for the goroutines.
+// stop closes the gateway, the nodes and all connections, and waits until all goroutines have ended.
 func (p *player) stop() error {
 	p.mu.Lock()
 	p.closed = true
@@ -176,37 +179,37 @@
 	if p.gateway != nil {
 		errs = append(errs, p.gateway.Close())
 	}
-	// A dial of the gateway that completed while it was closed leaves its socket open (docs/ROADMAP.md,
-	// eventloop.Loop.Dial): the node's side ends it.
+	// If a dial of the gateway completes while the gateway is closing, its socket stays open
+	// (docs/ROADMAP.md, eventloop.Loop.Dial). The node's side therefore closes the connection.
 	for _, c := range p.accepted {
 		closeConn(c)
 	}
-	p.work.Wait()
+	p.goroutines.Wait()
 	return errors.Join(errs...)
 }
 
-// closeConn closes a connection that may be closed already.
+// closeConn closes a connection. It ignores the error, because the connection may be closed already.
 func closeConn(c net.Conn) { _ = c.Close() }
 
-// failf adds a failure.
-func (p *player) failf(format string, args ...any) {
+// addFailure adds a message to the failures of the report.
+func (p *player) addFailure(format string, args ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.failures = append(p.failures, fmt.Sprintf(format, args...))
 }
 
-// report waits for the outcomes that the model checker has.
+// report waits until each request that ends in the model checker has an outcome, and returns the report.
 func (p *player) report(expected []string) (*Report, error) {
 	r := &Report{Expected: expected}
-	for i, want := range expected {
+	for i, expectedOutcome := range expected {
 		outcome := ""
-		if want != "" {
-			ended := func() bool { // reads under the lock: other requests may still end
+		if expectedOutcome != "" {
+			hasOutcome := func() bool { // await holds the lock when it calls this, because other requests may still end
 				outcome = p.outcomes[i+1]
 				return outcome != ""
 			}
-			if err := p.await(ended); err != nil {
-				return nil, fmt.Errorf("request %d has no end: %w", i+1, err)
+			if err := p.await(hasOutcome); err != nil {
+				return nil, fmt.Errorf("request %d has no outcome: %w", i+1, err)
 			}
 		}
 		r.Outcomes = append(r.Outcomes, outcome)
@@ -217,7 +220,8 @@
 	return r, nil
 }
 
-// await waits until a condition on the fields under the lock holds. The condition is called with the lock held.
+// await waits until a condition on the fields that p.mu guards holds. It holds p.mu when it calls the
+// condition.
 func (p *player) await(condition func() bool) error {
 	timedOut := false
 	timer := time.AfterFunc(stepTimeout, func() {
@@ -238,7 +242,8 @@
 	return nil
 }
 
-// awaitGateway waits until a condition on the gateway holds. The condition is called without the lock.
+// awaitGateway polls a condition on the gateway until it holds. It does not hold p.mu when it calls the
+// condition.
 func (p *player) awaitGateway(condition func() bool) error {
 	for end := time.Now().Add(stepTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -248,9 +253,10 @@
 	return nil
 }
 
-// playStep makes a move, and waits until nodes have received the attempts that the model checker's nodes have.
+// playStep makes a move. It then waits until the nodes have received the latest attempt that each request has
+// after this move in the model checker.
 func (p *player) playStep(ctx context.Context, s modelcheck.Step) error {
-	if err := p.move(ctx, s); err != nil {
+	if err := p.makeMove(ctx, s); err != nil {
 		return err
 	}
 	for i, sent := range s.AttemptsSent {
@@ -265,8 +271,8 @@
 	return nil
 }
 
-// move makes a move.
-func (p *player) move(ctx context.Context, s modelcheck.Step) error {
+// makeMove makes one move of the replay, or returns ErrUnsupported if sockets do not allow it.
+func (p *player) makeMove(ctx context.Context, s modelcheck.Step) error {
 	switch s.Move.Kind {
 	case modelcheck.StartRequest:
 		return p.sendRequest(ctx, s.Request)
@@ -274,7 +280,7 @@
 		return p.cancelRequest(s.Request)
 	case modelcheck.CompleteDial, modelcheck.RunLoop0, modelcheck.RunLoop1,
 		modelcheck.FireTimer, modelcheck.AdvanceBefore, modelcheck.AdvanceTo:
-		return nil // the gateway does it by itself
+		return nil // the gateway makes this move by itself
 	case modelcheck.DrainNode:
 		p.updateNode(s.Node, dispatch.Draining)
 		return nil
@@ -287,18 +293,19 @@
 	case modelcheck.ResetConn:
 		return p.resetConn(s)
 	}
-	text, ok := responses[s.Move.Kind]
+	response, ok := responses[s.Move.Kind]
 	if !ok {
 		return ErrUnsupported
 	}
-	c, err := p.connOf(s)
+	c, err := p.connForStep(s)
 	if err != nil {
 		return err
 	}
-	_, err = io.WriteString(c, text)
+	_, err = io.WriteString(c, response)
 	return err
 }
 
+// updateNode reports a new state of a node to the gateway.
 func (p *player) updateNode(name string, state dispatch.NodeState) {
 	p.gateway.UpdateEndpoints(dispatch.Delta, []forwarder.Node{p.endpoint(name, state)})
 }
--- a/lab/schedulereplay/schedulereplay_test.go
+++ b/lab/schedulereplay/schedulereplay_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// Requests have the same outcomes over sockets as in the model checker.
+// TestReplaysOnSockets checks that requests have the same outcomes over sockets as in the model checker.
 func TestReplaysOnSockets(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.replay")
 	if err != nil || len(files) < 5 {
@@ -27,7 +27,7 @@
 				t.Fatal(err)
 			}
 			if !slices.Equal(r.Outcomes, r.Expected) || len(r.Failures) > 0 {
-				t.Fatalf("outcomes %v, in the model checker %v; %v", r.Outcomes, r.Expected, r.Failures)
+				t.Fatalf("got outcomes %v, want those of the model checker, %v; got failures %v, want none", r.Outcomes, r.Expected, r.Failures)
 			}
 		})
 	}
@@ -36,16 +36,17 @@
 func TestUnsupportedMoveIsRejectedWithItsLine(t *testing.T) {
 	replay := "chalkstand-explore 1\nscenario leave\narrive 1\ndial-fail 1\n"
 	_, err := Play(t.Context(), strings.NewReader(replay))
-	if err == nil || !strings.Contains(err.Error(), "line 4: dial-fail 1: cannot be forced") {
+	if err == nil || !strings.Contains(err.Error(), "line 4: dial-fail 1: cannot be reproduced over sockets") {
 		t.Fatal(err)
 	}
 	var step *StepError
 	if !errors.As(err, &step) || step.Line != 4 || !errors.Is(err, ErrUnsupported) {
-		t.Errorf("%#v", err)
+		t.Errorf("got error %#v, want a StepError at line 4 that wraps ErrUnsupported", err)
 	}
 }
 
-// A scenario that begins with a history cannot be played over sockets.
+// TestScenarioWithHistoryIsRejected checks that Play rejects a scenario that begins with a history, because
+// a replay does not contain the history.
 func TestScenarioWithHistoryIsRejected(t *testing.T) {
 	_, err := Play(t.Context(), strings.NewReader("chalkstand-explore 1\nscenario lossy\narrive 4\n"))
 	if !errors.Is(err, ErrUnsupported) || !strings.Contains(err.Error(), "history") {
--- a/lab/schedulereplay/site.go
+++ b/lab/schedulereplay/site.go
@@ -8,14 +8,15 @@
 	"chalkstand/internal/modelcheck"
 )
 
-// The access key of the clients, as in siteText.
+// The clients sign their requests with this access key, which gatewaySettings defines.
 const (
 	keyID  = "FORCED"
 	secret = "forced-secret"
 )
 
-// siteText has one class for each class of the model checker's scenarios.
-const siteText = `{
+// gatewaySettings is the configuration of the gateway. It has one class for each class of the model
+// checker's scenarios that can be replayed.
+const gatewaySettings = `{
 	"name": "forced", "listen": "127.0.0.1:0", "loops": 1, "shards": 1,
 	"keys": [{"id": "FORCED", "secret": "forced-secret", "buckets": ["*"], "write": true}],
 	"classes": [
@@ -36,7 +37,8 @@
 	"log": {"level": "error"},
 }`
 
-// methods maps the scenarios' classes to the methods whose operations have them here.
+// methods maps each class of the scenarios to the HTTP method of an operation that has this class in
+// gatewaySettings.
 var methods = map[string]string{
 	"safe":    http.MethodGet,
 	"keyed":   http.MethodDelete,
@@ -46,7 +48,7 @@
 // streamedBody is the body of a response that a node sends in two parts.
 var streamedBody = strings.Repeat("x", 256<<10)
 
-// responses are the bytes that nodes send, by kind of move.
+// responses holds the bytes that a node sends for each kind of move.
 var responses = map[modelcheck.Kind]string{
 	modelcheck.RespondOK:       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
 	modelcheck.RespondAndClose: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok",
