--- a/lab/mutation/dispatch.go
+++ b/lab/mutation/dispatch.go
@@ -1,6 +1,6 @@
 package mutation
 
-// Files of the dispatcher.
+// These constants name the source files of the dispatcher that the mutants change.
 const (
 	dispatchAttempts  = "dispatch/attempts.go"
 	dispatchEndpoints = "dispatch/endpoints.go"
@@ -9,7 +9,7 @@
 	dispatchRetry     = "dispatch/retry.go"
 )
 
-// dispatchMutants are the mutants of the dispatcher.
+// dispatchMutants lists the mutants of the dispatcher.
 var dispatchMutants = []Mutant{
 	{
 		Name:              "a request is sent to a draining node",
--- a/lab/mutation/forwarder.go
+++ b/lab/mutation/forwarder.go
@@ -1,6 +1,6 @@
 package mutation
 
-// The files with the forwarder's guards.
+// These constants name the source files of the forwarder that the mutants change.
 const (
 	requestsFile  = "forwarder/requests.go"
 	attemptsFile  = "forwarder/attempts.go"
@@ -9,7 +9,7 @@
 	endpointsFile = "forwarder/endpoints.go"
 )
 
-// forwarderMutants are the mutants of the forwarder.
+// forwarderMutants lists the mutants of the forwarder.
 var forwarderMutants = []Mutant{
 	{
 		Name:              "a second attempt while one is in flight",
--- a/lab/mutation/list.go
+++ b/lab/mutation/list.go
@@ -2,5 +2,5 @@
 
 import "slices"
 
-// All returns all mutants.
+// All returns the mutants of the forwarder, the response reader and the dispatcher.
 func All() []Mutant { return slices.Concat(forwarderMutants, readerMutants, dispatchMutants) }
--- a/lab/mutation/mutation_test.go
+++ b/lab/mutation/mutation_test.go
@@ -2,10 +2,11 @@
 
 import "testing"
 
-// minMutants is the least number of mutants that the model checker has to find.
+// minMutants is the minimum number of mutants in the list that the model checker must detect.
 const minMutants = 25
 
-// Every mutant can be applied to the sources as they are: a stale list tests nothing.
+// TestMutantsApply checks that every mutant can be applied to the current sources. A mutant whose
+// text is out of date would test nothing.
 func TestMutantsApply(t *testing.T) {
 	if err := Check("../.."); err != nil {
 		t.Fatal(err)
@@ -17,6 +18,6 @@
 		}
 	}
 	if n < minMutants {
-		t.Errorf("%d mutants that must be found, want %d", n, minMutants)
+		t.Errorf("got %d mutants that the model checker must detect, want at least %d", n, minMutants)
 	}
 }
--- a/lab/mutation/reader.go
+++ b/lab/mutation/reader.go
@@ -1,44 +1,45 @@
 package mutation
 
-const nodeReader = "internal/upstreamhttp/reader.go"
+// readerFile names the source file of the reader of node responses.
+const readerFile = "internal/upstreamhttp/reader.go"
 
-// readerMutants are the mutants of the reader of node connections.
+// readerMutants lists the mutants of the reader of node responses.
 var readerMutants = []Mutant{
 	{
 		Name:              "a second request on a connection",
-		File:              nodeReader,
+		File:              readerFile,
 		From:              "\tif r.state != Idle {\n\t\treturn false\n\t}",
 		To:                "\tif r.state == Broken {\n\t\treturn false\n\t}",
 		EquivalentBecause: "the forwarder sends one at a time: the guard is behind it",
 	},
 	{
 		Name: "a response without a request is accepted",
-		File: nodeReader,
+		File: readerFile,
 		From: `	return r.fail("a response without a request")`,
 		To:   "\treturn Step{Kind: NeedMore, Consumed: len(b)}",
 	},
 	{
 		Name: "bytes after the response do not end the connection",
-		File: nodeReader,
+		File: readerFile,
 		From: "!r.Response.Close && !r.surplus",
 		To:   "!r.Response.Close",
 	},
 	{
 		Name: "the node's Connection: close is ignored",
-		File: nodeReader,
+		File: readerFile,
 		From: "r.state == Complete && !r.Response.Close && !r.surplus",
 		To:   "r.state == Complete && !r.surplus",
 	},
 	{
 		Name:              "a partial response leaves the connection reusable",
-		File:              nodeReader,
+		File:              readerFile,
 		From:              "\t\tr.state = Broken\n\t}\n}\n\n// Break",
 		To:                "\t\tr.state = Idle\n\t}\n}\n\n// Break",
 		EquivalentBecause: "the forwarder closes the connection of a request that ends before its response",
 	},
 	{
 		Name: "a body ends short",
-		File: nodeReader,
+		File: readerFile,
 		From: "\tcase r.remaining == 0:",
 		To:   "\tcase r.remaining <= 8:",
 	},
