--- a/internal/modelcheck/checkend.go
+++ b/internal/modelcheck/checkend.go
@@ -1,6 +1,6 @@
 package modelcheck
 
-// This file checks the states in which no more events can happen.
+// The functions in this file check the states in which no more events can happen.
 
 import (
 	"reflect"
--- a/internal/modelcheck/checker.go
+++ b/internal/modelcheck/checker.go
@@ -65,10 +65,10 @@
 }
 
 // reset discards the history of the previous gateway when the gateway restarts.
-func (k *checker) reset() {
-	k.requestTimes = nil
-	k.retryTimes = nil
-	k.byKey = map[string][]*request{}
+func (c *checker) reset() {
+	c.requestTimes = nil
+	c.retryTimes = nil
+	c.byKey = map[string][]*request{}
 }
 
 // reportViolation records a violation of a rule, unless the checker already has one.
@@ -118,8 +118,8 @@
 }
 
 // markIdleConnsUnusable marks the idle connections to a restarted node as unusable, because
-// they lead to the node's earlier process. It excepts a connection on which the gateway has
-// decided to send a request before the restart.
+// they lead to the node's earlier process. It skips a connection on which the gateway decided,
+// before the restart, to send a request.
 func (w *World) markIdleConnsUnusable(id dispatch.NodeID) {
 	for _, c := range w.conns {
 		if c.node == id && c.open && c.request == nil && !w.sendPending(c) {
--- a/internal/modelcheck/checkresponse.go
+++ b/internal/modelcheck/checkresponse.go
@@ -1,6 +1,6 @@
 package modelcheck
 
-// This file checks the final responses that the gateway gives to clients.
+// The functions in this file check the final responses that the gateway gives to clients.
 
 import (
 	"chalkstand/dispatch"
@@ -30,8 +30,8 @@
 	r.quiescentAt = max(r.quiescentAt, w.now+w.cfg.Dispatch.Quiescence)
 }
 
-// checkForwarded checks that a forwarded response is complete and that its connection carries
-// the request it is forwarded for.
+// checkForwarded checks that a forwarded response is complete and that it came on the connection
+// that carries the request.
 func (w *World) checkForwarded(a forwarder.ForwardResponse, r *request, c *conn) {
 	switch {
 	case c == nil:
@@ -83,7 +83,8 @@
 	}
 }
 
-// checkRejection checks that the client may send a rejected request again.
+// checkRejection checks that the client may safely send a rejected request again, and that the
+// rejection says when.
 func (w *World) checkRejection(r *request, reject forwarder.Reject) {
 	if r.ambiguous && !repeatableByClient(w.class(r)) {
 		w.reportViolation(ruleEffects, "request %d is rejected as safe to retry, though it may have been executed", r.id)
--- a/internal/modelcheck/checksend.go
+++ b/internal/modelcheck/checksend.go
@@ -1,7 +1,7 @@
 package modelcheck
 
-// This file checks the requests that the forwarder sends. The checks cover drains, attempts,
-// repeated execution, the retry budget and the order by key.
+// The functions in this file check the requests that the forwarder sends. The checks cover
+// drains, attempts, repeated execution, the retry budget and the order by key.
 
 import (
 	"slices"
@@ -85,8 +85,8 @@
 
 // checkBudget records a retry and checks that the retries stay within the retry budget.
 func (w *World) checkBudget() {
-	k, budget := &w.checker, w.cfg.Dispatch.RetryBudget
-	k.retryTimes = append(k.retryTimes, w.now)
+	history, budget := &w.checker, w.cfg.Dispatch.RetryBudget
+	history.retryTimes = append(history.retryTimes, w.now)
 	inWindow := func(times []time.Duration) int {
 		count := 0
 		for _, t := range times {
@@ -96,7 +96,7 @@
 		}
 		return count
 	}
-	retries, requests := inWindow(k.retryTimes), inWindow(k.requestTimes)
+	retries, requests := inWindow(history.retryTimes), inWindow(history.requestTimes)
 	if budget.Window > 0 && float64(retries) > budget.MinRetries+budget.Ratio*float64(requests) {
 		w.reportViolation(ruleBudget, "%d retries within %v", retries, budget.Window)
 	}
--- a/internal/modelcheck/coverage.go
+++ b/internal/modelcheck/coverage.go
@@ -57,8 +57,8 @@
 	{"EndpointUpdate", []string{"waiting", "dialing", "inFlight", "streaming", "detached"}},
 }
 
-// EventStages returns every possible pair of an event and the stage of its request, separated
-// by a space.
+// EventStages returns every possible pair of an event and the stage of its request. Each pair has
+// the form "EVENT STAGE".
 func EventStages() []string {
 	var pairs []string
 	for _, e := range eventStages {
--- a/internal/modelcheck/fingerprint.go
+++ b/internal/modelcheck/fingerprint.go
@@ -27,10 +27,10 @@
 const (
 	asDuration       fieldUse = iota + 1 // a length of time, included unchanged
 	relative                             // a point in time, included relative to now
-	relativeIfFuture                     // a point in time, included relative to now; all past times are equal
+	relativeIfFuture                     // a point in time, included relative to now; all past times are encoded alike
 	byRank                               // a number, included as its rank among the numbers of its type
 	presence                             // a point in time in a map, of which the fingerprint includes only the key
-	relativeIfNear                       // a point in time, included relative to now; all times beyond the horizon are equal
+	relativeIfNear                       // a point in time, included relative to now; all times beyond the horizon are encoded alike
 	ignored                              // a field that does not influence the future
 )
 
@@ -62,14 +62,14 @@
 	"modelcheck.checker.retryTimes":   relative,
 
 	"upstreamhttp.Reader.Limits":   ignored,
-	"upstreamhttp.Reader.Response": ignored, // the fields state and scan determine its relevant part
+	"upstreamhttp.Reader.Response": ignored, // the relevant part of a response follows from the fields state and scan
 
 	"forwarder.Forwarder.cfg":         ignored,
 	"forwarder.Forwarder.now":         ignored,
 	"forwarder.Forwarder.lastConnID":  ignored,
 	"forwarder.Forwarder.actions":     ignored,
 	"forwarder.Forwarder.wakeAt":      relativeIfNear,
-	"forwarder.Forwarder.sortedNodes": ignored, // the field nodes determines it
+	"forwarder.Forwarder.sortedNodes": ignored, // the sorted nodes follow from the field nodes
 
 	"forwarder.dispatcherTimer.at": relativeIfNear,
 
@@ -78,7 +78,7 @@
 	"forwarder.request.attemptStartedAt": relative,
 	"forwarder.request.headersAt":        relative,
 	"forwarder.request.ambiguousSince":   relative,
-	"forwarder.request.attribution":      ignored, // the forwarder makes no decision from it
+	"forwarder.request.attribution":      ignored, // no decision of the forwarder depends on the attribution
 
 	"forwarder.node.occupancyHistory": ignored,
 
@@ -117,7 +117,7 @@
 
 	"dispatch.Node.Started": relative,
 
-	"dispatch.Request.Timeout": ignored, // the dispatcher reads it only when the request arrives
+	"dispatch.Request.Timeout": ignored, // the dispatcher uses the timeout only when the request arrives
 
 	"dispatch.request.class":            ignored,
 	"dispatch.request.sequence":         byRank,
@@ -126,16 +126,16 @@
 	"dispatch.request.objectiveAt":      relativeIfFuture,
 	"dispatch.request.ambiguousSince":   relative,
 	"dispatch.request.queueTime":        ignored,
-	"dispatch.request.blockedAtEnqueue": ignored, // only accounting uses this field and queueTime
+	"dispatch.request.blockedAtEnqueue": ignored, // only the accounting uses this field and queueTime
 
 	"dispatch.volume.plan":             ignored,
 	"dispatch.volume.tokensUpdatedAt":  relative,
 	"dispatch.volume.reserveUpdatedAt": relative,
-	"dispatch.volume.lastSeen":         ignored, // the dispatcher reads it only to forget a volume after 30 s without requests
+	"dispatch.volume.lastSeen":         ignored, // the dispatcher uses this time only to forget a volume after 30 s without requests
 
 	"dispatch.node.delay":                ignored,
-	"dispatch.node.secondsPerUnit":       ignored, // nodeLatency writes this learned value separately
-	"dispatch.node.completions":          ignored, // it raises the concurrency limit only at 20 or more responses per second
+	"dispatch.node.secondsPerUnit":       ignored, // the function nodeLatency writes this learned value separately
+	"dispatch.node.completions":          ignored, // completions raise the concurrency limit only at 20 or more responses per second
 	"dispatch.node.lastSentAt":           relative,
 	"dispatch.node.lastUnansweredSentAt": relative,
 	"dispatch.node.lastPromptSentAt":     relative,
@@ -147,7 +147,7 @@
 	"dispatch.node.blockedAt":            ignored,
 	"dispatch.node.blockedByEjection":    ignored,
 	"dispatch.node.slowStartTime":        ignored,
-	"dispatch.node.ejectedTime":          ignored, // only accounting uses it
+	"dispatch.node.ejectedTime":          ignored, // only the accounting uses this field
 
 	"dispatch.decayingSum.updatedAt": relative,
 
@@ -178,7 +178,7 @@
 	"timerqueue.timerHeap": {"at", "seq"}, "dispatch.flowHeap": {"startTag"},
 }
 
-// fingerprinter takes fingerprints of the worlds of one scenario. It is not safe for
+// fingerprinter computes the fingerprints of the worlds of one scenario. It is not safe for
 // concurrent use.
 type fingerprinter struct {
 	exact             bool            // if false, learned values are rounded to two digits
@@ -186,14 +186,14 @@
 	tightestObjective time.Duration   // the lowest latency objective of all classes
 	types             map[reflect.Type]*typeInfo
 
-	// The remaining fields hold the state of the fingerprint in progress.
+	// The fields below hold the state of the fingerprint that is being computed.
 	now      time.Duration
 	buf      []byte
 	pointers map[uintptr]uint64 // numbers each pointer, by its address, in the order of the walk
 	ranks    map[string][]rankedValue
 }
 
-// rankedValue is a value that the fingerprint replaces by its rank.
+// rankedValue is a number that a fingerprint replaces by its rank among the numbers of its type.
 type rankedValue struct {
 	value  uint64
 	offset int // position in the buffer where the rank is written
@@ -293,8 +293,8 @@
 	return uint64(w.firstArrival + w.scenario.arrivalWindow - w.now)
 }
 
-// writeRanks writes the ranks of the ranked values into the places that the walk reserved in
-// the buffer.
+// writeRanks writes the rank of each ranked value into the place that the walk reserved for it
+// in the buffer.
 func (p *fingerprinter) writeRanks() {
 	for _, values := range p.ranks {
 		slices.SortStableFunc(values, func(a, b rankedValue) int { return cmp.Compare(a.value, b.value) })
--- a/internal/modelcheck/loop.go
+++ b/internal/modelcheck/loop.go
@@ -10,8 +10,8 @@
 	"chalkstand/internal/upstreamhttp"
 )
 
-// This file simulates the gateway's event loops. It does with the world's connections what the
-// real event loops do with sockets.
+// The functions in this file simulate the gateway's event loops. They use the world's
+// connections in place of sockets.
 
 // noLoop is the origin of the events that come from no event loop, which are those of the
 // timer and of discovery.
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// scenario returns the scenario with a name, or fails the test if there is none.
+// scenario returns the scenario with the given name, and fails the test if there is none.
 func scenario(t *testing.T, name string) Scenario {
 	t.Helper()
 	s, err := ScenarioByName(name)
--- a/internal/modelcheck/move.go
+++ b/internal/modelcheck/move.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Kind is a kind of move.
+// Kind is the kind of a move, for example the arrival of a request or the reset of a connection.
 type Kind uint8
 
 // These constants are the kinds of moves that can happen in a world.
@@ -103,13 +103,13 @@
 	return names
 }
 
-// kindByName returns the kind of move with a name, and false if no kind has that name.
+// kindByName returns the kind of move with the given name, and false if no kind has that name.
 func kindByName(name string) (Kind, bool) {
 	i := slices.Index(kindNames(), name)
 	return Kind(max(i, 0)), i >= 0
 }
 
-// Move is one event in a world.
+// Move is one event in a world, for example the arrival of a certain request.
 type Move struct {
 	Kind Kind
 	// Target is the number of a request or connection, or the index of a node in the scenario.
--- a/internal/modelcheck/moves.go
+++ b/internal/modelcheck/moves.go
@@ -155,15 +155,16 @@
 	}
 }
 
-// sortedConns returns the open connections and those being dialed, ordered by their IDs.
+// sortedConns returns all connections, including those still being dialed, in the order of
+// their IDs.
 func (w *World) sortedConns() []*conn {
 	return slices.SortedFunc(maps.Values(w.conns), func(a, b *conn) int { return cmp.Compare(a.id, b.id) })
 }
 
 // onlyResponses reports whether all pending actions of an event loop are responses to clients
 // that involve no connection. Performing these actions at once commutes with every other move,
-// because no move that can happen before them depends on the state that they change. The
-// exception is a client that cancels in between. The model treats its response as delivered.
+// because no move that can happen before them depends on the state that they change. Only a
+// client may cancel in between, and the model treats its response as already delivered.
 func onlyResponses(queue []forwarder.Action) bool {
 	for _, a := range queue {
 		switch a.(type) {
--- a/internal/modelcheck/scenario.go
+++ b/internal/modelcheck/scenario.go
@@ -49,9 +49,9 @@
 	// configure changes the default settings of the gateway. If it is nil, the defaults apply.
 	configure func(*forwarder.Config)
 
-	// prepare gives the gateway a history before the search starts. It serves scenarios in
-	// which the gateway must learn from more moves than a search is deep. If it is nil, the
-	// gateway has no history.
+	// prepare gives the gateway a history before the search starts. It is for behavior that the
+	// gateway learns only from more moves than a search can cover. If it is nil, the gateway has
+	// no history.
 	prepare func(*World)
 }
 
@@ -76,7 +76,8 @@
 // not contain this history.
 func (s *Scenario) HasHistory() bool { return s.prepare != nil }
 
-// ScenarioByName returns the scenario with a name, or an error that lists all names.
+// ScenarioByName returns the scenario with the given name. If there is none, it returns an error
+// that lists all names.
 func ScenarioByName(name string) (Scenario, error) {
 	all := Scenarios()
 	i := slices.IndexFunc(all, func(s Scenario) bool { return s.Name == name })
@@ -119,8 +120,8 @@
 	return requests
 }
 
-// Nodes returns the names of the scenario's nodes. The value of a name says whether the node is
-// in the endpoint list from the start.
+// Nodes returns a map from the name of each node in the scenario to whether the endpoint list
+// has the node from the start.
 func (s *Scenario) Nodes() map[string]bool {
 	nodes := map[string]bool{}
 	for _, n := range s.nodes {
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -52,30 +52,30 @@
 	if o.Workers <= 0 {
 		o.Workers = runtime.GOMAXPROCS(0)
 	}
-	e := &searcher{scenario: &s, options: o, result: Result{Scenario: s.Name, Complete: true}}
+	search := &searcher{scenario: &s, options: o, result: Result{Scenario: s.Name, Complete: true}}
 	if o.Coverage {
-		e.result.Coverage = NewCoverage()
+		search.result.Coverage = NewCoverage()
 	}
-	e.known.add(newFingerprinter(o.Exact).fingerprint(newWorld(&s)))
+	search.known.add(newFingerprinter(o.Exact).fingerprint(newWorld(&s)))
 	frontier := []*searchNode{{}}
-	for len(frontier) > 0 && e.result.Violation == nil {
-		if ctx.Err() != nil || o.MaxStates > 0 && e.known.len() >= o.MaxStates {
-			e.result.Complete = false
+	for len(frontier) > 0 && search.result.Violation == nil {
+		if ctx.Err() != nil || o.MaxStates > 0 && search.known.len() >= o.MaxStates {
+			search.result.Complete = false
 			break
 		}
-		frontier = e.expandAll(ctx, frontier)
+		frontier = search.expandAll(ctx, frontier)
 		if len(frontier) > 0 {
-			e.result.Depth++
+			search.result.Depth++
 		}
 		if o.Progress != nil {
-			o.Progress(e.result.Depth, e.known.len())
+			o.Progress(search.result.Depth, search.known.len())
 		}
 	}
-	if e.result.Violation != nil || ctx.Err() != nil {
-		e.result.Complete = false
+	if search.result.Violation != nil || ctx.Err() != nil {
+		search.result.Complete = false
 	}
-	e.result.States = e.known.len()
-	return e.result
+	search.result.States = search.known.len()
+	return search.result
 }
 
 // searchNode represents a state by its parent and the move that first led to it. The root has
@@ -132,7 +132,7 @@
 	known    stateSet
 
 	mu     sync.Mutex
-	result Result // mu guards it while workers run
+	result Result // mu guards the result while workers run
 }
 
 // batchSize is the number of states that a worker claims at a time.
@@ -140,14 +140,14 @@
 
 // expandAll takes every possible move from each state of one depth. It returns the states that
 // the search has not seen before.
-func (e *searcher) expandAll(ctx context.Context, frontier []*searchNode) []*searchNode {
-	next := make([][]*searchNode, e.options.Workers)
+func (s *searcher) expandAll(ctx context.Context, frontier []*searchNode) []*searchNode {
+	next := make([][]*searchNode, s.options.Workers)
 	var taken atomic.Int64
 	var wg sync.WaitGroup
-	for i := range e.options.Workers {
+	for i := range s.options.Workers {
 		wg.Go(func() {
-			w := &worker{searcher: e, fingerprinter: newFingerprinter(e.options.Exact)}
-			if e.options.Coverage {
+			w := &worker{searcher: s, fingerprinter: newFingerprinter(s.options.Exact)}
+			if s.options.Coverage {
 				w.coverage = NewCoverage()
 			}
 			defer w.merge()
@@ -187,7 +187,7 @@
 	}
 }
 
-// expand takes every possible move from a state, appends the new states to next and returns it.
+// expand takes every possible move from a state, and returns next with the new states appended.
 // It rebuilds the state from its path for each move, because the code under test cannot copy
 // its state.
 func (w *worker) expand(n *searchNode, next []*searchNode) []*searchNode {
--- a/internal/modelcheck/statewalk.go
+++ b/internal/modelcheck/statewalk.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// This file walks over a state by reflection. The walk writes the relevant parts of the state
-// to a fingerprinter's buffer.
+// The functions in this file walk over a state by reflection and write its relevant parts to a
+// fingerprinter's buffer.
 
 // These marks precede the values in the buffer.
 const (
@@ -117,7 +117,7 @@
 	}
 }
 
-// u64 writes a number of 8 bytes.
+// u64 writes a number as 8 bytes.
 func (p *fingerprinter) u64(v uint64) { p.buf = binary.LittleEndian.AppendUint64(p.buf, v) }
 
 // bool writes a boolean as one byte.
--- a/internal/modelcheck/walk.go
+++ b/internal/modelcheck/walk.go
@@ -53,8 +53,8 @@
 	return s
 }
 
-// largeRequest returns the request with an index in a large scenario. The class, shard, event
-// loop and kind of body alternate with the index.
+// largeRequest returns request i of a large scenario. The class, shard, event loop and kind of
+// body alternate from one request to the next.
 func largeRequest(i, shards int) requestSpec {
 	r := requestSpec{
 		class: i % len(classNames),
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -205,7 +205,7 @@
 // class returns the settings of a request's class.
 func (w *World) class(r *request) *dispatch.Class { return &w.cfg.Dispatch.Classes[r.class] }
 
-// requestByID returns the request with an ID, or nil if there is none.
+// requestByID returns the request with the given ID, or nil if there is none.
 func (w *World) requestByID(id dispatch.RequestID) *request {
 	for _, r := range w.requests {
 		if r.id == id {
