--- a/lab/schedulereplay/schedulereplay.go
+++ b/lab/schedulereplay/schedulereplay.go
@@ -1,9 +1,9 @@
 // Package schedulereplay plays the model checker's replays over sockets. It runs a real gateway on the
 // loopback address, with clients and nodes that act in the order of the replay. The model checker plays
-// the replay, too. It tells which request, connection or node each move refers to, and how each request must
-// end. No step waits for a fixed time. The gateway opens connections and fires timers by itself, and a
-// later move that depends on such an event waits for it. Play rejects a replay with moves that cannot be
-// made over sockets.
+// the same replay. It determines which request, connection or node each move refers to, and how each
+// request must end. No step waits for a fixed time. The gateway opens connections and fires timers by
+// itself, and a later move that depends on such an event waits for it. Play rejects a replay with moves
+// that cannot be made over sockets.
 package schedulereplay
 
 import (
@@ -204,7 +204,7 @@
 	for i, expectedOutcome := range expected {
 		outcome := ""
 		if expectedOutcome != "" {
-			hasOutcome := func() bool { // await holds the lock when it calls this, because other requests may still end
+			hasOutcome := func() bool { // await calls it with the lock held, because other requests may still end
 				outcome = p.outcomes[i+1]
 				return outcome != ""
 			}
