--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -78,7 +78,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if r := Search(ctx, scenario(t, "window"), Options{}); r.Complete || r.States != 1 {
-		t.Error(r)
+		t.Errorf("canceled search: got %v, want an incomplete search with 1 state", r)
 	}
 }
 
@@ -157,6 +157,6 @@
 		w.apply(m)
 	}
 	if v := w.checker.violation; v != nil {
-		t.Fatal(v)
+		t.Fatalf("random walk violates rule %v", v)
 	}
 }
--- a/internal/modelcheck/replay_test.go
+++ b/internal/modelcheck/replay_test.go
@@ -67,19 +67,19 @@
 	s := scenario(t, "turn")
 	path, v := Walk(s, 5, 40, nil)
 	if v != nil || len(path) < 10 {
-		t.Fatal(v, len(path))
+		t.Fatalf("random walk: got violation %v after %d moves, want none and at least 10 moves", v, len(path))
 	}
 	var replay strings.Builder
 	if err := WriteReplay(&replay, s, path); err != nil {
 		t.Fatal(err)
 	}
 	if v, err := Play(strings.NewReader(replay.String()), nil); v != nil || err != nil {
-		t.Fatal(v, err)
+		t.Fatalf("playing the written replay: got violation %v and error %v, want neither", v, err)
 	}
 	var source strings.Builder
 	err := GoTest(&source, s, path, &Violation{Rule: ruleOrder, Message: "as an example"})
 	if err != nil || !strings.Contains(source.String(), "func TestTurn") ||
 		!strings.Contains(source.String(), replay.String()) {
-		t.Fatal(err, source.String())
+		t.Fatalf("GoTest: got error %v and the source below, want TestTurn with the replay\n%s", err, source.String())
 	}
 }
--- a/lab/schedulereplay/schedulereplay_test.go
+++ b/lab/schedulereplay/schedulereplay_test.go
@@ -13,7 +13,7 @@
 func TestReplaysOnSockets(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.replay")
 	if err != nil || len(files) < 5 {
-		t.Fatal(files, err)
+		t.Fatalf("replays in testdata: got %v and error %v, want at least 5 replays", files, err)
 	}
 	for _, f := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(f), ".replay"), func(t *testing.T) {
@@ -37,7 +37,7 @@
 	replay := "chalkstand-explore 1\nscenario leave\narrive 1\ndial-fail 1\n"
 	_, err := Play(t.Context(), strings.NewReader(replay))
 	if err == nil || !strings.Contains(err.Error(), "line 4: dial-fail 1: cannot be reproduced over sockets") {
-		t.Fatal(err)
+		t.Fatalf("replay with an unsupported move: got error %v, want one with its line", err)
 	}
 	var step *StepError
 	if !errors.As(err, &step) || step.Line != 4 || !errors.Is(err, ErrUnsupported) {
@@ -50,6 +50,6 @@
 func TestScenarioWithHistoryIsRejected(t *testing.T) {
 	_, err := Play(t.Context(), strings.NewReader("chalkstand-explore 1\nscenario lossy\narrive 4\n"))
 	if !errors.Is(err, ErrUnsupported) || !strings.Contains(err.Error(), "history") {
-		t.Error(err)
+		t.Errorf("replay of a scenario with a history: got error %v, want ErrUnsupported that names the history", err)
 	}
 }
