--- a/internal/testkit/content.go
+++ b/internal/testkit/content.go
@@ -6,23 +6,24 @@
 	"testing"
 )
 
-// RandomBytes returns n pseudorandom bytes that depend on the seed's low 16 bits alone.
+// RandomBytes returns n pseudorandom bytes. Two seeds with the same low 16 bits give the same bytes.
 func RandomBytes(seed uint64, n int) []byte {
 	b := make([]byte, n)
 	source := rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8)})
-	_, _ = source.Read(b) // never fails
+	_, _ = source.Read(b) // ChaCha8.Read never returns an error
 	return b
 }
 
-// CheckEqual fails the test when two contents differ.
+// CheckEqual stops the test if got and want differ. The failure message names the content by the text in what.
 func CheckEqual(tb testing.TB, what string, got, want []byte) {
 	tb.Helper()
 	if !bytes.Equal(got, want) {
-		tb.Fatalf("%s: %d bytes, not the %d bytes wanted", what, len(got), len(want))
+		tb.Fatalf("%s: content differs: got %d bytes, want %d bytes", what, len(got), len(want))
 	}
 }
 
-// Must returns a function that returns v, and fails the test when err is not nil.
+// Must takes the two results of a call. The function that it returns stops the test if err is not nil, and
+// returns v otherwise: Must(os.ReadFile(name))(t).
 func Must[T any](v T, err error) func(testing.TB) T {
 	return func(tb testing.TB) T {
 		tb.Helper()
--- a/internal/testkit/http.go
+++ b/internal/testkit/http.go
@@ -15,23 +15,23 @@
 	Status int
 	Header http.Header
 	Body   []byte
-	Close  bool // the gateway closes the connection after it
+	Close  bool // whether the gateway closes the connection after this response
 }
 
-// String returns the status and the beginning of the body, for error messages.
+// String returns the status and the first 1000 characters of the body, for failure messages.
 func (r Response) String() string {
 	return fmt.Sprintf("%d %s: %.1000s", r.Status, http.StatusText(r.Status), r.Body)
 }
 
-// Stream is an HTTP response whose body the test reads as it comes.
+// Stream is an HTTP response whose body has not been read yet.
 type Stream struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
 }
 
-// NewRequest returns a request to the gateway, signed with the test key, whose payload is unsigned. The path
-// may have a query.
+// NewRequest returns a request to the gateway that is signed with KeyID and Secret. The signature does not
+// cover the payload. The path may include a query string.
 func (s *Site) NewRequest(method, path string, body io.Reader) *http.Request {
 	s.tb.Helper()
 	r, err := s.signedRequest(method, path, nil, body)
@@ -41,7 +41,8 @@
 	return r
 }
 
-// Do sends a signed request with an unsigned payload and returns its response.
+// Do sends a request to the gateway, signed as by NewRequest, and returns the response. If the exchange fails,
+// Do stops the test.
 func (s *Site) Do(method, path string, header http.Header, body io.Reader) Response {
 	s.tb.Helper()
 	resp, err := s.TryDo(method, path, header, body)
@@ -51,7 +52,8 @@
 	return resp
 }
 
-// TryDo is Do for goroutines of a test, which may not end it.
+// TryDo is like Do, but returns the error. Goroutines that a test starts use TryDo, because only the test's own
+// goroutine may stop the test.
 func (s *Site) TryDo(method, path string, header http.Header, body io.Reader) (Response, error) {
 	r, err := s.signedRequest(method, path, header, body)
 	if err != nil {
@@ -60,8 +62,8 @@
 	return RoundTrip(http.DefaultTransport, r)
 }
 
-// OpenStream sends a signed GET and returns its response once its header is there. The body is closed at the
-// end of the test at the latest.
+// OpenStream sends a signed GET request and returns the response as soon as the response header has arrived.
+// The test may close the body; otherwise the body is closed at the end of the test.
 func (s *Site) OpenStream(path string) Stream {
 	s.tb.Helper()
 	stream, err := s.TryOpenStream(path)
@@ -71,7 +73,8 @@
 	return stream
 }
 
-// TryOpenStream is OpenStream for goroutines of a test, which may not end it.
+// TryOpenStream is like OpenStream, but returns the error. Goroutines that a test starts use TryOpenStream,
+// because only the test's own goroutine may stop the test.
 func (s *Site) TryOpenStream(path string) (Stream, error) {
 	r, err := s.signedRequest(http.MethodGet, path, nil, nil)
 	if err != nil {
@@ -82,11 +85,12 @@
 		return Stream{}, err
 	}
 	s.tb.Cleanup(func() {
-		_ = resp.Body.Close() // may have been closed by the test
+		_ = resp.Body.Close() // the test may have closed the body already
 	})
 	return Stream{Status: resp.StatusCode, Header: resp.Header, Body: resp.Body}, nil
 }
 
+// signedRequest returns a request with the given header, signed with KeyID and Secret at the current time.
 func (s *Site) signedRequest(method, path string, header http.Header, body io.Reader) (*http.Request, error) {
 	r, err := http.NewRequestWithContext(s.tb.Context(), method, "http://"+s.Addr+path, body)
 	if err != nil {
@@ -97,8 +101,8 @@
 	return r, nil
 }
 
-// RoundTrip sends a request and reads its response. The response has a status also where its body could not
-// be read to the end.
+// RoundTrip sends a request and reads the whole response. If reading the body fails, RoundTrip returns the
+// error together with the status, the header and the part of the body read so far.
 func RoundTrip(transport http.RoundTripper, r *http.Request) (Response, error) {
 	resp, err := transport.RoundTrip(r)
 	if err != nil {
@@ -107,7 +111,7 @@
 	return readResponse(resp)
 }
 
-// Get returns the response to an unsigned GET of a URL.
+// Get sends a GET request for a URL without an Authorization header and returns the response.
 func Get(tb testing.TB, url string) Response {
 	tb.Helper()
 	r, err := http.NewRequestWithContext(tb.Context(), http.MethodGet, url, nil)
@@ -125,7 +129,7 @@
 	return got
 }
 
-// ReadResponse reads a response from a connection.
+// ReadResponse reads one HTTP response from a connection and stops the test if that fails.
 func ReadResponse(tb testing.TB, r *bufio.Reader) Response {
 	tb.Helper()
 	resp, err := http.ReadResponse(r, nil)
@@ -139,19 +143,20 @@
 	return got
 }
 
-// readResponse reads a response's body to its end and closes it. With an error it returns what was read.
+// readResponse reads a response's body to its end and closes it. If reading fails, readResponse returns the
+// error together with the part of the body read so far.
 func readResponse(resp *http.Response) (Response, error) {
 	body, err := io.ReadAll(resp.Body)
 	if closeErr := resp.Body.Close(); err == nil {
 		err = closeErr
 	}
 	if err != nil {
-		err = fmt.Errorf("body of the response with status %d: %w", resp.StatusCode, err)
+		err = fmt.Errorf("read body of response with status %d: %w", resp.StatusCode, err)
 	}
 	return Response{Status: resp.StatusCode, Header: resp.Header, Body: body, Close: resp.Close}, err
 }
 
-// ReadAll reads a body to its end and closes it.
+// ReadAll reads a body to its end, closes it and returns its content.
 func ReadAll(tb testing.TB, body io.ReadCloser) []byte {
 	tb.Helper()
 	b, err := io.ReadAll(body)
--- a/internal/testkit/settings.go
+++ b/internal/testkit/settings.go
@@ -1,4 +1,5 @@
-// Package testkit starts gateways with fake storage nodes on loopback, and sends them requests, for tests.
+// Package testkit provides helpers for tests: it starts gateways and fake storage nodes on loopback addresses,
+// and sends requests to the gateways.
 package testkit
 
 import (
@@ -7,21 +8,22 @@
 	"chalkstand/internal/settings"
 )
 
-// The access key of the test settings that may read and write every bucket.
+// KeyID and Secret are the access key that may read and write every bucket under Settings.
 const (
 	KeyID  = "TESTKEY"
 	Secret = "test-secret-key"
 )
 
-// Settings returns the settings of a gateway with the given number of shards.
+// Settings returns the settings of a test gateway with the given number of shards.
 func Settings(shards int) settings.Settings {
 	s, err := settings.Parse("testkit", fmt.Appendf(nil, settingsFormat, shards))
 	if err != nil {
-		panic(err) // the text is constant
+		panic(err) // settingsFormat is constant, so an error is a mistake in this package
 	}
 	return *s
 }
 
+// settingsFormat is the text of the settings, with a placeholder for the number of shards.
 const settingsFormat = `{
 	"name": "gw", "listen": "127.0.0.1:0", "domains": ["localhost"], "loops": 2, "shards": %d,
 	"keys": [
--- a/internal/testkit/site.go
+++ b/internal/testkit/site.go
@@ -22,22 +22,23 @@
 
 const (
 	loopbackAnyPort = "127.0.0.1:0"
-	dedupWindow     = 30 * time.Second // of the nodes: that of the settings' classes
+	dedupWindow     = 30 * time.Second // the nodes' deduplication window, equal to "window" in settingsFormat
 )
 
-// Site is a gateway on loopback with a fake storage node for each shard.
+// Site is a gateway on loopback with one or more fake storage nodes for each shard.
 type Site struct {
 	Gateway *gateway.Gateway
-	Addr    string // of the gateway, host:port
-	Data    []*storagenode.Dataset
-	Nodes   []*storagenode.Node
-	Epoch   time.Time // zero of the times in the nodes' logs
+	Addr    string                 // the gateway's address, as host:port
+	Data    []*storagenode.Dataset // the stored objects of each shard
+	Nodes   []*storagenode.Node    // all nodes, in the order in which they were started
+	Epoch   time.Time              // the nodes' logs give times as durations since Epoch
 
 	tb testing.TB
 }
 
-// Start starts a site, which is stopped at the end of the test. configureNode, unless it is nil, is called
-// with each node's shard and configuration before the node starts.
+// Start starts a site with one node for each shard, and stops it at the end of the test. Before a node starts,
+// Start passes its shard and its configuration to configureNode, which may change the configuration.
+// configureNode may be nil.
 func Start(
 	tb testing.TB,
 	s settings.Settings,
@@ -63,7 +64,7 @@
 	return site
 }
 
-// Serve has a gateway serve a loopback port until the end of the test, and returns its address.
+// Serve makes a gateway serve on a loopback port until the end of the test, and returns the gateway's address.
 func Serve(tb testing.TB, g *gateway.Gateway) string {
 	tb.Helper()
 	ln, err := gateway.Listen(loopbackAnyPort)
@@ -83,7 +84,8 @@
 	return addr
 }
 
-// AddNode starts a node of a shard and adds it to the gateway's endpoints.
+// AddNode starts a node for a shard and reports it to the gateway as a ready endpoint. Before the node starts,
+// AddNode passes the configuration to configure, which may be nil.
 func (s *Site) AddNode(id string, shard int, configure func(shard int, c *storagenode.Config)) *storagenode.Node {
 	s.tb.Helper()
 	cfg := storagenode.Config{ID: id, Shard: shard, DedupWindow: dedupWindow, Seed: uint64(shard)}
@@ -100,7 +102,7 @@
 	return n
 }
 
-// SetNodeState updates a node's state in the gateway's endpoints.
+// SetNodeState reports a node's new state to the gateway.
 func (s *Site) SetNodeState(n *storagenode.Node, shard int, state dispatch.NodeState) {
 	s.Gateway.UpdateEndpoints(dispatch.Delta, []forwarder.Node{{
 		Addr: n.Addr(),
@@ -108,7 +110,8 @@
 	}})
 }
 
-// Log returns the requests that reached the nodes, node by node.
+// Log returns the log entries of all requests that reached a node, first those of Nodes[0], then those of
+// Nodes[1], and so on.
 func (s *Site) Log() []storagenode.LogEntry {
 	var all []storagenode.LogEntry
 	for _, n := range s.Nodes {
@@ -117,7 +120,8 @@
 	return all
 }
 
-// AWSClient returns an unmodified aws-sdk-go-v2 client with its default settings.
+// AWSClient returns an aws-sdk-go-v2 client of the gateway. The client has the SDK's default settings except
+// for the endpoint, the region, path-style URLs and the access key.
 func (s *Site) AWSClient() *s3.Client {
 	return s3.New(s3.Options{
 		BaseEndpoint: aws.String("http://" + s.Addr),
@@ -127,13 +131,13 @@
 	})
 }
 
-// MinioClient returns an unmodified minio-go client with its default settings.
+// MinioClient returns a minio-go client of the gateway with minio-go's default settings.
 func (s *Site) MinioClient() *minio.Client {
 	s.tb.Helper()
 	return NewMinioClient(s.tb, s.Addr)
 }
 
-// NewMinioClient returns an unmodified minio-go client of the gateway, or proxy, at addr.
+// NewMinioClient returns a minio-go client with default settings of the gateway or proxy at addr.
 func NewMinioClient(tb testing.TB, addr string) *minio.Client {
 	tb.Helper()
 	c, err := minio.New(addr, &minio.Options{Creds: miniocredentials.NewStaticV4(KeyID, Secret, "")})
@@ -143,13 +147,15 @@
 	return c
 }
 
-// Dial opens a connection to the gateway that is closed at the end of the test at the latest.
+// Dial opens a TCP connection to the gateway. The test may close the connection; otherwise it is closed at the
+// end of the test.
 func (s *Site) Dial() net.Conn {
 	s.tb.Helper()
 	return Dial(s.tb, s.Addr)
 }
 
-// Dial opens a TCP connection that is closed at the end of the test at the latest.
+// Dial opens a TCP connection to addr. The test may close the connection; otherwise it is closed at the end of
+// the test.
 func Dial(tb testing.TB, addr string) net.Conn {
 	tb.Helper()
 	var d net.Dialer
@@ -158,7 +164,7 @@
 		tb.Fatal(err)
 	}
 	tb.Cleanup(func() {
-		_ = c.Close() // may have been closed by the test
+		_ = c.Close() // the test may have closed the connection already
 	})
 	return c
 }
