--- a/internal/testfd/testfd.go
+++ b/internal/testfd/testfd.go
@@ -1,5 +1,6 @@
-// Package testfd counts the descriptors of the test process, to show that none is leaked. Its tests must not run in
-// parallel with others of their package.
+// Package testfd counts the open file descriptors of the test process, so that tests can detect descriptor
+// leaks. A test that uses this package must not run in parallel with other tests of its own package, because
+// the count includes the descriptors that those tests open.
 package testfd
 
 import (
@@ -8,10 +9,10 @@
 	"time"
 )
 
-// awaitLimit is how long Await waits for descriptors that are closed in the background.
-const awaitLimit = 10 * time.Second
+// awaitTimeout limits how long Await waits for goroutines that close descriptors in the background.
+const awaitTimeout = 10 * time.Second
 
-// Count returns how many descriptors the process has.
+// Count returns the number of open file descriptors of the process.
 func Count(tb testing.TB) int {
 	tb.Helper()
 	entries, err := os.ReadDir("/proc/self/fd")
@@ -21,12 +22,13 @@
 	return len(entries)
 }
 
-// Await waits until the process has no more descriptors than before, and fails the test otherwise.
+// Await waits until the process has at most as many open file descriptors as before, an earlier result of
+// Count. Await stops the test if that takes longer than awaitTimeout.
 func Await(tb testing.TB, before int) {
 	tb.Helper()
-	for deadline := time.Now().Add(awaitLimit); Count(tb) > before; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(awaitTimeout); Count(tb) > before; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			tb.Fatalf("%d descriptors, %d before", Count(tb), before)
+			tb.Fatalf("open file descriptors: got %d, want at most %d", Count(tb), before)
 		}
 	}
 }
