--- a/internal/e2e/bench_test.go
+++ b/internal/e2e/bench_test.go
@@ -17,13 +17,14 @@
 )
 
 const (
-	benchBodySize   = 4 << 10  // bytes of the object that a benchmark reads
-	benchBufferSize = 64 << 10 // bytes; more than a request, or than a response
-	benchWarmUp     = 100      // requests before those that are measured
+	benchBodySize   = 4 << 10  // bytes in the object that the benchmark reads
+	benchBufferSize = 64 << 10 // bytes; larger than any request or response of the benchmark
+	benchWarmUp     = 100      // requests that the benchmark sends before it starts to measure
 )
 
-// BenchmarkGet reads a 4 KiB object through a gateway and one node connection. Its allocations are those of
-// the gateway for one request. "accounts" is with latency attribution.
+// BenchmarkGet reads a 4 KiB object through a gateway and one node connection. The reported allocations are
+// those of the gateway for one request, because the benchmark's client and node allocate nothing for a request.
+// The sub-benchmark "accounts" runs with latency attribution, "plain" without.
 func BenchmarkGet(b *testing.B) {
 	b.Run("plain", func(b *testing.B) { benchmarkGet(b, false) })
 	b.Run("accounts", func(b *testing.B) { benchmarkGet(b, true) })
@@ -43,7 +44,7 @@
 			b.Error(err)
 		}
 	})
-	nodeAddr := startFixedNode(b, benchResponse())
+	nodeAddr := startFixedResponseNode(b, benchResponse())
 	g.UpdateEndpoints(dispatch.Snapshot, []forwarder.Node{{Addr: nodeAddr, Node: dispatch.Node{ID: "n"}}})
 	c := newBenchClient(b, kit.Serve(b, g))
 	for range benchWarmUp {
@@ -59,7 +60,7 @@
 	}
 }
 
-// benchResponse returns the node's response with an object and a load report.
+// benchResponse returns the node's response, which has a load report in its header and an object as its body.
 func benchResponse() []byte {
 	header := "HTTP/1.1 200 OK\r\n" +
 		"Content-Type: image/jpeg\r\n" +
@@ -69,9 +70,9 @@
 	return append([]byte(header), make([]byte, benchBodySize)...)
 }
 
-// startFixedNode starts a node that sends the same response to each request and allocates nothing for it, so
-// that a benchmark counts the gateway's allocations. It returns the node's address.
-func startFixedNode(b *testing.B, response []byte) string {
+// startFixedResponseNode starts a node that sends the same response to every request, and returns the node's
+// address. The node allocates nothing for a request, so that a benchmark counts only the gateway's allocations.
+func startFixedResponseNode(b *testing.B, response []byte) string {
 	b.Helper()
 	var lc net.ListenConfig
 	ln, err := lc.Listen(b.Context(), "tcp", "127.0.0.1:0")
@@ -91,7 +92,8 @@
 	return ln.Addr().String()
 }
 
-// serveFixedResponse responds to each request, none of which has a body, until the connection ends.
+// serveFixedResponse writes the response once for each request, until the connection ends. Requests must not
+// have a body.
 func serveFixedResponse(c net.Conn, response []byte) {
 	defer c.Close()
 	headerEnd := []byte("\r\n\r\n")
@@ -116,7 +118,7 @@
 	}
 }
 
-// benchClient sends the same request again and again, and allocates nothing for it.
+// benchClient sends the same request repeatedly on one connection, without allocating memory for a request.
 type benchClient struct {
 	conn     net.Conn
 	request  []byte
@@ -137,12 +139,12 @@
 	}
 }
 
-// get sends the request and reads the response.
+// get sends the request and reads the whole response.
 func (c *benchClient) get() error {
 	if _, err := c.conn.Write(c.request); err != nil {
 		return err
 	}
-	size := 0 // of the response; unknown before its header is complete
+	size := 0 // of the whole response; 0 until the response header is complete
 	for received := 0; size == 0 || received < size; {
 		n, err := c.conn.Read(c.buf[received:])
 		if err != nil {
@@ -159,15 +161,15 @@
 	return nil
 }
 
-// responseSize returns the size of the response that begins with what has been received, 0 if its header is
-// not complete.
+// responseSize returns the size of a response, header included, given the bytes received so far. If these bytes
+// do not hold the whole header, responseSize returns 0.
 func (c *benchClient) responseSize(received []byte) (int, error) {
 	headerSize, _ := c.parser.ParseResponse(received, http1.DefaultLimits, http.MethodGet, &c.response)
 	if headerSize <= 0 {
 		return 0, nil
 	}
 	if c.response.Status != http.StatusOK {
-		return 0, fmt.Errorf("status %d", c.response.Status)
+		return 0, fmt.Errorf("response to GET has status %d, expected 200", c.response.Status)
 	}
 	return headerSize + int(c.response.Length), nil
 }
--- a/internal/e2e/checksum_test.go
+++ b/internal/e2e/checksum_test.go
@@ -16,11 +16,13 @@
 	kit "chalkstand/internal/testkit"
 )
 
-// bodySizes are of a body that the gateway buffers before it sends it to a node, and of one that it streams.
+// bodySizes holds two body sizes in bytes. The gateway buffers a whole body of the first size before it sends the
+// body to a node, and streams a body of the second size.
 var bodySizes = []int{100, 300_000}
 
-// A body that does not match its digest is rejected and does not replace the object.
-func TestWrongDigestsAreNotStored(t *testing.T) {
+// TestBodyWithWrongDigestIsNotStored checks that the gateway rejects a body that does not match the digest in the
+// request header, and that the rejected body does not replace the stored object.
+func TestBodyWithWrongDigestIsNotStored(t *testing.T) {
 	site := kit.Start(t, kit.Settings(1), nil)
 	b := createBucket(t, site, "photos")
 	md5OfOther := md5.Sum([]byte("something else"))
@@ -41,15 +43,16 @@
 			body := bytes.NewReader(kit.RandomBytes(8, n))
 			resp := site.Do(http.MethodPut, "/photos/k", http.Header{tt.header: {tt.value}}, body)
 			if resp.Status != http.StatusBadRequest || !strings.Contains(string(resp.Body), tt.code) {
-				t.Errorf("%s, %d bytes: %v", tt.name, n, resp)
+				t.Errorf("%s, body of %d bytes: got response %v, want status 400 and the listed error code", tt.name, n, resp)
 			}
 		}
 		b.checkContent(t, "k", stored)
 	}
 }
 
-// Only the gateway checks the hash that a signature covers: a node that got the whole body would store it.
-func TestBodyUnlikeSignedHashIsNotStored(t *testing.T) {
+// TestBodyWithWrongSignedHashIsNotStored checks that the gateway rejects a body whose hash differs from the signed
+// hash. Nodes do not check the signed hash, so a node that received the whole body would store the body.
+func TestBodyWithWrongSignedHashIsNotStored(t *testing.T) {
 	site := kit.Start(t, kit.Settings(1), nil)
 	createBucket(t, site, "photos")
 	for _, n := range bodySizes {
@@ -58,30 +61,31 @@
 		resp := kit.Must(kit.RoundTrip(&http.Transport{}, r))(t)
 		rejected := resp.Status == http.StatusBadRequest
 		if !rejected || !strings.Contains(string(resp.Body), "XAmzContentSHA256Mismatch") {
-			t.Errorf("%d bytes: %v", n, resp)
+			t.Errorf("body of %d bytes: got response %v, want status 400 and XAmzContentSHA256Mismatch", n, resp)
 		}
 	}
 	waitFor(t, "the node is idle", func() bool { return site.Nodes[0].Idle() })
 	checkStoredObjects(t, site, "photos", 0)
 }
 
-// An upload with signed chunks of which a byte was changed on its way is rejected and not stored.
+// TestModifiedSignedChunkIsNotStored checks that the gateway rejects an upload with signed chunks if one byte
+// changes between client and gateway, and that no object is stored.
 func TestModifiedSignedChunkIsNotStored(t *testing.T) {
 	site := kit.Start(t, kit.Settings(1), nil)
 	createBucket(t, site, "photos")
-	m := kit.NewMinioClient(t, startModifyingProxy(t, site.Addr)) // signs each chunk over plain HTTP
+	m := kit.NewMinioClient(t, startModifyingProxy(t, site.Addr)) // minio-go signs each chunk over plain HTTP
 	for _, n := range []int{40_000, 500_000} {
 		t.Run(fmt.Sprint(n, " bytes"), func(t *testing.T) {
 			if err := putWithMinio(t, m, "photos", "k", kit.RandomBytes(1, n)); err == nil {
-				t.Fatal("a modified body was accepted")
+				t.Fatal("PUT of a body modified in transit: got no error, want an error")
 			}
 		})
 	}
 	checkStoredObjects(t, site, "photos", 0)
 }
 
-// startModifyingProxy starts a TCP proxy that flips a bit of what clients send, and returns its address. It
-// ends with the test.
+// startModifyingProxy starts a TCP proxy to target that flips one bit in the data of each client, and returns the
+// proxy's address. The proxy stops at the end of the test.
 func startModifyingProxy(t *testing.T, target string) string {
 	t.Helper()
 	var lc net.ListenConfig
@@ -99,7 +103,7 @@
 			server, err := d.DialContext(t.Context(), "tcp", target)
 			if err != nil {
 				client.Close()
-				if t.Context().Err() == nil { // the test has not ended
+				if t.Context().Err() == nil { // the test is still running
 					t.Error(err)
 				}
 				return
@@ -110,7 +114,7 @@
 			})
 			conns.Go(func() {
 				defer client.Close()
-				_, _ = io.Copy(client, server) // either side may end the connection
+				_, _ = io.Copy(client, server) // copies until either side closes its connection
 			})
 			conns.Go(func() {
 				defer server.Close()
@@ -126,7 +130,7 @@
 	return ln.Addr().String()
 }
 
-// copyModified copies until either connection ends, and flips a bit of the byte at modifiedOffset.
+// copyModified copies data until either connection ends, and flips one bit of the byte at modifiedOffset.
 func copyModified(to io.Writer, from io.Reader) {
 	const modifiedOffset = 20_000
 	buf := make([]byte, 32<<10)
--- a/internal/e2e/concurrency_test.go
+++ b/internal/e2e/concurrency_test.go
@@ -15,10 +15,10 @@
 	kit "chalkstand/internal/testkit"
 )
 
-// Clients that disconnect while their request is queued, in flight or half sent leave no request behind, and
-// an incomplete body is not stored.
+// TestClientDisconnects checks that the gateway drops a request whose client disconnects while the request is
+// queued, in flight or half sent. Incomplete bodies must not be stored.
 func TestClientDisconnects(t *testing.T) {
-	const clients = 40 // more than may be in flight at once: some are queued
+	const clients = 40 // more than the gateway sends to a node at once, so that some requests are queued
 	site := kit.Start(t, kit.Settings(1), func(_ int, c *storagenode.Config) {
 		c.Cores = 1
 		c.Queue = 100
@@ -39,16 +39,16 @@
 	for _, c := range conns {
 		c.Close()
 	}
-	disconnectInBody(t, site, "/photos/half", 1000, nil)      // buffered: the node gets nothing
-	disconnectInBody(t, site, "/photos/half", 1<<20, arrived) // streamed
+	disconnectInBody(t, site, "/photos/half", 1000, nil)      // the gateway buffers this body and sends nothing
+	disconnectInBody(t, site, "/photos/half", 1<<20, arrived) // the gateway streams this body
 	waitUntilIdle(t, site)
 	resp := site.Do(http.MethodGet, "/photos/half", nil, nil)
-	checkStatus(t, "after incomplete bodies", resp, http.StatusNotFound)
+	checkStatus(t, "GET after incomplete uploads", resp, http.StatusNotFound)
 	checkAttemptsAreUnique(t, site.Log())
 }
 
-// disconnectInBody sends a PUT without the second half of its body of n bytes, and closes the connection: at
-// once, or when the request has reached the node if arrived is not nil.
+// disconnectInBody sends a PUT request with only the first half of its body of n bytes, and then closes the
+// connection. If arrived is not nil, disconnectInBody first waits until the request has reached the node.
 func disconnectInBody(t *testing.T, site *kit.Site, path string, n int, arrived <-chan storagenode.LogEntry) {
 	t.Helper()
 	text := requestText(t, site, http.MethodPut, path, strings.NewReader(strings.Repeat("x", n)))
@@ -67,7 +67,8 @@
 	}
 }
 
-// Writes of one key by two clients are executed one after the other, each of them whole.
+// TestConcurrentWritesOfOneKeyAreSerialized checks that the node executes the writes of two clients to one key one
+// after the other, and that the object always holds the whole body of one write.
 func TestConcurrentWritesOfOneKeyAreSerialized(t *testing.T) {
 	const size = 10_000
 	site := kit.Start(t, kit.Settings(1), func(_ int, c *storagenode.Config) {
@@ -83,7 +84,7 @@
 			for range 30 {
 				resp, err := site.TryDo(http.MethodPut, "/photos/k", nil, bytes.NewReader(body))
 				if err != nil || resp.Status != http.StatusOK {
-					t.Errorf("%v, %v", resp, err)
+					t.Errorf("PUT /photos/k: got response %v and error %v, want status 200", resp, err)
 				}
 			}
 		})
@@ -92,23 +93,25 @@
 	checkWritesDoNotOverlap(t, site.Nodes[0].Log(), "/photos/k")
 	got := site.Do(http.MethodGet, "/photos/k", nil, nil).Body
 	if len(got) != size || bytes.Count(got, got[:1]) != len(got) {
-		t.Fatal("the object is a mixture of two writes")
+		t.Fatal("GET /photos/k: got a mixture of two writes or a wrong size, want the body of one write")
 	}
 }
 
-// checkWritesDoNotOverlap checks a log, which is in the order of arrival.
+// checkWritesDoNotOverlap checks that each write to path arrived at the node after the writes before it had ended.
+// The log must be in the order of arrival.
 func checkWritesDoNotOverlap(t *testing.T, log []storagenode.LogEntry, path string) {
 	t.Helper()
 	for i, a := range log {
 		for _, b := range log[i+1:] {
 			if a.Path == path && b.Path == path && b.Arrived < a.Ended {
-				t.Fatalf("writes overlap: one from %v to %v, one from %v", a.Arrived, a.Ended, b.Arrived)
+				t.Fatalf("writes overlap: first write from %v to %v, next write from %v", a.Arrived, a.Ended, b.Arrived)
 			}
 		}
 	}
 }
 
-// Draining completes the requests in flight and accepts no further connections.
+// TestDrainCompletesRequestsInFlight checks that a draining gateway completes the requests in flight and accepts no
+// further connections.
 func TestDrainCompletesRequestsInFlight(t *testing.T) {
 	const requests = 8
 	site := kit.Start(t, kit.Settings(1), func(_ int, c *storagenode.Config) {
@@ -125,11 +128,11 @@
 			path := fmt.Sprint("/photos/k", i)
 			resp, err := site.TryDo(http.MethodPut, path, nil, strings.NewReader("x"))
 			if err != nil || resp.Status != http.StatusOK {
-				t.Errorf("%s, in flight when draining started: %v, %v", path, resp, err)
+				t.Errorf("PUT %s in flight during drain: got response %v and error %v, want status 200", path, resp, err)
 			}
 		})
 	}
-	waitFor(t, "all requests in flight", func() bool { return site.Gateway.InFlight() == requests })
+	waitFor(t, "all requests are in flight", func() bool { return site.Gateway.InFlight() == requests })
 	<-arrived
 	ctx, stop := context.WithTimeout(t.Context(), 10*time.Second)
 	defer stop()
@@ -140,6 +143,6 @@
 	d := net.Dialer{Timeout: time.Second}
 	if c, err := d.DialContext(t.Context(), "tcp", site.Addr); err == nil {
 		c.Close()
-		t.Error("a connection was accepted after draining")
+		t.Error("dial after the drain: the gateway accepted the connection, want an error")
 	}
 }
--- a/internal/e2e/fairshare_test.go
+++ b/internal/e2e/fairshare_test.go
@@ -18,11 +18,12 @@
 	kit "chalkstand/internal/testkit"
 )
 
-const largeSize = 2 << 20 // of the object "large" in each bucket of startContended
+const largeSize = 2 << 20 // bytes in the object "large" of each bucket that startContendedSite creates
 
-// startContended starts a site with one event loop, where responses contend for the node's link every few
-// bytes. It has the buckets photos and loans. change, unless it is nil, changes the settings.
-func startContended(t *testing.T, change func(*settings.Settings), opts ...gateway.Option) *kit.Site {
+// startContendedSite starts a site whose single event loop streams one response at a time from the node and ends
+// each grant after 16 KiB, so that concurrent responses take turns often. The buckets photos and loans each hold the
+// object "large". The function change may edit the settings and may be nil.
+func startContendedSite(t *testing.T, change func(*settings.Settings), opts ...gateway.Option) *kit.Site {
 	t.Helper()
 	s := kit.Settings(1)
 	s.Loops = 1
@@ -40,26 +41,26 @@
 	return site
 }
 
-// bucketContent returns n bytes that tell the objects of different buckets apart.
+// bucketContent returns n bytes that differ from bucket to bucket, so that a test notices data of another bucket.
 func bucketContent(bucket string, n int) []byte {
 	return bytes.Repeat([]byte(bucket+" line seven, "), n/len(bucket)+1)[:n]
 }
 
-// checkLarge reads a bucket's large object.
-func checkLarge(t *testing.T, what string, site *kit.Site, bucket string) {
+// checkLargeObject reads a bucket's object "large" and checks its content.
+func checkLargeObject(t *testing.T, what string, site *kit.Site, bucket string) {
 	t.Helper()
 	resp := site.Do(http.MethodGet, "/"+bucket+"/large", nil, nil)
 	kit.CheckEqual(t, what, resp.Body, bucketContent(bucket, largeSize))
 }
 
-// Responses that contend for a node are whole, while other clients disconnect in the middle of theirs, while
-// waiting for a grant, or do not read.
+// TestContendingStreamsAreWhole checks that responses that contend for a node arrive whole. Meanwhile, other clients
+// disconnect in the middle of a response, disconnect while their response waits for a grant, or do not read.
 func TestContendingStreamsAreWhole(t *testing.T) {
 	const (
 		clients         = 24
-		disconnectEvery = 3 // each third client disconnects
+		disconnectEvery = 3 // every third client disconnects
 	)
-	site := startContended(t, nil)
+	site := startContendedSite(t, nil)
 	sendWithoutReading(t, site, "/photos/large")
 	var readers sync.WaitGroup
 	for i := range clients {
@@ -75,7 +76,8 @@
 	readers.Wait()
 }
 
-// sendWithoutReading sends a GET on a connection with a small receive buffer that nobody reads.
+// sendWithoutReading sends a GET request and never reads the response. The connection has a small receive buffer, so
+// that the response blocks early.
 func sendWithoutReading(t *testing.T, site *kit.Site, path string) {
 	t.Helper()
 	c := site.Dial()
@@ -87,49 +89,54 @@
 	}
 }
 
-// checkDisconnectInStream reads the first bytes of a large object. It may be called in any goroutine.
+// checkDisconnectInStream reads the first 100 KiB of a bucket's object "large" and then disconnects. Any goroutine
+// may call checkDisconnectInStream.
 func checkDisconnectInStream(t *testing.T, site *kit.Site, bucket string) {
 	t.Helper()
 	resp, err := site.TryOpenStream("/" + bucket + "/large")
 	if err != nil {
-		t.Errorf("%s: %v", bucket, err)
+		t.Errorf("GET of the large object in %s: %v", bucket, err)
 		return
 	}
 	defer resp.Body.Close()
 	if _, err := io.CopyN(io.Discard, resp.Body, 100<<10); err != nil {
-		t.Errorf("%s: %v", bucket, err)
+		t.Errorf("read the start of the large object in %s: %v", bucket, err)
 	}
 }
 
-// checkStream reads a large object. It may be called in any goroutine.
+// checkStream reads a bucket's object "large" and checks its content. Any goroutine may call checkStream.
 func checkStream(t *testing.T, site *kit.Site, bucket string) {
 	t.Helper()
 	resp, err := site.TryDo(http.MethodGet, "/"+bucket+"/large", nil, nil)
 	if err != nil || resp.Status != http.StatusOK || !bytes.Equal(resp.Body, bucketContent(bucket, largeSize)) {
-		t.Errorf("%s: status %d, %d bytes, %v", bucket, resp.Status, len(resp.Body), err)
+		t.Errorf("GET of the large object in %s: got status %d, %d bytes and error %v, want the whole object",
+			bucket, resp.Status, len(resp.Body), err)
 	}
 }
 
-// A response whose node stalls after it has yielded to others is aborted, and the others continue meanwhile.
+// TestStalledStreamIsAborted checks that the gateway aborts a response whose node stalls after the response has given
+// up its grant to other responses. The other responses must continue meanwhile.
 func TestStalledStreamIsAborted(t *testing.T) {
-	site := startContended(t, func(s *settings.Settings) {
+	site := startContendedSite(t, func(s *settings.Settings) {
 		s.Limits.ClientBody = settings.Duration(500 * time.Millisecond)
 	})
 	site.Nodes[0].Inject(storagenode.Fault{Kind: storagenode.StallInResponse, Count: 1, For: 20 * time.Second})
 	resp := site.OpenStream("/photos/large")
 	for range 3 {
-		checkLarge(t, "beside a stalled response", site, "loans")
+		checkLargeObject(t, "GET beside a stalled response", site, "loans")
 	}
 	if b, err := io.ReadAll(resp.Body); err == nil {
-		t.Errorf("%d bytes without an error", len(b))
+		t.Errorf("stalled response: got %d bytes and no error, want an error", len(b))
 	}
 }
 
-// A volume's byte rate limit paces bodies in both directions and aborts none. Other volumes are not paced.
+// TestByteRateLimitPacesBodies checks that a volume's byte rate limit slows down bodies in both directions and aborts
+// none of them. The limit must not apply to other volumes.
 func TestByteRateLimitPacesBodies(t *testing.T) {
-	// (2 - 0.5) MiB at 8 MiB a second, less one scheduling slice.
+	// The burst of 0.5 MiB passes at once, so the limit applies to (2 - 0.5) MiB at 8 MiB per second. The bound is
+	// lower than that time by one scheduling slice.
 	const minElapsed = 170 * time.Millisecond
-	site := startContended(t, func(s *settings.Settings) {
+	site := startContendedSite(t, func(s *settings.Settings) {
 		s.Plans[0].MiBPerSecond = 8
 		s.Plans[0].MiBBurst = 0.5
 	})
@@ -146,53 +153,54 @@
 		resp := site.Do(tt.method, "/photos/large", nil, tt.body)
 		elapsed := time.Since(start)
 		if resp.Status != http.StatusOK {
-			t.Fatalf("%s: status %d, %d bytes", tt.method, resp.Status, len(resp.Body))
+			t.Fatalf("%s: got status %d with %d bytes, want status 200", tt.method, resp.Status, len(resp.Body))
 		}
 		if tt.method == http.MethodGet {
 			kit.CheckEqual(t, tt.method, resp.Body, tt.want)
 		}
 		if elapsed < minElapsed {
-			t.Errorf("%s took %v, at least %v", tt.method, elapsed, minElapsed)
+			t.Errorf("%s at the byte rate limit took %v, want at least %v", tt.method, elapsed, minElapsed)
 		}
 	}
-	checkLarge(t, "another volume", site, "loans")
+	checkLargeObject(t, "GET from another volume", site, "loans")
 }
 
-// A request of a volume at its byte rate limit that would wait too long is rejected with a retry time.
+// TestByteRateLimitRejects checks that the gateway rejects a request with Retry-After if the request's volume is at
+// its byte rate limit and the request would have to wait longer than share.max_wait.
 func TestByteRateLimitRejects(t *testing.T) {
-	site := startContended(t, func(s *settings.Settings) {
+	site := startContendedSite(t, func(s *settings.Settings) {
 		s.Plans[0].MiBPerSecond = 0.5
 		s.Plans[0].MiBBurst = 0.125
 		s.Share.MaxWait = settings.Duration(time.Millisecond)
 	})
-	long := site.OpenStream("/photos/large") // keeps its volume at the limit
+	longResponse := site.OpenStream("/photos/large") // keeps the volume photos at its limit
 	var reader sync.WaitGroup
 	reader.Go(func() {
-		_, _ = io.Copy(io.Discard, long.Body) // until it is closed
+		_, _ = io.Copy(io.Discard, longResponse.Body) // copies until the test closes the body
 	})
 	defer reader.Wait()
-	defer long.Body.Close()
+	defer longResponse.Body.Close()
 	for range 200 {
 		resp := site.Do(http.MethodHead, "/photos/large", nil, nil)
 		if resp.Status != http.StatusServiceUnavailable {
 			continue
 		}
 		if resp.Header.Get("Retry-After") == "" {
-			t.Error("rejected without Retry-After")
+			t.Error("HEAD at the byte rate limit: got a rejection without Retry-After, want one with it")
 		}
 		other := site.Do(http.MethodHead, "/loans/large", nil, nil)
 		if other.Status != http.StatusOK {
-			t.Errorf("another volume: %v", other)
+			t.Errorf("HEAD from another volume: got %v, want status 200", other)
 		}
 		return
 	}
-	t.Error("no request over the limit was rejected")
+	t.Error("200 HEAD requests at the byte rate limit: got no rejection, want at least one")
 }
 
-// Requests that wait for their volume's byte rate are no sign of an overloaded event loop: they are paced, not
-// rejected.
+// TestRateLimitedVolumeIsNotOverloaded checks that the gateway delays requests that wait for their volume's byte
+// rate limit, and does not reject them. Such a wait is no sign of an overloaded event loop.
 func TestRateLimitedVolumeIsNotOverloaded(t *testing.T) {
-	site := startContended(t, func(s *settings.Settings) {
+	site := startContendedSite(t, func(s *settings.Settings) {
 		s.Plans[0].MiBPerSecond = 4
 		s.Plans[0].MiBBurst = 0.125
 		s.Share.Overload.Target = settings.Duration(10 * time.Millisecond)
@@ -206,7 +214,7 @@
 			for range 3 {
 				resp, err := site.TryDo(http.MethodGet, "/photos/k", nil, nil)
 				if err != nil || resp.Status != http.StatusOK {
-					t.Errorf("status %d, %v", resp.Status, err)
+					t.Errorf("GET at the byte rate limit: got status %d and error %v, want status 200", resp.Status, err)
 				}
 			}
 		})
@@ -214,22 +222,24 @@
 	clients.Wait()
 }
 
-// Scheduling in order of arrival, which is there for comparison, serves reads and writes.
+// TestArrivalOrderScheduling checks that the gateway serves reads and writes when it schedules responses in the order
+// of arrival. This order exists for comparison with fair scheduling.
 func TestArrivalOrderScheduling(t *testing.T) {
-	site := startContended(t, func(s *settings.Settings) { s.Share.Order = "arrival" })
+	site := startContendedSite(t, func(s *settings.Settings) { s.Share.Order = "arrival" })
 	for i := range 3 {
-		checkLarge(t, fmt.Sprint("read ", i), site, "loans")
+		checkLargeObject(t, fmt.Sprint("read ", i), site, "loans")
 	}
 	resp := site.Do(http.MethodPut, "/photos/small", nil, strings.NewReader("x"))
 	checkStatus(t, "PUT", resp, http.StatusOK)
 }
 
-// A body that the gateway itself paces for longer than the timeout of bodies does not time out.
+// TestRateLimitedBodyDoesNotTimeOut checks that a body does not time out if the gateway's own rate limit delays the
+// body for longer than the body timeout.
 func TestRateLimitedBodyDoesNotTimeOut(t *testing.T) {
-	site := startContended(t, func(s *settings.Settings) {
+	site := startContendedSite(t, func(s *settings.Settings) {
 		s.Plans[0].MiBPerSecond = 0.0625
 		s.Plans[0].MiBBurst = 0.001
-		s.Share.Quantum = 16 << 10 // a quarter of a second at this rate
+		s.Share.Quantum = 16 << 10 // takes a quarter of a second at this rate
 		s.Limits.ClientBody = settings.Duration(50 * time.Millisecond)
 		s.Share.MaxWait = settings.Duration(time.Minute)
 	})
@@ -241,32 +251,33 @@
 	checkStatus(t, "PUT", resp, http.StatusOK)
 }
 
-// Usage is counted by volume, over all event loops.
+// TestVolumeUsage checks that the gateway adds up a volume's usage over all event loops.
 func TestVolumeUsage(t *testing.T) {
 	const reads = 4
-	site := startContended(t, func(s *settings.Settings) { s.Loops = 2 })
+	site := startContendedSite(t, func(s *settings.Settings) { s.Loops = 2 })
 	for range reads {
 		site.Do(http.MethodGet, "/photos/large", nil, nil)
 	}
 	for _, u := range site.Gateway.VolumeUsage() {
 		if u.Volume == "photos" {
 			if u.Bytes < reads*largeSize || u.LoopTime <= 0 || u.Weight != 1 {
-				t.Errorf("%+v after %d bytes", u, reads*largeSize)
+				t.Errorf("usage of photos: got %+v, want weight 1, some loop time and at least %d bytes", u, reads*largeSize)
 			}
 			return
 		}
 	}
-	t.Error("no usage of photos")
+	t.Error("VolumeUsage: got no entry for photos, want one")
 }
 
-// A read whose size was estimated is charged for its actual size once the response header tells it, and for
-// what the gateway received where its client disconnects before the end.
+// TestActualSizeIsCharged checks the cost corrections of reads whose size the gateway had to estimate. The response
+// header states the actual size, which the gateway then charges. If the client disconnects before the end of the
+// response, the gateway charges only the bytes received from the node.
 func TestActualSizeIsCharged(t *testing.T) {
 	const (
-		estimate   = 1 + 1.0/16 // cost of a read of unknown size: one unit, and one each MiB
-		cost2MiB   = 1 + 2.0
-		cost12MiB  = 1 + 12.0
-		hugeObject = 12 << 20 // bytes
+		estimate  = 1 + 1.0/16 // cost of a read of unknown size: one unit, and one unit per MiB of the assumed 64 KiB
+		cost2MiB  = 1 + 2.0
+		cost12MiB = 1 + 12.0
+		hugeSize  = 12 << 20 // bytes
 	)
 	corrections := make(chan float64, 16)
 	trace := gateway.WithTrace(func(_ time.Duration, ev dispatch.Event, _ []dispatch.Action) {
@@ -274,14 +285,14 @@
 			corrections <- c.Units
 		}
 	})
-	site := startContended(t, nil, trace)
+	site := startContendedSite(t, nil, trace)
 	knownSize := http.Header{"Range": {"bytes=0-200000"}}
 	site.Do(http.MethodGet, "/photos/large", knownSize, nil)
 	site.Do(http.MethodGet, "/photos/large", nil, nil)
 	if got := <-corrections; got != cost2MiB-estimate {
-		t.Errorf("correction by %g units, want %g", got, cost2MiB-estimate)
+		t.Errorf("cost correction for 2 MiB: got %g units, want %g", got, cost2MiB-estimate)
 	}
-	site.Data[0].Store("photos", "huge", bucketContent("photos", hugeObject))
+	site.Data[0].Store("photos", "huge", bucketContent("photos", hugeSize))
 	resp := site.OpenStream("/photos/huge")
 	if _, err := io.CopyN(io.Discard, resp.Body, 100<<10); err != nil {
 		t.Error(err)
@@ -289,6 +300,7 @@
 	resp.Body.Close()
 	atHeader, atDisconnect := <-corrections, <-corrections
 	if atHeader != cost12MiB-estimate || atDisconnect >= 0 || atDisconnect < 1-cost12MiB {
-		t.Errorf("corrections by %g and %g units for a client that disconnected", atHeader, atDisconnect)
+		t.Errorf("client disconnects while reading 12 MiB: got corrections of %g units at the response header and %g units "+
+			"at the disconnect, want the full size first and then a partial refund", atHeader, atDisconnect)
 	}
 }
--- a/internal/e2e/fixture_test.go
+++ b/internal/e2e/fixture_test.go
@@ -1,5 +1,5 @@
-// Package e2e tests a gateway on loopback sockets, with real clients and with requests written byte by
-// byte, and compares what nodes and clients saw.
+// Package e2e tests a gateway end to end on loopback sockets. The tests send requests with real client libraries or
+// byte by byte, and check the responses and the requests that reach the storage nodes.
 package e2e
 
 import (
@@ -23,12 +23,12 @@
 )
 
 const (
-	connTimeout = 10 * time.Second // of the connections that tests read and write themselves
-	waitTimeout = 10 * time.Second // of waitFor
-	waitPoll    = time.Millisecond
+	connTimeout  = 10 * time.Second // deadline of connections that tests read and write byte by byte
+	waitTimeout  = 10 * time.Second // longest wait in waitFor
+	waitInterval = time.Millisecond // pause between two checks in waitFor
 )
 
-// testBucket is a bucket and an SDK client with which a test uses it.
+// testBucket is a bucket together with the SDK client that a test uses to access the bucket.
 type testBucket struct {
 	*s3.Client
 	name string
@@ -47,7 +47,7 @@
 	t.Helper()
 	in := &s3.PutObjectInput{Bucket: &b.name, Key: &key, Body: bytes.NewReader(body)}
 	if _, err := b.PutObject(t.Context(), in); err != nil {
-		t.Fatalf("put %s: %v", key, err)
+		t.Fatalf("PUT %s: %v", key, err)
 	}
 }
 
@@ -55,7 +55,7 @@
 	t.Helper()
 	out, err := b.GetObject(t.Context(), &s3.GetObjectInput{Bucket: &b.name, Key: &key})
 	if err != nil {
-		t.Fatalf("get %s: %v", key, err)
+		t.Fatalf("GET %s: %v", key, err)
 	}
 	return kit.ReadAll(t, out.Body)
 }
@@ -69,7 +69,7 @@
 	return aws.String(b.name + "/" + key)
 }
 
-// deleteObjects deletes several objects with one request.
+// deleteObjects deletes the objects with the given keys in one request.
 func (b testBucket) deleteObjects(t *testing.T, keys []string) *s3.DeleteObjectsOutput {
 	t.Helper()
 	var ids []types.ObjectIdentifier
@@ -80,7 +80,7 @@
 	return kit.Must(b.DeleteObjects(t.Context(), in))(t)
 }
 
-// errorCode returns the code of an error response, and the text of any other error.
+// errorCode returns the code of an S3 error response, or the text of an error of another kind.
 func errorCode(err error) string {
 	var e smithy.APIError
 	if errors.As(err, &e) {
@@ -92,11 +92,11 @@
 func checkErrorCode(t *testing.T, err error, want string) {
 	t.Helper()
 	if errorCode(err) != want {
-		t.Errorf("%v, want the error code %s", err, want)
+		t.Errorf("got error %v, want error code %s", err, want)
 	}
 }
 
-// putWithMinio puts an object with one request of minio-go.
+// putWithMinio puts an object with minio-go in a single request, without a multipart upload.
 func putWithMinio(t *testing.T, m *minio.Client, bucket, key string, body []byte) error {
 	t.Helper()
 	ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
@@ -106,16 +106,16 @@
 	return err
 }
 
-// checkStatus fails the test when a response has another status.
+// checkStatus stops the test if the status of the response is not the wanted status.
 func checkStatus(t *testing.T, what string, resp kit.Response, want int) {
 	t.Helper()
 	if resp.Status != want {
-		t.Fatalf("%s: %v, want status %d", what, resp, want)
+		t.Fatalf("%s: got response %v, want status %d", what, resp, want)
 	}
 }
 
-// exchangeRaw sends text on a connection of its own and returns all that comes back until the gateway
-// closes it.
+// exchangeRaw opens a new connection and sends text. It returns all bytes that the gateway sends until the gateway
+// closes the connection.
 func exchangeRaw(t *testing.T, site *kit.Site, text string) string {
 	t.Helper()
 	c := site.Dial()
@@ -128,12 +128,12 @@
 	}
 	b, err := io.ReadAll(c)
 	if err != nil {
-		t.Fatalf("after %q: %v", b, err)
+		t.Fatalf("read from the gateway after %q: %v", b, err)
 	}
 	return string(b)
 }
 
-// requestText returns the bytes of a signed request.
+// requestText returns a signed request in the form in which a client sends it.
 func requestText(t *testing.T, site *kit.Site, method, path string, body io.Reader) []byte {
 	t.Helper()
 	var b bytes.Buffer
@@ -143,7 +143,7 @@
 	return b.Bytes()
 }
 
-// headerText returns header lines as they are sent.
+// headerText returns the header lines in the form in which a client sends them.
 func headerText(t *testing.T, h http.Header) string {
 	t.Helper()
 	var b bytes.Buffer
@@ -153,22 +153,22 @@
 	return b.String()
 }
 
-// waitFor polls until a condition holds, and fails the test when it does not within waitTimeout.
+// waitFor calls holds repeatedly until it returns true, and stops the test if that takes longer than waitTimeout.
 func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(waitPoll) {
+	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(waitInterval) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not after %v", what, waitTimeout)
+			t.Fatalf("wait until %s: condition does not hold after %v", what, waitTimeout)
 		}
 	}
 }
 
 func waitUntilIdle(t *testing.T, site *kit.Site) {
 	t.Helper()
-	waitFor(t, "no request in flight", func() bool { return site.Gateway.InFlight() == 0 })
+	waitFor(t, "no request is in flight", func() bool { return site.Gateway.InFlight() == 0 })
 }
 
-// checkAttemptsAreUnique checks that no attempt of a request reached nodes twice.
+// checkAttemptsAreUnique checks that no attempt of a request reached the nodes twice.
 func checkAttemptsAreUnique(t *testing.T, log []storagenode.LogEntry) {
 	t.Helper()
 	type attemptID struct {
@@ -179,24 +179,25 @@
 	for _, e := range log {
 		id := attemptID{request: e.Request, attempt: e.Attempt}
 		if seen[id] {
-			t.Errorf("request %d: attempt %d reached nodes twice", id.request, id.attempt)
+			t.Errorf("request %d: attempt %d reached the nodes twice, want once", id.request, id.attempt)
 		}
 		seen[id] = true
 	}
 }
 
-// checkStoredObjects checks how many objects the site's first shard holds of a bucket.
+// checkStoredObjects checks how many objects of a bucket the site's first shard stores.
 func checkStoredObjects(t *testing.T, site *kit.Site, bucket string, want int) {
 	t.Helper()
 	if n := site.Data[0].Objects(bucket); n != want {
-		t.Errorf("%d objects stored, want %d", n, want)
+		t.Errorf("objects stored in shard 0: got %d, want %d", n, want)
 	}
 }
 
-// checkNothingReachedNodes checks that no request has reached a node since there were so many.
+// checkNothingReachedNodes checks that the nodes' logs still hold as many requests as before, an earlier length of
+// site.Log().
 func checkNothingReachedNodes(t *testing.T, site *kit.Site, before int) {
 	t.Helper()
 	if log := site.Log(); len(log) != before {
-		t.Fatalf("%d requests reached a node, the last one %+v", len(log)-before, log[len(log)-1])
+		t.Fatalf("%d requests reached a node, want none; the last one: %+v", len(log)-before, log[len(log)-1])
 	}
 }
--- a/internal/e2e/flowcontrol_test.go
+++ b/internal/e2e/flowcontrol_test.go
@@ -13,7 +13,8 @@
 	kit "chalkstand/internal/testkit"
 )
 
-// The gateway does not buffer a large response while its client does not read.
+// TestSlowReaderIsNotBuffered checks that the gateway buffers only a small part of a large response while the client
+// does not read.
 func TestSlowReaderIsNotBuffered(t *testing.T) {
 	const (
 		readFirst   = 1000
@@ -29,14 +30,15 @@
 	waitFor(t, "bytes are buffered", func() bool { return site.Gateway.BufferedBytes() > 0 })
 	for range 50 {
 		if n := site.Gateway.BufferedBytes(); n > maxBuffered {
-			t.Fatalf("%d bytes buffered for one stream", n)
+			t.Fatalf("bytes buffered for one stream: got %d, want at most 64 KiB", n)
 		}
 		time.Sleep(time.Millisecond)
 	}
-	kit.CheckEqual(t, "the rest", kit.ReadAll(t, resp.Body), want[readFirst:])
+	kit.CheckEqual(t, "rest of the object", kit.ReadAll(t, resp.Body), want[readFirst:])
 }
 
-// More responses than may stream at once are all forwarded whole, and a small request is served beside them.
+// TestMoreStreamsThanLimit opens more responses than the gateway may stream at once. It checks that the gateway
+// forwards all of them whole, and that it serves a small request meanwhile.
 func TestMoreStreamsThanLimit(t *testing.T) {
 	s := kit.Settings(1)
 	s.Limits.ConnsPerNode = 12
@@ -48,22 +50,23 @@
 	for range 5 {
 		resp := site.OpenStream("/photos/k")
 		if resp.Status != http.StatusOK {
-			t.Fatalf("status %d", resp.Status)
+			t.Fatalf("GET /photos/k: got status %d, want 200", resp.Status)
 		}
 		unread = append(unread, resp)
 	}
 	resp := site.Do(http.MethodPut, "/photos/small", nil, strings.NewReader("x"))
 	checkStatus(t, "PUT beside streams", resp, http.StatusOK)
 	for _, stream := range unread {
-		kit.CheckEqual(t, "stream", kit.ReadAll(t, stream.Body), want)
+		kit.CheckEqual(t, "streamed object", kit.ReadAll(t, stream.Body), want)
 	}
 }
 
-// For a client that pipelines requests and does not read, the gateway buffers one response, not all.
+// TestUnreadPipelineIsNotBuffered checks that the gateway buffers only one response at a time for a client that
+// pipelines requests and does not read the responses.
 func TestUnreadPipelineIsNotBuffered(t *testing.T) {
 	const (
-		requests    = 300       // their responses, 18 MB, are more than the sockets buffer
-		maxBuffered = 192 << 10 // a response, the requests read ahead, and one read from the node
+		requests    = 300       // the responses total 18 MB, which is more than the sockets buffer
+		maxBuffered = 192 << 10 // bytes; one response, the requests read ahead, and one read from the node
 		timeout     = 20 * time.Second
 	)
 	site := kit.Start(t, kit.Settings(1), nil)
@@ -90,7 +93,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	if highest > maxBuffered {
-		t.Errorf("up to %d bytes buffered, at most %d", highest, maxBuffered)
+		t.Errorf("highest number of buffered bytes: got %d, want at most %d", highest, maxBuffered)
 	}
 	r := bufio.NewReader(c)
 	for i := range requests {
--- a/internal/e2e/list_test.go
+++ b/internal/e2e/list_test.go
@@ -16,11 +16,12 @@
 	kit "chalkstand/internal/testkit"
 )
 
-// Lists are whole and in order over all shards, page by page, in each version of the request.
-func TestListsOverShards(t *testing.T) {
+// TestListsAcrossShards checks that a list of a bucket with several shards holds every key and is in order from page
+// to page, with both versions of the list request.
+func TestListsAcrossShards(t *testing.T) {
 	const (
-		days = 7 // prefixes up to a delimiter
-		keys = 57
+		days = 7  // different prefixes "day-NN/"
+		keys = 57 // keys with such a prefix, and as many without
 	)
 	site := kit.Start(t, kit.Settings(4), nil)
 	b := createBucket(t, site, "photos")
@@ -35,29 +36,30 @@
 	t.Run("version 2", func(t *testing.T) {
 		got := listVersion2(t, b, 10, nil)
 		if !slices.Equal(got, want) {
-			t.Fatalf("%d keys, want %d", len(got), len(want))
+			t.Fatalf("keys: got %d, want the stored %d in order", len(got), len(want))
 		}
 	})
 	t.Run("version 2 with delimiter", func(t *testing.T) {
 		got := listVersion2(t, b, 3, aws.String("/"))
 		if len(got) != days+keys || got[0] != "day-00/" || got[6] != "day-06/" || got[7] != "top&00" {
-			t.Fatalf("%d: %v", len(got), got)
+			t.Fatalf("got %d entries, want the 7 prefixes and then the 57 keys without a prefix: %v", len(got), got)
 		}
 	})
 	t.Run("version 1 with delimiter", func(t *testing.T) {
 		if got := listPrefixesVersion1(t, b, "day-"); len(got) != days {
-			t.Fatalf("%v", got)
+			t.Fatalf("got prefixes %v, want 7 of them", got)
 		}
 	})
 	t.Run("minio-go", func(t *testing.T) {
 		got := listWithMinio(t, site.MinioClient(), b.name)
 		if !slices.Equal(got, want) {
-			t.Fatalf("%q, want %q", got, want)
+			t.Fatalf("got keys %q, want %q", got, want)
 		}
 	})
 }
 
-// listVersion2 returns the common prefixes and the keys of each page, in pages of at most maxKeys keys.
+// listVersion2 lists a bucket with ListObjectsV2 in pages of at most maxKeys keys. It returns the common prefixes and
+// then the keys of the first page, followed by those of the next pages.
 func listVersion2(t *testing.T, b testBucket, maxKeys int, delimiter *string) []string {
 	t.Helper()
 	var got []string
@@ -69,7 +71,7 @@
 	for pages.HasMorePages() {
 		page := kit.Must(pages.NextPage(t.Context()))(t)
 		if len(page.Contents) > maxKeys {
-			t.Fatalf("%d keys on a page, at most %d", len(page.Contents), maxKeys)
+			t.Fatalf("keys on a page: got %d, want at most %d", len(page.Contents), maxKeys)
 		}
 		got = append(got, prefixesOf(page.CommonPrefixes)...)
 		for _, o := range page.Contents {
@@ -79,7 +81,8 @@
 	return got
 }
 
-// listPrefixesVersion1 returns the common prefixes of the keys with a prefix, in pages of 4.
+// listPrefixesVersion1 lists the keys that begin with prefix, using ListObjects in pages of at most 4 entries. It
+// returns the common prefixes of these keys up to the delimiter "/".
 func listPrefixesVersion1(t *testing.T, b testBucket, prefix string) []string {
 	t.Helper()
 	var got []string
@@ -120,8 +123,9 @@
 	return keys
 }
 
-// A list for which a shard fails is rejected, since without that shard's keys it would look whole. A request
-// that deletes several objects names those that were not deleted.
+// TestListWithFailedShard checks that the gateway rejects a list request if one shard fails, because a list without
+// that shard's keys would look complete. It also checks that the response to a request that deletes several objects
+// names the objects that were not deleted.
 func TestListWithFailedShard(t *testing.T) {
 	const objects = 20
 	site := kit.Start(t, kit.Settings(3), nil)
@@ -142,15 +146,16 @@
 		for _, query := range []string{"", "?list-type=2", "?uploads"} {
 			resp := site.Do(http.MethodGet, "/photos"+query, nil, nil)
 			if resp.Status != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
-				t.Errorf("%s, list %q: %v", tt.name, query, resp)
+				t.Errorf("%s, list with query %q: got %v, want status 503 and Retry-After", tt.name, query, resp)
 			}
 			if strings.Contains(string(resp.Body), "<Key>") {
-				t.Errorf("%s, list %q has keys: %v", tt.name, query, resp)
+				t.Errorf("%s, list with query %q: got keys, want none: %v", tt.name, query, resp)
 			}
 		}
 		out := b.deleteObjects(t, keys)
 		if len(out.Deleted) == 0 || len(out.Errors) == 0 || len(out.Deleted)+len(out.Errors) != objects {
-			t.Errorf("%s: %d deleted, %d errors", tt.name, len(out.Deleted), len(out.Errors))
+			t.Errorf("%s: got %d deleted objects and %d errors, want some of each and 20 in total",
+				tt.name, len(out.Deleted), len(out.Errors))
 		}
 		site.Nodes[1].ClearFaults()
 	}
--- a/internal/e2e/malformed_test.go
+++ b/internal/e2e/malformed_test.go
@@ -12,7 +12,8 @@
 	kit "chalkstand/internal/testkit"
 )
 
-// malformedRequests are requests whose framing is ambiguous or not HTTP/1.1, and the status of the response.
+// malformedRequests lists requests whose framing is ambiguous or is not valid HTTP/1.1, each with the status that
+// the gateway must respond with.
 var malformedRequests = []struct {
 	name, text string
 	status     int
@@ -96,8 +97,9 @@
 	{"TLS handshake", "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n", http.StatusBadRequest},
 }
 
-// A malformed request gets one response, its connection is closed, what follows it is not taken for a request,
-// and nothing reaches a node.
+// TestMalformedHTTPIsRejectedAndClosed checks that the gateway sends one response to a malformed request and then
+// closes the connection. The gateway must not read the bytes after a malformed request as another request, and must
+// not send anything to a node.
 func TestMalformedHTTPIsRejectedAndClosed(t *testing.T) {
 	const smuggled = "GET /photos/smuggled HTTP/1.1\r\nHost: x\r\n\r\n"
 	site := kit.Start(t, kit.Settings(1), nil)
@@ -105,21 +107,22 @@
 		t.Run(tt.name, func(t *testing.T) {
 			got := exchangeRaw(t, site, tt.text+smuggled)
 			if n := strings.Count(got, "HTTP/1.1 "); n != 1 {
-				t.Errorf("%d responses:\n%s", n, got)
+				t.Errorf("got %d responses, want 1:\n%s", n, got)
 			}
 			if !strings.HasPrefix(got, fmt.Sprintf("HTTP/1.1 %d ", tt.status)) {
-				t.Errorf("not status %d:\n%s", tt.status, got)
+				t.Errorf("want status %d, got:\n%s", tt.status, got)
 			}
 			if !strings.Contains(got, "Connection: close") || !strings.Contains(got, "<Code>") {
-				t.Errorf("no error code, or the connection stays open:\n%s", got)
+				t.Errorf("want an error code and the header Connection: close, got:\n%s", got)
 			}
 		})
 	}
 	checkNothingReachedNodes(t, site, 0)
 }
 
-// Well-formed HTTP requests that the object API does not know, or whose parameters are invalid, are rejected
-// with their error code, and nothing reaches a node.
+// TestInvalidRequestsAreRejected sends well-formed HTTP requests that the object API does not support or whose
+// parameters are invalid. It checks that the gateway rejects each with the right error code and sends nothing to a
+// node.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	site := kit.Start(t, kit.Settings(2), nil)
 	createBucket(t, site, "photos")
@@ -140,13 +143,13 @@
 	} {
 		got := exchangeRaw(t, site, unescapedRequest(t, site, tt.method, tt.path, tt.body))
 		if !strings.Contains(got, "<Code>"+tt.code+"</Code>") {
-			t.Errorf("%s %.60s: %s", tt.method, tt.path, got)
+			t.Errorf("%s %.60s: response without the listed error code: %s", tt.method, tt.path, got)
 		}
 	}
 	checkNothingReachedNodes(t, site, before)
 }
 
-// unescapedRequest returns the text of a signed request whose path is sent as it is.
+// unescapedRequest returns the text of a signed request. The path is sent exactly as given, without escaping.
 func unescapedRequest(t *testing.T, site *kit.Site, method, path, body string) string {
 	t.Helper()
 	r := site.NewRequest(method, "/", nil)
@@ -158,7 +161,8 @@
 		method, path, site.Addr, len(body), headerText(t, r.Header), body)
 }
 
-// Requests may arrive in fragments of any size, several on one connection before the first response.
+// TestFragmentedAndPipelinedRequests checks that requests may arrive in fragments of any size, and that a client may
+// send several requests on one connection before it reads the first response.
 func TestFragmentedAndPipelinedRequests(t *testing.T) {
 	const requests = 3
 	site := kit.Start(t, kit.Settings(1), nil)
@@ -168,7 +172,7 @@
 		path := fmt.Sprint("/photos/k", i)
 		resp := site.Do(http.MethodPut, path, nil, strings.NewReader(fmt.Sprint("body ", i)))
 		checkStatus(t, path, resp, http.StatusOK)
-		text.WriteString("\r\n") // an empty line before a request is ignored
+		text.WriteString("\r\n") // the gateway ignores an empty line before a request
 		text.Write(requestText(t, site, http.MethodGet, path, nil))
 	}
 	for _, size := range []int{1, 7, 1 << 20} {
@@ -186,7 +190,7 @@
 			for i := range requests {
 				resp := kit.ReadResponse(t, r)
 				if want := fmt.Sprint("body ", i); string(resp.Body) != want {
-					t.Fatalf("response %d: %v, want %q", i, resp, want)
+					t.Fatalf("response %d: got %v, want body %q", i, resp, want)
 				}
 			}
 		})
--- a/internal/e2e/minio_test.go
+++ b/internal/e2e/minio_test.go
@@ -39,12 +39,12 @@
 	kit.CheckEqual(t, "dir/x", kit.ReadAll(t, o), want)
 	info := kit.Must(m.StatObject(t.Context(), "photos", "dir/x", minio.StatObjectOptions{}))(t)
 	if info.Size != int64(n) || info.UserMetadata["A"] != "b" {
-		t.Fatalf("%+v", info)
+		t.Fatalf("StatObject dir/x: got %+v, want the stored object's size and metadata", info)
 	}
 }
 
-// checkMinioStream puts a body of unknown length, which goes in parts, as "stream", reads it with a
-// presigned URL and copies it to "copy".
+// checkMinioStream stores a body of unknown length as the object "stream", which minio-go uploads in parts. It then
+// reads "stream" with a presigned URL and copies "stream" to "copy".
 func checkMinioStream(t *testing.T, m *minio.Client) {
 	t.Helper()
 	want := kit.RandomBytes(5, 7<<20)
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	u := kit.Must(m.PresignedGetObject(t.Context(), "photos", "stream", time.Minute, nil))(t)
-	kit.CheckEqual(t, "presigned", kit.Get(t, u.String()).Body, want)
+	kit.CheckEqual(t, "GET of a presigned URL", kit.Get(t, u.String()).Body, want)
 	to := minio.CopyDestOptions{Bucket: "photos", Object: "copy"}
 	from := minio.CopySrcOptions{Bucket: "photos", Object: "stream"}
 	if _, err := m.CopyObject(t.Context(), to, from); err != nil {
--- a/internal/e2e/multipart_test.go
+++ b/internal/e2e/multipart_test.go
@@ -15,7 +15,7 @@
 	kit "chalkstand/internal/testkit"
 )
 
-// multipartUpload is a multipart upload in progress.
+// multipartUpload is a multipart upload in progress, with the parts uploaded so far.
 type multipartUpload struct {
 	bucket testBucket
 	key    string
@@ -30,14 +30,14 @@
 	return &multipartUpload{bucket: b, key: key, id: out.UploadId}
 }
 
-func (u *multipartUpload) nextPart() *int32 {
+func (u *multipartUpload) nextPartNumber() *int32 {
 	return aws.Int32(int32(len(u.parts) + 1))
 }
 
-// uploadPart uploads the next part.
+// uploadPart uploads body as the next part.
 func (u *multipartUpload) uploadPart(t *testing.T, body []byte) {
 	t.Helper()
-	number := u.nextPart()
+	number := u.nextPartNumber()
 	out := kit.Must(u.bucket.UploadPart(t.Context(), &s3.UploadPartInput{
 		Bucket:     &u.bucket.name,
 		Key:        &u.key,
@@ -48,10 +48,10 @@
 	u.parts = append(u.parts, types.CompletedPart{ETag: out.ETag, PartNumber: number})
 }
 
-// copyPart copies the next part from a range of an object.
+// copyPart copies a byte range of an existing object as the next part.
 func (u *multipartUpload) copyPart(t *testing.T, source *string, byteRange string) {
 	t.Helper()
-	number := u.nextPart()
+	number := u.nextPartNumber()
 	out := kit.Must(u.bucket.UploadPartCopy(t.Context(), &s3.UploadPartCopyInput{
 		Bucket:          &u.bucket.name,
 		Key:             &u.key,
@@ -94,11 +94,11 @@
 	in := &s3.ListMultipartUploadsInput{Bucket: &b.name}
 	uploads := kit.Must(b.ListMultipartUploads(t.Context(), in))(t).Uploads
 	if len(uploads) != 1 || *uploads[0].Key != "big" {
-		t.Fatalf("%+v", uploads)
+		t.Fatalf("ListMultipartUploads: got %+v, want one upload with the key big", uploads)
 	}
 	page := kit.Must(u.list(t, aws.Int32(2)))(t)
 	if len(page.Parts) != 2 || !*page.IsTruncated {
-		t.Fatalf("%+v", page)
+		t.Fatalf("ListParts: got %+v, want a truncated page of 2 parts", page)
 	}
 	reversed := slices.Clone(u.parts)
 	slices.Reverse(reversed)
@@ -117,24 +117,24 @@
 	checkErrorCode(t, err, "NoSuchUpload")
 }
 
-// A multipart upload whose node starts to drain continues at the shard's successor, and no new request
-// reaches the draining node.
+// TestMultipartUploadDuringNodeDrain checks that a multipart upload continues at another node of the shard when the
+// shard's first node starts to drain, and that no new request reaches the draining node.
 func TestMultipartUploadDuringNodeDrain(t *testing.T) {
 	const (
 		parts      = 6
-		drainAfter = 3 // parts
+		drainAfter = 3 // number of parts uploaded before the drain starts
 	)
 	site := kit.Start(t, kit.Settings(1), nil)
 	b := createBucket(t, site, "photos")
 	u := startUpload(t, b, "k", nil)
 	draining := site.Nodes[0]
 	var want []byte
-	var drained time.Duration
+	var drainStart time.Duration
 	for i := range parts {
 		if i == drainAfter {
 			site.AddNode("successor", 0, nil)
 			site.SetNodeState(draining, 0, dispatch.Draining)
-			drained = time.Since(site.Epoch)
+			drainStart = time.Since(site.Epoch)
 		}
 		part := kit.RandomBytes(uint64(i), 5<<20)
 		want = append(want, part...)
@@ -143,8 +143,8 @@
 	kit.Must(u.complete(t, u.parts))(t)
 	b.checkContent(t, "k", want)
 	for _, e := range draining.Log() {
-		if e.Arrived > drained {
-			t.Errorf("%s arrived %v after the drain", e.Path, e.Arrived-drained)
+		if e.Arrived > drainStart {
+			t.Errorf("request for %s reached the draining node %v after the drain started", e.Path, e.Arrived-drainStart)
 		}
 	}
 	checkAttemptsAreUnique(t, site.Log())
--- a/internal/e2e/nodefault_test.go
+++ b/internal/e2e/nodefault_test.go
@@ -13,7 +13,8 @@
 	kit "chalkstand/internal/testkit"
 )
 
-// A range read whose node stalls is rejected before the client's deadline, without a second attempt.
+// TestStalledReadIsRejectedWithoutRetry checks that the gateway rejects a range read whose node stalls. The rejection
+// must arrive before the client's deadline, and the gateway must not make a second attempt.
 func TestStalledReadIsRejectedWithoutRetry(t *testing.T) {
 	const deadline = 600 * time.Millisecond
 	s := kit.Settings(1)
@@ -30,18 +31,18 @@
 		t.Fatal(resp)
 	}
 	if elapsed := time.Since(start); elapsed > deadline {
-		t.Fatalf("response after %v, the deadline is %v", elapsed, deadline)
+		t.Fatalf("response time: got %v, want at most the deadline of %v", elapsed, deadline)
 	}
 	if got := site.Nodes[0].Log()[before:]; len(got) != 1 {
-		t.Fatalf("%d attempts reached the node", len(got))
+		t.Fatalf("attempts that reached the node: got %d, want 1", len(got))
 	}
 	resp = site.Do(http.MethodGet, "/photos/k", byteRange, nil)
-	kit.CheckEqual(t, "after the stall", resp.Body, []byte("234"))
+	kit.CheckEqual(t, "GET after the stall", resp.Body, []byte("234"))
 	checkAttemptsAreUnique(t, site.Log())
 }
 
-// A response that breaks off after its header was forwarded reaches the client as broken: it is neither taken
-// for complete nor spliced from two attempts.
+// TestBrokenNodeResponse checks responses that break off after the gateway has forwarded the response header. The
+// client must see that such a response is incomplete, and must not receive bytes from two attempts.
 func TestBrokenNodeResponse(t *testing.T) {
 	s := kit.Settings(1)
 	s.Limits.ClientBody = settings.Duration(500 * time.Millisecond)
@@ -63,29 +64,30 @@
 			resp := site.OpenStream("/photos/k")
 			got, err := io.ReadAll(resp.Body)
 			if err == nil || resp.Status != http.StatusOK {
-				t.Fatalf("status %d, error %v", resp.Status, err)
+				t.Fatalf("broken response: got status %d and error %v, want status 200 and an error", resp.Status, err)
 			}
 			if len(got) >= len(large) || !bytes.HasPrefix(large, got) {
-				t.Fatalf("%d bytes, which are no proper prefix", len(got))
+				t.Fatalf("broken response: got %d bytes, want a proper prefix of the object", len(got))
 			}
 			if n := len(node.Log()) - before; n != 1 {
-				t.Fatalf("%d attempts", n)
+				t.Fatalf("attempts that reached the node: got %d, want 1", n)
 			}
 		})
 	}
 	t.Run("small, truncated", func(t *testing.T) {
-		// A small response is buffered until it is complete, so another attempt can replace it.
+		// The gateway buffers a small response until it is complete, so another attempt can replace the response.
 		small := large[:5000]
 		b.put(t, "small", small)
 		site.Nodes[0].Inject(storagenode.Fault{Kind: storagenode.TruncateResponse, Count: 1})
 		resp := site.Do(http.MethodGet, "/photos/small", nil, nil)
-		kit.CheckEqual(t, "small", resp.Body, small)
+		kit.CheckEqual(t, "GET /photos/small", resp.Body, small)
 	})
 	checkAttemptsAreUnique(t, site.Log())
 }
 
-// A write without a response gets a status that says that it may have been executed. A write whose connection
-// was reset before its execution is retried.
+// TestLostWriteResponses checks that the gateway responds to a write with status 504 if the node sends no response,
+// because the write may have been executed. The gateway must retry a write whose connection the node reset before
+// executing the write.
 func TestLostWriteResponses(t *testing.T) {
 	s := kit.Settings(1)
 	s.Classes[1].Aim = settings.Duration(300 * time.Millisecond)
@@ -102,7 +104,7 @@
 		site.Nodes[0].Inject(storagenode.Fault{Kind: tt.fault, Count: 1})
 		resp := site.Do(http.MethodPut, "/photos/k", nil, strings.NewReader("x"))
 		checkStatus(t, tt.name, resp, http.StatusGatewayTimeout)
-		time.Sleep(60 * time.Millisecond) // longer than the key's quiescence, rules.settle
+		time.Sleep(60 * time.Millisecond) // longer than rules.settle, the key's quiescence
 	}
 	site.Nodes[0].Inject(storagenode.Fault{Kind: storagenode.ResetConnection, Count: 1})
 	resp := site.Do(http.MethodPut, "/photos/k2", nil, strings.NewReader("x"))
@@ -110,8 +112,9 @@
 	checkAttemptsAreUnique(t, site.Log())
 }
 
-// A keyed write whose response is lost with its connection is retried at the same shard, where the retry is
-// recognized as a duplicate: the write is executed once.
+// TestRetriedKeyedWriteIsExecutedOnce checks that the gateway retries a keyed write at the same shard if the
+// connection breaks before the response arrives. The node recognizes the retry as a duplicate, so that the write is
+// executed once.
 func TestRetriedKeyedWriteIsExecutedOnce(t *testing.T) {
 	site := kit.Start(t, kit.Settings(1), nil)
 	createBucket(t, site, "photos")
@@ -121,16 +124,16 @@
 	checkStatus(t, "PUT", resp, http.StatusOK)
 	log := site.Log()[before:]
 	if len(log) != 2 || log[0].Key != log[1].Key {
-		t.Fatalf("%+v", log)
+		t.Fatalf("node log: got %+v, want two attempts with the same idempotency key", log)
 	}
 	if !log[0].Executed || log[1].Executed || !log[1].Deduplicated {
-		t.Fatalf("%+v", log)
+		t.Fatalf("node log: got %+v, want the first attempt executed and the second one deduplicated", log)
 	}
 	checkAttemptsAreUnique(t, site.Log())
 }
 
-// An upload whose node reads no more than its header is aborted, and the gateway buffers a bounded part of its
-// body until then.
+// TestStalledNodeDuringUpload checks that the gateway aborts an upload if the node reads only the request header.
+// Until then, the gateway must buffer only a bounded part of the request body.
 func TestStalledNodeDuringUpload(t *testing.T) {
 	const maxBuffered = 64 << 10
 	s := shortTimeouts()
@@ -142,7 +145,7 @@
 	r := site.NewRequest(http.MethodPut, "/photos/k", body)
 	statuses := make(chan int, 1)
 	go func() {
-		// The connection may be closed before the response is read: the status is 0 then.
+		// The gateway may close the connection before the client reads the response. The status is then 0.
 		resp, _ := kit.RoundTrip(&http.Transport{}, r)
 		statuses <- resp.Status
 	}()
@@ -153,10 +156,10 @@
 			switch status {
 			case http.StatusInternalServerError, http.StatusGatewayTimeout, 0:
 			default:
-				t.Errorf("status %d", status)
+				t.Errorf("upload to a stalled node: got status %d, want 500, 504 or a closed connection", status)
 			}
 			if highest == 0 || highest > maxBuffered {
-				t.Errorf("up to %d bytes buffered, at most %d", highest, maxBuffered)
+				t.Errorf("highest number of buffered bytes: got %d, want 1 to %d", highest, maxBuffered)
 			}
 			return
 		default:
@@ -165,19 +168,21 @@
 	}
 }
 
-// A read that its node keeps failing is answered as an internal error. A rejection would promise that a retry
-// helps, although no load is the cause.
-func TestReadThatItsNodeFailsIsAnInternalError(t *testing.T) {
+// TestPersistentNodeErrorIsInternalError checks that the gateway responds with status 500 and without Retry-After if
+// every attempt of a read fails at the node. A rejection with Retry-After would promise that a retry helps, although
+// load is not the cause.
+func TestPersistentNodeErrorIsInternalError(t *testing.T) {
 	site := kit.Start(t, kit.Settings(1), nil)
 	createBucket(t, site, "photos").put(t, "k", []byte("0123456789"))
 	site.Nodes[0].Inject(storagenode.Fault{Kind: storagenode.ServerError})
 	for range 6 {
 		resp := site.Do(http.MethodGet, "/photos/k", nil, nil)
 		if resp.Status != http.StatusInternalServerError || resp.Header.Get("Retry-After") != "" {
-			t.Errorf("%v, Retry-After %q", resp, resp.Header.Get("Retry-After"))
+			t.Errorf("GET from a failing node: got %v with Retry-After %q, want status 500 without Retry-After",
+				resp, resp.Header.Get("Retry-After"))
 		}
 	}
 	site.Nodes[0].ClearFaults()
 	resp := site.Do(http.MethodGet, "/photos/k", nil, nil)
-	kit.CheckEqual(t, "after the fault", resp.Body, []byte("0123456789"))
+	kit.CheckEqual(t, "GET after the fault", resp.Body, []byte("0123456789"))
 }
--- a/internal/e2e/objects_test.go
+++ b/internal/e2e/objects_test.go
@@ -28,7 +28,8 @@
 	checkErrorCode(t, err, "NoSuchBucket")
 }
 
-// checkPutAndGet puts an object of n bytes, and checks its content and what GET and HEAD say of it.
+// checkPutAndGet stores an object of n bytes. It checks the object's content and the metadata that GET and HEAD
+// return.
 func checkPutAndGet(t *testing.T, b testBucket, n int) {
 	t.Helper()
 	key := fmt.Sprintf("line 1/part+%d ü?&=%%.jpg", n)
@@ -43,14 +44,14 @@
 	get := kit.Must(b.GetObject(t.Context(), &s3.GetObjectInput{Bucket: &b.name, Key: &key}))(t)
 	kit.CheckEqual(t, key, kit.ReadAll(t, get.Body), want)
 	if *get.ETag != *put.ETag || *get.ContentLength != int64(n) {
-		t.Errorf("GET: %+v", get)
+		t.Errorf("GET: got %+v, want the stored object's ETag and length", get)
 	}
 	if *get.ContentType != "image/jpeg" || get.Metadata["line"] != "seven" {
-		t.Errorf("GET: %+v", get)
+		t.Errorf("GET: got %+v, want the stored object's content type and metadata", get)
 	}
 	head, err := b.HeadObject(t.Context(), &s3.HeadObjectInput{Bucket: &b.name, Key: &key})
 	if err != nil || *head.ContentLength != int64(n) || *head.ETag != *put.ETag {
-		t.Errorf("HEAD: %+v %v", head, err)
+		t.Errorf("HEAD: got %+v and error %v, want the stored object's ETag and length", head, err)
 	}
 }
 
@@ -65,9 +66,9 @@
 	earlier := time.Now().Add(-time.Hour).UTC().Format(http.TimeFormat)
 	for _, tt := range []struct {
 		name, value string
-		second      [2]string // another header's name and value
+		second      [2]string // name and value of a second header; empty: the request has only one
 		status      int
-		from, to    int // of the body; to 0: it is not checked
+		from, to    int // range of the object in the response body; to 0: the test does not check the body
 	}{
 		{"Range", "bytes=0-0", [2]string{}, http.StatusPartialContent, 0, 1},
 		{"Range", "bytes=100-65635", [2]string{}, http.StatusPartialContent, 100, 65636},
@@ -103,7 +104,7 @@
 		}
 		wantRange := fmt.Sprintf("bytes %d-%d/%d", tt.from, tt.to-1, size)
 		if got := resp.Header.Get("Content-Range"); tt.status == http.StatusPartialContent && got != wantRange {
-			t.Fatalf("%s: Content-Range %s, want %s", what, got, wantRange)
+			t.Fatalf("%s: got Content-Range %s, want %s", what, got, wantRange)
 		}
 	}
 	_, err := b.PutObject(t.Context(), &s3.PutObjectInput{
@@ -116,7 +117,7 @@
 }
 
 func TestCopyAndDelete(t *testing.T) {
-	const copies = 8 // to other shards and to the same one
+	const copies = 8 // enough that some copies are on the source's shard and some on other shards
 	site := kit.Start(t, kit.Settings(4), nil)
 	b := createBucket(t, site, "photos")
 	checkCopies(t, b, copies)
@@ -128,15 +129,16 @@
 	}
 	out := b.deleteObjects(t, keys)
 	if len(out.Deleted) != len(keys) || len(out.Errors) > 0 {
-		t.Fatalf("%+v", out)
+		t.Fatalf("DeleteObjects: got %+v, want every key deleted and no errors", out)
 	}
 	kit.Must(b.DeleteBucket(t.Context(), &s3.DeleteBucketInput{Bucket: &b.name}))(t)
 	if _, err := b.HeadBucket(t.Context(), &s3.HeadBucketInput{Bucket: &b.name}); err == nil {
-		t.Fatal("the bucket is still there")
+		t.Fatal("HEAD of a deleted bucket: got no error, want an error")
 	}
 }
 
-// checkCopies copies a small and a large object, "from", to several keys, "to 0" and so on.
+// checkCopies stores the object "from", copies it to the keys "to 0", "to 1" and so on, and checks every copy. It does
+// so with a small object and then with a large one.
 func checkCopies(t *testing.T, b testBucket, copies int) {
 	t.Helper()
 	for _, n := range []int{10, 500_000} {
@@ -155,7 +157,7 @@
 			get := kit.Must(b.GetObject(t.Context(), &s3.GetObjectInput{Bucket: &b.name, Key: &to}))(t)
 			kit.CheckEqual(t, to, kit.ReadAll(t, get.Body), want)
 			if *get.ContentType != "image/png" || get.Metadata["a"] != "b" {
-				t.Fatalf("%+v", get)
+				t.Fatalf("GET of a copy: got %+v, want the content type and metadata of the source", get)
 			}
 		}
 	}
@@ -164,7 +166,8 @@
 	checkErrorCode(t, err, "NoSuchKey")
 }
 
-// checkPartCopies uploads "parts" as copies of the ranges of "large".
+// checkPartCopies stores the object "large". It then creates the object "parts" by a multipart upload whose parts are
+// copies of two byte ranges of "large".
 func checkPartCopies(t *testing.T, b testBucket) {
 	t.Helper()
 	want := kit.RandomBytes(4, 11<<20)
@@ -181,17 +184,17 @@
 	site := kit.Start(t, kit.Settings(4), nil)
 	createBucket(t, site, "photos-b")
 	b := createBucket(t, site, "photos-a")
-	createBucket(t, site, "closed-x") // on one shard
+	createBucket(t, site, "closed-x") // a bucket on one shard only
 	_, err := b.CreateBucket(t.Context(), &s3.CreateBucketInput{Bucket: &b.name})
 	checkErrorCode(t, err, "BucketAlreadyOwnedByYou")
 	l := kit.Must(b.ListBuckets(t.Context(), &s3.ListBucketsInput{}))(t)
 	if len(l.Buckets) != 3 || *l.Buckets[0].Name != "closed-x" || *l.Buckets[2].Name != "photos-b" {
-		t.Fatalf("%+v", l.Buckets)
+		t.Fatalf("ListBuckets: got %+v, want closed-x, photos-a and photos-b", l.Buckets)
 	}
 	b.put(t, "k", []byte("x"))
 	_, err = b.DeleteBucket(t.Context(), &s3.DeleteBucketInput{Bucket: &b.name})
 	checkErrorCode(t, err, "BucketNotEmpty")
-	b.put(t, "k2", []byte("x")) // the bucket is still there
+	b.put(t, "k2", []byte("x")) // succeeds because the bucket still exists
 }
 
 func TestVirtualHostStyle(t *testing.T) {
@@ -211,12 +214,13 @@
 		resp := kit.Must(kit.RoundTrip(http.DefaultTransport, r))(t)
 		checkStatus(t, tt.method, resp, http.StatusOK)
 		if tt.method == http.MethodGet && string(resp.Body) != tt.want {
-			t.Fatalf("GET: %q, want %q", resp.Body, tt.want)
+			t.Fatalf("GET: got body %q, want %q", resp.Body, tt.want)
 		}
 	}
 }
 
-// A body with chunked transfer coding, whose length is unknown at first, is stored whole.
+// TestChunkedUpload checks that the gateway stores a body with chunked transfer coding whole. The request header does
+// not state the length of such a body.
 func TestChunkedUpload(t *testing.T) {
 	site := kit.Start(t, kit.Settings(1), nil)
 	createBucket(t, site, "photos")
--- a/internal/e2e/signature_test.go
+++ b/internal/e2e/signature_test.go
@@ -13,7 +13,8 @@
 	kit "chalkstand/internal/testkit"
 )
 
-// Requests whose signature, or right to the bucket, does not hold are rejected and reach no node.
+// TestInvalidSignaturesAreRejected checks that the gateway rejects requests with an invalid signature, and requests
+// whose access key has no permission for the bucket. No such request may reach a node.
 func TestInvalidSignaturesAreRejected(t *testing.T) {
 	site := kit.Start(t, kit.Settings(1), nil)
 	b := createBucket(t, site, "photos")
@@ -25,14 +26,14 @@
 	checkNothingReachedNodes(t, site, before)
 
 	url := kit.PresignURL(http.MethodGet, objectURL(site), kit.KeyID, kit.Secret, time.Now(), "30")
-	kit.CheckEqual(t, "presigned", kit.Get(t, url).Body, []byte("x"))
+	kit.CheckEqual(t, "GET of a presigned URL", kit.Get(t, url).Body, []byte("x"))
 }
 
 func objectURL(site *kit.Site) string {
 	return "http://" + site.Addr + "/photos/k"
 }
 
-// clientWithKey returns an SDK client that does not retry.
+// clientWithKey returns an SDK client that uses the given access key and does not retry.
 func clientWithKey(site *kit.Site, id, secret string) *s3.Client {
 	return s3.New(s3.Options{
 		BaseEndpoint:     aws.String("http://" + site.Addr),
@@ -60,10 +61,11 @@
 	checkErrorCode(t, err, "AccessDenied")
 }
 
-// checkChangedRequests sends requests that were changed after they were signed.
+// checkChangedRequests sends requests that were changed after signing or were signed with a wrong time, and checks
+// the error code of each response.
 func checkChangedRequests(t *testing.T, site *kit.Site) {
 	t.Helper()
-	const halfHeader = "AWS4-HMAC-SHA256 Credential=x"
+	const incompleteHeader = "AWS4-HMAC-SHA256 Credential=x"
 	for _, tt := range []struct {
 		name, code string
 		change     func(*http.Request)
@@ -76,14 +78,14 @@
 		{"unsigned header", "AccessDenied", func(r *http.Request) { r.Header.Set("x-amz-meta-sly", "1") }},
 		{"no signature", "AccessDenied", func(r *http.Request) { r.Header.Del("Authorization") }},
 		{"incomplete header", "AuthorizationHeaderMalformed", func(r *http.Request) {
-			r.Header.Set("Authorization", halfHeader)
+			r.Header.Set("Authorization", incompleteHeader)
 		}},
 	} {
 		r := site.NewRequest(http.MethodGet, "/photos/k", nil)
 		tt.change(r)
 		resp := kit.Must(kit.RoundTrip(http.DefaultTransport, r))(t)
 		if !strings.Contains(string(resp.Body), "<Code>"+tt.code+"</Code>") {
-			t.Errorf("%s: %v", tt.name, resp)
+			t.Errorf("%s: got %v, want the listed error code", tt.name, resp)
 		}
 	}
 }
@@ -95,7 +97,7 @@
 		name, code     string
 		secret         string
 		signed         time.Time
-		validityPeriod string // seconds
+		validityPeriod string // in seconds
 	}{
 		{"expired", "AccessDenied", kit.Secret, now.Add(-time.Minute), "30"},
 		{"valid too long", "AuthorizationQueryParametersError", kit.Secret, now, "604801"},
@@ -104,7 +106,7 @@
 		url := kit.PresignURL(http.MethodGet, objectURL(site), kit.KeyID, tt.secret, tt.signed, tt.validityPeriod)
 		resp := kit.Get(t, url)
 		if resp.Status/100 != 4 || !strings.Contains(string(resp.Body), tt.code) {
-			t.Errorf("presigned, %s: %v", tt.name, resp)
+			t.Errorf("presigned URL, %s: got %v, want a 4xx status and the listed error code", tt.name, resp)
 		}
 	}
 }
--- a/internal/e2e/timeout_test.go
+++ b/internal/e2e/timeout_test.go
@@ -16,7 +16,7 @@
 	kit "chalkstand/internal/testkit"
 )
 
-// shortTimeouts are settings under which slow clients time out soon.
+// shortTimeouts returns settings with short timeouts, so that slow clients time out soon.
 func shortTimeouts() settings.Settings {
 	s := kit.Settings(1)
 	s.Limits.ClientHead = settings.Duration(150 * time.Millisecond)
@@ -25,13 +25,14 @@
 	return s
 }
 
-// sendPutHeader sends the header of a signed PUT with a body of the given length, and returns the connection.
-func sendPutHeader(t *testing.T, site *kit.Site, path string, length int, expect bool) (net.Conn, *bufio.Reader) {
+// sendPutHeader sends the header of a signed PUT request on a new connection, and leaves the body to the caller. The
+// header announces a body of the given length and, if expectContinue is true, asks the gateway for 100 Continue.
+func sendPutHeader(t *testing.T, site *kit.Site, path string, length int, expectContinue bool) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	r := site.NewRequest(http.MethodPut, path, nil)
 	var text strings.Builder
 	fmt.Fprintf(&text, "PUT %s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n", path, site.Addr, length)
-	if expect {
+	if expectContinue {
 		text.WriteString("Expect: 100-continue\r\n")
 	}
 	text.WriteString(headerText(t, r.Header) + "\r\n")
@@ -45,17 +46,18 @@
 	return c, bufio.NewReader(c)
 }
 
-// A client that stops in a request's header or body gets a response, and an idle connection is closed without
-// one. What was received of the body is not stored.
+// TestSlowClientsTimeOut checks that the gateway sends an error response to a client that stops in the middle of a
+// request header or body, and does not store the received part of the body. The gateway must close an idle
+// connection without a response.
 func TestSlowClientsTimeOut(t *testing.T) {
 	site := kit.Start(t, shortTimeouts(), nil)
 	createBucket(t, site, "photos")
 	got := exchangeRaw(t, site, "GET /photos/k HTTP/1.1\r\nHost")
 	if !strings.HasPrefix(got, "HTTP/1.1 408 ") {
-		t.Errorf("incomplete header: %q", got)
+		t.Errorf("incomplete header: got response %q, want status 408", got)
 	}
 	if got := exchangeRaw(t, site, ""); got != "" {
-		t.Errorf("idle connection: %q", got)
+		t.Errorf("idle connection: got response %q, want none", got)
 	}
 	for _, tt := range []struct {
 		name   string
@@ -71,15 +73,15 @@
 		resp := kit.ReadResponse(t, r)
 		timedOut := resp.Status == http.StatusBadRequest && strings.Contains(string(resp.Body), "RequestTimeout")
 		if !timedOut || !resp.Close {
-			t.Errorf("%s: %v", tt.name, resp)
+			t.Errorf("%s: got %v, want status 400, RequestTimeout and a closed connection", tt.name, resp)
 		}
 	}
 	checkStoredObjects(t, site, "photos", 0)
 	waitUntilIdle(t, site)
 }
 
-// A client that waits for 100 Continue gets it once the gateway wants its body, and the response without it
-// when the gateway does not.
+// TestExpectContinue checks that the gateway sends 100 Continue to a client that asks for it, as soon as the gateway
+// accepts the body. If the gateway rejects the request, it must send the final response without 100 Continue.
 func TestExpectContinue(t *testing.T) {
 	site := kit.Start(t, kit.Settings(1), nil)
 	createBucket(t, site, "photos")
@@ -88,18 +90,19 @@
 		const wantText = "HTTP/1.1 100 Continue\r\n\r\n"
 		got := make([]byte, len(wantText))
 		if _, err := io.ReadFull(r, got); err != nil || string(got) != wantText {
-			t.Fatalf("%d bytes: %q, %v", n, got, err)
+			t.Fatalf("body of %d bytes: got %q and error %v, want 100 Continue", n, got, err)
 		}
 		if _, err := io.Copy(c, bytes.NewReader(make([]byte, n))); err != nil {
 			t.Fatal(err)
 		}
 		checkStatus(t, fmt.Sprint(n, " bytes"), kit.ReadResponse(t, r), http.StatusOK)
 	}
-	// Without a ready node the request is rejected before its body is asked for.
+	// Without a ready node, the gateway rejects the request before it asks for the body.
 	site.SetNodeState(site.Nodes[0], 0, dispatch.Draining)
 	_, r := sendPutHeader(t, site, "/photos/k", 1<<20, true)
 	resp := kit.ReadResponse(t, r)
 	if resp.Status != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" || !resp.Close {
-		t.Fatalf("%v %v", resp, resp.Header)
+		t.Fatalf("PUT without a ready node: got %v with header %v, want status 503, Retry-After and a closed connection",
+			resp, resp.Header)
 	}
 }
