--- a/layering_test.go
+++ b/layering_test.go
@@ -12,20 +12,20 @@
 	"testing"
 )
 
-// layer is a level of the architecture (docs/architecture.md). A package imports packages of
-// its own layer and of lower ones.
+// layer is a level of the architecture that docs/architecture.md describes. A package may import
+// only packages of its own layer and of lower layers.
 type layer int
 
 const (
-	decisions   layer = iota + 1 // decisions and state: no I/O, clock or goroutine
-	codecs                       // bytes to values and back: no I/O, clock or goroutine
-	ioLayer                      // event loops, discovery, logs, settings
-	servers                      // servers, fakes and tools
-	commands                     // programs
-	testSupport                  // test kits: imported by test files only
+	decisions   layer = iota + 1 // decision logic and its state, without I/O, clock or goroutines
+	codecs                       // encoding and decoding of bytes, without I/O, clock or goroutines
+	ioLayer                      // event loops, discovery, logs and settings
+	servers                      // servers, fake servers and tools
+	commands                     // main packages
+	testSupport                  // packages that only test files may import
 )
 
-// layers lists every package of the module.
+// layers maps the folder of every package of the module to the package's layer.
 var layers = map[string]layer{
 	"attribution":         decisions,
 	"costmodel":           decisions,
@@ -79,16 +79,17 @@
 	"internal/testkit": testSupport,
 }
 
-// impure are the packages outside the module that reach the outside world.
-var impure = []string{"net", "net/http", "os", "os/exec", "os/signal", "syscall", "log", "io/fs"}
+// ioPackages lists packages outside the module that perform I/O or call the operating system.
+var ioPackages = []string{"net", "net/http", "os", "os/exec", "os/signal", "syscall", "log", "io/fs"}
 
-// clockFunctions are those of package time that read a clock or wait.
+// clockFunctions lists the functions of package time that read the clock, wait or start a timer.
 var clockFunctions = []string{
 	"Now", "Since", "Until", "Sleep", "After", "NewTimer", "NewTicker", "AfterFunc", "Tick",
 }
 
-// Every import goes downward or stays on its layer, every package has a layer, and the pure
-// layers touch neither the outside world nor a clock nor goroutines.
+// TestLayers checks that every package has a layer and imports only packages of its own layer and
+// of lower layers. Packages of the layers decisions and codecs must not perform I/O, read the
+// clock or start goroutines.
 func TestLayers(t *testing.T) {
 	seen := map[string]bool{}
 	err := filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
@@ -114,7 +115,7 @@
 	}
 	for dir := range layers {
 		if !seen[dir] {
-			t.Errorf("layers lists %s, which is not there", dir)
+			t.Errorf("layers lists %s, but this folder has no Go files", dir)
 		}
 	}
 }
@@ -123,7 +124,7 @@
 	t.Helper()
 	level, listed := layers[dir]
 	if !listed {
-		t.Errorf("%s: package %s has no layer", file, dir)
+		t.Errorf("%s: package %s has no layer, want an entry in layers", file, dir)
 		return
 	}
 	isTest := strings.HasSuffix(file, "_test.go")
@@ -141,11 +142,12 @@
 		switch {
 		case inModule && isTest:
 		case inModule && layers[own] == testSupport && level != testSupport:
-			t.Errorf("%s imports the test kit %s", file, own)
+			t.Errorf("%s imports %s, which only test files may import", file, own)
 		case inModule && (layers[own] == 0 || layers[own] > level):
-			t.Errorf("%s, on layer %d, imports %s, on layer %d", file, level, own, layers[own])
-		case !isTest && level <= codecs && reachesOutside(path):
-			t.Errorf("%s imports %s", file, path)
+			t.Errorf("%s on layer %d imports %s on layer %d, want the same or a lower layer (0 means not listed)",
+				file, level, own, layers[own])
+		case !isTest && level <= codecs && performsIO(path):
+			t.Errorf("%s imports %s, want no package that performs I/O", file, path)
 		}
 	}
 	if !isTest && level <= codecs {
@@ -153,21 +155,22 @@
 	}
 }
 
-func reachesOutside(path string) bool {
-	return slices.Contains(impure, path) || strings.Contains(path, "gnet") || strings.Contains(path, "golang.org/x/sys")
+// performsIO reports whether a package outside the module performs I/O or calls the operating system.
+func performsIO(path string) bool {
+	return slices.Contains(ioPackages, path) || strings.Contains(path, "gnet") || strings.Contains(path, "golang.org/x/sys")
 }
 
-// checkPure looks for goroutines and for the wall clock.
+// checkPure checks that a source file starts no goroutine and does not read the clock.
 func checkPure(t *testing.T, fset *token.FileSet, tree *ast.File) {
 	t.Helper()
 	ast.Inspect(tree, func(n ast.Node) bool {
 		switch x := n.(type) {
 		case *ast.GoStmt:
-			t.Errorf("%s: a goroutine is started", fset.Position(x.Pos()))
+			t.Errorf("%s: the go statement starts a goroutine, want none on this layer", fset.Position(x.Pos()))
 		case *ast.SelectorExpr:
 			id, ok := x.X.(*ast.Ident)
 			if ok && id.Name == "time" && slices.Contains(clockFunctions, x.Sel.Name) {
-				t.Errorf("%s: time.%s", fset.Position(x.Pos()), x.Sel.Name)
+				t.Errorf("%s: uses time.%s, want no clock on this layer", fset.Position(x.Pos()), x.Sel.Name)
 			}
 		}
 		return true
--- a/limits_test.go
+++ b/limits_test.go
@@ -1,4 +1,5 @@
-// Package chalkstand_test holds checks on the sources: their form, and what imports what.
+// Package chalkstand_test checks the source files of the module: their length, their imports, the
+// CI scripts and the list of tests that are known to fail.
 package chalkstand_test
 
 import (
@@ -13,17 +14,17 @@
 )
 
 const (
-	maxColumns       = 110 // of a line, a tab counted as 4
-	maxFunctionLines = 60  // of a function, its signature and braces included
-	minOpening       = 40  // characters of the comment that opens a file
+	maxColumns       = 110 // columns in a line, where a tab counts as 4
+	maxFunctionLines = 60  // lines in a function, including its signature and braces
+	minFileComment   = 40  // characters in the comment at the top of a file
 )
 
-// The package that decides stays readable: no line and no function is long, and each file
-// opens with a comment that says what it decides and which state it owns.
-func TestModuleStaysReadable(t *testing.T) {
+// TestDispatchStaysReadable checks that package dispatch has no long lines and no long functions.
+// Each file must begin with a comment that says what the file decides and which state it owns.
+func TestDispatchStaysReadable(t *testing.T) {
 	files, err := filepath.Glob("dispatch/*.go")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no files", err)
+		t.Fatal("dispatch/*.go: got no files, want at least one; error:", err)
 	}
 	for _, name := range files {
 		if strings.HasSuffix(name, "_test.go") {
@@ -42,7 +43,7 @@
 	t.Helper()
 	for i, l := range strings.Split(text, "\n") {
 		if w := utf8.RuneCountInString(strings.ReplaceAll(l, "\t", "    ")); w > maxColumns {
-			t.Errorf("%s:%d: %d columns, at most %d", name, i+1, w, maxColumns)
+			t.Errorf("%s:%d: line has %d columns, want at most %d", name, i+1, w, maxColumns)
 		}
 	}
 }
@@ -54,13 +55,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(file.Comments) == 0 || file.Comments[0].Pos() > file.Package || len(file.Comments[0].Text()) < minOpening {
-		t.Errorf("%s does not open with a comment on what it decides and owns", name)
+	if len(file.Comments) == 0 || file.Comments[0].Pos() > file.Package || len(file.Comments[0].Text()) < minFileComment {
+		t.Errorf("%s: want a comment at the top on what the file decides and which state it owns, got none or a short one", name)
 	}
 	for _, d := range file.Decls {
 		if f, ok := d.(*ast.FuncDecl); ok {
 			if n := fset.Position(f.End()).Line - fset.Position(f.Pos()).Line + 1; n > maxFunctionLines {
-				t.Errorf("%s: %s has %d lines, at most %d", name, f.Name.Name, n, maxFunctionLines)
+				t.Errorf("%s: function %s has %d lines, want at most %d", name, f.Name.Name, n, maxFunctionLines)
 			}
 		}
 	}
