--- a/internal/e2e/bench_test.go
+++ b/internal/e2e/bench_test.go
@@ -144,7 +144,7 @@
 	if _, err := c.conn.Write(c.request); err != nil {
 		return err
 	}
-	size := 0 // of the whole response; 0 until the response header is complete
+	size := 0 // bytes in the whole response; 0 until the response header is complete
 	for received := 0; size == 0 || received < size; {
 		n, err := c.conn.Read(c.buf[received:])
 		if err != nil {
--- a/internal/e2e/concurrency_test.go
+++ b/internal/e2e/concurrency_test.go
@@ -39,8 +39,8 @@
 	for _, c := range conns {
 		c.Close()
 	}
-	disconnectInBody(t, site, "/photos/half", 1000, nil)      // the gateway buffers this body and sends nothing
-	disconnectInBody(t, site, "/photos/half", 1<<20, arrived) // the gateway streams this body
+	disconnectInBody(t, site, "/photos/half", 1000, nil)      // buffered by the gateway, never sent to the node
+	disconnectInBody(t, site, "/photos/half", 1<<20, arrived) // streamed by the gateway to the node
 	waitUntilIdle(t, site)
 	resp := site.Do(http.MethodGet, "/photos/half", nil, nil)
 	checkStatus(t, "GET after incomplete uploads", resp, http.StatusNotFound)
--- a/internal/e2e/fairshare_test.go
+++ b/internal/e2e/fairshare_test.go
@@ -22,7 +22,7 @@
 
 // startContendedSite starts a site whose single event loop streams one response at a time from the node and ends
 // each grant after 16 KiB, so that concurrent responses take turns often. The buckets photos and loans each hold the
-// object "large". The function change may edit the settings and may be nil.
+// object "large". If change is not nil, startContendedSite calls change to edit the settings before the site starts.
 func startContendedSite(t *testing.T, change func(*settings.Settings), opts ...gateway.Option) *kit.Site {
 	t.Helper()
 	s := kit.Settings(1)
@@ -133,8 +133,8 @@
 // TestByteRateLimitPacesBodies checks that a volume's byte rate limit slows down bodies in both directions and aborts
 // none of them. The limit must not apply to other volumes.
 func TestByteRateLimitPacesBodies(t *testing.T) {
-	// The burst of 0.5 MiB passes at once, so the limit applies to (2 - 0.5) MiB at 8 MiB per second. The bound is
-	// lower than that time by one scheduling slice.
+	// The burst of 0.5 MiB passes at once, so the gateway paces the other (2 - 0.5) MiB of the body at 8 MiB per
+	// second. minElapsed is shorter than the resulting time by one scheduling slice.
 	const minElapsed = 170 * time.Millisecond
 	site := startContendedSite(t, func(s *settings.Settings) {
 		s.Plans[0].MiBPerSecond = 8
@@ -165,8 +165,8 @@
 	checkLargeObject(t, "GET from another volume", site, "loans")
 }
 
-// TestByteRateLimitRejects checks that the gateway rejects a request with Retry-After if the request's volume is at
-// its byte rate limit and the request would have to wait longer than share.max_wait.
+// TestByteRateLimitRejects checks that the gateway rejects a request if the request's volume is at its byte rate limit
+// and the request would have to wait longer than share.max_wait. The rejection must have a Retry-After header.
 func TestByteRateLimitRejects(t *testing.T) {
 	site := startContendedSite(t, func(s *settings.Settings) {
 		s.Plans[0].MiBPerSecond = 0.5
@@ -239,7 +239,7 @@
 	site := startContendedSite(t, func(s *settings.Settings) {
 		s.Plans[0].MiBPerSecond = 0.0625
 		s.Plans[0].MiBBurst = 0.001
-		s.Share.Quantum = 16 << 10 // takes a quarter of a second at this rate
+		s.Share.Quantum = 16 << 10 // one quantum takes a quarter of a second at 0.0625 MiB per second
 		s.Limits.ClientBody = settings.Duration(50 * time.Millisecond)
 		s.Share.MaxWait = settings.Duration(time.Minute)
 	})
@@ -274,10 +274,10 @@
 // response, the gateway charges only the bytes received from the node.
 func TestActualSizeIsCharged(t *testing.T) {
 	const (
-		estimate  = 1 + 1.0/16 // cost of a read of unknown size: one unit, and one unit per MiB of the assumed 64 KiB
+		estimate  = 1 + 1.0/16 // units for a read of unknown size: one, plus one per MiB of the assumed 64 KiB
 		cost2MiB  = 1 + 2.0
 		cost12MiB = 1 + 12.0
-		hugeSize  = 12 << 20 // bytes
+		hugeSize  = 12 << 20 // bytes in the object "huge"
 	)
 	corrections := make(chan float64, 16)
 	trace := gateway.WithTrace(func(_ time.Duration, ev dispatch.Event, _ []dispatch.Action) {
--- a/internal/e2e/fixture_test.go
+++ b/internal/e2e/fixture_test.go
@@ -193,8 +193,8 @@
 	}
 }
 
-// checkNothingReachedNodes checks that the nodes' logs still hold as many requests as before, an earlier length of
-// site.Log().
+// checkNothingReachedNodes checks that no request has reached a node since an earlier time. The argument before is the
+// length of site.Log() at that time.
 func checkNothingReachedNodes(t *testing.T, site *kit.Site, before int) {
 	t.Helper()
 	if log := site.Log(); len(log) != before {
--- a/internal/e2e/list_test.go
+++ b/internal/e2e/list_test.go
@@ -16,12 +16,12 @@
 	kit "chalkstand/internal/testkit"
 )
 
-// TestListsAcrossShards checks that a list of a bucket with several shards holds every key and is in order from page
-// to page, with both versions of the list request.
+// TestListsAcrossShards checks that listing a bucket with several shards returns every key in order, page by page,
+// with both versions of the list request.
 func TestListsAcrossShards(t *testing.T) {
 	const (
-		days = 7  // different prefixes "day-NN/"
-		keys = 57 // keys with such a prefix, and as many without
+		days = 7  // number of prefixes "day-NN/"
+		keys = 57 // number of keys with such a prefix, and number of keys without a prefix
 	)
 	site := kit.Start(t, kit.Settings(4), nil)
 	b := createBucket(t, site, "photos")
--- a/internal/e2e/nodefault_test.go
+++ b/internal/e2e/nodefault_test.go
@@ -75,7 +75,8 @@
 		})
 	}
 	t.Run("small, truncated", func(t *testing.T) {
-		// The gateway buffers a small response until it is complete, so another attempt can replace the response.
+		// The gateway buffers a small response until the response is complete. If a node truncates the response, the
+		// gateway can therefore replace it by the response to another attempt.
 		small := large[:5000]
 		b.put(t, "small", small)
 		site.Nodes[0].Inject(storagenode.Fault{Kind: storagenode.TruncateResponse, Count: 1})
@@ -104,7 +105,7 @@
 		site.Nodes[0].Inject(storagenode.Fault{Kind: tt.fault, Count: 1})
 		resp := site.Do(http.MethodPut, "/photos/k", nil, strings.NewReader("x"))
 		checkStatus(t, tt.name, resp, http.StatusGatewayTimeout)
-		time.Sleep(60 * time.Millisecond) // longer than rules.settle, the key's quiescence
+		time.Sleep(60 * time.Millisecond) // longer than rules.settle, the quiescence of a key after an ambiguous attempt
 	}
 	site.Nodes[0].Inject(storagenode.Fault{Kind: storagenode.ResetConnection, Count: 1})
 	resp := site.Do(http.MethodPut, "/photos/k2", nil, strings.NewReader("x"))
--- a/internal/e2e/objects_test.go
+++ b/internal/e2e/objects_test.go
@@ -66,9 +66,9 @@
 	earlier := time.Now().Add(-time.Hour).UTC().Format(http.TimeFormat)
 	for _, tt := range []struct {
 		name, value string
-		second      [2]string // name and value of a second header; empty: the request has only one
+		second      [2]string // name and value of a second header, or empty strings for none
 		status      int
-		from, to    int // range of the object in the response body; to 0: the test does not check the body
+		from, to    int // expected range of the object in the body; if to is 0, the test does not check the body
 	}{
 		{"Range", "bytes=0-0", [2]string{}, http.StatusPartialContent, 0, 1},
 		{"Range", "bytes=100-65635", [2]string{}, http.StatusPartialContent, 100, 65636},
--- a/internal/testfd/testfd.go
+++ b/internal/testfd/testfd.go
@@ -22,8 +22,8 @@
 	return len(entries)
 }
 
-// Await waits until the process has at most as many open file descriptors as before, an earlier result of
-// Count. Await stops the test if that takes longer than awaitTimeout.
+// Await waits until the process has at most as many open file descriptors as at an earlier time. The argument
+// before is the result of Count at that time. Await stops the test if the wait exceeds awaitTimeout.
 func Await(tb testing.TB, before int) {
 	tb.Helper()
 	for deadline := time.Now().Add(awaitTimeout); Count(tb) > before; time.Sleep(time.Millisecond) {
--- a/internal/testkit/content.go
+++ b/internal/testkit/content.go
@@ -14,7 +14,7 @@
 	return b
 }
 
-// CheckEqual stops the test if got and want differ. The failure message names the content by the text in what.
+// CheckEqual stops the test if got and want differ. The text what describes the content in the failure message.
 func CheckEqual(tb testing.TB, what string, got, want []byte) {
 	tb.Helper()
 	if !bytes.Equal(got, want) {
--- a/internal/testkit/http.go
+++ b/internal/testkit/http.go
@@ -111,7 +111,7 @@
 	return readResponse(resp)
 }
 
-// Get sends a GET request for a URL without an Authorization header and returns the response.
+// Get sends a GET request without an Authorization header to a URL, and returns the response.
 func Get(tb testing.TB, url string) Response {
 	tb.Helper()
 	r, err := http.NewRequestWithContext(tb.Context(), http.MethodGet, url, nil)
--- a/internal/testkit/settings.go
+++ b/internal/testkit/settings.go
@@ -8,7 +8,7 @@
 	"chalkstand/internal/settings"
 )
 
-// KeyID and Secret are the access key that may read and write every bucket under Settings.
+// KeyID and Secret form the access key with which a client may read and write every bucket of a test gateway.
 const (
 	KeyID  = "TESTKEY"
 	Secret = "test-secret-key"
--- a/internal/testkit/signing.go
+++ b/internal/testkit/signing.go
@@ -12,7 +12,8 @@
 	sigv4client.Request(r, id, secret, at)
 }
 
-// SignPayload signs a request and its payload, whose SHA-256 hash is given in hexadecimal.
+// SignPayload signs a request and its payload; at is the signing time, and hash is the payload's SHA-256 hash in
+// hexadecimal.
 func SignPayload(r *http.Request, id, secret string, at time.Time, hash string) {
 	sigv4client.Payload(r, id, secret, at, hash)
 }
--- a/internal/testkit/site.go
+++ b/internal/testkit/site.go
@@ -36,9 +36,9 @@
 	tb testing.TB
 }
 
-// Start starts a site with one node for each shard, and stops it at the end of the test. Before a node starts,
-// Start passes its shard and its configuration to configureNode, which may change the configuration.
-// configureNode may be nil.
+// Start starts a site with one node for each shard, and stops the site at the end of the test. Before a node
+// starts, Start passes the shard and the node's configuration to configureNode, which may change the
+// configuration. configureNode may be nil.
 func Start(
 	tb testing.TB,
 	s settings.Settings,
@@ -84,8 +84,9 @@
 	return addr
 }
 
-// AddNode starts a node for a shard and reports it to the gateway as a ready endpoint. Before the node starts,
-// AddNode passes the configuration to configure, which may be nil.
+// AddNode starts a node for a shard and reports the node to the gateway as a ready endpoint. Before the node
+// starts, AddNode passes the shard and the node's configuration to configure, which may change the configuration.
+// configure may be nil.
 func (s *Site) AddNode(id string, shard int, configure func(shard int, c *storagenode.Config)) *storagenode.Node {
 	s.tb.Helper()
 	cfg := storagenode.Config{ID: id, Shard: shard, DedupWindow: dedupWindow, Seed: uint64(shard)}
--- a/layering_test.go
+++ b/layering_test.go
@@ -89,7 +89,7 @@
 
 // TestLayers checks that every package has a layer and imports only packages of its own layer and
 // of lower layers. Packages of the layers decisions and codecs must not perform I/O, read the
-// clock or start goroutines.
+// clock or start goroutines. Test files are exempt from these import rules.
 func TestLayers(t *testing.T) {
 	seen := map[string]bool{}
 	err := filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
