--- a/trace/convert.go
+++ b/trace/convert.go
@@ -8,18 +8,20 @@
 	"chalkstand/dispatch"
 )
 
-// The mapping between the stored form and the dispatcher's types.
+// The functions below convert between the types of package dispatch and the records that a
+// trace stores.
 
-// convert maps a slice, nil to nil.
-func convert[A, B any](as []A, one func(A) B) []B {
-	if as == nil {
+// convert returns a slice with the converted elements of in. It returns nil if in is nil, so
+// that a stored null remains a null.
+func convert[A, B any](in []A, convertElement func(A) B) []B {
+	if in == nil {
 		return nil
 	}
-	bs := make([]B, len(as))
-	for i, a := range as {
-		bs[i] = one(a)
+	out := make([]B, len(in))
+	for i, element := range in {
+		out[i] = convertElement(element)
 	}
-	return bs
+	return out
 }
 
 func encodeConfig(c *dispatch.Config) configRecord {
@@ -200,7 +202,8 @@
 	}
 }
 
-// encodeEvent returns the record of an event and of the actions that it led to.
+// encodeEvent returns the record of an event that happened at the time now and of the
+// actions that the dispatcher returned for it.
 func encodeEvent(now time.Duration, ev dispatch.Event, actions []dispatch.Action) eventRecord {
 	r := eventRecord{Now: now, Actions: renderActions(actions)}
 	switch e := ev.(type) {
@@ -220,10 +223,10 @@
 	return r
 }
 
-// errNoEvent is the error of a record that holds none of the known events.
-var errNoEvent = errors.New("record without an event")
+// errNoEvent is returned for a record in which no event field is set.
+var errNoEvent = errors.New("record contains no known event")
 
-// event returns the dispatcher's event of a record.
+// event converts the event of a record to its type in package dispatch.
 func (r *eventRecord) event() (dispatch.Event, error) {
 	switch {
 	case r.List != nil:
@@ -249,7 +252,7 @@
 	return nil, errNoEvent
 }
 
-// describe renders a record's event without its actions, for messages.
+// describe returns a record's time and event as JSON, without the actions.
 func (r *eventRecord) describe() string {
 	e := *r
 	e.Actions = nil
--- a/trace/fixtures_test.go
+++ b/trace/fixtures_test.go
@@ -12,8 +12,8 @@
 	"chalkstand/dispatch"
 )
 
-// Traces that were recorded by an earlier build stay readable: each event and each action of
-// these files is decoded, and encoded again they give the same bytes.
+// TestStoredTraces checks that traces from an earlier build stay readable. It replays each
+// stored trace, records it again, and expects the same lines as in the stored file.
 func TestStoredTraces(t *testing.T) {
 	for _, c := range []struct {
 		name            string
@@ -30,14 +30,17 @@
 			}
 			res, err := Replay(bytes.NewReader(stored))
 			if err != nil || res.Divergence != nil || res.Truncated {
-				t.Fatalf("%+v %+v %v", res, res.Divergence, err)
+				t.Fatalf("replay: got result %+v, divergence %+v, error %v, want a complete replay without divergence",
+					res, res.Divergence, err)
 			}
 			if res.Events != c.events || res.Actions != c.actions {
-				t.Errorf("%d events and %d actions, want %d and %d", res.Events, res.Actions, c.events, c.actions)
+				t.Errorf("replay: got %d events and %d actions, want %d and %d",
+					res.Events, res.Actions, c.events, c.actions)
 			}
 			want := decompress(t, stored)
 			if got := rewrite(t, want); !bytes.Equal(got, want) {
-				t.Errorf("written again, the trace differs:\n%s", firstDifference(got, want))
+				t.Errorf("the trace that was recorded again differs from the stored one:\n%s",
+					firstDifference(got, want))
 			}
 		})
 	}
@@ -57,7 +60,8 @@
 	return out
 }
 
-// rewrite replays the lines of a trace on a dispatcher and records it again.
+// rewrite replays the lines of a decompressed trace on a new dispatcher and records the
+// replay as a second trace. It returns the lines of the second trace.
 func rewrite(t *testing.T, lines []byte) []byte {
 	t.Helper()
 	header, rest, _ := bytes.Cut(lines, []byte("\n"))
@@ -91,7 +95,7 @@
 	dec := json.NewDecoder(bytes.NewReader(line))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&v); err != nil {
-		t.Fatalf("%v in %s", err, line)
+		t.Fatalf("decode: %v in line %s", err, line)
 	}
 	return v
 }
@@ -103,5 +107,5 @@
 			return "got " + string(g[i]) + "want " + string(w[i])
 		}
 	}
-	return "one is longer"
+	return "all common lines are equal, but the traces differ in length"
 }
--- a/trace/record.go
+++ b/trace/record.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// The stored form of a trace. Its names are frozen: a trace that was recorded by any build
-// with the same Version must stay readable. convert.go maps them to the dispatcher's types,
-// which have other names.
+// The types below define the JSON lines of a trace. Their JSON names must not change: every
+// build with the same Version must be able to read a stored trace. The functions in
+// convert.go map these types to the types of package dispatch, which use other names.
 
 // headerRecord is the first line of a trace.
 type headerRecord struct {
@@ -65,8 +65,8 @@
 	Span  time.Duration `json:"Span"`
 }
 
-// eventRecord is one event with the actions that it led to. Exactly one of the events is
-// set.
+// eventRecord is a line of a trace after the header. It holds one event and the actions that
+// the dispatcher returned for it. Exactly one of the pointer fields is set.
 type eventRecord struct {
 	Now      time.Duration   `json:"t"`
 	List     *listRecord     `json:"list,omitempty"`
--- a/trace/render.go
+++ b/trace/render.go
@@ -7,9 +7,9 @@
 	"chalkstand/dispatch"
 )
 
-// renderActions renders actions as a trace stores them. Replay compares the texts, so these
-// are frozen while Version stays the same; they have the names that the dispatcher's package,
-// types and fields had when the form was defined.
+// renderActions returns the text that a trace stores for each action. Replay compares these
+// texts, so they must not change while Version stays the same. The texts contain the names
+// that the dispatcher's package, types and fields had when the trace format was defined.
 func renderActions(actions []dispatch.Action) []string {
 	var out []string
 	for _, a := range actions {
--- a/trace/replay.go
+++ b/trace/replay.go
@@ -15,31 +15,32 @@
 )
 
 const (
-	minLineBuffer    = 64 << 10  // bytes
-	maxLine          = 16 << 20  // bytes of one line
-	maxDecoderMemory = 256 << 20 // bytes
+	minLineBuffer    = 64 << 10  // initial size of the line buffer, in bytes
+	maxLine          = 16 << 20  // maximum length of a line, in bytes
+	maxDecoderMemory = 256 << 20 // memory limit of the zstd decoder, in bytes
 )
 
 // Result is the result of a replay.
 type Result struct {
-	Events     int
-	Actions    int
-	End        time.Duration // time of the last event
-	Truncated  bool          // the trace was cut off
-	Divergence *Divergence   // nil where all actions are the same
+	Events     int           // number of replayed events
+	Actions    int           // number of actions that the replayed events returned
+	End        time.Duration // time of the last replayed event
+	Truncated  bool          // whether the end of the trace is missing or unreadable
+	Divergence *Divergence   // first difference; nil if all actions match
 }
 
-// Divergence is the first event whose replayed actions differ from the recorded ones.
+// Divergence describes the first event whose replayed actions differ from the recorded ones.
 type Divergence struct {
-	Event     int // from 1
-	At        time.Duration
-	EventText string
-	Recorded  []string // actions
-	Replayed  []string // actions
+	Event     int           // number of the event; the first event has number 1
+	At        time.Duration // time of the event
+	EventText string        // event as a JSON object
+	Recorded  []string      // actions in the trace
+	Replayed  []string      // actions that the replay returned
 }
 
-// Replay replays a trace on a new dispatcher, up to the first event whose actions differ.
-// Its error may wrap ErrInvalidHeader or a *VersionError.
+// Replay replays a trace on a new dispatcher and stops at the first event whose actions
+// differ from the recorded ones. The returned error may wrap ErrInvalidHeader or a
+// *VersionError.
 func Replay(r io.Reader) (Result, error) {
 	res, err := replay(r)
 	if err != nil {
@@ -96,7 +97,8 @@
 	return &h, nil
 }
 
-// replayEvent passes an event to the dispatcher and compares the actions.
+// replayEvent passes a recorded event to the dispatcher and updates res. If the actions
+// differ from the recorded ones, replayEvent sets res.Divergence.
 func (res *Result) replayEvent(d *dispatch.Dispatcher, record *eventRecord) error {
 	ev, err := record.event()
 	if err != nil {
--- a/trace/trace.go
+++ b/trace/trace.go
@@ -1,7 +1,7 @@
-// Package trace records a dispatcher's events and actions, and replays them: the same
-// settings, seed and events must give the same actions. A trace is a zstd stream of JSON
-// lines, a header and one line for each event. A trace that was cut off replays up to its
-// last whole line.
+// Package trace records the events and actions of a dispatcher and replays them. A replay
+// passes the recorded events to a new dispatcher with the same configuration and seed, which
+// must return the same actions. A trace is a zstd stream of JSON lines: a header, then one
+// line per event. A truncated trace replays up to its last complete line.
 package trace
 
 import (
@@ -9,22 +9,23 @@
 	"fmt"
 )
 
-// Version is the version of the stored form.
+// Version is the version of the trace format.
 const Version = 1
 
-// ErrQueueFull is returned by Writer.Close where the trace ended early, because events
-// came faster than they could be written.
-var ErrQueueFull = errors.New("trace: the queue is full; the trace ends here")
+// ErrQueueFull is returned by Writer.Close if recording stopped early because events
+// arrived faster than they could be written.
+var ErrQueueFull = errors.New("trace: event queue is full, recording stopped early")
 
-// ErrInvalidHeader is wrapped by Replay's error for input that does not start with the
-// header of a trace.
-var ErrInvalidHeader = errors.New("no header of a trace")
+// ErrInvalidHeader is wrapped by the error that Replay returns if the input does not start
+// with a trace header.
+var ErrInvalidHeader = errors.New("invalid trace header")
 
-// VersionError is returned by Replay for a trace of another version.
+// VersionError is wrapped by the error that Replay returns if the trace has a version other
+// than Version.
 type VersionError struct {
-	Version int // of the trace
+	Version int // version in the header of the trace
 }
 
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("version %d is not supported, want %d", e.Version, Version)
+	return fmt.Sprintf("format version %d is not supported, expected %d", e.Version, Version)
 }
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// randomDispatcher is a dispatcher that is traced while it handles random events.
+// randomDispatcher passes random events to a dispatcher and records them in a trace.
 type randomDispatcher struct {
 	d        *dispatch.Dispatcher
 	w        *Writer
@@ -50,7 +50,8 @@
 	}
 }
 
-// step draws one event.
+// step advances the time and handles one random event. Id is the ID of the request if the
+// event is a new request.
 func (r *randomDispatcher) step(id dispatch.RequestID) {
 	r.now += time.Duration(r.rng.IntN(5)) * time.Millisecond
 	switch {
@@ -80,8 +81,8 @@
 	}
 }
 
-// randomTrace returns the trace of a dispatcher that handles an endpoint list and n random
-// events.
+// randomTrace returns the trace of a dispatcher that handles an endpoint update and then n
+// random events.
 func randomTrace(t *testing.T, seed uint64, n int) []byte {
 	t.Helper()
 	var out bytes.Buffer
@@ -104,10 +105,10 @@
 	return out.Bytes()
 }
 
-func TestReplayGivesTheSameActions(t *testing.T) {
+func TestReplayReturnsRecordedActions(t *testing.T) {
 	res, err := Replay(bytes.NewReader(randomTrace(t, 3, 5000)))
 	if err != nil || res.Divergence != nil || res.Truncated || res.Events != 5001 || res.Actions < 1000 {
-		t.Fatalf("%+v %v", res, err)
+		t.Fatalf("replay: got result %+v, error %v, want 5001 events and at least 1000 actions, all equal", res, err)
 	}
 }
 
@@ -123,7 +124,7 @@
 	}
 	res, err := Replay(&out)
 	if err != nil || res.Divergence == nil || !strings.Contains(fmt.Sprint(res.Divergence.Recorded), "Fail") {
-		t.Fatalf("%+v %v", res, err)
+		t.Fatalf("replay: got result %+v, error %v, want a divergence from the recorded Fail action", res, err)
 	}
 }
 
@@ -131,33 +132,34 @@
 	b := randomTrace(t, 4, 20000)
 	res, err := Replay(bytes.NewReader(b[:len(b)*2/3]))
 	if err != nil || !res.Truncated || res.Events < 1000 || res.Divergence != nil {
-		t.Fatalf("%+v %v", res, err)
+		t.Fatalf("replay of a truncated trace: got result %+v, error %v, want a truncated result with at least 1000 events",
+			res, err)
 	}
 	for _, n := range []int{0, 3, 20} {
 		if _, err := Replay(bytes.NewReader(b[:n])); !errors.Is(err, ErrInvalidHeader) {
-			t.Fatalf("%d bytes: %v", n, err)
+			t.Fatalf("replay of the first %d bytes: got error %v, want ErrInvalidHeader", n, err)
 		}
 	}
 }
 
-func TestReplayRefusesAnotherVersion(t *testing.T) {
+func TestReplayRejectsOtherVersion(t *testing.T) {
 	z, err := zstd.NewWriter(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, err = Replay(bytes.NewReader(z.EncodeAll([]byte("{\"Version\":2}\n"), nil)))
-	if other := (*VersionError)(nil); !errors.As(err, &other) || other.Version != 2 {
+	if versionErr := (*VersionError)(nil); !errors.As(err, &versionErr) || versionErr.Version != 2 {
 		t.Fatal(err)
 	}
 }
 
-func TestFullQueueEndsTheTrace(t *testing.T) {
+func TestFullQueueStopsRecording(t *testing.T) {
 	unblock := make(chan struct{})
 	w, err := NewWriter(blockedWriter{unblock}, testConfig(), 1, 4)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for range 1 << 14 { // more than the queue and the first flush hold
+	for range 1 << 14 { // more events than the queue and the buffer before the first flush hold
 		w.Record(0, dispatch.ClientCanceled{ID: 1}, nil)
 	}
 	close(unblock)
@@ -166,7 +168,7 @@
 	}
 }
 
-// blockedWriter blocks until its channel is closed.
+// blockedWriter is an io.Writer whose Write blocks until the channel is closed.
 type blockedWriter struct{ unblock <-chan struct{} }
 
 func (w blockedWriter) Write(p []byte) (int, error) {
--- a/trace/writer.go
+++ b/trace/writer.go
@@ -13,31 +13,31 @@
 	"chalkstand/dispatch"
 )
 
-// flushInterval is how many events are written between two flushes: at most so many are
-// lost in a crash.
+// flushInterval is the number of events between two flushes. Apart from events that still
+// wait in the queue, a crash loses at most this many events.
 const flushInterval = 1024
 
-// Writer writes a trace in a goroutine of its own, which Close awaits. Record does not
-// block: events wait in a bounded queue. When the queue is full the trace ends, as a trace
-// with a gap could not be replayed. Record must not be called concurrently.
+// Writer writes a trace in a background goroutine. Record puts events into a bounded queue
+// and never blocks. If the queue is full, the Writer stops recording, because a trace with a
+// missing event cannot be replayed. Record and Close must not be called concurrently.
 type Writer struct {
 	queue chan entry
 	done  chan struct{}
-	ended bool // used by Record and Close only
+	ended bool // whether recording has stopped; only Record and Close use it
 
 	mu  sync.Mutex
-	err error // the first one
+	err error // first error of the trace
 }
 
-// entry is an event with the dispatcher's actions.
+// entry is an event and the actions that the dispatcher returned for it.
 type entry struct {
 	now     time.Duration
 	event   dispatch.Event
 	actions []dispatch.Action
 }
 
-// NewWriter starts a trace of a dispatcher with these settings and this seed. At most
-// queueSize events wait to be written to w. The Writer must be closed.
+// NewWriter starts a trace of a dispatcher that was created with cfg and seed. The queue
+// holds at most queueSize events. The caller must call Close on the returned Writer.
 func NewWriter(w io.Writer, cfg dispatch.Config, seed uint64, queueSize int) (*Writer, error) {
 	z, err := zstd.NewWriter(w, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest))
 	if err != nil {
@@ -52,7 +52,8 @@
 	return t, nil
 }
 
-// run writes entries until the queue is closed. After an error it discards them.
+// run writes entries to the trace until the queue is closed. After a write error, run
+// discards the remaining entries.
 func (t *Writer) run(z *zstd.Encoder, enc *json.Encoder) {
 	defer close(t.done)
 	written := 0
@@ -69,7 +70,8 @@
 	t.fail(errors.Join(err, z.Close()))
 }
 
-// fail notes an error, if it is the first one; nil is none.
+// fail stores err as the error of the trace if no earlier error is stored. A nil err has no
+// effect.
 func (t *Writer) fail(err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -78,7 +80,8 @@
 	}
 }
 
-// Record adds an event and the actions that it led to. They must not be changed later.
+// Record adds an event and the actions that the dispatcher returned for it. The caller must
+// not modify the event or the actions afterwards.
 func (t *Writer) Record(now time.Duration, ev dispatch.Event, actions []dispatch.Action) {
 	if t.ended {
 		return
@@ -91,8 +94,9 @@
 	}
 }
 
-// Close writes what is queued and ends the trace. It returns the first error of the trace,
-// which is ErrQueueFull where the trace ended early. Record must not be called after it.
+// Close waits until all queued events are written and ends the trace. It returns the first
+// error of the trace, which is ErrQueueFull if the queue was full. Record must not be called
+// after Close.
 func (t *Writer) Close() error {
 	t.ended = true
 	close(t.queue)
