--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -1,5 +1,5 @@
 // Package simwire translates between the simulator's line protocol and the types of package
-// dispatch. It decides nothing.
+// dispatch. It contains no scheduling logic.
 package simwire
 
 import (
@@ -15,54 +15,54 @@
 	"chalkstand/dispatch"
 )
 
-// readBufferSize is the size of the input buffer, bytes.
+// readBufferSize is the size of the input buffer, in bytes.
 const readBufferSize = 1 << 20
 
-// ItemKind is what an Item means for its instance.
+// ItemKind distinguishes the items of a batch.
 type ItemKind int
 
 // The kinds of items.
 const (
-	EventReceived   ItemKind = iota // an event for a running instance
-	InstanceStarted                 // with Seed and Config
-	InstanceCrashed
+	EventReceived   ItemKind = iota // a running instance receives an event
+	InstanceStarted                 // an instance starts with the item's Seed and Config
+	InstanceCrashed                 // a running instance crashes
 )
 
-// Item is a line of a batch that concerns an instance.
+// Item is a line of a batch that concerns one dispatcher instance.
 type Item struct {
-	Line     int // from 1
-	Instance string
+	Line     int    // line number in the input; the first line has number 1
+	Instance string // name of the instance
 	Kind     ItemKind
-	Seed     uint64
-	Config   dispatch.Config
-	Event    dispatch.Event // nil for an event that dispatchers do not use
+	Seed     uint64          // seed of an instance that starts
+	Config   dispatch.Config // configuration of an instance that starts
+	Event    dispatch.Event  // received event; nil if dispatchers do not use the event
 }
 
-// Batch holds what happens at one moment.
+// Batch holds all items that the simulator sends for one point in time.
 type Batch struct {
-	Now   time.Duration
+	Now   time.Duration // time on the simulator's clock
 	Items []Item
 }
 
-// ProtocolError reports a line that is malformed or not allowed.
+// ProtocolError reports an input line that is malformed or not allowed at its position.
 type ProtocolError struct {
-	Line     int
-	Instance string // the last one named before the line; "" if there is none
-	Err      error
+	Line     int    // line number in the input; the first line has number 1
+	Instance string // instance that the last FOR line of the batch names; "" if there is none
+	Err      error  // fault of the line
 }
 
 // Error implements error.
 func (e *ProtocolError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
-// Unwrap returns what is wrong with the line.
+// Unwrap returns the fault of the line without the line number.
 func (e *ProtocolError) Unwrap() error { return e.Err }
 
-// Decoder reads batches.
+// Decoder reads batches from the simulator.
 type Decoder struct {
 	in       *bufio.Reader
-	line     int
-	instance string
-	pages    map[int64][]dispatch.Node // lists of nodes by number
+	line     int                       // number of the current line
+	instance string                    // instance that the last FOR line of the batch names
+	pages    map[int64][]dispatch.Node // node lists of PAGE lines, by bank number
 }
 
 // NewDecoder returns a decoder that reads from r.
@@ -70,7 +70,8 @@
 	return &Decoder{in: bufio.NewReaderSize(r, readBufferSize), pages: map[int64][]dispatch.Node{}}
 }
 
-// next returns a line without its end. It returns io.EOF only where no text is left.
+// next returns the next line without its line break. It returns io.EOF if the input contains
+// no more text. The last line does not need a line break.
 func (d *Decoder) next() (string, error) {
 	s, err := d.in.ReadString('\n')
 	if err != nil && (s == "" || !errors.Is(err, io.EOF)) {
@@ -80,12 +81,13 @@
 	return strings.TrimSuffix(strings.TrimSuffix(s, "\n"), "\r"), nil
 }
 
+// fail returns a ProtocolError for the current line.
 func (d *Decoder) fail(format string, args ...any) error {
 	return &ProtocolError{Line: d.line, Instance: d.instance, Err: fmt.Errorf(format, args...)}
 }
 
-// Batch reads one batch. It returns io.EOF when the input ends between batches, and a
-// *ProtocolError for a line that can't be used.
+// Batch reads one batch. It returns io.EOF if the input ends between two batches, and a
+// *ProtocolError if a line is invalid.
 func (d *Decoder) Batch() (Batch, error) {
 	var b Batch
 	d.instance = ""
@@ -125,7 +127,8 @@
 	}
 }
 
-// item decodes a line and reports whether it is an item of an instance.
+// item decodes a line of a batch. It reports whether the line is an item; a FOR or PAGE line
+// only changes the state of the decoder.
 func (d *Decoder) item(line string) (Item, bool, error) {
 	f := d.fields(line)
 	it := Item{Line: d.line, Instance: d.instance}
@@ -150,7 +153,8 @@
 	return it, true, nil
 }
 
-// itemDecoders decodes the fields of an item by its verb. Errors are kept by the fields.
+// itemDecoders maps the verb of a line to the function that decodes the values of the line.
+// The functions store errors in f.
 var itemDecoders = map[string]func(f *fields, it *Item){
 	"BEGIN":         (*fields).begin,
 	"CRASH_NOW":     func(_ *fields, it *Item) { it.Kind = InstanceCrashed },
@@ -164,7 +168,7 @@
 	"DATAGRAM":      (*fields).datagram,
 }
 
-// The simulator's words for values of package dispatch.
+// These maps translate the simulator's words to values of package dispatch.
 var (
 	updateKinds = map[string]dispatch.EndpointUpdateKind{
 		"Partial":   dispatch.Delta,
@@ -189,7 +193,8 @@
 	}
 )
 
-// page reads a numbered list of nodes, which later FLEET lines refer to.
+// page reads the node list that follows a PAGE line and stores it under its bank number.
+// Later FLEET lines refer to the list by this number.
 func (d *Decoder) page(f *fields) error {
 	bank := f.integer("bank")
 	count := f.integer("elements")
@@ -218,6 +223,7 @@
 	return nil
 }
 
+// node reads the values of an ITEM line.
 func (f *fields) node() dispatch.Node {
 	n := dispatch.Node{
 		ID:    dispatch.NodeID(f.value("server")),
@@ -231,7 +237,8 @@
 	return n
 }
 
-// begin decodes the start of an instance. Errors of the settings come first.
+// begin decodes a BEGIN line, which starts an instance. An error in the settings takes
+// precedence over an error in the seed.
 func (f *fields) begin(it *Item) {
 	it.Kind = InstanceStarted
 	it.Seed = uint64(f.integer("random_seed"))
@@ -244,6 +251,7 @@
 	f.rest = ""
 }
 
+// fleet decodes a FLEET line, which updates the endpoints of an instance.
 func (f *fields) fleet(it *Item) {
 	f.integer("index")
 	update := dispatch.EndpointUpdate{Kind: fieldOneOf(f, "kind", updateKinds)}
@@ -260,6 +268,7 @@
 	it.Event = update
 }
 
+// request decodes an ASK line, which submits a request to an instance.
 func (f *fields) request() dispatch.Event {
 	r := dispatch.Request{
 		ID:          f.requestID(),
@@ -284,6 +293,7 @@
 	return r
 }
 
+// attemptCompleted decodes an ATTEMPT_END line, which reports the result of an attempt.
 func (f *fields) attemptCompleted() dispatch.Event {
 	return dispatch.AttemptCompleted{
 		ID:         f.requestID(),
@@ -298,7 +308,7 @@
 	}
 }
 
-// firstAcknowledged checks a line that dispatchers do not use.
+// firstAcknowledged validates an ACK_FIRST line. Dispatchers do not use this event.
 func (f *fields) firstAcknowledged(*Item) {
 	f.requestID()
 	f.integer("leg")
@@ -306,7 +316,7 @@
 	f.duration("wait_time_ms")
 }
 
-// sampled checks a line that dispatchers do not use.
+// sampled validates a SAMPLED line. Dispatchers do not use this event.
 func (f *fields) sampled(*Item) {
 	f.value("server")
 	fieldOneOf(f, "status", attemptResults)
@@ -314,7 +324,7 @@
 	f.loadReport()
 }
 
-// datagram checks a line that dispatchers do not use.
+// datagram validates a DATAGRAM line. Dispatchers do not use this event.
 func (f *fields) datagram(*Item) {
 	f.integer("author")
 	payload := f.value("bytes")
--- a/internal/simwire/decode_test.go
+++ b/internal/simwire/decode_test.go
@@ -16,6 +16,7 @@
 	"discovery=on_request family_info.class_writes=true rules.resend_span_ms=5000.0 rules.settle_after_doubt_ms=40.0 " +
 	"an.unknown.key=whatever"
 
+// decode returns the first batch of a text.
 func decode(t *testing.T, text string) (Batch, error) {
 	t.Helper()
 	return NewDecoder(strings.NewReader(text)).Batch()
@@ -32,34 +33,34 @@
 		t.Fatal(err)
 	}
 	if b.Now != 8412250*time.Microsecond || len(b.Items) != 9 {
-		t.Fatalf("now %v, %d items", b.Now, len(b.Items))
+		t.Fatalf("batch: got time %v and %d items, want 8.41225s and 9 items", b.Now, len(b.Items))
 	}
-	c := b.Items[0].Config
-	if k := c.Classes[0]; b.Items[0].Seed != 51 || c.DispatcherIndex != 1 || c.DispatcherCount != 2 || !c.PollDiscovery || k.Idempotency != dispatch.Deduplicated ||
-		k.DedupScope != dispatch.DedupPerZone || !k.Ordered || k.LatencyObjective != 300*time.Millisecond || c.Plans[0].RateLimit != 22 ||
-		c.RetryBudget.Window != 5*time.Second || c.Quiescence != 40*time.Millisecond {
-		t.Errorf("config %+v", c)
+	cfg := b.Items[0].Config
+	if class := cfg.Classes[0]; b.Items[0].Seed != 51 || cfg.DispatcherIndex != 1 || cfg.DispatcherCount != 2 || !cfg.PollDiscovery || class.Idempotency != dispatch.Deduplicated ||
+		class.DedupScope != dispatch.DedupPerZone || !class.Ordered || class.LatencyObjective != 300*time.Millisecond || cfg.Plans[0].RateLimit != 22 ||
+		cfg.RetryBudget.Window != 5*time.Second || cfg.Quiescence != 40*time.Millisecond {
+		t.Errorf("BEGIN: got config %+v, want the values of settingsPairs", cfg)
 	}
-	l := b.Items[1].Event.(dispatch.EndpointUpdate)
-	if l.Kind != dispatch.Cached || len(l.Nodes) != 2 || l.Nodes[1].State != dispatch.Draining || l.Nodes[0].Kind != 1 ||
-		l.Nodes[1].Started != 6100*time.Millisecond || l.Nodes[0].Shard != 5 {
-		t.Errorf("list %+v", l)
+	update := b.Items[1].Event.(dispatch.EndpointUpdate)
+	if update.Kind != dispatch.Cached || len(update.Nodes) != 2 || update.Nodes[1].State != dispatch.Draining || update.Nodes[0].Kind != 1 ||
+		update.Nodes[1].Started != 6100*time.Millisecond || update.Nodes[0].Shard != 5 {
+		t.Errorf("FLEET: got %+v, want a cached update with the two nodes of the PAGE", update)
 	}
-	if q := b.Items[2].Event.(dispatch.Request); q.ID != 4068207471792580 || q.Dispatchers != 3 || q.Units != 2 ||
-		q.Key != "ext-k" || q.Volume != "c:vol" || q.Shard != 0 || q.Timeout != 240*time.Millisecond {
-		t.Errorf("request %+v", q)
+	if request := b.Items[2].Event.(dispatch.Request); request.ID != 4068207471792580 || request.Dispatchers != 3 || request.Units != 2 ||
+		request.Key != "ext-k" || request.Volume != "c:vol" || request.Shard != 0 || request.Timeout != 240*time.Millisecond {
+		t.Errorf("first ASK: got %+v, want the values of its line", request)
 	}
-	if q := b.Items[3].Event.(dispatch.Request); q.Shard != dispatch.AnyShard || q.Key != "" || q.Units != 8 {
-		t.Errorf("new object %+v", q)
+	if request := b.Items[3].Event.(dispatch.Request); request.Shard != dispatch.AnyShard || request.Key != "" || request.Units != 8 {
+		t.Errorf("ASK with neither key nor placement: got %+v, want any shard, no key and 8 units", request)
 	}
-	if o := b.Items[4].Event.(dispatch.AttemptCompleted); !o.Responded || o.QuotaUsage != 86 || o.PeerUnits != 3 || o.LoadReport["latency_ms"] != 14.5 {
-		t.Errorf("outcome %+v", o)
+	if completed := b.Items[4].Event.(dispatch.AttemptCompleted); !completed.Responded || completed.QuotaUsage != 86 || completed.PeerUnits != 3 || completed.LoadReport["latency_ms"] != 14.5 {
+		t.Errorf("ATTEMPT_END: got %+v, want the values of its line", completed)
 	}
 	if e := b.Items[7].Event; e != nil {
-		t.Errorf("a message that nothing uses became %+v", e)
+		t.Errorf("DATAGRAM: got event %+v, want nil because dispatchers do not use it", e)
 	}
 	if b.Items[8].Kind != InstanceCrashed {
-		t.Errorf("kind %v, want a crash", b.Items[8].Kind)
+		t.Errorf("CRASH_NOW: got kind %v, want InstanceCrashed", b.Items[8].Kind)
 	}
 }
 
@@ -95,15 +96,16 @@
 		_, err := decode(t, text)
 		var protocol *ProtocolError
 		if !errors.As(err, &protocol) || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: error %v, want %q", text, err, want)
+			t.Errorf("input %q: got error %v, want a ProtocolError with %q", text, err, want)
 		}
 	}
 	if _, err := decode(t, ""); !errors.Is(err, io.EOF) {
-		t.Errorf("no input: %v, want EOF", err)
+		t.Errorf("empty input: got error %v, want EOF", err)
 	}
 }
 
-// FuzzBatch checks that any input gives batches or an error, never a panic or an endless loop.
+// FuzzBatch checks that the decoder returns batches or an error for any input, and never
+// panics or loops forever.
 func FuzzBatch(f *testing.F) {
 	f.Add("BEGIN_BATCH 8412.25\nGO\n")
 	f.Add("BEGIN_BATCH 1\nFOR d\nBEGIN 51 " + settingsPairs + "\nPAGE 0 1\nITEM a 0 0 0 SERVING 1 -\nFLEET 41 Persisted 0\nGO\n")
@@ -116,6 +118,6 @@
 				return
 			}
 		}
-		t.Error("more batches than lines")
+		t.Error("the decoder returned more batches than the input has lines")
 	})
 }
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -10,28 +10,30 @@
 	"chalkstand/dispatch"
 )
 
-// writeBufferSize is the size of the output buffer, bytes.
+// writeBufferSize is the size of the output buffer, in bytes.
 const writeBufferSize = 1 << 16
 
-// Encoder writes replies. An error of a write is returned by Ready.
+// Encoder writes replies to the simulator. Only Ready returns an error: the first error of
+// any write up to that call.
 type Encoder struct{ w *bufio.Writer }
 
 // NewEncoder returns an encoder that writes to w.
 func NewEncoder(w io.Writer) *Encoder { return &Encoder{bufio.NewWriterSize(w, writeBufferSize)} }
 
-// BeginInstance begins the actions of an instance.
+// BeginInstance names the dispatcher instance that the following actions belong to.
 func (e *Encoder) BeginInstance(instance string) { e.line("BY", instance) }
 
-// Fatal reports a failure of the instance named last.
+// Fatal reports that the instance of the last BeginInstance call has failed.
 func (e *Encoder) Fatal(text string) { e.line("FATAL", oneLine(text)) }
 
-// Ready ends the reply and flushes it.
+// Ready writes the line that ends a reply and flushes the output buffer.
 func (e *Encoder) Ready() error {
 	e.line("READY")
 	return e.w.Flush()
 }
 
-// line writes words as a line. The writer keeps an error for the next Flush.
+// line writes a line of words with spaces between them. It ignores write errors because the
+// bufio.Writer stores the first one and returns it from the next Flush.
 func (e *Encoder) line(words ...string) {
 	for i, word := range words {
 		if i > 0 {
@@ -42,7 +44,7 @@
 	_ = e.w.WriteByte('\n')
 }
 
-// Action writes an action of the instance named last.
+// Action writes an action of the instance that the last BeginInstance call named.
 func (e *Encoder) Action(a dispatch.Action) {
 	switch a := a.(type) {
 	case dispatch.SendAttempt:
@@ -66,13 +68,14 @@
 
 func formatID(id dispatch.RequestID) string { return strconv.FormatUint(uint64(id), 10) }
 
-// formatTime formats milliseconds, rounded up to the simulator's microseconds.
+// formatTime formats a time as a number of milliseconds. It rounds up to whole microseconds,
+// which are the resolution of the simulator's clock.
 func formatTime(t time.Duration) string {
 	microseconds := int64((t + time.Microsecond - 1) / time.Microsecond)
 	return strconv.FormatFloat(float64(microseconds)/1000, 'f', -1, 64)
 }
 
-// oneLine replaces control characters by spaces.
+// oneLine replaces each control character with a space, so that the text fits on one line.
 func oneLine(s string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' {
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -9,19 +9,22 @@
 	"chalkstand/dispatch"
 )
 
-// maxMicroseconds bounds the magnitude of a time that is read.
+// maxMicroseconds is the largest absolute value of a decoded time, in microseconds. Times
+// outside this range are clamped to it.
 const maxMicroseconds = 4e15
 
-// fields reads the values of a line in order. It keeps the first error.
+// fields reads the values of a line from left to right. It stores the first error, which
+// done returns.
 type fields struct {
 	d    *Decoder
-	verb string
-	rest string
-	more bool // a value follows
-	read int  // values read
-	err  error
+	verb string // first word of the line
+	rest string // part of the line that has not been read yet
+	more bool   // whether the line contains another value
+	read int    // number of values that have been read
+	err  error  // first error
 }
 
+// fields splits the verb from the values of a line.
 func (d *Decoder) fields(line string) *fields {
 	verb, rest, more := strings.Cut(line, " ")
 	return &fields{d: d, verb: verb, rest: rest, more: more}
@@ -33,13 +36,13 @@
 	}
 }
 
-// peek returns the next value without reading it.
+// peek returns the next value without consuming it.
 func (f *fields) peek() string {
 	s, _, _ := strings.Cut(f.rest, " ")
 	return s
 }
 
-// value reads a value.
+// value reads the next value. The name of the value appears in the error if it is missing.
 func (f *fields) value(name string) string {
 	f.read++
 	if !f.more {
@@ -55,7 +58,7 @@
 	return s
 }
 
-// integer reads an integer, 0 where it is absent.
+// integer reads an integer. It returns 0 if the value is absent ("-") or invalid.
 func (f *fields) integer(name string) int64 {
 	s := f.value(name)
 	if f.err != nil || s == absent {
@@ -68,7 +71,7 @@
 	return n
 }
 
-// requestID reads a request ID of at most 52 bits.
+// requestID reads a request ID, which has at most 52 bits.
 func (f *fields) requestID() dispatch.RequestID {
 	s := f.value("rid")
 	n, err := strconv.ParseUint(s, 10, 52)
@@ -78,7 +81,7 @@
 	return dispatch.RequestID(n)
 }
 
-// number reads a finite number, 0 where it is absent.
+// number reads a finite number. It returns 0 if the value is absent ("-") or invalid.
 func (f *fields) number(name string) float64 {
 	s := f.value(name)
 	if f.err != nil || s == absent {
@@ -91,15 +94,18 @@
 	return x
 }
 
-// duration reads milliseconds.
+// duration reads a number of milliseconds.
 func (f *fields) duration(name string) time.Duration { return milliseconds(f.number(name)) }
 
-// milliseconds rounds to the simulator's microseconds.
+// milliseconds converts a number of milliseconds to a duration. It rounds to whole
+// microseconds, which are the resolution of the simulator's clock.
 func milliseconds(ms float64) time.Duration {
 	microseconds := math.Round(min(max(ms*1000, -maxMicroseconds), maxMicroseconds))
 	return time.Duration(microseconds) * time.Microsecond
 }
 
+// boolean reads a boolean, which the simulator writes as 1 or 0. An absent value ("-") is
+// false.
 func (f *fields) boolean(name string) bool {
 	switch s := f.value(name); s {
 	case "1":
@@ -111,6 +117,8 @@
 	return false
 }
 
+// fieldOneOf reads a word and returns the value that words assigns to it. A word that is not
+// in words is an error.
 func fieldOneOf[T any](f *fields, name string, words map[string]T) T {
 	s := f.value(name)
 	value, ok := words[s]
@@ -120,7 +128,8 @@
 	return value
 }
 
-// loadReport reads a load report, nil where it is absent.
+// loadReport reads a load report. It returns nil if the report is missing, absent ("-") or
+// invalid.
 func (f *fields) loadReport() dispatch.LoadReport {
 	if !f.more {
 		return nil
@@ -136,8 +145,9 @@
 	return report
 }
 
-// loadFigures maps the simulator's names of load figures. Others stay as they are.
-var loadFigures = map[string]string{
+// loadMetricNames maps the simulator's names of load metrics to the names in a
+// dispatch.LoadReport. A name that is not in the map is used unchanged.
+var loadMetricNames = map[string]string{
 	"rif":       "inflight",
 	"q":         "queue",
 	"busy":      "util",
@@ -146,8 +156,8 @@
 	"fail_rate": "eps",
 }
 
-// ParseLoadReport parses a load report: names and numbers with a separator between them, set apart by
-// commas. It returns nil where it can't be parsed.
+// ParseLoadReport parses a comma-separated list of load metrics. Each element consists of a
+// name, the separator and a number. ParseLoadReport returns nil if an element is invalid.
 func ParseLoadReport(s, separator string) dispatch.LoadReport {
 	report := dispatch.LoadReport{}
 	for pair := range strings.SplitSeq(s, ",") {
@@ -156,15 +166,15 @@
 		if !ok || err != nil || name == "" {
 			return nil
 		}
-		if figure, ok := loadFigures[name]; ok {
-			name = figure
+		if metric, ok := loadMetricNames[name]; ok {
+			name = metric
 		}
 		report[name] = x
 	}
 	return report
 }
 
-// done returns the first error, also where values are left.
+// done returns the first error of the line. Values that have not been read are an error too.
 func (f *fields) done() error {
 	if f.err == nil && f.more && f.rest != "" {
 		f.err = f.d.fail("%s: %d values expected, more follow: %q", f.verb, f.read, f.rest)
--- a/internal/simwire/json.go
+++ b/internal/simwire/json.go
@@ -11,22 +11,22 @@
 	"chalkstand/dispatch"
 )
 
-// Settings holds what the platform gives a dispatcher at its start: the settings of the
-// decisions and of the server around them.
+// Settings holds the settings that the platform passes to a dispatcher when it starts. They
+// configure the scheduling decisions and the server that runs the dispatcher.
 type Settings struct {
 	Dispatch        dispatch.Config
-	ClassWrites     []bool // by class; nil: unknown
-	Shards          int
-	Zones           []string
-	NodeKinds       []string      // hardware kinds of nodes
-	NodeIdleTimeout time.Duration // nodes close a connection that is idle for so long; 0: unknown
-	DialTimeout     time.Duration // timeout of opening a connection; 0: unknown
-	MaxOpenRequests int           // requests open at once; 0: unknown
+	ClassWrites     []bool        // whether each class contains write requests, by class index; nil if unknown
+	Shards          int           // number of shards
+	Zones           []string      // names of the zones
+	NodeKinds       []string      // names of the nodes' hardware kinds
+	NodeIdleTimeout time.Duration // idle time after which a node closes a connection; 0 if unknown
+	DialTimeout     time.Duration // timeout for opening a connection to a node; 0 if unknown
+	MaxOpenRequests int           // maximum number of concurrent requests; 0 if unknown
 }
 
-// ParseSettings reads the settings as a JSON object: the simulator's names and units, with objects and
-// lists in place of paths. Unknown names are ignored. The error is a *SettingError where a value
-// can't be used.
+// ParseSettings parses settings in JSON. It uses the simulator's names and units, but with
+// nested objects and lists in place of paths. Unknown names are ignored. The error is a
+// *SettingError if a value is invalid.
 func ParseSettings(text []byte) (Settings, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
@@ -57,7 +57,8 @@
 	return s, r.err
 }
 
-// flatten stores nested values by the simulator's paths.
+// flatten adds a JSON value and all values nested in it to r.values. The key of each value
+// is its path in the simulator's notation.
 func (r *settingsReader) flatten(path string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
@@ -69,13 +70,13 @@
 		}
 	case []any:
 		r.values[path+".count"] = strconv.Itoa(len(value))
-		var plain []string
+		var texts []string
 		for i, element := range value {
 			elementPath := path + "." + strconv.Itoa(i)
 			r.flatten(elementPath, element)
-			plain = append(plain, r.values[elementPath])
+			texts = append(texts, r.values[elementPath])
 		}
-		r.values[path] = strings.Join(plain, ",")
+		r.values[path] = strings.Join(texts, ",")
 	case nil:
 		r.values[path] = absent
 	default:
@@ -83,7 +84,7 @@
 	}
 }
 
-// list returns a list of plain values.
+// list returns the elements of a list of strings, numbers or booleans.
 func (r *settingsReader) list(path string) []string {
 	if r.values[path] == "" || r.values[path] == absent {
 		return nil
--- a/internal/simwire/json_test.go
+++ b/internal/simwire/json_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// The settings are the same as pairs and as JSON.
-func TestNestedEqualsPairs(t *testing.T) {
+// TestJSONEqualsPairs checks that the same settings give the same configuration whether they
+// are written as path=value pairs or as JSON.
+func TestJSONEqualsPairs(t *testing.T) {
 	pairs, err := parsePairs(settingsPairs)
 	if err != nil {
 		t.Fatal(err)
@@ -20,15 +21,15 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(s.Dispatch, pairs) {
-		t.Errorf("nested %+v\npairs  %+v", s.Dispatch, pairs)
+		t.Errorf("settings as JSON: got %+v\nwant the settings as pairs: %+v", s.Dispatch, pairs)
 	}
 	if s.Shards != 8 || len(s.Zones) != 2 || len(s.ClassWrites) != 1 || !s.ClassWrites[0] || s.NodeIdleTimeout != 15*time.Second ||
 		s.DialTimeout != 250*time.Millisecond || s.MaxOpenRequests != 20 {
-		t.Errorf("%+v", s)
+		t.Errorf("settings beside the dispatcher's: got %+v, want the values of the JSON text", s)
 	}
 	for _, bad := range []string{``, `[]`, `{"peers_total":"many"}`, `{"classes":[{"effect":"odd"}]}`} {
 		if _, err := ParseSettings([]byte(bad)); err == nil {
-			t.Errorf("%s: no error", bad)
+			t.Errorf("invalid settings %s: got no error", bad)
 		}
 	}
 }
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -10,17 +10,18 @@
 	"chalkstand/dispatch"
 )
 
-// absent stands for a value that is not given.
+// absent is the word that the simulator writes in place of a missing value.
 const absent = "-"
 
-// maxListLength bounds the length of a list, so that a wrong one cannot exhaust memory.
+// maxListLength is the maximum length of a list. The limit keeps an invalid length from
+// exhausting memory.
 const maxListLength = 1000
 
-// SettingError reports a setting that can't be used.
+// SettingError reports an invalid setting.
 type SettingError struct {
-	Key      string // path of the setting; "" for one that is no path=value pair
-	Expected string
-	Got      string
+	Key      string // path of the setting; "" if the text is not a path=value pair
+	Expected string // description of a valid value
+	Got      string // invalid value
 }
 
 // Error implements error.
@@ -31,13 +32,14 @@
 	return fmt.Sprintf("config: %s: expected %s, got %q", e.Key, e.Expected, e.Got)
 }
 
-// settingsReader reads typed values from settings by their path. It keeps the first error.
+// settingsReader looks up settings by their path and converts their values. It stores the
+// first error.
 type settingsReader struct {
-	values map[string]string
-	err    error
+	values map[string]string // text of each value, by the path of the setting
+	err    error             // first error
 }
 
-// parsePairs reads settings that are written as path=value pairs.
+// parsePairs parses settings that are written as path=value pairs between spaces.
 func parsePairs(text string) (dispatch.Config, error) {
 	r := settingsReader{values: map[string]string{}}
 	for _, pair := range strings.Fields(text) {
@@ -50,8 +52,8 @@
 	return r.dispatchConfig()
 }
 
-// dispatchConfig reads the settings of a dispatcher. It maps the simulator's names to the
-// fields of dispatch.Config.
+// dispatchConfig returns the configuration of a dispatcher. It maps the simulator's setting
+// names to the fields of dispatch.Config.
 func (r *settingsReader) dispatchConfig() (dispatch.Config, error) {
 	cfg := dispatch.Config{
 		DispatcherIndex: r.integer("me"),
@@ -86,7 +88,8 @@
 	return cfg, r.err
 }
 
-// The simulator's words for the idempotency of a class and its scope.
+// These maps translate the words that the simulator uses for the idempotency and the
+// deduplication scope of a class.
 var (
 	idempotencies = map[string]dispatch.Idempotency{
 		"":             dispatch.NonIdempotent,
@@ -102,7 +105,7 @@
 	}
 )
 
-// class reads the class whose settings begin with prefix.
+// class returns the request class whose setting paths start with prefix.
 func (r *settingsReader) class(prefix string) dispatch.Class {
 	return dispatch.Class{
 		Name:             r.values[prefix+"name"],
@@ -116,7 +119,7 @@
 	}
 }
 
-// plan reads the plan whose settings begin with prefix.
+// plan returns the plan whose setting paths start with prefix.
 func (r *settingsReader) plan(prefix string) dispatch.Plan {
 	return dispatch.Plan{
 		Name:      r.values[prefix+"name"],
@@ -129,13 +132,15 @@
 	}
 }
 
+// fail stores an error about the value of a setting, unless an error is already stored.
 func (r *settingsReader) fail(key, expected string) {
 	if r.err == nil {
 		r.err = &SettingError{Key: key, Expected: expected, Got: r.values[key]}
 	}
 }
 
-// number returns 0 for a value that is not given.
+// number returns the value of a numeric setting. It returns 0 if the setting is missing or
+// invalid.
 func (r *settingsReader) number(key string) float64 {
 	s, ok := r.values[key]
 	if !ok || s == absent || s == "" {
@@ -148,7 +153,8 @@
 	return x
 }
 
-// ParseFinite parses a number and reports whether it is one, neither infinite nor NaN.
+// ParseFinite parses a number and reports whether s is a valid number that is neither
+// infinite nor NaN.
 func ParseFinite(s string) (float64, bool) {
 	x, err := strconv.ParseFloat(s, 64)
 	return x, err == nil && !math.IsNaN(x) && !math.IsInf(x, 0)
@@ -156,7 +162,8 @@
 
 func (r *settingsReader) integer(key string) int { return int(r.number(key)) }
 
-// count returns the length of a list, 0 to maxListLength.
+// count returns the length of a list. A length below 0 or above maxListLength is an error,
+// for which count returns 0.
 func (r *settingsReader) count(key string) int {
 	n := r.integer(key)
 	if n < 0 || n > maxListLength {
@@ -166,9 +173,10 @@
 	return n
 }
 
-// duration reads milliseconds.
+// duration returns the value of a setting that is given in milliseconds.
 func (r *settingsReader) duration(key string) time.Duration { return milliseconds(r.number(key)) }
 
+// boolean returns the value of a boolean setting. A missing setting is false.
 func (r *settingsReader) boolean(key string) bool {
 	switch r.values[key] {
 	case "true", "1":
@@ -180,6 +188,8 @@
 	return false
 }
 
+// oneOf returns the value that words assigns to the text of a setting. A text that is not in
+// words is an error.
 func oneOf[T any](r *settingsReader, key string, words map[string]T) T {
 	value, ok := words[r.values[key]]
 	if !ok {
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// step advances the time and handles one random event. Id is the ID of the request if the
-// event is a new request.
+// step advances the time and handles one random event. If the event is a new request, id is
+// the ID of that request.
 func (r *randomDispatcher) step(id dispatch.RequestID) {
 	r.now += time.Duration(r.rng.IntN(5)) * time.Millisecond
 	switch {
