--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -12,17 +12,18 @@
 const (
 	maxLoops     = 256
 	maxShards    = 4096
-	maxName      = 64 // bytes
-	minKeyID     = 3  // bytes
-	minKeySecret = 8  // bytes
+	maxName      = 64 // maximum length of the gateway's name, in bytes
+	minKeyID     = 3  // minimum length of an access key ID, in bytes
+	minKeySecret = 8  // minimum length of an access key secret, in bytes
 
 	minWeight = 1e-6
 	maxWeight = 1e6
 
-	maxMiB = 1 << 20 // of mib_per_second and mib_burst
+	maxMiB = 1 << 20 // maximum of mib_per_second and mib_burst
 )
 
-// check returns the first setting that cannot be used, without its place in the file.
+// check validates the settings. It returns an error for the first invalid setting, without a
+// file name and a line number.
 func (s *Settings) check() *ConfigError {
 	checks := []func() *ConfigError{
 		s.checkGateway,
@@ -55,7 +56,8 @@
 	return nil
 }
 
-// expect returns an error that names the expected value unless ok holds.
+// expect returns nil if ok is true. Otherwise, it returns an error for field that describes
+// the expected value.
 func expect(ok bool, field, expected string) *ConfigError {
 	if ok {
 		return nil
@@ -63,7 +65,8 @@
 	return &ConfigError{Field: field, Expected: expected}
 }
 
-// reject returns an error that states the problem if bad holds.
+// reject returns an error for field that describes the problem if bad is true. Otherwise, it
+// returns nil.
 func reject(bad bool, field, problem string) *ConfigError {
 	if !bad {
 		return nil
@@ -84,13 +87,13 @@
 	return true
 }
 
-// isAddress reports whether a is HOST:PORT.
+// isAddress reports whether a has the form HOST:PORT with a non-empty port.
 func isAddress(a string) bool {
 	_, port, err := net.SplitHostPort(a)
 	return err == nil && port != ""
 }
 
-// isPattern reports whether p is a pattern of path.Match.
+// isPattern reports whether p is a valid pattern for path.Match.
 func isPattern(p string) bool {
 	_, err := path.Match(p, "")
 	return err == nil
@@ -98,20 +101,20 @@
 
 func (s *Settings) checkGateway() *ConfigError {
 	return first(
-		expect(s.Name != "", "name", "a name without blanks or slashes"),
+		expect(s.Name != "", "name", "a non-empty name"),
 		expect(isAddress(s.Listen), "listen", `HOST:PORT, such as "127.0.0.1:9000"`),
 		expect(s.Admin == "" || isAddress(s.Admin), "admin", `HOST:PORT, such as "127.0.0.1:9001", or ""`),
-		expect(s.Region != "", "region", "the region that clients sign for"),
+		expect(s.Region != "", "region", "the region that clients use in their signatures"),
 		expect(within(s.Loops, 0, maxLoops), "loops", fmt.Sprintf("0 to %d", maxLoops)),
-		expect(s.Peers >= 1, "peers", "at least 1: this gateway counts"),
-		expect(within(s.Me, 0, s.Peers-1), "me", fmt.Sprintf("0 to %d, below peers", s.Peers-1)),
+		expect(s.Peers >= 1, "peers", "at least 1, because this gateway is included"),
+		expect(within(s.Me, 0, s.Peers-1), "me", fmt.Sprintf("0 to %d, less than peers", s.Peers-1)),
 		expect(s.Log.hasKnownLevel(), "log.level", "debug, info, warn or error"),
 		expect(isGatewayName(s.Name), "name",
-			fmt.Sprintf("up to %d letters, without blanks or slashes", maxName)),
+			fmt.Sprintf("at most %d printable ASCII characters without spaces and slashes", maxName)),
 	)
 }
 
-// isGatewayName reports whether a name can stand in logs and header fields.
+// isGatewayName reports whether a name can be used in logs and header fields.
 func isGatewayName(name string) bool {
 	for _, r := range name {
 		if r <= ' ' || r == '/' || r > '~' {
@@ -134,10 +137,10 @@
 	for i, k := range s.Keys {
 		prefix := fmt.Sprintf("keys[%d].", i)
 		err := first(
-			expect(len(k.ID) >= minKeyID, prefix+"id", fmt.Sprintf("at least %d letters", minKeyID)),
-			expect(len(k.Secret) >= minKeySecret, prefix+"secret", fmt.Sprintf("at least %d letters", minKeySecret)),
-			reject(ids[k.ID], prefix+"id", "this key is listed twice"),
-			expect(len(k.Buckets) > 0, prefix+"buckets", `patterns of buckets, such as ["*"]`),
+			expect(len(k.ID) >= minKeyID, prefix+"id", fmt.Sprintf("at least %d characters", minKeyID)),
+			expect(len(k.Secret) >= minKeySecret, prefix+"secret", fmt.Sprintf("at least %d characters", minKeySecret)),
+			reject(ids[k.ID], prefix+"id", "the access key is listed twice"),
+			expect(len(k.Buckets) > 0, prefix+"buckets", `at least one bucket pattern, such as ["*"]`),
 		)
 		if err != nil {
 			return err
@@ -145,7 +148,7 @@
 		ids[k.ID] = true
 		for j, p := range k.Buckets {
 			if !isPattern(p) {
-				return expect(false, fmt.Sprintf("%sbuckets[%d]", prefix, j), `a pattern such as "photos-*"`)
+				return expect(false, fmt.Sprintf("%sbuckets[%d]", prefix, j), `a valid pattern, such as "photos-*"`)
 			}
 		}
 	}
@@ -155,7 +158,7 @@
 func (s *Settings) checkNodes() *ConfigError {
 	err := first(
 		expect(within(s.Shards, 1, maxShards), "shards", fmt.Sprintf("1 to %d", maxShards)),
-		reject(s.Embedded != nil && len(s.Nodes) > 0, "nodes", "either nodes or embedded_nodes, not both"),
+		reject(s.Embedded != nil && len(s.Nodes) > 0, "nodes", "nodes and embedded_nodes must not both be set"),
 		s.Embedded.check(),
 	)
 	if err != nil {
@@ -165,10 +168,10 @@
 	for i, n := range s.Nodes {
 		prefix := fmt.Sprintf("nodes[%d].", i)
 		err := first(
-			expect(n.ID != "", prefix+"id", "a name"),
-			reject(ids[n.ID], prefix+"id", "this node is listed twice"),
+			expect(n.ID != "", prefix+"id", "a non-empty name"),
+			reject(ids[n.ID], prefix+"id", "the node is listed twice"),
 			expect(isAddress(n.Addr), prefix+"addr", `HOST:PORT, such as "127.0.0.1:9100"`),
-			expect(within(n.Shard, 0, s.Shards-1), prefix+"shard", fmt.Sprintf("0 to %d, below shards", s.Shards-1)),
+			expect(within(n.Shard, 0, s.Shards-1), prefix+"shard", fmt.Sprintf("0 to %d, less than shards", s.Shards-1)),
 			expect(n.hasKnownState(), prefix+"state", "serving or draining"),
 		)
 		if err != nil {
@@ -203,13 +206,13 @@
 		err := first(
 			expect(c.Name != "" && !names[c.Name], prefix+"name", "a name that no other class has"),
 			expect(c.Aim > 0, prefix+"aim", `a time above 0, such as "300ms"`),
-			expect(c.Deadline >= c.Aim, prefix+"deadline", "a time not below the aim"),
+			expect(c.Deadline >= c.Aim, prefix+"deadline", "a time of at least the aim"),
 			expect(c.Deadline > s.Limits.Margin, prefix+"deadline", "a time above limits.margin"),
 			expect(c.Worth >= 0, prefix+"worth", "0 or more"),
 			expect(knownEffect, prefix+"effect", "safe, keyed or unsafe"),
 			expect(knownGroup, prefix+"group", "all, zone or shard"),
 			expect(c.Effect != effectKeyed || c.Window > 0, prefix+"window",
-				"how long nodes drop repeats of a keyed request"),
+				"a time above 0, for which nodes drop repeats of a keyed request"),
 		)
 		if err != nil {
 			return err
@@ -240,27 +243,27 @@
 
 func (p Plan) check(prefix string, largestUnits float64) *ConfigError {
 	return first(
-		expect(p.Rate > 0, prefix+"rate", "units a second above 0"),
+		expect(p.Rate > 0, prefix+"rate", "a number of cost units per second above 0"),
 		expect(p.Weight > 0, prefix+"weight", "a number above 0"),
 		reject(!nonNegative(p.Reserve, p.Price, p.Limit, p.Burst, p.Slack), prefix+"reserve",
 			"reserve, price, limit, burst and slack must not be negative"),
 		expect(within(p.MiBPerSecond, 0, maxMiB), prefix+"mib_per_second", fmt.Sprintf("0 (no limit) to %d", maxMiB)),
-		expect(within(p.MiBBurst, 0, maxMiB), prefix+"mib_burst", fmt.Sprintf("0 (a second's worth) to %d", maxMiB)),
-		reject(p.MiBBurst > 0 && p.MiBPerSecond == 0, prefix+"mib_burst", "a burst needs mib_per_second"),
+		expect(within(p.MiBBurst, 0, maxMiB), prefix+"mib_burst", fmt.Sprintf("0 (the amount of one second) to %d", maxMiB)),
+		reject(p.MiBBurst > 0 && p.MiBPerSecond == 0, prefix+"mib_burst", "mib_burst requires mib_per_second above 0"),
 		expect(within(p.Weight, minWeight, maxWeight), prefix+"weight", "0.000001 to 1000000"),
 		reject(p.Limit > 0 && p.Burst+p.Slack < largestUnits, prefix+"burst",
-			"burst and slack together must bear the largest request (rules.largest_units)"),
+			"burst plus slack must be at least rules.largest_units, the cost of the largest request"),
 	)
 }
 
 func (s *Settings) checkBuckets() *ConfigError {
 	if len(s.Buckets) == 0 {
-		return expect(false, "buckets", `at least one line, such as {"pattern": "*", "plan": …}`)
+		return expect(false, "buckets", `at least one rule, such as {"pattern": "*", "plan": "NAME"}`)
 	}
 	for i, b := range s.Buckets {
 		prefix := fmt.Sprintf("buckets[%d].", i)
 		err := first(
-			expect(b.Pattern != "" && isPattern(b.Pattern), prefix+"pattern", `a pattern such as "photos-*"`),
+			expect(b.Pattern != "" && isPattern(b.Pattern), prefix+"pattern", `a valid pattern, such as "photos-*"`),
 			expect(s.planNamed(b.Plan) >= 0, prefix+"plan", "the name of a plan"),
 			expect(within(b.Hosts, 0, s.Peers), prefix+"hosts", "0 (all) to peers"),
 			expect(within(b.Spread, 0, s.Shards), prefix+"spread", "0 (all) to shards"),
@@ -304,6 +307,6 @@
 		reject(!nonNegative(r.Budget.Free, r.Budget.Ratio) || r.Budget.Span < 0, "rules.budget",
 			"free, ratio and span must not be negative"),
 		reject(slowStart && !(c.Span > 0 && c.From > 0 && c.From <= 1), "rules.cold",
-			"young_limit needs a span and a from in (0, 1]"),
+			"young_limit requires a span above 0 and a from above 0 and at most 1"),
 	)
 }
--- a/internal/settings/check_limits.go
+++ b/internal/settings/check_limits.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	minLine     = 256      // bytes
-	minHeaders  = 8        // header fields
-	minHead     = 1 * kib  // bytes
-	minDocument = 1 * kib  // bytes
-	maxReplay   = 1 * mib  // bytes
-	minLogBytes = 64 * kib // bytes
+	minLine     = 256      // minimum of limits.line, in bytes
+	minHeaders  = 8        // minimum of limits.headers, in header fields
+	minHead     = 1 * kib  // minimum of limits.head, in bytes
+	minDocument = 1 * kib  // minimum of limits.document, in bytes
+	maxReplay   = 1 * mib  // maximum of limits.replay, in bytes
+	minLogBytes = 64 * kib // minimum of accounts.log_bytes, in bytes
 )
 
 func (s *Settings) checkLimits() *ConfigError {
@@ -27,7 +27,7 @@
 		atLeast(l.Conns, 1, "limits.conns"),
 		atLeast(l.Calls, 1, "limits.calls"),
 		atLeast(l.ConnsPerNode, 1, "limits.conns_per_node"),
-		expect(l.Replay <= maxReplay, "limits.replay", fmt.Sprintf("at most %d: larger bodies stream", maxReplay)),
+		expect(l.Replay <= maxReplay, "limits.replay", fmt.Sprintf("at most %d, because larger bodies are streamed", maxReplay)),
 		positive(l.NodeIdle, "limits.node_idle"),
 		positive(l.NodeAge, "limits.node_age"),
 		positive(l.Connect, "limits.connect"),
@@ -37,7 +37,7 @@
 		positive(l.Skew, "limits.skew"),
 		positive(l.DrainWait, "limits.drain_wait"),
 		expect(within(l.Streams, 0, l.ConnsPerNode-1), "limits.streams_per_node",
-			"0 to below conns_per_node: the rest is for what the dispatcher sends"),
+			"0 or more and less than conns_per_node, because the dispatcher needs the other connections"),
 		expect(l.Margin >= 0, "limits.margin", "0 or more"),
 	)
 }
@@ -51,23 +51,23 @@
 }
 
 func (s *Settings) checkShare() *ConfigError {
-	x := s.Share
+	share := s.Share
 	return first(
-		expect(x.Order == orderFair || x.Order == orderArrival, "share.order", "fair or arrival"),
-		expect(within(x.Quantum, 4*kib, 16*mib), "share.quantum", "4096 to 16777216 bytes"),
-		expect(within(x.Slice, 10*microsecond, 100*millisecond), "share.slice", `"10us" to "100ms"`),
-		expect(within(x.Window, millisecond, 10*second), "share.window", `"1ms" to "10s"`),
-		expect(within(x.ByteTime, 0, 1000), "share.byte_time", "0 to 1000 nanoseconds"),
-		expect(within(x.Finishing, 0.01, 100), "share.finishing", "a weight, 0.01 to 100"),
-		expect(within(x.Flows, 1, 1<<20), "share.flows", "1 to 1048576"),
-		expect(within(x.Newcomers, minWeight, maxWeight), "share.newcomers", "a weight, 0.000001 to 1000000"),
-		expect(within(x.Depth, 1, 1<<16), "share.depth", "1 to 65536"),
-		expect(within(x.Crowd, 1, 1<<16), "share.crowd", "1 to 65536"),
-		expect(within(x.Draw, 16*kib, 1<<30), "share.draw", "16384 to 1073741824 bytes"),
-		expect(within(x.Lease, millisecond, 10*second), "share.lease", `"1ms" to "10s"`),
-		expect(within(x.Receive, 16*kib, 64*mib), "share.receive", "16384 to 67108864 bytes"),
-		expect(x.MaxWait > 0, "share.max_wait", `a time above 0, such as "2s"`),
-		x.Overload.check(),
+		expect(share.Order == orderFair || share.Order == orderArrival, "share.order", "fair or arrival"),
+		expect(within(share.Quantum, 4*kib, 16*mib), "share.quantum", "4096 to 16777216 bytes"),
+		expect(within(share.Slice, 10*microsecond, 100*millisecond), "share.slice", `"10us" to "100ms"`),
+		expect(within(share.Window, millisecond, 10*second), "share.window", `"1ms" to "10s"`),
+		expect(within(share.ByteTime, 0, 1000), "share.byte_time", "0 to 1000 nanoseconds"),
+		expect(within(share.Finishing, 0.01, 100), "share.finishing", "a weight, 0.01 to 100"),
+		expect(within(share.Flows, 1, 1<<20), "share.flows", "1 to 1048576"),
+		expect(within(share.Newcomers, minWeight, maxWeight), "share.newcomers", "a weight, 0.000001 to 1000000"),
+		expect(within(share.Depth, 1, 1<<16), "share.depth", "1 to 65536"),
+		expect(within(share.Crowd, 1, 1<<16), "share.crowd", "1 to 65536"),
+		expect(within(share.Draw, 16*kib, 1<<30), "share.draw", "16384 to 1073741824 bytes"),
+		expect(within(share.Lease, millisecond, 10*second), "share.lease", `"1ms" to "10s"`),
+		expect(within(share.Receive, 16*kib, 64*mib), "share.receive", "16384 to 67108864 bytes"),
+		expect(share.MaxWait > 0, "share.max_wait", `a time above 0, such as "2s"`),
+		share.Overload.check(),
 	)
 }
 
@@ -75,9 +75,9 @@
 	return first(
 		expect(within(o.Target, 0, minute), "share.overload.target", `"0s" to "1m"`),
 		expect(o.Interval >= o.Target && within(o.Interval, millisecond, minute), "share.overload.interval",
-			`"1ms" to "1m", and the target or more`),
-		expect(o.Back >= millisecond, "share.overload.back", `"1ms" or more`),
-		expect(within(o.MaxBack, o.Back, hour), "share.overload.max_back", `back or more, "1h" at most`),
+			`"1ms" to "1m" and at least share.overload.target`),
+		expect(o.Back >= millisecond, "share.overload.back", `at least "1ms"`),
+		expect(within(o.MaxBack, o.Back, hour), "share.overload.max_back", `at least share.overload.back and at most "1h"`),
 	)
 }
 
--- a/internal/settings/convert.go
+++ b/internal/settings/convert.go
@@ -10,7 +10,7 @@
 	"chalkstand/internal/objectapi"
 )
 
-// Values of enumerated settings.
+// The constants are the valid values of the settings that select from a fixed list.
 const (
 	effectSafe   = "safe"
 	effectKeyed  = "keyed"
@@ -26,18 +26,19 @@
 	orderFair    = "fair"
 	orderArrival = "arrival"
 
-	// anyOperation stands for all operations in the "operations" list.
+	// anyOperation in the "operations" list of a rule matches every operation.
 	anyOperation = "*"
 )
 
-// idempotencyOf maps the values of classes[].effect.
+// idempotencyOf maps each valid value of the setting classes[].effect to its idempotency.
 var idempotencyOf = map[string]dispatch.Idempotency{
 	effectSafe:   dispatch.Idempotent,
 	effectKeyed:  dispatch.Deduplicated,
 	effectUnsafe: dispatch.NonIdempotent,
 }
 
-// dedupScopeOf maps the values of classes[].group.
+// dedupScopeOf maps each valid value of the setting classes[].group to its deduplication
+// scope.
 var dedupScopeOf = map[string]dispatch.DedupScope{
 	"":         dispatch.DedupEverywhere,
 	groupAll:   dispatch.DedupEverywhere,
@@ -45,7 +46,8 @@
 	groupShard: dispatch.DedupPerShard,
 }
 
-// LoopCount returns the number of event loops: "loops", or one for each core.
+// LoopCount returns the number of event loops. If the setting "loops" is 0, the gateway runs
+// one loop per core.
 func (s *Settings) LoopCount() int {
 	if s.Loops > 0 {
 		return s.Loops
@@ -121,8 +123,8 @@
 	}
 }
 
-// CostModel returns the cost model of the "operations" list. It fails if an operation of
-// some size has no rule.
+// CostModel returns the cost model that the "operations" list defines. It returns an error if
+// an operation has a body size to which no rule applies.
 func (s *Settings) CostModel() (*costmodel.Model[objectapi.Kind], error) {
 	var rules []costmodel.Rule[objectapi.Kind]
 	for _, o := range s.Operations {
@@ -138,7 +140,8 @@
 	return costmodel.New(rules, objectapi.Kinds(), len(s.Classes), s.Rules.LargestUnits)
 }
 
-// kinds returns the operations that the rule names.
+// kinds returns the kinds of the operations that the rule applies to. Unknown names are
+// ignored.
 func (o Operation) kinds() []objectapi.Kind {
 	var kinds []objectapi.Kind
 	for _, name := range o.Operations {
@@ -153,8 +156,8 @@
 	return kinds
 }
 
-// BucketRule returns the index of the first bucket rule whose pattern matches a bucket,
-// or -1.
+// BucketRule returns the index of the first bucket rule whose pattern matches the name of a
+// bucket, or -1 if no pattern matches.
 func (s *Settings) BucketRule(bucket string) int {
 	for i, b := range s.Buckets {
 		if ok, _ := path.Match(b.Pattern, bucket); ok {
@@ -164,11 +167,11 @@
 	return -1
 }
 
-// PlanIndex returns the index of a bucket rule's plan.
+// PlanIndex returns the index of the plan that a bucket rule assigns.
 func (s *Settings) PlanIndex(rule int) int { return s.planNamed(s.Buckets[rule].Plan) }
 
-// Dispatchers returns the number of gateways through which the requests of a bucket rule
-// come.
+// Dispatchers returns the number of gateways that receive the requests for a volume under a
+// bucket rule.
 func (s *Settings) Dispatchers(rule int) int {
 	if n := s.Buckets[rule].Hosts; n > 0 {
 		return n
@@ -176,8 +179,9 @@
 	return s.Peers
 }
 
-// FlowConfig returns the weight on the event loops and the rate limit in bytes of a volume
-// under a bucket rule. The volume's limit is divided among the gateways that serve it.
+// FlowConfig returns the weight and the rate limit of a volume under a bucket rule. The rate
+// is in bytes per second. The volume's rate limit is divided equally among the gateways that
+// serve the volume, so the returned limit is the part of this gateway.
 func (s *Settings) FlowConfig(rule int) fairshare.FlowConfig {
 	p := s.Plans[s.PlanIndex(rule)]
 	burst := p.MiBBurst
@@ -192,7 +196,7 @@
 	}
 }
 
-// planNamed returns the index of a plan, or -1.
+// planNamed returns the index of the plan with a name, or -1 if there is no such plan.
 func (s *Settings) planNamed(name string) int {
 	for i, p := range s.Plans {
 		if p.Name == name {
@@ -202,7 +206,7 @@
 	return -1
 }
 
-// classIndex returns the index of a class, or -1.
+// classIndex returns the index of the class with a name, or -1 if there is no such class.
 func (s *Settings) classIndex(name string) int {
 	for i, c := range s.Classes {
 		if c.Name == name {
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -8,8 +8,8 @@
 	"github.com/tailscale/hujson"
 )
 
-// findUnknown returns an error for the first member of the tree that t has no field for, or that its
-// object has twice.
+// findUnknown returns an error for the first member in the tree v that has no field in the
+// type t or that occurs twice in its object.
 func findUnknown(v *hujson.Value, t reflect.Type, field string) *decodeError {
 	if t.Kind() == reflect.Pointer {
 		t = t.Elem()
@@ -44,11 +44,11 @@
 		path := memberPath(field, name)
 		index, ok := fieldIndex(t, name)
 		if !ok {
-			problem := ConfigError{Field: path, Problem: "there is no such setting"}
+			problem := ConfigError{Field: path, Problem: "unknown setting"}
 			return &decodeError{problem, m.Name.StartOffset}
 		}
 		if seen[name] {
-			problem := ConfigError{Field: path, Problem: "it is set twice"}
+			problem := ConfigError{Field: path, Problem: "setting occurs twice"}
 			return &decodeError{problem, m.Name.StartOffset}
 		}
 		seen[name] = true
@@ -59,7 +59,8 @@
 	return nil
 }
 
-// decode stores the tree in to. The tree holds no member that findUnknown reports.
+// decode stores the values of the tree v in to. The caller must first check the tree with
+// findUnknown.
 func decode(v *hujson.Value, to reflect.Value, field string) *decodeError {
 	switch node := v.Value.(type) {
 	case *hujson.Object:
@@ -84,7 +85,7 @@
 		name := memberName(m)
 		index, ok := fieldIndex(to.Type(), name)
 		if !ok {
-			panic("settings: findUnknown accepted the field " + memberPath(field, name))
+			panic("settings: findUnknown accepted the unknown setting " + memberPath(field, name))
 		}
 		if err := decode(&m.Value, to.Field(index), memberPath(field, name)); err != nil {
 			return err
@@ -126,13 +127,13 @@
 	return &decodeError{problem, v.StartOffset}
 }
 
-// isUnmarshaler reports whether v decodes itself.
+// isUnmarshaler reports whether the type of v implements json.Unmarshaler.
 func isUnmarshaler(v reflect.Value) bool {
 	_, ok := v.Addr().Interface().(json.Unmarshaler)
 	return ok
 }
 
-// typeName returns how an error text calls the JSON type that v is decoded from.
+// typeName returns the name that error messages use for the JSON type that v is decoded from.
 func typeName(v reflect.Value) string {
 	if isUnmarshaler(v) {
 		return fmt.Sprintf("a duration in quotes, such as %q", exampleDuration)
@@ -156,7 +157,8 @@
 	return m.Name.Value.(hujson.Literal).String()
 }
 
-// memberPath returns the path of a member of the object at field. An empty name is shown in quotes.
+// memberPath returns the path of a member of the object at the path field. An empty member
+// name appears as "" in the path.
 func memberPath(field, name string) string {
 	if name == "" {
 		name = `""`
@@ -167,14 +169,15 @@
 	return field + "." + name
 }
 
-// elementPath returns the path of an element of the list at field.
+// elementPath returns the path of an element of the list at the path field.
 func elementPath(field string, index int) string {
 	return fmt.Sprintf("%s[%d]", field, index)
 }
 
-// fieldIndex returns the index of the struct field that a settings key names.
+// fieldIndex returns the index of the field of t whose JSON tag is key. The second result
+// reports whether there is such a field.
 func fieldIndex(t reflect.Type, key string) (int, bool) {
-	if key == "" { // which a field without a tag would match
+	if key == "" { // An empty key would match a field without a tag.
 		return 0, false
 	}
 	for i := range t.NumField() {
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	kib = 1 << 10 // bytes
-	mib = 1 << 20 // bytes
+	kib = 1 << 10 // bytes per KiB
+	mib = 1 << 20 // bytes per MiB
 
 	microsecond = Duration(time.Microsecond)
 	millisecond = Duration(time.Millisecond)
@@ -13,7 +13,8 @@
 	hour        = Duration(time.Hour)
 )
 
-// Default returns the default settings, which a file changes field by field.
+// Default returns the default settings. A settings file overrides only the fields that it
+// contains.
 func Default() Settings {
 	return Settings{
 		Name:     "gateway",
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -2,17 +2,17 @@
 
 import "fmt"
 
-// ConfigError reports a settings file that cannot be used, and the place of the fault.
+// ConfigError reports a fault in a settings file and its position.
 type ConfigError struct {
-	File     string
-	Line     int    // counted from 1
-	Field    string // path of the setting, such as nodes[2].addr; "" for the file as a whole
-	Expected string // what the setting has to be; "" if Problem says what is wrong
-	Got      string // what stands there instead; "" if Expected is clear without it
-	Problem  string // what is wrong, where no single expected value can be named
+	File     string // name of the file
+	Line     int    // line number; the first line has number 1
+	Field    string // path of the setting, such as nodes[2].addr; "" if the error concerns the whole file
+	Expected string // description of a valid value; "" if Problem is set
+	Got      string // invalid value; "" if the message does not show it
+	Problem  string // description of the fault if Expected cannot describe it
 }
 
-// Error returns place, field and reason: "FILE:LINE: FIELD: REASON".
+// Error returns the error in the form "FILE:LINE: FIELD: REASON".
 func (e *ConfigError) Error() string {
 	if e.Field == "" {
 		return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Reason())
@@ -20,13 +20,13 @@
 	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Field, e.Reason())
 }
 
-// Reason returns what is wrong with the setting, without its place.
+// Reason returns the description of the fault without its position.
 func (e *ConfigError) Reason() string {
 	switch {
 	case e.Problem != "":
 		return e.Problem
 	case e.Got != "":
-		return "want " + e.Expected + ", not " + e.Got
+		return "expected " + e.Expected + ", got " + e.Got
 	}
-	return "want " + e.Expected
+	return "expected " + e.Expected
 }
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -10,8 +10,8 @@
 	"github.com/tailscale/hujson"
 )
 
-// Load reads and checks a settings file. A file whose content cannot be used gives a
-// *ConfigError.
+// Load reads and validates a settings file. If the content of the file is invalid, the error
+// is a *ConfigError.
 func Load(file string) (*Settings, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -20,8 +20,8 @@
 	return Parse(file, text)
 }
 
-// Parse decodes and checks the text of a settings file over the defaults. Every error is
-// a *ConfigError with the given file name.
+// Parse decodes and validates the text of a settings file. A setting that the text does not
+// contain keeps its default value. Every error is a *ConfigError with the given file name.
 func Parse(file string, text []byte) (*Settings, error) {
 	root, err := hujson.Parse(text)
 	if err != nil {
@@ -42,7 +42,8 @@
 	return &s, nil
 }
 
-// syntaxError returns the parser's error with the line that its text names.
+// syntaxError converts an error of the parser. It extracts the line number from the error
+// text because the parser does not provide it in another form.
 func syntaxError(file string, err error) *ConfigError {
 	line := 1
 	var column int
@@ -52,14 +53,14 @@
 	return &ConfigError{File: file, Line: line, Problem: strings.TrimPrefix(err.Error(), "hujson: ")}
 }
 
-// lineOf returns the line, counted from 1, of a byte offset.
+// lineOf returns the line number of a byte offset in text. The first line has number 1.
 func lineOf(text []byte, offset int) int {
 	before := text[:min(max(offset, 0), len(text))]
 	return 1 + bytes.Count(before, []byte("\n"))
 }
 
-// offsetOf returns the byte offset of a field's value, or that of the nearest value
-// around it if the file does not hold the field.
+// offsetOf returns the byte offset of a field's value. If the file does not contain the
+// field, offsetOf returns the offset of the innermost enclosing value that it contains.
 func offsetOf(root *hujson.Value, field string) int {
 	pointer := "/" + strings.NewReplacer("[", "/", "]", "", ".", "/").Replace(field)
 	for pointer != "" && pointer != "/" {
@@ -71,13 +72,13 @@
 	return 0
 }
 
-// decodeError is a ConfigError whose place is a byte offset.
+// decodeError is a ConfigError whose position is given as a byte offset in the file.
 type decodeError struct {
 	ConfigError
 	offset int
 }
 
-// at returns the error with the file's name and the line of its offset.
+// at returns the ConfigError with the file name and with the line number of the offset.
 func (e *decodeError) at(file string, text []byte) *ConfigError {
 	err := e.ConfigError
 	err.File = file
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,43 +1,44 @@
-// Package settings reads the gateway's settings file: JSON with comments, strict in its
-// fields. A [ConfigError] names file, line and field and says what is expected.
+// Package settings reads the gateway's settings file. The file contains JSON with comments;
+// an unknown field is an error. A [ConfigError] names the file, the line and the field, and
+// describes the expected value.
 //
-// The structs mirror the file and keep its published keys. Where a key differs from the
-// term that the code uses, the field's comment names the term; convert.go maps the
-// settings to the configurations of the packages that they are for.
+// The structs mirror the file and use its published keys. If a key differs from the term that
+// the code uses, the comment of the field names the term. The functions in convert.go map the
+// settings to the configurations of other packages.
 package settings
 
-// Settings is the whole file.
+// Settings holds all settings of a file.
 type Settings struct {
-	Name    string   `json:"name"`    // of this gateway, in logs and towards nodes
+	Name    string   `json:"name"`    // name of this gateway in logs and in requests to nodes
 	Listen  string   `json:"listen"`  // address of the object API
-	Admin   string   `json:"admin"`   // address of metrics and health; "" for none
-	Region  string   `json:"region"`  // region that clients sign for
-	Domains []string `json:"domains"` // parent domains of virtual-host style buckets
-	Loops   int      `json:"loops"`   // event loops; 0: one for each core
-	Me      int      `json:"me"`      // dispatcher index
-	Peers   int      `json:"peers"`   // dispatcher count: gateways that send to the same nodes
+	Admin   string   `json:"admin"`   // address of the admin server, which serves metrics and health; "" disables it
+	Region  string   `json:"region"`  // region that clients use in their signatures
+	Domains []string `json:"domains"` // parent domains of buckets in virtual-host style
+	Loops   int      `json:"loops"`   // number of event loops; 0 means one per core
+	Me      int      `json:"me"`      // dispatcher index of this gateway
+	Peers   int      `json:"peers"`   // dispatcher count: the number of gateways that send requests to the same nodes
 
 	Keys       []Key       `json:"keys"`
 	Shards     int         `json:"shards"`
 	Nodes      []Node      `json:"nodes"`
-	Embedded   *Embedded   `json:"embedded_nodes"` // fake nodes inside the process; nil for none
+	Embedded   *Embedded   `json:"embedded_nodes"` // fake nodes inside the process; nil disables them
 	Classes    []Class     `json:"classes"`
 	Plans      []Plan      `json:"plans"`
-	Buckets    []Bucket    `json:"buckets"`    // the first pattern that matches decides
-	Operations []Operation `json:"operations"` // cost model; the first rule that matches decides
+	Buckets    []Bucket    `json:"buckets"`    // rules for buckets; the first rule with a matching pattern applies
+	Operations []Operation `json:"operations"` // rules of the cost model; the first matching rule applies
 	Rules      Rules       `json:"rules"`
 	Limits     Limits      `json:"limits"`
-	Share      Share       `json:"share"`    // fair sharing
+	Share      Share       `json:"share"`    // fair sharing of event loops and node links
 	Accounts   Accounts    `json:"accounts"` // latency attribution
 	Log        Log         `json:"log"`
-	Trace      string      `json:"trace"` // file that records the dispatcher's events; "" for none
+	Trace      string      `json:"trace"` // file to which the dispatcher's events are recorded; "" disables recording
 }
 
-// Key is an access key.
+// Key is an access key that clients sign their requests with.
 type Key struct {
 	ID      string   `json:"id"`
 	Secret  string   `json:"secret"`
-	Buckets []string `json:"buckets"` // patterns of path.Match
+	Buckets []string `json:"buckets"` // buckets that the key gives access to, as patterns of path.Match
 	Write   bool     `json:"write"`   // whether the key permits operations that write
 }
 
@@ -47,159 +48,161 @@
 	Addr  string `json:"addr"`
 	Shard int    `json:"shard"`
 	Zone  int    `json:"zone"`
-	Kind  int    `json:"kind"`  // hardware kind
-	State string `json:"state"` // "" or "serving" (ready), "draining"
+	Kind  int    `json:"kind"`  // index of the hardware kind
+	State string `json:"state"` // "serving" or "" for a ready node, "draining" for a draining one
 }
 
-// Embedded configures fake nodes that run inside the process, one for each shard.
+// Embedded configures the fake nodes that run inside the process, one per shard.
 type Embedded struct {
-	Dir     string   `json:"dir"` // directory of the objects' data; "" keeps them in memory
-	Cores   int      `json:"cores"`
-	Queue   int      `json:"queue"`
-	PerUnit Duration `json:"per_unit"` // service time of a cost unit
+	Dir     string   `json:"dir"`      // directory for the objects; "" keeps them in memory
+	Cores   int      `json:"cores"`    // requests that a node processes concurrently; 0 means unlimited
+	Queue   int      `json:"queue"`    // requests that may wait at a node; the node rejects further ones
+	PerUnit Duration `json:"per_unit"` // service time per cost unit
 }
 
-// Class is a class of requests; see dispatch.Class.
+// Class configures a request class; see dispatch.Class.
 type Class struct {
 	Name     string   `json:"name"`
 	Aim      Duration `json:"aim"` // latency objective
 	Deadline Duration `json:"deadline"`
 	Worth    float64  `json:"worth"`   // priority weight
-	Effect   string   `json:"effect"`  // idempotency: safe, keyed (deduplicated) or unsafe
-	Group    string   `json:"group"`   // deduplication scope: all, zone or shard
+	Effect   string   `json:"effect"`  // idempotency: "safe" (idempotent), "keyed" (deduplicated) or "unsafe" (not idempotent)
+	Group    string   `json:"group"`   // deduplication scope: "all", "zone" or "shard"
 	Window   Duration `json:"window"`  // deduplication window
-	InTurn   bool     `json:"in_turn"` // ordered: requests of one key run one at a time
+	InTurn   bool     `json:"in_turn"` // ordered: whether requests with the same key run one at a time
 }
 
-// Plan is what a volume is entitled to; see dispatch.Plan. Rates are in units a second.
+// Plan configures the rates and weights that apply to a volume; see dispatch.Plan. Rates are
+// in cost units per second.
 type Plan struct {
 	Name    string  `json:"name"`
-	Rate    float64 `json:"rate"`    // rate that the use of a volume is measured against
-	Reserve float64 `json:"reserve"` // reserved rate
-	Weight  float64 `json:"weight"`  // of fair queuing
-	Price   float64 `json:"price"`   // value factor of the plan's requests
-	Limit   float64 `json:"limit"`   // rate limit; 0: none
-	Burst   float64 `json:"burst"`   // units that the limit lets through at once
-	Slack   float64 `json:"slack"`   // units by which the limit may be overdrawn
+	Rate    float64 `json:"rate"`    // rate that the usage of a volume is compared with
+	Reserve float64 `json:"reserve"` // rate that is reserved for a volume
+	Weight  float64 `json:"weight"`  // weight in fair queuing
+	Price   float64 `json:"price"`   // factor by which the value of the plan's requests is multiplied
+	Limit   float64 `json:"limit"`   // rate limit; 0 disables it
+	Burst   float64 `json:"burst"`   // cost units that the rate limit admits at once
+	Slack   float64 `json:"slack"`   // cost units by which requests may exceed the rate limit
 
-	MiBPerSecond float64 `json:"mib_per_second"` // rate limit of bodies, a volume over all gateways; 0: none
-	MiBBurst     float64 `json:"mib_burst"`      // burst of bodies; 0: what one second may carry
+	MiBPerSecond float64 `json:"mib_per_second"` // rate limit of a volume's bodies at all gateways together; 0 disables it
+	MiBBurst     float64 `json:"mib_burst"`      // burst of that rate limit, in MiB; 0 means the amount of one second
 }
 
-// Bucket maps buckets to a plan.
+// Bucket assigns a plan to all buckets that match a pattern.
 type Bucket struct {
-	Pattern string `json:"pattern"` // of path.Match
+	Pattern string `json:"pattern"` // pattern of path.Match
 	Plan    string `json:"plan"`
-	Hosts   int    `json:"hosts"`  // dispatchers of a volume; 0: all
-	Spread  int    `json:"spread"` // shards of a volume; 0: all
+	Hosts   int    `json:"hosts"`  // number of dispatchers that serve a volume; 0 means all
+	Spread  int    `json:"spread"` // number of shards that store a volume; 0 means all
 }
 
 // Operation is a rule of the cost model; see costmodel.Rule.
 type Operation struct {
-	Operations []string `json:"operations"` // names, or "*" for all
-	MaxBytes   int64    `json:"max_bytes"`  // largest body that the rule applies to; 0: any
+	Operations []string `json:"operations"` // names of operations; "*" means all operations
+	MaxBytes   int64    `json:"max_bytes"`  // size of the largest body that the rule applies to; 0 means any size
 	Class      string   `json:"class"`
-	Units      float64  `json:"units"`        // cost of a request
-	PerMiB     float64  `json:"per_mib"`      // cost of a MiB of its body, in units
-	Assume     int64    `json:"assume_bytes"` // size assumed where it is not known
+	Units      float64  `json:"units"`        // cost of a request without its body, in cost units
+	PerMiB     float64  `json:"per_mib"`      // cost per MiB of the body, in cost units
+	Assume     int64    `json:"assume_bytes"` // size that is assumed for a body of unknown size
 }
 
-// Rules configures the dispatcher's decisions over requests and nodes; see dispatch.Config.
+// Rules configures how the dispatcher schedules requests; see dispatch.Config.
 type Rules struct {
-	MaxAttempts   int      `json:"max_attempts"` // for one request
-	MaxRetryAfter Duration `json:"max_retry_after"`
-	Settle        Duration `json:"settle"`        // quiescence of a key after an ambiguous attempt
-	Round         Duration `json:"round"`         // round-trip allowance
-	UsualUnits    float64  `json:"usual_units"`   // mean cost of a request
-	LargestUnits  float64  `json:"largest_units"` // highest cost of a request
-	Budget        Budget   `json:"budget"`        // retry budget
-	Cold          Cold     `json:"cold"`          // slow start
+	MaxAttempts   int      `json:"max_attempts"`    // maximum number of attempts for a request
+	MaxRetryAfter Duration `json:"max_retry_after"` // highest Retry-After in the response to a rejected request
+	Settle        Duration `json:"settle"`          // quiescence: pause of a key after an attempt that may still be running
+	Round         Duration `json:"round"`           // time that the dispatcher allows for one network round trip
+	UsualUnits    float64  `json:"usual_units"`     // mean cost of a request
+	LargestUnits  float64  `json:"largest_units"`   // highest cost of a request
+	Budget        Budget   `json:"budget"`          // retry budget
+	Cold          Cold     `json:"cold"`            // slow start
 }
 
-// Budget is the retry budget; see dispatch.RetryBudget.
+// Budget configures the retry budget; see dispatch.RetryBudget.
 type Budget struct {
-	Free  float64  `json:"free"`  // retries that are always allowed in the window
-	Ratio float64  `json:"ratio"` // further retries allowed for each request in the window
-	Span  Duration `json:"span"`  // window; 0: no budget
+	Free  float64  `json:"free"`  // number of retries that are always allowed in a window
+	Ratio float64  `json:"ratio"` // number of further retries that each request in the window allows
+	Span  Duration `json:"span"`  // length of the window; 0 disables the retry budget
 }
 
 // Cold configures the slow start of a node; see dispatch.SlowStart.
 type Cold struct {
-	From       float64  `json:"from"`        // initial capacity: share of its full capacity that a node starts with
-	WarmUp     Duration `json:"warm_up"`     // time to full capacity
-	Multiple   float64  `json:"multiple"`    // overload factor: multiple of its present capacity that a node tolerates
-	Span       Duration `json:"span"`        // window over which load is compared with capacity
-	YoungLimit float64  `json:"young_limit"` // units in a window that every starting node tolerates; 0: no slow start
+	From       float64  `json:"from"`        // initial capacity of a node, as a share of its full capacity
+	WarmUp     Duration `json:"warm_up"`     // time until a node has its full capacity
+	Multiple   float64  `json:"multiple"`    // overload factor: highest ratio of load to current capacity that a node tolerates
+	Span       Duration `json:"span"`        // length of the window over which load is compared with capacity
+	YoungLimit float64  `json:"young_limit"` // cost units per window that every starting node tolerates; 0 disables slow start
 }
 
-// Limits bounds what the gateway queues, buffers and waits for. Sizes are in bytes.
+// Limits holds the limits of queues, buffers, connections and waiting times. Sizes are in
+// bytes.
 type Limits struct {
-	Line         int      `json:"line"`      // of a head
-	Headers      int      `json:"headers"`   // header fields of a head
-	Head         int      `json:"head"`      // request line and header fields together
-	Replay       int      `json:"replay"`    // largest body that is buffered and can be replayed
-	Document     int      `json:"document"`  // largest request or list document
-	Pipelined    int      `json:"pipelined"` // pipelined requests received ahead on a connection
-	FanOut       int      `json:"fan_out"`   // concurrent requests of one scatter-gather operation
-	Conns        int      `json:"conns"`     // client connections
-	Calls        int      `json:"calls"`     // requests queued and in flight
-	ConnsPerNode int      `json:"conns_per_node"`
-	Streams      int      `json:"streams_per_node"` // bodies that stream outside the concurrency limit
+	Line         int      `json:"line"`             // size of a line in the head of a request or response
+	Headers      int      `json:"headers"`          // number of header fields in a head
+	Head         int      `json:"head"`             // size of a head: its first line and all header fields
+	Replay       int      `json:"replay"`           // size of the largest body that is buffered so that an attempt can be repeated
+	Document     int      `json:"document"`         // size of the largest XML document in a request or a list response
+	Pipelined    int      `json:"pipelined"`        // size of the pipelined requests that are read in advance from a connection
+	FanOut       int      `json:"fan_out"`          // number of concurrent requests of one scatter-gather operation
+	Conns        int      `json:"conns"`            // number of client connections
+	Calls        int      `json:"calls"`            // number of queued and in-flight requests
+	ConnsPerNode int      `json:"conns_per_node"`   // number of connections to a node
+	Streams      int      `json:"streams_per_node"` // number of bodies that stream from or to a node outside the concurrency limit
 	NodeIdle     Duration `json:"node_idle"`        // idle timeout of a node connection
 	NodeAge      Duration `json:"node_age"`         // maximum age of a node connection
 	Connect      Duration `json:"connect"`          // dial timeout
-	Margin       Duration `json:"margin"`           // kept before a deadline for the response's way
-	ClientHead   Duration `json:"client_head"`      // read timeout of a head, from its first byte
+	Margin       Duration `json:"margin"`           // time before a request's deadline that is reserved for returning the response
+	ClientHead   Duration `json:"client_head"`      // read timeout of a request head, measured from its first byte
 	ClientIdle   Duration `json:"client_idle"`      // idle timeout of a client connection
-	ClientBody   Duration `json:"client_body"`      // timeout without a byte of a body, either way
-	Skew         Duration `json:"skew"`             // clock skew accepted of a client
-	DrainWait    Duration `json:"drain_wait"`       // graceful shutdown timeout of open requests
+	ClientBody   Duration `json:"client_body"`      // timeout while no byte of a request or response body is transferred
+	Skew         Duration `json:"skew"`             // largest accepted difference between the clocks of a client and the gateway
+	DrainWait    Duration `json:"drain_wait"`       // timeout for open requests in a graceful shutdown
 }
 
-// Share configures the fair sharing of the gateway's event loops and node links among
-// volumes, by the weights of their plans.
+// Share configures how volumes share the gateway's event loops and node links, in proportion
+// to the weights of their plans.
 type Share struct {
-	Order     string   `json:"order"`     // "fair", or "arrival": first come, first served, for comparison
-	Quantum   int      `json:"quantum"`   // bytes read in one time slice at most
-	Slice     Duration `json:"slice"`     // time slices run so long before new events are polled
-	Window    Duration `json:"window"`    // loop time by which a flow can lag behind
-	ByteTime  float64  `json:"byte_time"` // lowest cost of a byte, in nanoseconds
-	Finishing float64  `json:"finishing"` // weight of work in progress within a flow; new requests have 1
-	Flows     int      `json:"flows"`     // volumes with a flow of their own on a loop and at a node
-	Newcomers float64  `json:"newcomers"` // weight of all connections without a volume yet
-	Depth     int      `json:"depth"`     // responses that stream from a node at a time, on each loop
-	Crowd     int      `json:"crowd"`     // waiting responses for each one more that may stream
-	Draw      int      `json:"draw"`      // bytes of a response after which its grant ends
-	Lease     Duration `json:"lease"`     // time after which a grant ends at the latest
-	Receive   int      `json:"receive"`   // receive buffer of a node connection, in bytes
-	MaxWait   Duration `json:"max_wait"`  // longest pause of a body for mib_per_second before it is rejected
+	Order     string   `json:"order"`     // "fair", or "arrival" for first come, first served, which serves as a comparison
+	Quantum   int      `json:"quantum"`   // maximum number of bytes that are read in one time slice
+	Slice     Duration `json:"slice"`     // time for which an event loop runs time slices before it polls for new events
+	Window    Duration `json:"window"`    // maximum loop time by which a flow can lag behind the others
+	ByteTime  float64  `json:"byte_time"` // minimum cost of a byte, in nanoseconds of loop time
+	Finishing float64  `json:"finishing"` // weight of requests in progress within a flow; new requests have weight 1
+	Flows     int      `json:"flows"`     // maximum number of volumes that have their own flow on a loop and at a node
+	Newcomers float64  `json:"newcomers"` // total weight of all connections whose volume is not known yet
+	Depth     int      `json:"depth"`     // number of responses that stream from a node at the same time, per event loop
+	Crowd     int      `json:"crowd"`     // one more response may stream for each group of this many waiting responses
+	Draw      int      `json:"draw"`      // number of bytes of a response after which its grant ends
+	Lease     Duration `json:"lease"`     // time after which a grant ends even if its bytes are not used up
+	Receive   int      `json:"receive"`   // size of the receive buffer of a node connection, in bytes
+	MaxWait   Duration `json:"max_wait"`  // longest delay of a body by mib_per_second; a request with a longer delay is rejected
 	Overload  Overload `json:"overload"`
 }
 
-// Overload configures overload control: when requests are rejected as soon as
-// their head has been read.
+// Overload configures overload control, which rejects requests of an overloaded volume as soon
+// as their head has been read.
 type Overload struct {
-	Target   Duration `json:"target"`   // queue time accepted of an overloaded volume; 0: nothing is rejected
-	Interval Duration `json:"interval"` // of longer queue times only, after which a volume is overloaded
-	Back     Duration `json:"back"`     // Retry-After of a rejection, at first
-	MaxBack  Duration `json:"max_back"` // highest Retry-After, when most requests are rejected
+	Target   Duration `json:"target"`   // longest queue time that is accepted for an overloaded volume; 0 disables overload control
+	Interval Duration `json:"interval"` // a volume is overloaded after all its queue times have reached the target for this long
+	Back     Duration `json:"back"`     // Retry-After of the first rejections
+	MaxBack  Duration `json:"max_back"` // highest Retry-After, which is used while most requests are rejected
 }
 
-// Accounts bounds latency attribution.
+// Accounts configures latency attribution and limits its memory.
 type Accounts struct {
-	On            bool   `json:"on"`
-	Volumes       int    `json:"volumes"`       // with an entry of their own in a time slot; the others are summed
-	Pairs         int    `json:"pairs"`         // of a volume and one that it waited behind, in a time slot
-	Distributions int    `json:"distributions"` // volumes with percentiles, in a time slot
-	Late          int    `json:"late"`          // completed requests that a late report can still change
-	Batches       int    `json:"batches"`       // of 128 spans, on their way to the aggregator
-	Log           string `json:"log"`           // path of the attribution log; "" for none
-	LogBytes      int64  `json:"log_bytes"`     // size of one log file
-	LogFiles      int    `json:"log_files"`     // log files that are kept, the current one included
-}
-
-// Log configures the program's log.
+	On            bool   `json:"on"`            // whether latency attribution is enabled
+	Volumes       int    `json:"volumes"`       // volumes with their own entry in a time slot; the others share an entry
+	Pairs         int    `json:"pairs"`         // pairs with their own entry in a time slot: a volume and one that it waited behind
+	Distributions int    `json:"distributions"` // number of volumes with percentiles in a time slot
+	Late          int    `json:"late"`          // attempts of completed requests that are kept for late timing reports
+	Batches       int    `json:"batches"`       // batches of 128 spans that can wait for the aggregator
+	Log           string `json:"log"`           // path of the attribution log; "" disables it
+	LogBytes      int64  `json:"log_bytes"`     // maximum size of a log file, in bytes
+	LogFiles      int    `json:"log_files"`     // number of log files that are kept, including the current one
+}
+
+// Log configures the log of the gateway process.
 type Log struct {
-	Level  string `json:"level"`  // debug, info, warn or error
+	Level  string `json:"level"`  // lowest level that is logged: "debug", "info", "warn" or "error"
 	Access bool   `json:"access"` // whether each request is logged
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -25,22 +25,23 @@
 	}
 	if s.Shards != 4 || s.Classes[0].Aim.D() != 300*time.Millisecond || !s.Classes[1].InTurn ||
 		s.Limits.Replay != 64<<10 || s.Rules.MaxAttempts != 3 {
-		t.Fatalf("%+v", s)
+		t.Fatalf("quickstart settings: got %+v, want the values of the file over the defaults", s)
 	}
 }
 
-// wrongSettings are edits of the quickstart file that make a setting unusable, with the
-// field that the error names and a part of its reason.
-var wrongSettings = []struct{ from, to, field, reason string }{
-	{`"shards": 4`, `"shards": 0`, "shards", "want 1 to 4096"},
-	{`"shards": 4`, `"shards": "4"`, "shards", "want a whole number"},
-	{`"shards": 4`, `"shards": 4.5`, "shards", "want a whole number"},
-	{`"shards": 4`, `"shards": null`, "shards", "not null"},
-	{`"shards": 4`, `"shards": 4, "shard": 2`, "shard", "no such setting"},
+// invalidSettings lists edits of the quickstart file that make a setting invalid. Each edit
+// replaces from with to; field and reason are the field that the error must name and a part
+// of its reason.
+var invalidSettings = []struct{ from, to, field, reason string }{
+	{`"shards": 4`, `"shards": 0`, "shards", "expected 1 to 4096"},
+	{`"shards": 4`, `"shards": "4"`, "shards", "expected a whole number"},
+	{`"shards": 4`, `"shards": 4.5`, "shards", "expected a whole number"},
+	{`"shards": 4`, `"shards": null`, "shards", "got null"},
+	{`"shards": 4`, `"shards": 4, "shard": 2`, "shard", "unknown setting"},
 	{`"aim": "300ms"`, `"aim": 300`, "classes[0].aim", "duration in quotes"},
-	{`"aim": "300ms"`, `"aim": "300"`, "classes[0].aim", "no duration"},
+	{`"aim": "300ms"`, `"aim": "300"`, "classes[0].aim", "invalid duration"},
 	{`"aim": "300ms"`, `"aim": "-1s"`, "classes[0].aim", "above 0"},
-	{`"aim": "300ms"`, `"aim": "6s"`, "classes[0].deadline", "not below the aim"},
+	{`"aim": "300ms"`, `"aim": "6s"`, "classes[0].deadline", "at least the aim"},
 	{`"effect": "safe"},`, `"effect": "save"},`, "classes[0].effect", "safe, keyed or unsafe"},
 	{`"in_turn": true`, `"in_turn": "yes"`, "classes[1].in_turn", "true or false"},
 	{`"weight": 1,`, `"weight": 0,`, "plans[0].weight", "above 0"},
@@ -55,48 +56,49 @@
 	{`"rules": {`, `"limits": {"replay": 2000000}, "rules": {`, "limits.replay", "at most"},
 	{`"rules": {`, `"limits": {"client_body": "0s"}, "rules": {`, "limits.client_body", "above 0"},
 	{`"largest_units": 64`, `"largest_units": 1`, "rules.largest_units", "usual_units"},
-	{`"rules": {`, `"share": {"quantum": 100}, "rules": {`, "share.quantum", `want 4096 to`},
-	{`"rules": {`, `"share": {"slice": "0s"}, "rules": {`, "share.slice", `want "10us"`},
-	{`"rules": {`, `"share": {"window": "1h"}, "rules": {`, "share.window", `want "1ms"`},
+	{`"rules": {`, `"share": {"quantum": 100}, "rules": {`, "share.quantum", `expected 4096 to`},
+	{`"rules": {`, `"share": {"slice": "0s"}, "rules": {`, "share.slice", `expected "10us"`},
+	{`"rules": {`, `"share": {"window": "1h"}, "rules": {`, "share.window", `expected "1ms"`},
 	{`"rules": {`, `"share": {"byte_time": -1}, "rules": {`, "share.byte_time", `0 to 1000`},
 	{`"rules": {`, `"share": {"finishing": 0}, "rules": {`, "share.finishing", `0.01 to 100`},
 	{`"rules": {`, `"share": {"flows": 0}, "rules": {`, "share.flows", `1 to 1048576`},
-	{`"rules": {`, `"share": {"newcomers": 0}, "rules": {`, "share.newcomers", `want a weight`},
+	{`"rules": {`, `"share": {"newcomers": 0}, "rules": {`, "share.newcomers", `expected a weight`},
 	{`"rules": {`, `"share": {"depth": 0}, "rules": {`, "share.depth", `1 to 65536`},
 	{`"rules": {`, `"share": {"crowd": 0}, "rules": {`, "share.crowd", `1 to 65536`},
-	{`"rules": {`, `"share": {"draw": 1}, "rules": {`, "share.draw", `want 16384`},
-	{`"rules": {`, `"share": {"lease": "0s"}, "rules": {`, "share.lease", `want "1ms"`},
-	{`"rules": {`, `"share": {"receive": 0}, "rules": {`, "share.receive", `want 16384`},
+	{`"rules": {`, `"share": {"draw": 1}, "rules": {`, "share.draw", `expected 16384`},
+	{`"rules": {`, `"share": {"lease": "0s"}, "rules": {`, "share.lease", `expected "1ms"`},
+	{`"rules": {`, `"share": {"receive": 0}, "rules": {`, "share.receive", `expected 16384`},
 	{`"rules": {`, `"share": {"max_wait": "0s"}, "rules": {`, "share.max_wait", `above 0`},
 	{`"rules": {`, `"share": {"order": "random"}, "rules": {`, "share.order", `fair or arrival`},
-	{`"rules": {`, `"share": {"overload": {"target": "-1s"}}, "rules": {`, "share.overload.target", `want "0s"`},
+	{`"rules": {`, `"share": {"overload": {"target": "-1s"}}, "rules": {`, "share.overload.target", `expected "0s"`},
 	{
 		`"rules": {`, `"share": {"overload": {"interval": "1ms"}}, "rules": {`,
-		"share.overload.interval", `the target or more`,
+		"share.overload.interval", `at least share.overload.target`,
 	},
-	{`"rules": {`, `"share": {"overload": {"back": "0s"}}, "rules": {`, "share.overload.back", `want "1ms" or more`},
+	{`"rules": {`, `"share": {"overload": {"back": "0s"}}, "rules": {`, "share.overload.back", `expected at least "1ms"`},
 	{
 		`"rules": {`, `"share": {"overload": {"max_back": "10ms"}}, "rules": {`,
-		"share.overload.max_back", `want back or more`,
+		"share.overload.max_back", `expected at least share.overload.back`,
 	},
-	{`"weight": 1,`, `"weight": 1, "mib_per_second": -1,`, "plans[0].mib_per_second", `want`},
+	{`"weight": 1,`, `"weight": 1, "mib_per_second": -1,`, "plans[0].mib_per_second", `expected`},
 	{`"weight": 1,`, `"weight": 1, "mib_burst": 5,`, "plans[0].mib_burst", `mib_per_second`},
-	{`"rules": {`, `"nodes": [{"id": "a", "addr": "x:1"}], "rules": {`, "nodes", "not both"},
+	{`"rules": {`, `"nodes": [{"id": "a", "addr": "x:1"}], "rules": {`, "nodes", "must not both be set"},
 }
 
-// Each wrong setting gives an error with its line and field and what is expected.
-func TestWrongSettings(t *testing.T) {
+// TestInvalidSettings checks that the error for each invalid setting names the line, the field
+// and the expected value.
+func TestInvalidSettings(t *testing.T) {
 	base := quickstart(t)
-	for _, tc := range wrongSettings {
+	for _, tc := range invalidSettings {
 		t.Run(tc.field, func(t *testing.T) {
 			text := strings.Replace(base, tc.from, tc.to, 1)
 			if text == base {
-				t.Fatalf("%s is not in the file", tc.from)
+				t.Fatalf("the quickstart file does not contain %s", tc.from)
 			}
 			_, err := Parse("f.jsonc", []byte(text))
 			var e *ConfigError
 			if !errors.As(err, &e) || e.Field != tc.field || !strings.Contains(e.Reason(), tc.reason) {
-				t.Fatalf("%s: %v, want %s: … %s", tc.to, err, tc.field, tc.reason)
+				t.Fatalf("settings with %s: got error %v, want an error for field %s with %q", tc.to, err, tc.field, tc.reason)
 			}
 			checkLine(t, text, e)
 			if !strings.HasPrefix(e.Error(), "f.jsonc:") {
@@ -106,23 +108,24 @@
 	}
 }
 
-// checkLine checks that the error's line holds the field or begins the list or object
-// around it.
+// checkLine checks that the line of the error contains the name of the field, or that the
+// list or object around the field starts on this line.
 func checkLine(t *testing.T, text string, e *ConfigError) {
 	t.Helper()
 	line := strings.Split(text, "\n")[e.Line-1]
 	last := e.Field[strings.LastIndexByte(e.Field, '.')+1:]
 	name, _, _ := strings.Cut(last, "[")
 	if !strings.Contains(line, `"`+name+`"`) && !strings.ContainsAny(line, "{[") {
-		t.Errorf("%s: line %d is %q", e.Field, e.Line, line)
+		t.Errorf("error for field %s: got line %d, which is %q, want a line with the field", e.Field, e.Line, line)
 	}
 }
 
-// A text that is not a JSON object gives an error with the file's name.
+// TestMalformedText checks that the error for a text that is not a JSON object contains the
+// file name.
 func TestMalformedText(t *testing.T) {
 	for _, text := range []string{"", "{", "[]", "3", `{"name": }`, "{\n\n  \"name\": \"x\",,\n}"} {
 		if _, err := Parse("f.jsonc", []byte(text)); err == nil || !strings.HasPrefix(err.Error(), "f.jsonc:") {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("text %q: got error %v, want an error that starts with the file name", text, err)
 		}
 	}
 }
@@ -132,12 +135,14 @@
 	f.Add([]byte(`{"embedded_nodes": {"cores": []}}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if s, err := Parse("f", text); err == nil && (s.Shards < 1 || len(s.Classes) == 0) {
-			t.Fatal("accepted without shards or classes")
+			t.Fatal("Parse accepted settings without shards or classes")
 		}
 	})
 }
 
-// A member that is empty or there twice is reported with its line; the value that was meant is unknown.
+// TestAmbiguousMembersAreRejected checks that an object member with an empty name or a
+// repeated name is reported with its line. For such a member, Parse cannot know which value
+// the user intended.
 func TestAmbiguousMembersAreRejected(t *testing.T) {
 	for _, test := range []struct {
 		text, field string
@@ -151,19 +156,19 @@
 		_, err := Parse("test", []byte(test.text))
 		var configErr *ConfigError
 		if !errors.As(err, &configErr) || configErr.Field != test.field || configErr.Line != test.line {
-			t.Errorf("%s: %v, want an error of %s in line %d", test.text, err, test.field, test.line)
+			t.Errorf("text %s: got error %v, want an error for field %s on line %d", test.text, err, test.field, test.line)
 		}
 	}
 }
 
-// A key that is empty is an unknown member, not a panic.
+// TestEmptyKeyIsRejected checks that an empty key gives an error and does not cause a panic.
 func TestEmptyKeyIsRejected(t *testing.T) {
 	defer func() {
 		if r := recover(); r != nil {
-			t.Errorf("panic: %v", r)
+			t.Errorf("Parse of an empty key: got panic %v, want an error", r)
 		}
 	}()
 	if _, err := Parse("test", []byte(`{"": {}}`)); err == nil {
-		t.Error("accepted")
+		t.Error("Parse accepted an empty key")
 	}
 }
