--- a/cmd/simhost/host.go
+++ b/cmd/simhost/host.go
@@ -8,23 +8,23 @@
 	"chalkstand/internal/simwire"
 )
 
-// host holds the running instances by name.
+// host holds the running dispatcher instances by their name.
 type host struct{ instances map[string]*instance }
 
-// instance is a running dispatcher.
+// instance is a running dispatcher with its configuration.
 type instance struct {
 	dispatcher *dispatch.Dispatcher
 	cfg        dispatch.Config
 }
 
-// reply holds the actions of an instance that follow from one event.
+// reply holds the actions that an instance returned for one event.
 type reply struct {
 	instance string
 	actions  []dispatch.Action
 }
 
-// handleBatch hands each item of a batch to its instance. It returns no replies when an item
-// can't be handled, so that the error is the only answer to the batch.
+// handleBatch passes each item of a batch to its instance. If an item fails, handleBatch
+// returns no replies, so that the error is the only reply to the batch.
 func (h *host) handleBatch(batch simwire.Batch) ([]reply, error) {
 	var replies []reply
 	for _, item := range batch.Items {
@@ -34,7 +34,7 @@
 			err = h.start(item)
 		case simwire.InstanceCrashed:
 			err = h.crash(item)
-			// Its actions earlier in the batch are lost.
+			// A crash discards the actions that the instance returned earlier in the batch.
 			replies = slices.DeleteFunc(replies, func(r reply) bool { return r.instance == item.Instance })
 		case simwire.EventReceived:
 			var actions []dispatch.Action
@@ -50,6 +50,7 @@
 	return replies, nil
 }
 
+// start creates the instance that an item starts.
 func (h *host) start(item simwire.Item) error {
 	if h.instances[item.Instance] != nil {
 		return fmt.Errorf("BEGIN for %s, which is running", item.Instance)
@@ -62,7 +63,8 @@
 	return nil
 }
 
-// running returns the instance of an item.
+// running returns the instance that an item belongs to. It returns an error if the instance
+// is not running.
 func (h *host) running(item simwire.Item) (*instance, error) {
 	in := h.instances[item.Instance]
 	if in == nil {
@@ -71,6 +73,7 @@
 	return in, nil
 }
 
+// crash removes the instance that an item crashes.
 func (h *host) crash(item simwire.Item) error {
 	if _, err := h.running(item); err != nil {
 		return err
@@ -79,6 +82,7 @@
 	return nil
 }
 
+// handleEvent passes the event of an item to its instance and returns the actions.
 func (h *host) handleEvent(batch simwire.Batch, item simwire.Item) ([]dispatch.Action, error) {
 	in, err := h.running(item)
 	if err != nil || item.Event == nil {
@@ -92,7 +96,8 @@
 	return in.dispatcher.Handle(batch.Now, item.Event), nil
 }
 
-// checkRequest reports a class or plan that the instance's settings do not have.
+// checkRequest returns an error if the class or the plan of a request does not exist in the
+// configuration of the instance.
 func (in *instance) checkRequest(r dispatch.Request) error {
 	if r.Class < 0 || r.Class >= len(in.cfg.Classes) {
 		return fmt.Errorf("ASK: tier_class %d: expected 0 to %d", r.Class, len(in.cfg.Classes)-1)
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost runs dispatchers on the simulator's line protocol, from standard input to
-// standard output. It translates and decides nothing.
+// Command simhost runs dispatchers for the simulator. It reads events in the simulator's line
+// protocol from standard input and writes the dispatchers' actions to standard output.
 package main
 
 import (
@@ -18,7 +18,7 @@
 	}
 }
 
-// run answers batches until the input ends.
+// run reads batches and writes a reply to each of them until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	decoder := simwire.NewDecoder(in)
 	encoder := simwire.NewEncoder(out)
@@ -42,7 +42,8 @@
 	}
 }
 
-// reportFatal writes err as the only reply where it concerns an instance.
+// reportFatal writes err as the whole reply to a batch if the error belongs to an instance.
+// For any other error, it writes nothing.
 func reportFatal(encoder *simwire.Encoder, err error) error {
 	var protocol *simwire.ProtocolError
 	if !errors.As(err, &protocol) || protocol.Instance == "" {
@@ -53,7 +54,8 @@
 	return encoder.Ready()
 }
 
-// encodeReplies writes actions, each instance's name once for consecutive replies.
+// encodeReplies writes the actions of the replies. It writes the name of an instance once for
+// consecutive replies of that instance.
 func encodeReplies(encoder *simwire.Encoder, replies []reply) {
 	last := ""
 	for _, r := range replies {
--- a/internal/simwire/encode_test.go
+++ b/internal/simwire/encode_test.go
@@ -41,6 +41,6 @@
 READY
 `
 	if out.String() != want {
-		t.Errorf("got\n%swant\n%s", out.String(), want)
+		t.Errorf("encoded replies: got\n%swant\n%s", out.String(), want)
 	}
 }
