--- a/cmd/chalkstand/accounts.go
+++ b/cmd/chalkstand/accounts.go
@@ -18,15 +18,15 @@
 	"chalkstand/internal/attributionreport"
 )
 
-// accountsFlags are the flags that all subcommands of accounts share.
+// accountsFlags holds the flags of the subcommands of accounts.
 type accountsFlags struct {
-	admin string // address of a running gateway
-	log   string // attribution log to read instead; empty: none
-	since time.Duration
-	json  bool
+	admin string        // admin address of a running gateway
+	log   string        // path of an attribution log to read instead; if empty, the gateway is asked
+	since time.Duration // length of the time range to show, which ends now or at the end of the log
+	json  bool          // whether the output is JSON
 }
 
-// printFunc prints attribution. The arguments are those of the command.
+// printFunc prints latency attribution. The parameter args holds the arguments of the command.
 type printFunc func(out io.Writer, d *attributionreport.Data, args []string) error
 
 func accountsCommand() *cobra.Command {
@@ -126,7 +126,8 @@
 	return c
 }
 
-// run returns a command's RunE, which loads the attribution and prints it, as JSON if asked.
+// run returns the RunE function of a command. The function loads the attribution and prints it
+// with show, or as JSON if the json flag is set.
 func (f *accountsFlags) run(show printFunc) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) error {
 		d, err := f.load(cmd.Context())
@@ -147,10 +148,11 @@
 	}
 }
 
-// load reads the attribution from the log, or from a running gateway.
+// load reads the attribution from the log if the log flag is set, and from a running gateway
+// otherwise.
 func (f *accountsFlags) load(ctx context.Context) (*attributionreport.Data, error) {
 	if f.since <= 0 {
-		return nil, fmt.Errorf("--since %v: want a time above 0", f.since)
+		return nil, fmt.Errorf("--since %v: must be greater than 0", f.since)
 	}
 	if f.log != "" {
 		return f.loadLog()
@@ -158,7 +160,7 @@
 	return f.loadAdmin(ctx)
 }
 
-// loadLog reads an attribution log. Damaged parts are left out and noted.
+// loadLog reads an attribution log. It skips damaged parts and adds a note for each of them.
 func (f *accountsFlags) loadLog() (*attributionreport.Data, error) {
 	records, damage, err := attributionlog.Read(f.log)
 	if err != nil {
@@ -172,20 +174,20 @@
 	return d, nil
 }
 
-// adminTimeout bounds a request to a gateway's admin address.
+// adminTimeout is the timeout of a request to the admin address of a gateway.
 const adminTimeout = 10 * time.Second
 
-// maxErrorBytes bounds how much of an error's body is shown.
+// maxErrorBytes is the maximum number of bytes that are shown of the body of an error response.
 const maxErrorBytes = 4096
 
-// loadAdmin reads the attribution of a running gateway.
+// loadAdmin reads the attribution from a running gateway.
 func (f *accountsFlags) loadAdmin(ctx context.Context) (*attributionreport.Data, error) {
 	doc, err := f.fetchDocument(ctx)
 	if err != nil {
 		return nil, err
 	}
 	if doc.Version != attribution.Version {
-		return nil, fmt.Errorf("gateway at %s: version %d of accounts; this program reads %d",
+		return nil, fmt.Errorf("gateway at %s: accounts version %d is not supported, expected %d",
 			f.admin, doc.Version, attribution.Version)
 	}
 	d := &attributionreport.Data{Counts: &doc.Counts}
@@ -195,7 +197,7 @@
 	return d, nil
 }
 
-// fetchDocument asks a running gateway.
+// fetchDocument requests the latency attribution from a running gateway.
 func (f *accountsFlags) fetchDocument(ctx context.Context) (*attribution.Document, error) {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
@@ -209,9 +211,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("no gateway answers at --admin %s: %w", f.admin, err)
 	}
-	defer func() { _ = resp.Body.Close() }() // read completely
+	defer func() { _ = resp.Body.Close() }() // A response body needs no error check on Close.
 	if resp.StatusCode != http.StatusOK {
-		b, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes)) // what can be read of it
+		b, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes)) // A partial body is shown as well.
 		return nil, fmt.Errorf("gateway at %s: %s: %s", f.admin, resp.Status, strings.TrimSpace(string(b)))
 	}
 	var doc attribution.Document
--- a/cmd/chalkstand/accounts_test.go
+++ b/cmd/chalkstand/accounts_test.go
@@ -17,8 +17,9 @@
 	kit "chalkstand/internal/testkit"
 )
 
-// attributionServer serves the attribution of a gateway that has answered 41 requests of the volume photos.
-// It returns the handler and the --admin flag.
+// attributionServer starts an HTTP server with the attribution of a gateway that has answered
+// 41 requests for the volume photos. It returns the handler of the server, and the --admin
+// flag with the server's address.
 func attributionServer(t *testing.T) (http.Handler, string) {
 	t.Helper()
 	s := kit.Start(t, kit.Settings(1), func(_ int, c *storagenode.Config) {
@@ -55,7 +56,7 @@
 		out, err := runCommandLine(test.args...)
 		for _, want := range test.want {
 			if err != nil || !strings.Contains(out, want) {
-				t.Errorf("%v: %v, %q is not in\n%s", test.args, err, want, out)
+				t.Errorf("command %v: got error %v, want output with %q, got output\n%s", test.args, err, want, out)
 			}
 		}
 	}
@@ -63,7 +64,7 @@
 	var a attributionreport.Summary
 	if err != nil || json.Unmarshal([]byte(out), &a) != nil ||
 		a.Window.All.Requests != 41 || len(a.Window.Volumes) != 1 {
-		t.Errorf("as JSON: %v\n%s", err, out)
+		t.Errorf("accounts volume --json: got error %v, want 41 requests of one volume, got output\n%s", err, out)
 	}
 }
 
@@ -101,14 +102,14 @@
 		{`volume "nope"`, []string{"accounts", "blame", "nope", admin}},
 		{`volume "nope"`, []string{"accounts", "report", "--volume", "nope", admin}},
 		{"since: at most 23h55m0s is kept", []string{"accounts", "top", admin, "--since", "48h"}},
-		{"want a time above 0", []string{"accounts", "top", admin, "--since", "-1s"}},
+		{"must be greater than 0", []string{"accounts", "top", admin, "--since", "-1s"}},
 		{"no gateway answers at --admin", []string{"accounts", "top", "--admin", "127.0.0.1:1"}},
 		{`version "9"; this program reads version 1`, []string{"accounts", "top", "--log", oldLog}},
 		{"no such file", []string{"accounts", "top", "--log", oldLog + "x"}},
 	} {
 		_, err := runCommandLine(test.args...)
 		if err == nil || !strings.Contains(err.Error(), test.want) {
-			t.Errorf("%v: %v, want %s", test.args, err, test.want)
+			t.Errorf("command %v: got error %v, want an error with %q", test.args, err, test.want)
 		}
 	}
 }
@@ -120,7 +121,7 @@
 		w := httptest.NewRecorder()
 		handler.ServeHTTP(w, r)
 		if w.Code != http.StatusBadRequest {
-			t.Errorf("%s: %d %s", query, w.Code, w.Body)
+			t.Errorf("query %s: got status %d with body %s, want 400", query, w.Code, w.Body)
 		}
 	}
 }
--- a/cmd/chalkstand/admin.go
+++ b/cmd/chalkstand/admin.go
@@ -15,11 +15,11 @@
 	"chalkstand/gateway"
 )
 
-// adminHeaderTimeout bounds the reading of a request's header.
+// adminHeaderTimeout is the timeout for reading the header of a request to the admin server.
 const adminHeaderTimeout = 10 * time.Second
 
-// listen opens the listener of the object API, and starts the admin server if the settings have an
-// address for it.
+// listen opens the listener of the object API. It also starts the admin server if the settings
+// contain an address for it.
 func (d *daemon) listen(registry *prometheus.Registry) (err error) {
 	if d.listener, err = gateway.Listen(d.settings.Listen); err != nil {
 		return err
@@ -36,7 +36,8 @@
 	return nil
 }
 
-// serveAdmin serves metrics, health, latency attribution and volume usage until close.
+// serveAdmin starts the admin server, which serves metrics, health, latency attribution and
+// volume usage until the daemon is closed.
 func (d *daemon) serveAdmin(ln net.Listener, registry *prometheus.Registry) {
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
--- a/cmd/chalkstand/attributionlog.go
+++ b/cmd/chalkstand/attributionlog.go
@@ -11,17 +11,18 @@
 	"chalkstand/internal/settings"
 )
 
-// attributionLog writes a gateway's latency attribution to a file. An error disables the log, not the
-// gateway.
+// attributionLog writes the latency attribution of a gateway to a file. After a write error,
+// the log is disabled and the gateway continues without it.
 type attributionLog struct {
 	writer   *attributionlog.Writer
 	log      *zap.Logger
 	gateway  *gateway.Gateway
 	bound    chan struct{} // closed when gateway is set
-	disabled bool
+	disabled bool          // whether a write has failed
 }
 
-// openAttributionLog opens the log, or returns nil if the settings name none.
+// openAttributionLog opens the attribution log. It returns nil if the settings contain no log
+// file or disable latency attribution.
 func openAttributionLog(s *settings.Settings, log *zap.Logger) (*attributionLog, error) {
 	if s.Accounts.Log == "" || !s.Accounts.On {
 		return nil, nil
@@ -33,13 +34,14 @@
 	return &attributionLog{writer: w, log: log, bound: make(chan struct{})}, nil
 }
 
-// bind sets the gateway whose attribution is logged. It is called once.
+// bind sets the gateway whose attribution is logged. It must be called exactly once.
 func (l *attributionLog) bind(g *gateway.Gateway) {
 	l.gateway = g
 	close(l.bound)
 }
 
-// append writes one record. It blocks until bind has been called.
+// append writes one action of the attribution to the log. It blocks until bind has been
+// called.
 func (l *attributionLog) append(a attribution.Action) {
 	<-l.bound
 	if l.disabled {
@@ -52,6 +54,7 @@
 	}
 }
 
+// close closes the log file and logs an error.
 func (l *attributionLog) close() {
 	if err := l.writer.Close(); err != nil {
 		l.log.Warn("attribution log not closed cleanly", zap.Error(err))
--- a/cmd/chalkstand/attributiontest.go
+++ b/cmd/chalkstand/attributiontest.go
@@ -16,12 +16,12 @@
 	"chalkstand/lab/attributiontest"
 )
 
-// attributionTests are the flags of the command.
+// attributionTests holds the flags of the attribution-test command.
 type attributionTests struct {
-	runs int    // of each scenario
-	seed uint64 // of the first run
-	only string // scenario; empty: all
-	keep string // directory for logs and reports; empty: a temporary one
+	runs int    // number of runs of each scenario
+	seed uint64 // seed of the first run
+	only string // name of the scenario to run; if empty, all scenarios run
+	keep string // directory for logs and reports; if empty, a temporary directory is used
 }
 
 func attributionTestCommand() *cobra.Command {
@@ -47,7 +47,7 @@
 	return c
 }
 
-// execute runs the scenarios and prints a line for each.
+// execute runs the scenarios and prints a result line for each of them.
 func (t attributionTests) execute(ctx context.Context, out io.Writer) (err error) {
 	dir := t.keep
 	if dir == "" {
@@ -74,7 +74,7 @@
 		}
 	}
 	if played == 0 {
-		return fmt.Errorf("--scenario %q: want one of %s", t.only, strings.Join(attributiontest.Names(), ", "))
+		return fmt.Errorf("--scenario %q: expected one of %s", t.only, strings.Join(attributiontest.Names(), ", "))
 	}
 	if failed > 0 {
 		return fmt.Errorf("%d of %d scenarios failed", failed, played)
@@ -82,7 +82,8 @@
 	return nil
 }
 
-// playScenario plays all runs of a scenario and prints their outcome.
+// playScenario performs all runs of a scenario and prints their common result. It reports
+// whether all runs passed.
 func (t attributionTests) playScenario(
 	ctx context.Context, out io.Writer, s attributiontest.Scenario, dir string,
 ) (passed bool, err error) {
@@ -116,7 +117,7 @@
 	return len(failures) == 0, nil
 }
 
-// writeTestReport writes a run's attribution as an HTML page.
+// writeTestReport writes the latency attribution of a run to a file as an HTML page.
 func writeTestReport(file string, r attributiontest.Result) (err error) {
 	f, err := os.Create(file)
 	if err != nil {
--- a/cmd/chalkstand/bench.go
+++ b/cmd/chalkstand/bench.go
@@ -17,14 +17,14 @@
 // proxyBench compares a gateway with a plain reverse proxy.
 type proxyBench struct {
 	out        io.Writer
-	duration   time.Duration // of one measurement
-	conns      int
-	rounds     int
-	largeMiB   int
-	smallOnly  bool
-	showRounds bool
+	duration   time.Duration // duration of one measurement
+	conns      int           // number of connections in the measurements of the highest rate
+	rounds     int           // number of rounds, of which the median one is printed
+	largeMiB   int           // size of a large body, in MiB
+	smallOnly  bool          // whether large bodies are not measured
+	showRounds bool          // whether each round is printed
 
-	servers []bench.Server
+	servers []bench.Server // servers to compare
 }
 
 func benchCommand() *cobra.Command {
@@ -53,7 +53,7 @@
 	return c
 }
 
-// benchProxyCommand is the reverse proxy's process.
+// benchProxyCommand returns the hidden command that runs the reverse proxy in its own process.
 func benchProxyCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:    "proxy TARGET",
@@ -71,7 +71,7 @@
 	}
 }
 
-// run starts the servers and measures them.
+// run starts the node, both gateways and the proxy, and measures them.
 func (b *proxyBench) run(ctx context.Context) (err error) {
 	env, err := startBenchEnv(ctx, b.largeMiB)
 	if err != nil {
@@ -105,6 +105,7 @@
 	return b.measureLarge(ctx, gateway.PID(), proxy.PID())
 }
 
+// measureSmall measures reads and writes of small objects.
 func (b *proxyBench) measureSmall(ctx context.Context) error {
 	fmt.Fprintf(b.out, "%-34s %-11s %10s %9s %9s %9s %10s %7s\n",
 		"", "peer", "a second", "median", "99 %", "MiB/s", "cpu/req", "not 2xx")
@@ -119,9 +120,10 @@
 	return b.measure(ctx, "PUT 4 KiB, "+concurrent, http.MethodPut, "/photos/w", body, b.conns)
 }
 
-// largeConns is the number of connections for large bodies.
+// largeConns is the number of connections in the measurements of large bodies.
 const largeConns = 4
 
+// measureLarge measures reads and writes of large objects and the peak memory that they need.
 func (b *proxyBench) measureLarge(ctx context.Context, gatewayPID, proxyPID int) error {
 	gatewayBefore, proxyBefore := bench.PeakMemory(gatewayPID), bench.PeakMemory(proxyPID)
 	what := fmt.Sprintf("%d MiB, %d connections", b.largeMiB, largeConns)
@@ -138,7 +140,8 @@
 	return nil
 }
 
-// measure measures one request at all servers and prints the median round of each.
+// measure measures one kind of request at all servers and prints the median round of each
+// server. A round measures each server once.
 func (b *proxyBench) measure(ctx context.Context, what, method, path string, body []byte, conns int) error {
 	rounds := make([][]bench.Measurement, len(b.servers))
 	for range b.rounds {
--- a/cmd/chalkstand/benchaccounts.go
+++ b/cmd/chalkstand/benchaccounts.go
@@ -14,14 +14,14 @@
 	"chalkstand/lab/bench"
 )
 
-// accountsBench compares a gateway with latency attribution with one without.
+// accountsBench compares a gateway with latency attribution to a gateway without it.
 type accountsBench struct {
 	out      io.Writer
-	duration time.Duration // of a run
-	conns    int
-	pairs    int
+	duration time.Duration // duration of one run
+	conns    int           // number of connections
+	pairs    int           // number of pairs of runs
 
-	servers [2]bench.Server // with attribution, without
+	servers [2]bench.Server // gateway with attribution, then gateway without it
 }
 
 func benchAccountsCommand() *cobra.Command {
@@ -41,8 +41,8 @@
 	return c
 }
 
-// run prints the totals of both gateways, and the median ratios of their rates and of their processor
-// time for each request.
+// run measures both gateways and prints their totals. It also prints the quartiles of two
+// ratios between the gateways: request rate, and processor time per request.
 func (b *accountsBench) run(ctx context.Context) (err error) {
 	env, err := startBenchEnv(ctx, 1)
 	if err != nil {
@@ -82,7 +82,8 @@
 	return nil
 }
 
-// runPair measures both gateways, the one with the index first.
+// runPair measures both gateways once. The parameter first is the index of the gateway that is
+// measured first.
 func (b *accountsBench) runPair(ctx context.Context, first int) (pair [2]bench.Measurement, err error) {
 	for j := range pair {
 		i := (first + j) % len(pair)
@@ -98,7 +99,7 @@
 	return m.CPU.Seconds() / float64(m.Requests)
 }
 
-// quartiles describes the distribution of values, which it sorts.
+// quartiles sorts values and returns a text with their median and quartiles.
 func quartiles(values []float64) string {
 	slices.Sort(values)
 	n := len(values)
--- a/cmd/chalkstand/benchenv.go
+++ b/cmd/chalkstand/benchenv.go
@@ -15,19 +15,19 @@
 	"chalkstand/lab/sigv4client"
 )
 
-// smallObjectBytes is the size of the objects of small requests.
+// smallObjectBytes is the size of a small object, in bytes.
 const smallObjectBytes = 4 << 10
 
-// nodeCores is the number of cores of the node.
+// nodeCores is the number of cores that the node's process uses.
 const nodeCores = 2
 
-// benchEnv is a node that stores the objects that are read, and a directory for settings.
+// benchEnv holds a node that stores the objects to read, and a directory for settings files.
 type benchEnv struct {
 	dir  string
 	node *bench.Process
 }
 
-// startBenchEnv starts the node and stores a small object, and a large one of the size.
+// startBenchEnv starts a node and stores a small object and an object of largeMiB on it.
 func startBenchEnv(ctx context.Context, largeMiB int) (*benchEnv, error) {
 	dir, err := os.MkdirTemp("", "chalkstand-bench")
 	if err != nil {
@@ -73,7 +73,7 @@
 	return bench.Start(ctx, 1, listen, "serve", "--config", file)
 }
 
-// freeAddress returns a loopback address with a port that is free now.
+// freeAddress returns a loopback address whose port is currently free.
 func freeAddress(ctx context.Context) (string, error) {
 	var config net.ListenConfig
 	ln, err := config.Listen(ctx, "tcp", "127.0.0.1:0")
@@ -83,7 +83,8 @@
 	return ln.Addr().String(), ln.Close()
 }
 
-// putObject stores an object, or creates a bucket, directly at a node.
+// putObject stores an object at a node without a gateway. If the path is only a bucket name,
+// putObject creates the bucket.
 func putObject(ctx context.Context, addr, path string, body []byte) error {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
@@ -97,12 +98,13 @@
 		return err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("PUT %s at the node: %s", path, resp.Status)
+		return fmt.Errorf("PUT %s at the node: status %s, expected 200", path, resp.Status)
 	}
 	return nil
 }
 
-// presignedSeconds is how long a request's signature is valid: longer than any run.
+// presignedSeconds is the time in seconds for which the signature of a request is valid. It is
+// longer than any benchmark.
 const presignedSeconds = "86400"
 
 // newTarget returns a signed request to a server.
--- a/cmd/chalkstand/benchoverload.go
+++ b/cmd/chalkstand/benchoverload.go
@@ -17,29 +17,30 @@
 	"chalkstand/lab/bench"
 )
 
-// The users of the overload part.
+// The constants configure the simulated users of the overload part.
 const (
-	userThinkTime = 50 * time.Millisecond
-	userObjective = 250 * time.Millisecond // a later response counts as late
-	userWarmUp    = 3 * time.Second
+	userThinkTime = 50 * time.Millisecond  // mean pause of a user before each request
+	userObjective = 250 * time.Millisecond // time after which a response counts as late
+	userWarmUp    = 3 * time.Second        // time that users send requests before the measurement
 )
 
-// The measurement of the highest rate.
+// The constants configure the measurement of the peak rate.
 const (
-	peakRuns  = 3
-	peakConns = 256
+	peakRuns  = 3   // number of measurements, of which the highest rate counts
+	peakConns = 256 // number of connections
 )
 
-// offeredLoads are the offered loads, as multiples of the highest rate.
+// offeredLoads lists the offered loads as multiples of the peak rate.
 var offeredLoads = []float64{0.5, 1, 2, 3, 5, 10}
 
-// overloadCase is a combination of overload control and users.
+// overloadCase combines a setting of the overload control with a behavior of the users.
 type overloadCase struct {
 	name            string
-	queueTimeTarget time.Duration // 0: no overload control
-	honorRetryAfter bool
+	queueTimeTarget time.Duration // queue time target of the overload control; 0 disables it
+	honorRetryAfter bool          // whether rejected users wait at least for the Retry-After of the response
 }
 
+// overloadCases returns the cases that the overload part measures.
 func overloadCases() []overloadCase {
 	target := settings.Default().Share.Overload.Target.D()
 	return []overloadCase{
@@ -49,13 +50,14 @@
 	}
 }
 
-// overloadGateway returns the configuration of the overload part's gateways.
+// overloadGateway returns the gateway configuration that all measurements of the overload part
+// start from.
 func (b *shareBench) overloadGateway() shareGateway {
 	return shareGateway{loops: b.loops[0], order: orderFair, weight: 1}
 }
 
-// measureOverload measures the requests answered in time, for offered loads from half of the highest rate to
-// ten times as much.
+// measureOverload measures the rate of requests that are answered in time. The offered load
+// rises from half of the peak rate to ten times the peak rate.
 func (b *shareBench) measureOverload(ctx context.Context) error {
 	peak, err := b.peakRate(ctx)
 	if err != nil {
@@ -65,11 +67,11 @@
 		"%d connections reach %.0f a second\n", userObjective, userThinkTime, peakConns, peak)
 	fmt.Fprintf(b.out, "%-26s %7s %7s %9s %9s %9s %9s %7s %7s\n",
 		"rejections and users", "times", "users", "in time", "rejected", "late", "failed", "cores", "of peak")
-	var lines []any // name and points of each line, as plotutil takes them
+	var lines []any // alternating names and points, the argument format of plotutil.AddLinePoints
 	for _, c := range overloadCases() {
 		var points plotter.XYs
 		for _, offered := range offeredLoads {
-			inTime, err := b.overload(ctx, c, offered, peak)
+			inTime, err := b.measureOfferedLoad(ctx, c, offered, peak)
 			if err != nil {
 				return err
 			}
@@ -80,7 +82,8 @@
 	return b.drawOverload(lines)
 }
 
-// peakRate returns the highest of some measured rates, requests a second.
+// peakRate measures the request rate on peakConns connections several times and returns the
+// highest rate, in requests per second.
 func (b *shareBench) peakRate(ctx context.Context) (peak float64, err error) {
 	err = b.withGateway(ctx, b.overloadGateway(), func(server bench.Server) error {
 		for range peakRuns {
@@ -95,8 +98,9 @@
 	return peak, err
 }
 
-// overload measures one offered load, a multiple of the peak rate. It returns the rate of responses in time.
-func (b *shareBench) overload(ctx context.Context, c overloadCase, offered, peak float64) (inTime float64, err error) {
+// measureOfferedLoad measures one case with one offered load, which is a multiple of the peak rate. It
+// returns the rate of responses in time, in responses per second.
+func (b *shareBench) measureOfferedLoad(ctx context.Context, c overloadCase, offered, peak float64) (inTime float64, err error) {
 	g := b.overloadGateway()
 	g.queueTimeTarget = c.queueTimeTarget
 	g.latencyObjective = userObjective
@@ -118,7 +122,7 @@
 	return inTime, err
 }
 
-// drawOverload writes the plot, if one is asked for.
+// drawOverload writes a plot of the lines to the SVG file if the plot flag is set.
 func (b *shareBench) drawOverload(lines []any) (err error) {
 	if b.plot == "" {
 		return nil
--- a/cmd/chalkstand/benchshare.go
+++ b/cmd/chalkstand/benchshare.go
@@ -17,7 +17,7 @@
 	"chalkstand/lab/bench"
 )
 
-// The parts of the benchmark.
+// The constants name the parts of the benchmark.
 const (
 	partShares   = "shares"
 	partLatency  = "latency"
@@ -25,37 +25,38 @@
 	partLink     = "link"
 )
 
-// The orders in which a gateway's loops serve volumes.
+// The constants are the orders in which the event loops of a gateway can serve volumes.
 const (
 	orderFair    = "fair"
 	orderArrival = "arrival"
 )
 
-// largeObjectBytes is the size of the objects of large requests.
+// largeObjectBytes is the size of a large object, in bytes.
 const largeObjectBytes = 8 << 20
 
-// noObjective is a latency objective so long that no request is rejected for it.
+// noObjective is a latency objective that is long enough that the gateway rejects no request
+// because of it.
 const noObjective = 30 * time.Second
 
-// shareBench measures what weights of two volumes do for throughput and latency.
+// shareBench measures how the weights of two volumes affect their throughput and latency.
 type shareBench struct {
 	out      io.Writer
-	dir      string // of settings
-	node     *bench.Process
-	duration time.Duration // of one measurement
-	loops    []int         // numbers of event loops to measure
-	cores    int           // of the gateway
-	parts    []string
-	plot     string // SVG file; empty: none
+	dir      string         // directory for settings files
+	node     *bench.Process // current node
+	duration time.Duration  // duration of one measurement
+	loops    []int          // numbers of event loops to measure
+	cores    int            // number of cores of the gateway
+	parts    []string       // names of the parts to measure
+	plot     string         // SVG file for the plot; if empty, no plot is written
 }
 
 // shareGateway configures the gateway of one measurement.
 type shareGateway struct {
-	loops            int
-	order            string
-	weight           float64       // of heavy; light has 1
-	queueTimeTarget  time.Duration // of the overload control; 0: no overload control
-	latencyObjective time.Duration // 0: noObjective
+	loops            int           // number of event loops
+	order            string        // order in which the event loops serve volumes
+	weight           float64       // weight of the volume heavy; the volume light has weight 1
+	queueTimeTarget  time.Duration // queue time target of the overload control; 0 disables it
+	latencyObjective time.Duration // latency objective of all requests; 0 means noObjective
 }
 
 func benchShareCommand() *cobra.Command {
@@ -65,8 +66,8 @@
 		Short: "Measure the shares of two volumes in throughput and loop time",
 		Long: `Measure what the weights of two volumes do for their throughput and for the latency of small
 reads, compared with the same gateway in order of arrival. Gateway and node are processes of their own;
-the load is this process. The shares are the gateway's as long as it is the bottleneck: on a machine
-with few cores, use one core (--cores). In the last part the node's link is the bottleneck.`,
+this process generates the load. The gateway determines the shares only while it is the bottleneck: on a
+machine with few cores, give it one core (--cores). In the last part the node's link is the bottleneck.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			b.out = cmd.OutOrStdout()
@@ -78,11 +79,11 @@
 	f.IntSliceVar(&b.loops, "loops", []int{1, 4}, "numbers of event loops of the gateway")
 	f.IntVar(&b.cores, "cores", 1, "cores of the gateway")
 	f.StringSliceVar(&b.parts, "parts", []string{partShares, partLatency, partOverload, partLink}, "parts to measure")
-	f.StringVar(&b.plot, "plot", "", "SVG file for requests in time over requests offered")
+	f.StringVar(&b.plot, "plot", "", "SVG file for a plot of the requests answered in time over the offered load")
 	return c
 }
 
-// run measures the parts in order.
+// run starts the node and measures the selected parts.
 func (b *shareBench) run(ctx context.Context) (err error) {
 	if b.dir, err = os.MkdirTemp("", "chalkstand-bench"); err != nil {
 		return err
@@ -91,7 +92,7 @@
 	if err := b.startNode(ctx); err != nil {
 		return err
 	}
-	defer func() { b.node.Stop() }() // the current one
+	defer func() { b.node.Stop() }() // The closure stops the current node, which measureLink replaces.
 	parts := []struct {
 		name    string
 		measure func(context.Context) error
@@ -112,10 +113,10 @@
 	return nil
 }
 
-// listedObjects is how many objects a list request returns.
+// listedObjects is the number of objects that a list request returns.
 const listedObjects = 1000
 
-// startNode starts a node that stores the objects that are read.
+// startNode starts a node with additional flags and stores the objects to read on it.
 func (b *shareBench) startNode(ctx context.Context, flags ...string) error {
 	args := append([]string{"node", "--queue", "8192", "--cores", "256"}, flags...)
 	node, err := bench.Start(ctx, nodeCores, "", args...)
@@ -147,7 +148,7 @@
 	return nil
 }
 
-// withGateway runs a gateway while f runs.
+// withGateway starts a gateway with the configuration g, calls f and stops the gateway.
 func (b *shareBench) withGateway(ctx context.Context, g shareGateway, f func(bench.Server) error) error {
 	listen, err := freeAddress(ctx)
 	if err != nil {
@@ -173,6 +174,7 @@
 	return f(bench.Server{Name: g.order, Addr: p.Addr, PID: p.PID()})
 }
 
+// newLoad returns a load that repeats one request to a server on a number of connections.
 func newLoad(server bench.Server, name, method, path string, body []byte, conns int) *bench.Load {
 	return &bench.Load{
 		Name:   name,
@@ -181,39 +183,43 @@
 	}
 }
 
-// runLoads runs the loads with a warm-up.
+// runLoads runs the loads at the same time and measures them after a warm-up.
 func (b *shareBench) runLoads(ctx context.Context, loads ...*bench.Load) ([]bench.Measurement, error) {
 	return bench.RunTogether(ctx, loads, b.duration/4, b.duration)
 }
 
+// measureShares prints the throughput of both volumes for each number of event loops.
 func (b *shareBench) measureShares(ctx context.Context) error {
 	fmt.Fprintf(b.out, "8 MiB reads of two volumes, MiB/s\n%-6s %-8s %-7s %-14s %9s %9s %9s\n",
 		"loops", "order", "weights", "connections", "heavy", "light", "ratio")
 	for _, loops := range b.loops {
-		if err := b.sharesByWeight(ctx, loops); err != nil {
+		if err := b.measureSharesByWeight(ctx, loops); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// linkMiB is the bandwidth of the node's link where it is the bottleneck, MiB a second.
+// linkMiB is the bandwidth of the node's link in MiB per second, in the part of the benchmark
+// in which the link is the bottleneck.
 const linkMiB = 200
 
+// measureLink replaces the node with one whose link is the bottleneck, and prints the
+// throughput of both volumes.
 func (b *shareBench) measureLink(ctx context.Context) error {
 	b.node.Stop()
 	if err := b.startNode(ctx, "--link", strconv.Itoa(linkMiB), "--send-buffer", "65536"); err != nil {
 		return err
 	}
 	fmt.Fprintf(b.out, "\n8 MiB reads from a node whose link has %d MiB/s\n", linkMiB)
-	return b.sharesByWeight(ctx, b.loops[0])
+	return b.measureSharesByWeight(ctx, b.loops[0])
 }
 
-// sharesByWeight measures the shares for each order and weight.
-func (b *shareBench) sharesByWeight(ctx context.Context, loops int) error {
+// measureSharesByWeight measures the throughput of both volumes for each order and weight.
+func (b *shareBench) measureSharesByWeight(ctx context.Context, loops int) error {
 	for _, order := range []string{orderFair, orderArrival} {
 		for _, weight := range []float64{1, 4, 16} {
-			if err := b.shares(ctx, shareGateway{loops: loops, order: order, weight: weight}); err != nil {
+			if err := b.measureLargeReads(ctx, shareGateway{loops: loops, order: order, weight: weight}); err != nil {
 				return err
 			}
 		}
@@ -221,8 +227,9 @@
 	return nil
 }
 
-// shares measures large reads of both volumes, on equal and on different numbers of connections.
-func (b *shareBench) shares(ctx context.Context, g shareGateway) error {
+// measureLargeReads measures large reads of both volumes. It measures them with the same number of
+// connections for both volumes and with different numbers.
+func (b *shareBench) measureLargeReads(ctx context.Context, g shareGateway) error {
 	return b.withGateway(ctx, g, func(server bench.Server) error {
 		for _, conns := range [][2]int{{8, 8}, {4, 64}} {
 			m, err := b.runLoads(ctx,
@@ -240,7 +247,8 @@
 	})
 }
 
-// backgroundLoads returns the loads of the light volume beside which small reads are measured.
+// backgroundLoads returns the loads on the volume light that run while small reads of the
+// volume heavy are measured. The nil element stands for a measurement without such a load.
 func backgroundLoads(server bench.Server) []*bench.Load {
 	body := make([]byte, largeObjectBytes)
 	return []*bench.Load{
@@ -252,12 +260,13 @@
 	}
 }
 
+// measureLatencies prints the latency of small reads for each number of event loops and order.
 func (b *shareBench) measureLatencies(ctx context.Context) error {
 	fmt.Fprintf(b.out, "\n4 KiB reads of heavy on 2 connections, weights 4:1\n%-6s %-8s %-34s %9s %9s %9s %9s\n",
 		"loops", "order", "beside light's", "a second", "median", "99 %", "others")
 	for _, loops := range b.loops {
 		for _, order := range []string{orderFair, orderArrival} {
-			if err := b.latencies(ctx, shareGateway{loops: loops, order: order, weight: 4}); err != nil {
+			if err := b.measureSmallReads(ctx, shareGateway{loops: loops, order: order, weight: 4}); err != nil {
 				return err
 			}
 		}
@@ -265,8 +274,8 @@
 	return nil
 }
 
-// latencies measures small reads of the heavy volume beside each background load.
-func (b *shareBench) latencies(ctx context.Context, g shareGateway) error {
+// measureSmallReads measures small reads of the volume heavy with each of the background loads.
+func (b *shareBench) measureSmallReads(ctx context.Context, g shareGateway) error {
 	return b.withGateway(ctx, g, func(server bench.Server) error {
 		for _, background := range backgroundLoads(server) {
 			loads := []*bench.Load{newLoad(server, "heavy", http.MethodGet, "/heavy/small", nil, 2)}
--- a/cmd/chalkstand/embedded.go
+++ b/cmd/chalkstand/embedded.go
@@ -14,22 +14,22 @@
 	"chalkstand/internal/settings"
 )
 
-// Parameters of embedded nodes that the settings don't have.
+// The constants are parameters of embedded nodes that cannot be configured in the settings.
 const (
-	embeddedReportEvery = 100 * time.Millisecond
-	embeddedDedupWindow = 30 * time.Second
-	ledgerPeriod        = time.Second
-	ledgerDelay         = 300 * time.Millisecond
+	embeddedReportEvery = 100 * time.Millisecond // interval at which the load report of a node changes
+	embeddedDedupWindow = 30 * time.Second       // time for which a node drops repeats of a deduplicated write
+	ledgerPeriod        = time.Second            // period over which the ledger measures the usage of a volume
+	ledgerDelay         = 300 * time.Millisecond // delay after which the ledger reports a finished period
 )
 
-// embeddedNodes are fake nodes in the gateway's process, one for each shard.
+// embeddedNodes holds the fake nodes in the gateway's process. There is one node per shard.
 type embeddedNodes struct {
 	log      *zap.Logger
 	nodes    []*storagenode.Node
 	datasets []*storagenode.Dataset
 }
 
-// startEmbeddedNodes starts the nodes and gives the gateway their addresses.
+// startEmbeddedNodes starts the nodes and passes their addresses to the gateway.
 func startEmbeddedNodes(s *settings.Settings, g *gateway.Gateway, log *zap.Logger) (*embeddedNodes, error) {
 	e := &embeddedNodes{log: log}
 	ledger := storagenode.NewLedger(ledgerPeriod, ledgerDelay)
@@ -81,7 +81,7 @@
 	return n, nil
 }
 
-// close stops the nodes and closes their data.
+// close stops the nodes and closes their datasets.
 func (e *embeddedNodes) close() {
 	for _, n := range e.nodes {
 		n.Stop()
--- a/cmd/chalkstand/fakenodes.go
+++ b/cmd/chalkstand/fakenodes.go
@@ -15,7 +15,8 @@
 	"chalkstand/fake/respnode"
 )
 
-// fakeNodeSettings is the platform's settings for a manual test; it is a format for the number of shards.
+// fakeNodeSettings contains the platform's settings for a manual test. It is a format string
+// whose only argument is the number of shards.
 const fakeNodeSettings = `{"me":0,"peers_total":1,"discovery":"on_request","areas":["a"],"kinds":["m"],"round_ms":1,
 "limits":{"cancel":true,"conn_idle_ms":15000,"connect_timeout_ms":250,"max_retry_after_ms":2000,
 "try_limit":3,"max_open":1000},
@@ -24,18 +25,18 @@
 "policies":[{"name":"gold","base_rate":100,"guaranteed":100,"weight":1,"value_factor":1}],
 "family_info":{"largest":8,"usual_units":2,"slots_total":%d,"class_writes":[false,true]}}`
 
-// Bounds of the number of storage nodes.
+// The constants limit the number of fake storage nodes.
 const (
 	minFakeNodes = 1
 	maxFakeNodes = 64
 )
 
-// fakeNodes are the options of chalkstand fake-nodes.
+// fakeNodes holds the flags of the fake-nodes command.
 type fakeNodes struct {
-	nodes       int
-	configFile  string // to be written
-	listen      string // address of the dispatcher
-	serviceTime time.Duration
+	nodes       int           // number of storage nodes
+	configFile  string        // path of the configuration file that the command writes
+	listen      string        // address on which the dispatcher will listen
+	serviceTime time.Duration // time that a node takes to process a request
 }
 
 // fakeNodesCommand returns the command that runs fake storage nodes and a fake discovery.
@@ -52,12 +53,12 @@
 	}
 	c.Flags().IntVar(&f.nodes, "nodes", 4, "storage nodes, each with a shard of its own")
 	c.Flags().StringVar(&f.configFile, "config", "relay.json", "configuration to write")
-	c.Flags().StringVar(&f.listen, "listen", "127.0.0.1:6379", "where the dispatcher is to listen")
-	c.Flags().DurationVar(&f.serviceTime, "work", 5*time.Millisecond, "of a node for one request")
+	c.Flags().StringVar(&f.listen, "listen", "127.0.0.1:6379", "address on which the dispatcher will listen")
+	c.Flags().DurationVar(&f.serviceTime, "work", 5*time.Millisecond, "service time of a request at a node")
 	return c
 }
 
-// run runs the fakes until SIGTERM or SIGINT.
+// run runs the fake nodes and the fake discovery until SIGTERM or SIGINT.
 func (f *fakeNodes) run(out io.Writer) error {
 	if f.nodes < minFakeNodes || f.nodes > maxFakeNodes {
 		return fmt.Errorf("fake-nodes: --nodes: expected %d to %d, got %d", minFakeNodes, maxFakeNodes, f.nodes)
@@ -85,7 +86,7 @@
 	if err := f.writeConfig(discovery.Addr(), endpoints); err != nil {
 		return err
 	}
-	// A failed write is ignored: the fakes run all the same.
+	// A write error is ignored because the fake nodes do not depend on the output.
 	_, _ = fmt.Fprintf(out, "%d nodes, discovery at %s; now: chalkstand run --config %s\n",
 		f.nodes, discovery.Addr(), f.configFile)
 	stop := make(chan os.Signal, 1)
@@ -94,7 +95,8 @@
 	return nil
 }
 
-// writeConfig writes the configuration of a dispatcher in front of the fakes.
+// writeConfig writes the configuration of a dispatcher that uses the fake discovery and the
+// fake nodes.
 func (f *fakeNodes) writeConfig(discovery string, endpoints []fakediscovery.Endpoint) error {
 	text, err := json.Marshal(map[string]any{
 		"name":      "n1",
--- a/cmd/chalkstand/faultinjection.go
+++ b/cmd/chalkstand/faultinjection.go
@@ -16,14 +16,14 @@
 	"chalkstand/trace"
 )
 
-// faultInjectionRuns are the flags of the command.
+// faultInjectionRuns holds the flags of the fault-injection command.
 type faultInjectionRuns struct {
 	options     faultinjection.Options
-	scriptFile  string
-	traceDir    string
-	printScript bool
-	quiet       bool
-	count       int
+	scriptFile  string // file with the faults; if empty, the seed generates them
+	traceDir    string // directory for traces; if empty, no traces are recorded
+	printScript bool   // whether the command only prints the script
+	quiet       bool   // whether only the reports are printed
+	count       int    // number of runs
 }
 
 func faultInjectionCommand() *cobra.Command {
@@ -60,7 +60,7 @@
 	return c
 }
 
-// execute prints the script, or plays it once for each seed.
+// execute prints the script if printScript is set. Otherwise, it performs one run per seed.
 func (f *faultInjectionRuns) execute(ctx context.Context, out io.Writer) error {
 	if f.scriptFile != "" {
 		text, err := os.ReadFile(f.scriptFile)
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// run plays one run, with traces if they are asked for.
+// run performs one run. It records a trace of each gateway if traceDir is set.
 func (f *faultInjectionRuns) run(ctx context.Context, o faultinjection.Options) (*faultinjection.Report, error) {
 	if f.traceDir == "" {
 		return faultinjection.Run(ctx, o)
@@ -115,7 +115,8 @@
 	return report, nil
 }
 
-// recorderQueue is how many events of one gateway may wait to be written.
+// recorderQueue is the maximum number of events of a gateway that wait to be written to its
+// trace.
 const recorderQueue = 1 << 17
 
 // traceRecorder writes a trace file for each gateway instance of a run.
@@ -129,7 +130,8 @@
 	err     error
 }
 
-// start opens the trace of a gateway that starts. After an error, which close returns, nothing is recorded.
+// start opens the trace of a gateway instance that starts. If that fails, start returns nil,
+// the instance is not recorded, and close returns the error.
 func (r *traceRecorder) start(gateway string, cfg dispatch.Config, seed uint64) faultinjection.RecordFunc {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -141,6 +143,7 @@
 	return w.Record
 }
 
+// open creates the trace file of a gateway instance and a writer for it.
 func (r *traceRecorder) open(gateway string, cfg dispatch.Config, seed uint64) (*trace.Writer, error) {
 	if err := os.MkdirAll(r.dir, 0o755); err != nil {
 		return nil, err
@@ -158,7 +161,7 @@
 	return w, nil
 }
 
-// close closes all traces and returns every error since the start.
+// close closes all traces. It returns the joined errors of opening, writing and closing them.
 func (r *traceRecorder) close() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/cmd/chalkstand/main.go
+++ b/cmd/chalkstand/main.go
@@ -1,5 +1,5 @@
-// Command chalkstand is the storage gateway and its tools. It adds the loading of
-// settings, signals and sockets to the library in package gateway.
+// Command chalkstand runs the storage gateway and its tools. It loads the settings, handles
+// signals and opens the sockets; package gateway contains the gateway itself.
 package main
 
 import (
@@ -20,7 +20,7 @@
 	}
 }
 
-// root returns the command with all its subcommands.
+// root returns the chalkstand command with all its subcommands.
 func root() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "chalkstand",
@@ -58,7 +58,7 @@
 	return c
 }
 
-// isServer reports whether a command handles the signals of a server process itself.
+// isServer reports whether a command runs a server process, which handles signals itself.
 func isServer(c *cobra.Command) bool { return c.Name() == serveName || c.Name() == runName }
 
 func versionCommand() *cobra.Command {
@@ -73,7 +73,8 @@
 	}
 }
 
-// buildInfo returns the Go version, and the revision of the sources after a space if it is known.
+// buildInfo returns the Go version and the revision of the sources. The revision starts with a
+// space, or is empty if the build does not contain it.
 func buildInfo() (version, revision string) {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/chalkstand/main_test.go
+++ b/cmd/chalkstand/main_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// runCommandLine runs a command and returns its output.
+// runCommandLine runs a chalkstand command and returns its output.
 func runCommandLine(args ...string) (string, error) {
 	c := root()
 	var out bytes.Buffer
@@ -36,7 +36,7 @@
 	} {
 		out, err := runCommandLine(args...)
 		if err != nil || len(out) < 20 {
-			t.Errorf("%v: %v\n%s", args, err, out)
+			t.Errorf("command %v: got error %v, want no error and at least 20 bytes of output, got output\n%s", args, err, out)
 		}
 	}
 }
@@ -50,12 +50,13 @@
 		{"frobnicate"},
 	} {
 		if _, err := runCommandLine(args...); err == nil {
-			t.Errorf("%v: no error", args)
+			t.Errorf("invalid command line %v: got no error", args)
 		}
 	}
 }
 
-// The commands' earlier names still find them.
+// TestEarlierCommandNames checks that the earlier name of each renamed command still selects
+// the command.
 func TestEarlierCommandNames(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -74,7 +75,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			c, rest, err := root().Find(test.args)
 			if err != nil || len(rest) > 0 || c.CommandPath() != test.current {
-				t.Errorf("%v: %v, %v, %v", test.args, c.CommandPath(), rest, err)
+				t.Errorf("command line %v: got command %v, remaining arguments %v, error %v", test.args, c.CommandPath(), rest, err)
 			}
 		})
 	}
--- a/cmd/chalkstand/modelcheck.go
+++ b/cmd/chalkstand/modelcheck.go
@@ -15,14 +15,14 @@
 	"chalkstand/internal/modelcheck"
 )
 
-// modelCheckRun are the flags of the command.
+// modelCheckRun holds the flags of the modelcheck command.
 type modelCheckRun struct {
 	options   modelcheck.Options
-	scenarios []string // empty: all
-	full      bool
-	coverage  bool
-	quiet     bool
-	limit     time.Duration // of all scenarios together
+	scenarios []string      // names of the scenarios to check; if empty, all scenarios are checked
+	full      bool          // whether partial-order reduction is disabled
+	coverage  bool          // whether the transition counts are printed
+	quiet     bool          // whether the progress is not printed
+	limit     time.Duration // maximum time for all scenarios together
 }
 
 func modelCheckCommand() *cobra.Command {
@@ -55,7 +55,7 @@
 	return c
 }
 
-// execute checks the scenarios in order and stops at the first violation.
+// execute checks the scenarios one after another and stops at the first violation.
 func (m *modelCheckRun) execute(ctx context.Context, out, progress io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, m.limit)
 	defer cancel()
@@ -106,7 +106,7 @@
 
 // printViolation prints a violation as a sequence of events, as a replay and as a test.
 func printViolation(out io.Writer, scenario modelcheck.Scenario, r *modelcheck.Result) error {
-	_ = modelcheck.Explain(scenario, r.Path, linePrinter(out, "  ")) // the violation is known
+	_ = modelcheck.Explain(scenario, r.Path, linePrinter(out, "  ")) // The result repeats r.Violation.
 	fmt.Fprintln(out, "\nas a replay:")
 	if err := modelcheck.WriteReplay(out, scenario, r.Path); err != nil {
 		return err
@@ -115,14 +115,16 @@
 	return modelcheck.GoTest(out, scenario, r.Path, r.Violation)
 }
 
-// linePrinter returns a function that prints one line with the prefix.
+// linePrinter returns a function that formats its arguments and prints them as a line with
+// the prefix.
 func linePrinter(out io.Writer, prefix string) func(format string, args ...any) {
 	return func(format string, args ...any) {
 		fmt.Fprintf(out, prefix+format+"\n", args...)
 	}
 }
 
-// printCoverage prints how often each transition was taken, and which ones never.
+// printCoverage prints how often each transition was taken, and lists the transitions that
+// were never taken.
 func printCoverage(out io.Writer, c *modelcheck.Coverage) {
 	transitions, counts := c.Transitions()
 	for _, t := range transitions {
@@ -143,7 +145,7 @@
 			if err != nil {
 				return err
 			}
-			defer func() { _ = f.Close() }() // opened for reading only
+			defer func() { _ = f.Close() }() // A file opened for reading needs no error check on Close.
 			violation, err := modelcheck.Play(f, linePrinter(cmd.OutOrStdout(), ""))
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
@@ -157,13 +159,13 @@
 	}
 }
 
-// randomWalks are the flags of the walk command.
+// randomWalks holds the flags of the walk command.
 type randomWalks struct {
-	seed     uint64 // of the first walk
-	walks    int
-	nodes    int
-	requests int
-	maxMoves int // of one walk
+	seed     uint64 // seed of the first walk
+	walks    int    // number of walks
+	nodes    int    // number of nodes in the scenario
+	requests int    // number of requests in the scenario
+	maxMoves int    // maximum number of moves in a walk
 }
 
 func walkCommand() *cobra.Command {
@@ -185,7 +187,7 @@
 	return c
 }
 
-// execute walks and stops at the first violation.
+// execute runs the random walks one after another and stops at the first violation.
 func (w randomWalks) execute(out io.Writer) error {
 	scenario := modelcheck.LargeScenario(w.nodes, w.requests)
 	coverage := modelcheck.NewCoverage()
@@ -195,7 +197,7 @@
 		path, violation := modelcheck.Walk(scenario, seed, w.maxMoves, coverage)
 		moves += len(path)
 		if violation != nil {
-			_ = modelcheck.Explain(scenario, path, linePrinter(out, "  ")) // the violation is known
+			_ = modelcheck.Explain(scenario, path, linePrinter(out, "  ")) // The result repeats violation.
 			return fmt.Errorf("seed %d, after %d moves: %v", seed, len(path), violation)
 		}
 	}
--- a/cmd/chalkstand/mutation.go
+++ b/cmd/chalkstand/mutation.go
@@ -35,7 +35,9 @@
 	return c
 }
 
-// testMutants runs the model checker's tests on each mutant of a copy of the sources.
+// testMutants copies the sources and runs the model checker's tests on each mutant of the
+// copy. It returns an error if the tests cannot run on a mutant, or if they pass on a mutant
+// that is not known to be equivalent to the original.
 func testMutants(ctx context.Context, out io.Writer, root, only string) (err error) {
 	if err := mutation.Check(root); err != nil {
 		return err
--- a/cmd/chalkstand/node.go
+++ b/cmd/chalkstand/node.go
@@ -15,16 +15,16 @@
 	"chalkstand/fake/storagenode"
 )
 
-// nodeOptions are the flags of the node command.
+// nodeOptions holds the flags of the node command.
 type nodeOptions struct {
 	config    storagenode.Config
-	addr      string
-	dir       string  // of the objects; empty: memory
-	faultFile string  // script of faults; empty: none
-	linkMiB   float64 // a second; 0: unlimited
+	addr      string  // address to listen on
+	dir       string  // directory for the objects; if empty, they are kept in memory
+	faultFile string  // file with a script of faults; if empty, no faults are injected
+	linkMiB   float64 // bandwidth of all responses together, in MiB per second; 0 means unlimited
 }
 
-// nodeLogLevel is the level from which a node logs.
+// nodeLogLevel is the minimum level of messages that a node logs.
 const nodeLogLevel = "info"
 
 func nodeCommand() *cobra.Command {
@@ -77,7 +77,7 @@
 	f.Float64Var(&cfg.TimingLossRate, "timing-lose", 0, "share of requests without timings")
 }
 
-// run serves until a signal, or until the script stops the node.
+// run runs the node until a signal or the script of faults stops it.
 func (o *nodeOptions) run(ctx context.Context, out io.Writer) (err error) {
 	o.config.Link = o.linkMiB * (1 << 20)
 	if o.config.Logger, err = newLogger(nodeLogLevel); err != nil {
--- a/cmd/chalkstand/replay.go
+++ b/cmd/chalkstand/replay.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return trace.Result{}, err
 	}
-	defer func() { _ = f.Close() }() // opened for reading only
+	defer func() { _ = f.Close() }() // A file opened for reading needs no error check on Close.
 	return trace.Replay(f)
 }
 
--- a/cmd/chalkstand/run.go
+++ b/cmd/chalkstand/run.go
@@ -13,6 +13,7 @@
 	"chalkstand/respserver"
 )
 
+// runName is the name of the command that runs the RESP2 server.
 const runName = "run"
 
 // runCommand returns the command that runs the RESP2 server.
@@ -35,18 +36,22 @@
 			return runServer(file, level)
 		},
 	}
-	c.Flags().StringVar(&file, "config", "", "configuration file; empty: what RELAY_CONFIG names")
+	c.Flags().StringVar(&file, "config", "", "configuration file; if empty, the file that the environment variable RELAY_CONFIG names")
 	c.Flags().StringVar(&level, "log", "info", "log level")
 	return c
 }
 
-// softMemoryShare is the share of the memory limit that is the Go runtime's soft limit. The rest is for
-// the program itself, the kernel's buffers and garbage between two collections.
+// softMemoryShare is the part of the configured memory that the Go runtime gets as its soft
+// memory limit. The rest is reserved for the executable, the kernel's buffers and the garbage
+// that accumulates between two collections.
 const softMemoryShare = 0.6
 
-// runServer serves with the configuration of a file until a graceful shutdown is complete.
+// runServer runs the server with the configuration of a file until a graceful shutdown is
+// complete.
 func runServer(file, level string) error {
-	received := signals.Listen() // until the process ends: a signal behind the shutdown has no effect
+	// The listener stays active until the process ends, so that a signal that arrives after the
+	// shutdown has no effect.
+	received := signals.Listen()
 	cfg, err := respserver.LoadConfig(file)
 	if err != nil {
 		return err
@@ -55,8 +60,9 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Sync() }() // it fails where standard error is a terminal
-	runtime.GOMAXPROCS(1)             // one event loop on one core: a second thread would only wait for the first
+	defer func() { _ = log.Sync() }() // Sync fails if standard error is a terminal.
+	// The server runs one event loop on one core. A second thread would only wait for the first.
+	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(cfg.MemoryMB * softMemoryShare * (1 << 20)))
 	server, err := respserver.New(cfg, log)
 	if err != nil {
@@ -74,8 +80,8 @@
 	return server.Run()
 }
 
-// handleSignals reloads the configuration on SIGHUP and starts a graceful shutdown on the other
-// signals, until the server has stopped.
+// handleSignals handles signals until the server has stopped. It reloads the configuration on
+// SIGHUP and starts a graceful shutdown on SIGTERM and SIGINT.
 func handleSignals(
 	received *signals.Listener, stopped <-chan struct{}, server *respserver.Server, file string, log *zap.Logger,
 ) {
@@ -92,7 +98,8 @@
 	}
 }
 
-// reloadServer applies the changed configuration file. An invalid one changes nothing.
+// reloadServer reads the configuration file again and applies the changes. If the file is
+// invalid, the server keeps its current configuration.
 func reloadServer(server *respserver.Server, file string, log *zap.Logger) {
 	cfg, err := respserver.LoadConfig(file)
 	if err != nil {
--- a/cmd/chalkstand/serve.go
+++ b/cmd/chalkstand/serve.go
@@ -39,6 +39,7 @@
 	}
 }
 
+// serveName is the name of the command that runs a gateway.
 const serveName = "serve"
 
 func serveCommand() *cobra.Command {
@@ -53,12 +54,13 @@
 	}
 	c.Flags().StringVar(&file, "config", "", "settings file (JSON with comments)")
 	if err := c.MarkFlagRequired("config"); err != nil {
-		panic(err) // the flag is defined above
+		panic(err) // unreachable, because the flag is defined above
 	}
 	return c
 }
 
-// newLogger returns a logger that writes JSON lines of the level and above to standard error.
+// newLogger returns a logger that writes messages of at least the given level to standard
+// error as JSON lines.
 func newLogger(level string) (*zap.Logger, error) {
 	cfg := zap.NewProductionConfig()
 	cfg.EncoderConfig.EncodeTime = zapcore.ISO8601TimeEncoder
@@ -70,9 +72,11 @@
 	return cfg.Build()
 }
 
-// serve runs a gateway until a signal ends it.
+// serve runs a gateway with the settings of a file until a signal stops it.
 func serve(ctx context.Context, file string) error {
-	received := signals.Listen() // until the process ends: a signal behind the shutdown has no effect
+	// The listener stays active until the process ends, so that a signal that arrives after the
+	// shutdown has no effect.
+	received := signals.Listen()
 	s, err := settings.Load(file)
 	if err != nil {
 		return err
@@ -81,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Sync() }() // fails where standard error is a terminal
+	defer func() { _ = log.Sync() }() // Sync fails if standard error is a terminal.
 	d := &daemon{file: file, settings: s, log: log}
 	defer d.close()
 	if err := d.start(); err != nil {
@@ -90,27 +94,28 @@
 	return d.run(ctx, received)
 }
 
-// daemon is a gateway process.
+// daemon is a gateway process with its log files, admin server and embedded nodes.
 type daemon struct {
-	file     string // of the settings
+	file     string // path of the settings file
 	settings *settings.Settings
 	log      *zap.Logger
 	gateway  *gateway.Gateway
-	listener *net.TCPListener // of the object API; Serve closes it
-	closers  []func()         // in the order in which the parts were opened
+	listener *net.TCPListener // listener of the object API, which Gateway.Serve closes
+	closers  []func()         // functions that close calls in reverse order
 }
 
-// close closes all parts that were opened, the last one first.
+// close closes all resources of the daemon in the reverse order of their opening.
 func (d *daemon) close() {
 	for i := len(d.closers) - 1; i >= 0; i-- {
 		d.closers[i]()
 	}
 }
 
-// onClose adds a function for close to call.
+// onClose registers a function that close calls.
 func (d *daemon) onClose(f func()) { d.closers = append(d.closers, f) }
 
-// start opens the logs and creates the gateway, with embedded nodes if the settings ask for them.
+// start opens the trace, the attribution log and the listeners, and creates the gateway. It
+// also starts embedded nodes if the settings configure them.
 func (d *daemon) start() error {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(
@@ -148,13 +153,15 @@
 	return d.listen(registry)
 }
 
+// closeGateway closes the gateway and logs an error.
 func (d *daemon) closeGateway() {
 	if err := d.gateway.Close(); err != nil {
 		d.log.Warn("gateway not closed cleanly", zap.Error(err))
 	}
 }
 
-// run serves until the gateway fails, or a signal ends it.
+// run serves requests until the gateway fails or a signal stops it. It also reloads the
+// settings when a reload signal arrives.
 func (d *daemon) run(ctx context.Context, received *signals.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -178,7 +185,8 @@
 	}
 }
 
-// shutdown waits for the requests in flight, within the settings' limit.
+// shutdown waits until the requests in flight are complete, but at most for the drain_wait of
+// the settings.
 func (d *daemon) shutdown(received os.Signal) {
 	d.log.Info("graceful shutdown started", zap.Stringer("signal", received))
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.Limits.DrainWait.D())
@@ -189,8 +197,8 @@
 	d.log.Info("graceful shutdown finished")
 }
 
-// reload replaces the access keys and the nodes with those of the changed file. An invalid file changes
-// nothing.
+// reload reads the settings file again and replaces the access keys and the nodes. If the file
+// is invalid, the gateway keeps its current keys and nodes.
 func (d *daemon) reload() {
 	s, err := settings.Load(d.file)
 	if err != nil {
@@ -204,10 +212,11 @@
 	d.log.Info("configuration reloaded", zap.Int("keys", len(s.Keys)), zap.Int("nodes", len(s.Nodes)))
 }
 
-// traceQueue is how many events may wait to be written to the trace.
+// traceQueue is the maximum number of events that wait to be written to the trace.
 const traceQueue = 1 << 16
 
-// openTrace opens the trace of the dispatcher's events, if the settings name a file.
+// openTrace starts to record the dispatcher's events if the settings contain a trace file. It
+// returns the gateway options that the recording needs.
 func (d *daemon) openTrace() ([]gateway.Option, error) {
 	if d.settings.Trace == "" {
 		return nil, nil
--- a/cmd/chalkstand/serve_test.go
+++ b/cmd/chalkstand/serve_test.go
@@ -16,15 +16,16 @@
 	"chalkstand/internal/testkit"
 )
 
+// quickstartSecret is the secret of the access key in configs/quickstart.jsonc.
 const quickstartSecret = "quickstart-secret"
 
-// testDaemon is a gateway that runs serve in the test's process.
+// testDaemon is a gateway that the function serve runs in the process of the test.
 type testDaemon struct {
-	file   string // its settings
-	listen string
-	admin  string
-	trace  string
-	done   chan error // what serve returned
+	file   string     // path of the settings file
+	listen string     // address of the object API
+	admin  string     // address of the admin server
+	trace  string     // path of the trace file
+	done   chan error // receives the result of serve
 }
 
 // freeTestAddress returns a loopback address with a free port.
@@ -37,7 +38,8 @@
 	return addr
 }
 
-// quickstartSettings returns the quick start's settings with the daemon's addresses and trace.
+// quickstartSettings returns the text of configs/quickstart.jsonc with the addresses and the
+// trace file of the daemon.
 func (d *testDaemon) quickstartSettings(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile("../../configs/quickstart.jsonc")
@@ -51,6 +53,7 @@
 	).Replace(string(text))
 }
 
+// writeSettings replaces the content of the daemon's settings file.
 func (d *testDaemon) writeSettings(t *testing.T, text string) {
 	t.Helper()
 	if err := os.WriteFile(d.file, []byte(text), 0o600); err != nil {
@@ -58,7 +61,8 @@
 	}
 }
 
-// listBuckets lists the buckets with an access key and returns the status, or 0 without a response.
+// listBuckets sends a request to list the buckets, signed with an access key. It returns the
+// status of the response, or 0 if there is no response.
 func (d *testDaemon) listBuckets(t *testing.T, keyID string) int {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+d.listen+"/", nil)
@@ -77,7 +81,7 @@
 	return resp.StatusCode
 }
 
-// metrics returns the admin server's metrics.
+// metrics returns the metrics that the admin server serves.
 func (d *testDaemon) metrics(t *testing.T) string {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+d.admin+"/metrics", nil)
@@ -104,7 +108,7 @@
 	}
 }
 
-// waitFor waits until a condition holds.
+// waitFor waits until a condition holds. After 10 seconds it fails the test with a message.
 func waitFor(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !condition(); time.Sleep(2 * time.Millisecond) {
@@ -114,7 +118,8 @@
 	}
 }
 
-// stop ends the daemon with SIGTERM and checks that it ended without an error and listens no more.
+// stop stops the daemon with SIGTERM. It checks that serve returns no error and that the
+// address no longer accepts connections.
 func (d *testDaemon) stop(t *testing.T) {
 	t.Helper()
 	sendSignal(t, syscall.SIGTERM)
@@ -124,17 +129,18 @@
 			t.Fatal(err)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("serve does not end")
+		t.Fatal("serve: still running 20s after SIGTERM, want it to return")
 	}
 	var dialer net.Dialer
 	if c, err := dialer.DialContext(t.Context(), "tcp", d.listen); err == nil {
 		c.Close()
-		t.Error("still listening")
+		t.Error("address of the object API: got a connection after serve returned, want none")
 	}
 }
 
-// The quick start's settings on other ports: serve answers requests, SIGHUP brings a new key and an
-// invalid file changes nothing, SIGTERM ends it, and its trace replays.
+// TestServeReloadsAndDrains runs serve with the settings of configs/quickstart.jsonc on other
+// ports. It checks that serve answers requests, that SIGHUP loads a new key, that an invalid
+// file changes nothing, that SIGTERM stops serve, and that the trace can be replayed.
 func TestServeReloadsAndDrains(t *testing.T) {
 	dir := t.TempDir()
 	d := &testDaemon{
@@ -147,27 +153,27 @@
 	text := d.quickstartSettings(t)
 	d.writeSettings(t, text)
 	go func() { d.done <- serve(context.Background(), d.file) }()
-	waitFor(t, "it does not serve", func() bool { return d.listBuckets(t, "QUICKSTART") == 200 })
+	waitFor(t, "serve does not answer requests", func() bool { return d.listBuckets(t, "QUICKSTART") == 200 })
 	if !strings.Contains(d.metrics(t), `chalkstand_requests_total{op="ListBuckets",status="2xx"}`) {
-		t.Error("no count of the request in the metrics")
+		t.Error("metrics: got no count of the ListBuckets request, want one")
 	}
 
 	d.writeSettings(t, strings.Replace(text, "QUICKSTART", "NEWKEY", 1))
 	sendSignal(t, syscall.SIGHUP)
 	waitFor(t, "the new key is not loaded", func() bool { return d.listBuckets(t, "NEWKEY") == 200 })
 	if status := d.listBuckets(t, "QUICKSTART"); status != 403 {
-		t.Errorf("the old key: %d", status)
+		t.Errorf("request with the replaced key: got status %d, want 403", status)
 	}
 
 	d.writeSettings(t, "{")
 	sendSignal(t, syscall.SIGHUP)
 	if status := d.listBuckets(t, "NEWKEY"); status != 200 {
-		t.Errorf("after an invalid file: %d", status)
+		t.Errorf("request after the reload of an invalid file: got status %d, want 200", status)
 	}
 
 	d.stop(t)
 	out, err := runCommandLine("replay", d.trace)
 	if err != nil || !strings.Contains(out, "events") {
-		t.Fatalf("%v\n%s", err, out)
+		t.Fatalf("replay of the trace: got error %v, want the number of events, got output\n%s", err, out)
 	}
 }
--- a/cmd/chalkstand/signals_test.go
+++ b/cmd/chalkstand/signals_test.go
@@ -18,7 +18,8 @@
 	"chalkstand/internal/signals"
 )
 
-// mainEnv makes the test program run the command line as chalkstand does.
+// mainEnv names an environment variable. If it is set, the test executable behaves like the
+// chalkstand command.
 const mainEnv = "CHALKSTAND_TEST_MAIN"
 
 func TestMain(m *testing.M) {
@@ -30,8 +31,9 @@
 	os.Exit(m.Run())
 }
 
-// pipeFile is a named pipe in the place of a settings file: it tells when the file is being read, and the reader
-// waits until the test gives it the content. Later readers find a file with the content.
+// pipeFile is a named pipe in place of a settings file. The test can wait until a process opens
+// the file, and the process waits until the test provides the content. After that, the pipe is
+// replaced by a regular file with the same content.
 type pipeFile struct {
 	path string
 	text string
@@ -45,7 +47,8 @@
 	return pipeFile{path, text}
 }
 
-// awaitReader waits until the file is open for reading. The reader waits until answer is called.
+// awaitReader waits until a process has opened the file for reading. The process then waits for
+// the content until the test calls the returned function.
 func (p pipeFile) awaitReader(t *testing.T) (answer func()) {
 	t.Helper()
 	opened := make(chan *os.File, 1)
@@ -71,18 +74,19 @@
 			}
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("the settings are not read")
+		t.Fatal("settings file: not opened within 20s, want the process to read it")
 		return nil
 	}
 }
 
-// process is a chalkstand process.
+// process is a chalkstand process that runs as the test executable.
 type process struct {
 	cmd    *exec.Cmd
 	stderr bytes.Buffer
-	ended  chan error
+	ended  chan error // receives the result of cmd.Wait
 }
 
+// startProcess starts a chalkstand command in a new process.
 func startProcess(t *testing.T, args ...string) *process {
 	t.Helper()
 	p := &process{cmd: exec.CommandContext(t.Context(), os.Args[0], args...), ended: make(chan error, 1)}
@@ -98,25 +102,26 @@
 func (p *process) signal(t *testing.T, s syscall.Signal) {
 	t.Helper()
 	if err := p.cmd.Process.Signal(s); err != nil {
-		t.Errorf("%v: %v", s, err)
+		t.Errorf("send signal %v: %v", s, err)
 	}
 }
 
-// expectEnd checks that the process ends without an error.
+// expectEnd checks that the process ends without an error within 20 seconds.
 func (p *process) expectEnd(t *testing.T) {
 	t.Helper()
 	select {
 	case err := <-p.ended:
 		if err != nil {
-			t.Errorf("ended with %v\n%s", err, p.stderr.String())
+			t.Errorf("process: got exit error %v, want none; stderr:\n%s", err, p.stderr.String())
 		}
 	case <-time.After(20 * time.Second):
 		_ = p.cmd.Process.Kill()
-		t.Errorf("did not end: %v\n%s", <-p.ended, p.stderr.String())
+		t.Errorf("process: still running after 20s and killed (%v), want it to end; stderr:\n%s", <-p.ended, p.stderr.String())
 	}
 }
 
-// serverSettings returns the settings of each server command, by its name.
+// serverSettings returns a settings text for each server command. The keys of the map are the
+// names of the commands.
 func serverSettings(t *testing.T) map[string]string {
 	t.Helper()
 	d := &testDaemon{
@@ -141,7 +146,8 @@
 	return map[string]string{serveName: d.quickstartSettings(t), runName: string(text)}
 }
 
-// startServing starts a server command and waits until it serves. It returns the process and its settings file.
+// startServing starts a server command with a settings text and waits until it accepts
+// connections. It returns the process and the path of its settings file.
 func startServing(t *testing.T, command, text string) (*process, string) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "settings")
@@ -149,15 +155,17 @@
 		t.Fatal(err)
 	}
 	p := startProcess(t, command, "--config", file)
-	waitFor(t, "it does not serve", func() bool { return accepts(t.Context(), listenAddress(text)) })
+	waitFor(t, "the server does not accept connections", func() bool { return accepts(t.Context(), listenAddress(text)) })
 	return p, file
 }
 
-// signalGap keeps two signals of one kind apart, which the kernel would deliver as one.
+// signalGap is the time between two equal signals. Without the gap, the kernel could merge
+// both signals into one.
 const signalGap = 2 * time.Millisecond
 
-// A signal that comes while the settings are read is not lost and does not end the process by its default
-// action: SIGHUP leaves it running, SIGTERM shuts it down gracefully.
+// TestSignalsDuringStartUp sends signals while the process reads its settings. It checks that
+// no signal is lost and that none terminates the process by its default action: SIGHUP leaves
+// the process running, and SIGTERM shuts it down gracefully.
 func TestSignalsDuringStartUp(t *testing.T) {
 	for command, text := range serverSettings(t) {
 		t.Run(command, func(t *testing.T) {
@@ -172,14 +180,15 @@
 			answer()
 			p.expectEnd(t)
 			if !strings.Contains(p.stderr.String(), "graceful shutdown started") {
-				t.Errorf("no graceful shutdown\n%s", p.stderr.String())
+				t.Errorf("log after SIGTERM: got no start of a graceful shutdown, want one; stderr:\n%s", p.stderr.String())
 			}
 		})
 	}
 }
 
-// SIGTERM is not lost behind a series of SIGHUP that come while a reload is under way.
-func TestStopBehindASeriesOfReloads(t *testing.T) {
+// TestStopAfterManyReloads checks that SIGTERM is not lost if it follows a series of SIGHUP
+// signals that arrive during a reload.
+func TestStopAfterManyReloads(t *testing.T) {
 	for command, text := range serverSettings(t) {
 		t.Run(command, func(t *testing.T) {
 			p, file := startServing(t, command, text)
@@ -198,14 +207,15 @@
 	}
 }
 
-// Signals that come between the end of a graceful shutdown and that of the process have no effect either.
-func TestSignalsBehindTheShutdown(t *testing.T) {
+// TestSignalsAfterShutdown checks that signals have no effect if they arrive between the end of
+// the graceful shutdown and the end of the process.
+func TestSignalsAfterShutdown(t *testing.T) {
 	for command, text := range serverSettings(t) {
 		t.Run(command, func(t *testing.T) {
 			p, _ := startServing(t, command, text)
 			for range 20_000 {
 				if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
-					break // it has ended
+					break // The process has ended.
 				}
 				time.Sleep(100 * time.Microsecond)
 			}
@@ -214,7 +224,8 @@
 	}
 }
 
-// listenAddress returns the address of the member "listen".
+// listenAddress returns the address in the member "listen" of a settings text, or "" if there
+// is none.
 func listenAddress(settings string) string {
 	_, rest, _ := strings.Cut(settings, `"listen"`)
 	var address string
@@ -224,7 +235,7 @@
 	return address
 }
 
-// accepts reports whether a connection to an address is accepted.
+// accepts reports whether a server accepts a connection at an address.
 func accepts(ctx context.Context, address string) bool {
 	conn, err := new(net.Dialer).DialContext(ctx, "tcp", address)
 	if err != nil {
--- a/cmd/chalkstand/soak.go
+++ b/cmd/chalkstand/soak.go
@@ -11,13 +11,13 @@
 	"chalkstand/lab/soak"
 )
 
-// soakRuns are the flags of the command.
+// soakRuns holds the flags of the soak command.
 type soakRuns struct {
 	options  soak.Options
-	count    int
-	programs []string
-	binary   string
-	quiet    bool
+	count    int      // number of runs of each program
+	programs []string // names of the programs to run
+	binary   string   // path of the chalkstand executable; if empty, the current one is used
+	quiet    bool     // whether only the reports are printed
 }
 
 func soakCommand() *cobra.Command {
@@ -46,7 +46,7 @@
 	return c
 }
 
-// execute plays each seed with each program.
+// execute runs the soak test of each program with each seed and prints the reports.
 func (s *soakRuns) execute(ctx context.Context, out io.Writer) error {
 	if s.binary == "" {
 		executable, err := os.Executable()
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// runSoak plays one run on a free address.
+// runSoak runs one soak test whose program listens on a free address.
 func runSoak(ctx context.Context, o soak.Options) (*soak.Report, error) {
 	var err error
 	if o.Listen, err = freeAddress(ctx); err != nil {
--- a/cmd/chalkstand/soak_test.go
+++ b/cmd/chalkstand/soak_test.go
@@ -11,17 +11,19 @@
 	"chalkstand/lab/soak"
 )
 
-// soakSeeds are the seeds that CI plays; more are played by hand, with chalkstand soak.
+// soakSeeds lists the seeds that CI runs. The command chalkstand soak runs other seeds by hand.
 var soakSeeds = []uint64{1, 2, 3, 4, 5}
 
-// playSoak runs a program of this test's own build, with the race detector if the test has it.
+// playSoak runs the soak test of a program. The program is the test executable itself, so it
+// has the race detector if the test has it.
 func playSoak(t *testing.T, program soak.Program, seed uint64, guard string) *soak.Report {
 	t.Helper()
 	report, err := runSoak(t.Context(), soak.Options{
-		Seed:          seed,
-		Program:       program,
-		Command:       []string{os.Args[0]},
-		Env:           []string{mainEnv + "=1", "GORACE=atexit_sleep_ms=0"}, // the programs end as they do without it
+		Seed:    seed,
+		Program: program,
+		Command: []string{os.Args[0]},
+		// Without the sleep at exit, a program with the race detector ends as fast as one without it.
+		Env:           []string{mainEnv + "=1", "GORACE=atexit_sleep_ms=0"},
 		DisabledGuard: guard,
 	})
 	if err != nil {
@@ -31,7 +33,8 @@
 	return report
 }
 
-// Both programs keep every invariant under load, faults and signals, until they have ended in time.
+// TestSoakKeepsInvariants checks that both programs keep every invariant under load, faults
+// and signals, and end in time.
 func TestSoakKeepsInvariants(t *testing.T) {
 	var programs sync.WaitGroup
 	for _, program := range []soak.Program{soak.Serve, soak.RESP} {
@@ -42,7 +45,7 @@
 				report.Write(&text)
 				t.Log(text.String())
 				if len(report.Violations) > 0 || report.Served == 0 {
-					t.Errorf("%s, seed %d", program, seed)
+					t.Errorf("soak of %s, seed %d: got violations or no served request, want neither", program, seed)
 				}
 			}
 		})
@@ -50,7 +53,8 @@
 	programs.Wait()
 }
 
-// Without a guard its invariant is violated, and the soak reports it.
+// TestSoakDetectsDisabledGuards checks that the soak test reports a violated invariant if the
+// guard that protects the invariant is disabled.
 func TestSoakDetectsDisabledGuards(t *testing.T) {
 	var guards sync.WaitGroup
 	for guard, invariant := range soak.Guards[soak.Serve] {
@@ -61,7 +65,7 @@
 					return
 				}
 			}
-			t.Errorf("without the guard of %q the invariant %q holds on all seeds", guard, invariant)
+			t.Errorf("soak without the guard %q: got no violation of the invariant %q on any seed, want one", guard, invariant)
 		})
 	}
 	guards.Wait()
--- a/cmd/chalkstand/stored_test.go
+++ b/cmd/chalkstand/stored_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// A log of accounts that an earlier build saved gives the same figures, as text and as JSON.
+// TestStoredAccountsLog checks that the commands print the stored output for an attribution
+// log that an earlier build wrote, as text and as JSON.
 func TestStoredAccountsLog(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -26,9 +27,9 @@
 			}
 			log := filepath.Join("testdata", "accounts.log")
 			args := slices.Concat(c.args, []string{"--log", log, "--since", "24h"})
-			have, err := runCommandLine(args...)
-			if err != nil || have != string(want) {
-				t.Errorf("%v\n%s\nwant\n%s", err, have, want)
+			got, err := runCommandLine(args...)
+			if err != nil || got != string(want) {
+				t.Errorf("stored log: got error %v and output\n%s\nwant\n%s", err, got, want)
 			}
 		})
 	}
--- a/cmd/chalkstand/top.go
+++ b/cmd/chalkstand/top.go
@@ -17,18 +17,19 @@
 	"chalkstand/gateway"
 )
 
-// usageSnapshot is the usage of a gateway's event loops and links by volume, since the gateway's start.
+// usageSnapshot holds the usage of a gateway's event loops and links by each volume since the
+// start of the gateway.
 type usageSnapshot struct {
 	Shares []gateway.VolumeUsage `json:"shares"`
-	at     time.Time
+	at     time.Time             // time at which the gateway returned the snapshot
 }
 
-// topOptions are the flags of the command.
+// topOptions holds the flags of the top command.
 type topOptions struct {
-	admin    string
-	interval time.Duration
-	count    int // tables; 0: until interrupted
-	volumes  int // rows
+	admin    string        // admin address of the gateway
+	interval time.Duration // time between two tables
+	count    int           // number of tables; 0 means until the command is interrupted
+	volumes  int           // maximum number of volumes in a table
 }
 
 func topCommand() *cobra.Command {
@@ -54,10 +55,10 @@
 	return c
 }
 
-// execute prints tables until it is interrupted.
+// execute prints count tables, or prints tables until ctx is canceled if count is 0.
 func (o topOptions) execute(ctx context.Context, out io.Writer) error {
 	if o.interval <= 0 {
-		return fmt.Errorf("--every %v: want a time above 0", o.interval)
+		return fmt.Errorf("--every %v: must be greater than 0", o.interval)
 	}
 	before, err := fetchUsage(context.WithoutCancel(ctx), o.admin)
 	if err != nil {
@@ -79,33 +80,34 @@
 	return nil
 }
 
-// maxUsageBytes bounds a gateway's response.
+// maxUsageBytes is the maximum size of a gateway's response, in bytes.
 const maxUsageBytes = 64 << 20
 
-// fetchUsage asks a running gateway.
+// fetchUsage requests a usage snapshot from a running gateway.
 func fetchUsage(ctx context.Context, admin string) (*usageSnapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+admin+"/shares", nil)
 	if err != nil {
-		return nil, fmt.Errorf("asking the gateway at %s: %w", admin, err)
+		return nil, fmt.Errorf("request to the gateway at %s: %w", admin, err)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, fmt.Errorf("asking the gateway at %s: %w", admin, err)
+		return nil, fmt.Errorf("request to the gateway at %s: %w", admin, err)
 	}
-	defer func() { _ = resp.Body.Close() }() // read completely
+	defer func() { _ = resp.Body.Close() }() // A response body needs no error check on Close.
 	if resp.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("asking the gateway at %s: %s: want a gateway of this version", admin, resp.Status)
+		return nil, fmt.Errorf("gateway at %s: status %s, expected a gateway of this version", admin, resp.Status)
 	}
 	s := &usageSnapshot{at: time.Now()}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxUsageBytes)).Decode(s); err != nil {
-		return nil, fmt.Errorf("the answer of the gateway at %s: %w", admin, err)
+		return nil, fmt.Errorf("invalid response from the gateway at %s: %w", admin, err)
 	}
 	return s, nil
 }
 
-// usageBetween returns the usage between two snapshots, the largest first, and the sum of the loop time.
+// usageBetween returns the usage of each volume between two snapshots in descending order of
+// loop time, and the total loop time.
 func usageBetween(before, now *usageSnapshot) (rows []gateway.VolumeUsage, loopTime time.Duration) {
 	earlier := map[string]gateway.VolumeUsage{}
 	for _, u := range before.Shares {
@@ -114,7 +116,8 @@
 	rows = slices.Clone(now.Shares)
 	for i := range rows {
 		u := earlier[rows[i].Volume]
-		if u.LoopTime <= rows[i].LoopTime { // else the gateway dropped the volume and counts from 0 again
+		// If the loop time has decreased, the gateway dropped the volume and counts from 0 again.
+		if u.LoopTime <= rows[i].LoopTime {
 			rows[i].LoopTime -= u.LoopTime
 			rows[i].Bytes -= u.Bytes
 		}
@@ -124,7 +127,8 @@
 	return rows, loopTime
 }
 
-// printUsage prints a table of the usage between two snapshots, with at most n volumes.
+// printUsage prints a table of the usage between two snapshots. The table has at most n
+// volumes.
 func printUsage(out io.Writer, before, now *usageSnapshot, n int) {
 	rows, loopTime := usageBetween(before, now)
 	interval := now.at.Sub(before.at).Seconds()
--- a/cmd/chalkstand/top_test.go
+++ b/cmd/chalkstand/top_test.go
@@ -30,7 +30,7 @@
 
 `
 	if out.String() != want {
-		t.Errorf("got\n%s\nwant\n%s", out.String(), want)
+		t.Errorf("usage table: got\n%s\nwant\n%s", out.String(), want)
 	}
 }
 
@@ -41,18 +41,18 @@
 		body   string
 		want   string
 	}{
-		{"body breaks off", http.StatusOK, `{"shares": [`, "the answer of the gateway"},
-		{"unknown path", http.StatusNotFound, "", "want a gateway of this version"},
+		{"truncated body", http.StatusOK, `{"shares": [`, "invalid response from the gateway"},
+		{"unknown path", http.StatusNotFound, "", "expected a gateway of this version"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				w.WriteHeader(test.status)
-				_, _ = io.WriteString(w, test.body) // a failure shows in what the client gets
+				_, _ = io.WriteString(w, test.body) // A write error shows up as a different response.
 			}))
 			defer s.Close()
 			_, err := fetchUsage(t.Context(), s.Listener.Addr().String())
 			if err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Errorf("%v, want %s", err, test.want)
+				t.Errorf("fetchUsage: got error %v, want an error with %q", err, test.want)
 			}
 		})
 	}
