--- a/cmd/chalkstand/accounts_test.go
+++ b/cmd/chalkstand/accounts_test.go
@@ -56,7 +56,7 @@
 		out, err := runCommandLine(test.args...)
 		for _, want := range test.want {
 			if err != nil || !strings.Contains(out, want) {
-				t.Errorf("command %v: got error %v, want output with %q, got output\n%s", test.args, err, want, out)
+				t.Errorf("command %v: got error %v, want none and %q in the output; output:\n%s", test.args, err, want, out)
 			}
 		}
 	}
@@ -64,7 +64,7 @@
 	var a attributionreport.Summary
 	if err != nil || json.Unmarshal([]byte(out), &a) != nil ||
 		a.Window.All.Requests != 41 || len(a.Window.Volumes) != 1 {
-		t.Errorf("accounts volume --json: got error %v, want 41 requests of one volume, got output\n%s", err, out)
+		t.Errorf("accounts volume --json: got error %v, want none and 41 requests of one volume; output:\n%s", err, out)
 	}
 }
 
--- a/cmd/chalkstand/benchoverload.go
+++ b/cmd/chalkstand/benchoverload.go
@@ -98,8 +98,8 @@
 	return peak, err
 }
 
-// measureOfferedLoad measures one case with one offered load, which is a multiple of the peak rate. It
-// returns the rate of responses in time, in responses per second.
+// measureOfferedLoad measures one case with one offered load, which is a multiple of the peak
+// rate. It returns the number of responses in time per second.
 func (b *shareBench) measureOfferedLoad(ctx context.Context, c overloadCase, offered, peak float64) (inTime float64, err error) {
 	g := b.overloadGateway()
 	g.queueTimeTarget = c.queueTimeTarget
--- a/cmd/chalkstand/benchshare.go
+++ b/cmd/chalkstand/benchshare.go
@@ -227,8 +227,8 @@
 	return nil
 }
 
-// measureLargeReads measures large reads of both volumes. It measures them with the same number of
-// connections for both volumes and with different numbers.
+// measureLargeReads measures large reads of both volumes, first with the same number of
+// connections for each volume, then with different numbers.
 func (b *shareBench) measureLargeReads(ctx context.Context, g shareGateway) error {
 	return b.withGateway(ctx, g, func(server bench.Server) error {
 		for _, conns := range [][2]int{{8, 8}, {4, 64}} {
--- a/cmd/chalkstand/main_test.go
+++ b/cmd/chalkstand/main_test.go
@@ -36,7 +36,7 @@
 	} {
 		out, err := runCommandLine(args...)
 		if err != nil || len(out) < 20 {
-			t.Errorf("command %v: got error %v, want no error and at least 20 bytes of output, got output\n%s", args, err, out)
+			t.Errorf("command %v: got error %v, want none and at least 20 bytes of output; output:\n%s", args, err, out)
 		}
 	}
 }
--- a/cmd/chalkstand/modelcheck.go
+++ b/cmd/chalkstand/modelcheck.go
@@ -19,7 +19,7 @@
 type modelCheckRun struct {
 	options   modelcheck.Options
 	scenarios []string      // names of the scenarios to check; if empty, all scenarios are checked
-	full      bool          // whether partial-order reduction is disabled
+	full      bool          // whether all orderings of independent events are visited
 	coverage  bool          // whether the transition counts are printed
 	quiet     bool          // whether the progress is not printed
 	limit     time.Duration // maximum time for all scenarios together
@@ -106,7 +106,7 @@
 
 // printViolation prints a violation as a sequence of events, as a replay and as a test.
 func printViolation(out io.Writer, scenario modelcheck.Scenario, r *modelcheck.Result) error {
-	_ = modelcheck.Explain(scenario, r.Path, linePrinter(out, "  ")) // The result repeats r.Violation.
+	_ = modelcheck.Explain(scenario, r.Path, linePrinter(out, "  ")) // Explain returns r.Violation again.
 	fmt.Fprintln(out, "\nas a replay:")
 	if err := modelcheck.WriteReplay(out, scenario, r.Path); err != nil {
 		return err
@@ -197,7 +197,7 @@
 		path, violation := modelcheck.Walk(scenario, seed, w.maxMoves, coverage)
 		moves += len(path)
 		if violation != nil {
-			_ = modelcheck.Explain(scenario, path, linePrinter(out, "  ")) // The result repeats violation.
+			_ = modelcheck.Explain(scenario, path, linePrinter(out, "  ")) // Explain returns the same violation again.
 			return fmt.Errorf("seed %d, after %d moves: %v", seed, len(path), violation)
 		}
 	}
--- a/cmd/chalkstand/serve_test.go
+++ b/cmd/chalkstand/serve_test.go
@@ -108,7 +108,8 @@
 	}
 }
 
-// waitFor waits until a condition holds. After 10 seconds it fails the test with a message.
+// waitFor waits until a condition holds. If it does not hold within 10 seconds, waitFor fails
+// the test with the message failure.
 func waitFor(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !condition(); time.Sleep(2 * time.Millisecond) {
@@ -174,6 +175,6 @@
 	d.stop(t)
 	out, err := runCommandLine("replay", d.trace)
 	if err != nil || !strings.Contains(out, "events") {
-		t.Fatalf("replay of the trace: got error %v, want the number of events, got output\n%s", err, out)
+		t.Fatalf("replay of the trace: got error %v, want none and the number of events; output:\n%s", err, out)
 	}
 }
--- a/cmd/chalkstand/signals_test.go
+++ b/cmd/chalkstand/signals_test.go
@@ -31,9 +31,9 @@
 	os.Exit(m.Run())
 }
 
-// pipeFile is a named pipe in place of a settings file. The test can wait until a process opens
-// the file, and the process waits until the test provides the content. After that, the pipe is
-// replaced by a regular file with the same content.
+// pipeFile is a named pipe in place of a settings file. A test can wait until a process opens
+// the pipe, and the process waits until the test writes the settings. When the test writes
+// them, it also replaces the pipe with a regular file, which later readers find.
 type pipeFile struct {
 	path string
 	text string
@@ -62,6 +62,8 @@
 	select {
 	case w := <-opened:
 		return func() {
+			// The regular file replaces the pipe first, so that a process that reads the settings
+			// again after this time finds the file.
 			file := p.path + ".file"
 			if err := errors.Join(os.WriteFile(file, []byte(p.text), 0o600), os.Rename(file, p.path)); err != nil {
 				t.Error(err)
@@ -169,9 +171,9 @@
 func TestSignalsDuringStartUp(t *testing.T) {
 	for command, text := range serverSettings(t) {
 		t.Run(command, func(t *testing.T) {
-			settings := newPipeFile(t, filepath.Join(t.TempDir(), "settings"), text)
-			p := startProcess(t, command, "--config", settings.path)
-			answer := settings.awaitReader(t)
+			pipe := newPipeFile(t, filepath.Join(t.TempDir(), "settings"), text)
+			p := startProcess(t, command, "--config", pipe.path)
+			answer := pipe.awaitReader(t)
 			for range 3 {
 				p.signal(t, syscall.SIGHUP)
 				time.Sleep(signalGap)
@@ -192,9 +194,9 @@
 	for command, text := range serverSettings(t) {
 		t.Run(command, func(t *testing.T) {
 			p, file := startServing(t, command, text)
-			settings := newPipeFile(t, file, text)
+			pipe := newPipeFile(t, file, text)
 			p.signal(t, syscall.SIGHUP)
-			answer := settings.awaitReader(t)
+			answer := pipe.awaitReader(t)
 			for range 20 {
 				p.signal(t, syscall.SIGHUP)
 				time.Sleep(signalGap)
@@ -226,8 +228,8 @@
 
 // listenAddress returns the address in the member "listen" of a settings text, or "" if there
 // is none.
-func listenAddress(settings string) string {
-	_, rest, _ := strings.Cut(settings, `"listen"`)
+func listenAddress(text string) string {
+	_, rest, _ := strings.Cut(text, `"listen"`)
 	var address string
 	if _, err := fmt.Sscanf(strings.TrimLeft(rest, ": "), "%q", &address); err != nil {
 		return ""
--- a/cmd/chalkstand/soak_test.go
+++ b/cmd/chalkstand/soak_test.go
@@ -22,7 +22,8 @@
 		Seed:    seed,
 		Program: program,
 		Command: []string{os.Args[0]},
-		// Without the sleep at exit, a program with the race detector ends as fast as one without it.
+		// GORACE disables the sleep of the race detector at exit, so that a program ends as fast as
+		// without the race detector.
 		Env:           []string{mainEnv + "=1", "GORACE=atexit_sleep_ms=0"},
 		DisabledGuard: guard,
 	})
--- a/cmd/simhost/host.go
+++ b/cmd/simhost/host.go
@@ -50,7 +50,8 @@
 	return replies, nil
 }
 
-// start creates the instance that an item starts.
+// start handles the start of an instance. It returns an error if the instance is already
+// running or its configuration is invalid.
 func (h *host) start(item simwire.Item) error {
 	if h.instances[item.Instance] != nil {
 		return fmt.Errorf("BEGIN for %s, which is running", item.Instance)
@@ -73,7 +74,7 @@
 	return in, nil
 }
 
-// crash removes the instance that an item crashes.
+// crash removes an instance that crashes. It returns an error if the instance is not running.
 func (h *host) crash(item simwire.Item) error {
 	if _, err := h.running(item); err != nil {
 		return err
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -22,8 +22,8 @@
 	maxMiB = 1 << 20 // maximum of mib_per_second and mib_burst
 )
 
-// check validates the settings. It returns an error for the first invalid setting, without a
-// file name and a line number.
+// check validates the settings. It returns an error for the first invalid setting. The error
+// contains no file name and no line number, which the caller adds.
 func (s *Settings) check() *ConfigError {
 	checks := []func() *ConfigError{
 		s.checkGateway,
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -8,8 +8,8 @@
 	"github.com/tailscale/hujson"
 )
 
-// findUnknown returns an error for the first member in the tree v that has no field in the
-// type t or that occurs twice in its object.
+// findUnknown returns an error for the first JSON member in the tree v that has no field in
+// the type t or that occurs twice in its object. The path of v is field.
 func findUnknown(v *hujson.Value, t reflect.Type, field string) *decodeError {
 	if t.Kind() == reflect.Pointer {
 		t = t.Elem()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -76,7 +76,7 @@
 // in cost units per second.
 type Plan struct {
 	Name    string  `json:"name"`
-	Rate    float64 `json:"rate"`    // rate that the usage of a volume is compared with
+	Rate    float64 `json:"rate"`    // quota of a volume, whose usage is measured as a percentage of this rate
 	Reserve float64 `json:"reserve"` // rate that is reserved for a volume
 	Weight  float64 `json:"weight"`  // weight in fair queuing
 	Price   float64 `json:"price"`   // factor by which the value of the plan's requests is multiplied
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -21,7 +21,7 @@
 // ItemKind distinguishes the items of a batch.
 type ItemKind int
 
-// The kinds of items.
+// The constants are the kinds of items in a batch.
 const (
 	EventReceived   ItemKind = iota // a running instance receives an event
 	InstanceStarted                 // an instance starts with the item's Seed and Config
@@ -51,7 +51,7 @@
 	Err      error  // fault of the line
 }
 
-// Error implements error.
+// Error returns the line number and the fault of the line.
 func (e *ProtocolError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
 // Unwrap returns the fault of the line without the line number.
@@ -154,7 +154,7 @@
 }
 
 // itemDecoders maps the verb of a line to the function that decodes the values of the line.
-// The functions store errors in f.
+// Each function stores its first error in f.
 var itemDecoders = map[string]func(f *fields, it *Item){
 	"BEGIN":         (*fields).begin,
 	"CRASH_NOW":     func(_ *fields, it *Item) { it.Kind = InstanceCrashed },
@@ -193,8 +193,8 @@
 	}
 )
 
-// page reads the node list that follows a PAGE line and stores it under its bank number.
-// Later FLEET lines refer to the list by this number.
+// page reads the ITEM lines that follow a PAGE line and stores the list of their nodes under
+// the bank number of the PAGE line. Later FLEET lines refer to the list by this number.
 func (d *Decoder) page(f *fields) error {
 	bank := f.integer("bank")
 	count := f.integer("elements")
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -24,7 +24,7 @@
 	Got      string // invalid value
 }
 
-// Error implements error.
+// Error returns a message with the path of the setting, the expected value and the value.
 func (e *SettingError) Error() string {
 	if e.Key == "" {
 		return fmt.Sprintf("config: expected %s, got %q", e.Expected, e.Got)
