--- a/cmd/chalkstand/run.go
+++ b/cmd/chalkstand/run.go
@@ -31,7 +31,7 @@
 				file = os.Getenv("RELAY_CONFIG")
 			}
 			if file == "" {
-				return errors.New("run: RELAY_CONFIG: expected the path of the configuration")
+				return errors.New("run: --config and RELAY_CONFIG are empty, expected the path of a configuration file")
 			}
 			return runServer(file, level)
 		},
