--- a/respserver/shutdown.go
+++ b/respserver/shutdown.go
@@ -12,8 +12,9 @@
 
 // These times control a graceful shutdown. After the platform has asked for a shutdown, it waits for
 // the longest deadline of a request class, at most maxTerminationDelay, plus terminationMargin, before
-// it may terminate the server by force. A forced termination loses the open requests. Requests that
-// arrived within about the grace period have normally ended by then.
+// it may terminate the server by force. Requests that are still open at the forced termination count as
+// lost, except those that arrived within about the grace period after the platform asked for the
+// shutdown.
 const (
 	shutdownGracePeriod = 500 * time.Millisecond // clients open connections for up to 0.4 s after the start
 	maxTerminationDelay = 3 * time.Second
