--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -20,7 +20,7 @@
 	})
 	scanClass := len(cfg.Classes) - 1
 	for class, want := range map[int]bool{scanClass: true, idempotentClass: false} {
-		r := newRig(t, cfg)
+		r := newFixture(t, cfg)
 		id, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan, Volume: "w"})
 		r.now += 40 * ms
 		r.handle(AttemptCompleted{ID: id, Result: OK, Responded: true, Latency: 40 * ms})
@@ -40,7 +40,7 @@
 // and retry at once are rejected at once. Such requests must not take queue places, reserve or
 // retry budget from other requests.
 func TestImpatientClientsTakeNothingFromOthers(t *testing.T) {
-	r := newRig(t, testConfig())
+	r := newFixture(t, testConfig())
 	id, acts := r.request(Request{Shard: 0, Plan: unlimitedPlan}) // shows the dispatcher the usual timeout of the class
 	expectOutcome(t, "client with the usual timeout", acts, id, sent)
 	r.complete(id, 0, OK)
--- a/dispatch/cancelbudget_test.go
+++ b/dispatch/cancelbudget_test.go
@@ -10,7 +10,7 @@
 	cfg.Classes[idempotentClass].LatencyObjective = 1000 * ms
 	cfg.Classes[idempotentClass].Deadline = 2000 * ms
 	cfg.RetryBudget = RetryBudget{MinRetries: 1, Ratio: 0, Window: 5000 * ms}
-	r := newRig(t, cfg)
+	r := newFixture(t, cfg)
 	for range 40 {
 		id, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 		r.advance(2 * ms)
--- a/dispatch/concurrency_test.go
+++ b/dispatch/concurrency_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestConcurrencyLimit(t *testing.T) {
-	r := newRig(t, testConfig())
+	r := newFixture(t, testConfig())
 	n := r.d.nodes["n0"]
 	if got := r.d.concurrencyLimit(n); got != 4 {
 		t.Errorf("limit of a node without completions: got D = %d, want 4", got)
@@ -41,7 +41,7 @@
 	for dispatchers, floor := range map[int]int{1: 4, 8: 4, 10: 3, 40: 1, 200: 1} {
 		cfg := testConfig()
 		cfg.DispatcherCount = dispatchers
-		r := newRig(t, cfg)
+		r := newFixture(t, cfg)
 		n := r.d.nodes["n0"]
 		if got := r.d.concurrencyLimit(n); got != floor {
 			t.Errorf("%d dispatchers, node without responses: got D = %d, want %d", dispatchers, got, floor)
--- a/dispatch/config_test.go
+++ b/dispatch/config_test.go
@@ -80,7 +80,7 @@
 // TestEventsWithNumbersThatAreNotFinite checks that infinite and NaN figures in events do not
 // change any state.
 func TestEventsWithNumbersThatAreNotFinite(t *testing.T) {
-	r := newRig(t, testConfig())
+	r := newFixture(t, testConfig())
 	for _, x := range []float64{math.NaN(), math.Inf(1), math.Inf(-1)} {
 		id, acts := r.request(Request{Shard: 0, Units: x})
 		expectOutcome(t, "request of a cost that is not finite", acts, id, rejected)
@@ -131,12 +131,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			cfg := testConfig()
 			c.modify(&cfg)
-			id, acts := newRig(t, cfg).request(c.request)
+			id, acts := newFixture(t, cfg).request(c.request)
 			expectOutcome(t, c.name, acts, id, c.want)
 		})
 	}
 	t.Run("a duplicate request is answered once", func(t *testing.T) {
-		r := newRig(t, testConfig())
+		r := newFixture(t, testConfig())
 		id, _ := r.request(Request{Shard: 0})
 		if acts := r.handle(Request{ID: id, Shard: 0, Units: 1, Timeout: time.Second}); len(acts) > 0 {
 			t.Errorf("got actions %v for a duplicate request, want none", acts)
--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -52,7 +52,7 @@
 // TestStateIsBounded checks that a dispatcher deletes unused keys, idle volumes and replaced
 // nodes, so that its state stays bounded.
 func TestStateIsBounded(t *testing.T) {
-	r := newRig(t, testConfig())
+	r := newFixture(t, testConfig())
 	for i := range 20000 {
 		name := string(rune('a'+i%26)) + time.Duration(i).String()
 		if i%100 == 0 {
--- a/dispatch/endpoints_test.go
+++ b/dispatch/endpoints_test.go
@@ -8,7 +8,7 @@
 func TestNodeThatIsNotReadyGetsNoRequests(t *testing.T) {
 	for _, kind := range []string{"draining", "removed", "missing from a snapshot"} {
 		t.Run(kind, func(t *testing.T) {
-			r := newRig(t, testConfig())
+			r := newFixture(t, testConfig())
 			switch kind {
 			case "draining":
 				r.updateEndpoints(Delta, Node{ID: "n0", Shard: 0, State: Draining})
@@ -25,7 +25,7 @@
 		})
 	}
 	t.Run("queued requests move to the successor", func(t *testing.T) {
-		r := newRig(t, testConfig())
+		r := newFixture(t, testConfig())
 		for range 4 {
 			r.request(Request{Shard: 0, Plan: unlimitedPlan})
 		}
@@ -35,7 +35,7 @@
 		expectOutcome(t, "queued request after the new node is ready", acts, id, sent)
 	})
 	t.Run("an empty snapshot rejects requests", func(t *testing.T) {
-		r := newRig(t, testConfig())
+		r := newFixture(t, testConfig())
 		r.updateEndpoints(Snapshot)
 		id, acts := r.request(Request{Shard: AnyShard})
 		expectOutcome(t, "request without any node", acts, id, rejected)
@@ -81,7 +81,7 @@
 }
 
 func TestNodeChangesShard(t *testing.T) {
-	r := newRig(t, testConfig())
+	r := newFixture(t, testConfig())
 	for range 5 {
 		r.request(Request{Shard: 0, Plan: unlimitedPlan})
 	}
--- a/dispatch/fairqueue_test.go
+++ b/dispatch/fairqueue_test.go
@@ -8,25 +8,25 @@
 	"testing"
 )
 
-// queueRig is a test rig that queues requests of volumes at one node without admission.
-type queueRig struct {
+// queueFixture is a test fixture that queues requests of volumes at one node without admission.
+type queueFixture struct {
 	d *Dispatcher
 	n *node
 }
 
-func newQueueRig(t *testing.T) *queueRig {
+func newQueueFixture(t *testing.T) *queueFixture {
 	t.Helper()
-	r := newRig(t, testConfig())
-	return &queueRig{r.d, r.d.nodes["n0"]}
+	r := newFixture(t, testConfig())
+	return &queueFixture{r.d, r.d.nodes["n0"]}
 }
 
-func (q *queueRig) volume(id string, weight float64) *volume {
+func (q *queueFixture) volume(id string, weight float64) *volume {
 	v := q.d.volumeFor(Request{Volume: VolumeID(id), Plan: unlimitedPlan, Dispatchers: 1})
 	v.weight = weight
 	return v
 }
 
-func (q *queueRig) enqueue(v *volume, units float64) *request {
+func (q *queueFixture) enqueue(v *volume, units float64) *request {
 	q.d.lastSequence++
 	r := &request{
 		Request:     Request{Units: units},
@@ -41,7 +41,7 @@
 }
 
 // release removes the request with the lowest start tag from the queue, as if it were sent.
-func (q *queueRig) release() *request {
+func (q *queueFixture) release() *request {
 	f := q.n.flows[0]
 	r := f.requests[0]
 	f.recordDispatch(r)
@@ -53,7 +53,7 @@
 // TestStartTags checks the tags of a small example. The start tag is S = max(v, F of the last
 // request) for virtual time v. The finish tag is F = S + c/φ for cost c and weight φ.
 func TestStartTags(t *testing.T) {
-	q := newQueueRig(t)
+	q := newQueueFixture(t)
 	a, b := q.volume("a", 1), q.volume("b", 2)
 	q.enqueue(a, 2) // gets start tag 0 and finish tag 2
 	q.enqueue(a, 1) // gets start tag 2 and finish tag 3
@@ -81,7 +81,7 @@
 // TestWeightChangeRecomputesTags runs the counterexample in section 3 of the paper. Once a
 // small weight has been raised, its old value must not affect the tags any more.
 func TestWeightChangeRecomputesTags(t *testing.T) {
-	q := newQueueRig(t)
+	q := newQueueFixture(t)
 	f, g := q.volume("f", 0.01), q.volume("g", 0.99)
 	for range 4 {
 		q.enqueue(f, 1)
@@ -106,7 +106,7 @@
 // TestUnsentRequestDoesNotAffectTags checks that a request that leaves the queue unsent does
 // not affect the tags of later requests.
 func TestUnsentRequestDoesNotAffectTags(t *testing.T) {
-	q := newQueueRig(t)
+	q := newQueueFixture(t)
 	a := q.volume("a", 1)
 	first, big, last := q.enqueue(a, 1), q.enqueue(a, 8), q.enqueue(a, 1)
 	q.d.dequeue(big)
@@ -123,7 +123,7 @@
 // backlogged flows f and g differs by at most (D+1)(c_f/φ_f + c_g/φ_g).
 func TestFairnessBound(t *testing.T) {
 	for seed := range uint64(20) {
-		q, rng := newQueueRig(t), rand.New(rand.NewPCG(seed, 1))
+		q, rng := newQueueFixture(t), rand.New(rand.NewPCG(seed, 1))
 		f, g := q.volume("f", 1), q.volume("g", 1)
 		const maxCost = 8.0
 		for range 5000 {
@@ -159,7 +159,7 @@
 // volume's sends. A volume whose requests cost less than declared gets more sends.
 func TestCostCorrectionChangesShare(t *testing.T) {
 	for _, c := range []struct{ correction, want float64 }{{7, 1.0 / 8}, {0, 1}, {-0.75, 4}} {
-		q := newQueueRig(t)
+		q := newQueueFixture(t)
 		a, b := q.volume("a", 1), q.volume("b", 1)
 		for range 400 {
 			q.enqueue(a, 1)
--- a/dispatch/helpers_test.go
+++ b/dispatch/helpers_test.go
@@ -73,36 +73,36 @@
 	}
 }
 
-// rig is a test rig: a dispatcher with two nodes, n0 for shard 0 and n1 for shard 1.
-type rig struct {
+// fixture is a test fixture: a dispatcher with two nodes, n0 for shard 0 and n1 for shard 1.
+type fixture struct {
 	t   *testing.T
 	d   *Dispatcher
 	now time.Duration
 	id  RequestID
 }
 
-func newRig(t *testing.T, cfg Config) *rig {
+func newFixture(t *testing.T, cfg Config) *fixture {
 	t.Helper()
 	d, err := New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, d: d, now: time.Hour}
+	r := &fixture{t: t, d: d, now: time.Hour}
 	r.updateEndpoints(Cached, Node{ID: "n0", Shard: 0}, Node{ID: "n1", Shard: 1})
 	r.now += 20 * time.Second // the shares of the token buckets are full after 20 s
 	r.handle(TimerFired{"wake"})
 	return r
 }
 
-func (r *rig) handle(e Event) []Action { return r.d.Handle(r.now, e) }
+func (r *fixture) handle(e Event) []Action { return r.d.Handle(r.now, e) }
 
-func (r *rig) updateEndpoints(k EndpointUpdateKind, ns ...Node) []Action {
+func (r *fixture) updateEndpoints(k EndpointUpdateKind, ns ...Node) []Action {
 	return r.handle(EndpointUpdate{Kind: k, Nodes: ns})
 }
 
 // request passes q to the dispatcher as a new request, with defaults for the fields that the
 // test leaves empty. It returns the ID of the request and the resulting actions.
-func (r *rig) request(q Request) (RequestID, []Action) {
+func (r *fixture) request(q Request) (RequestID, []Action) {
 	r.id++
 	q.ID = r.id
 	if q.Units == 0 {
@@ -121,13 +121,13 @@
 }
 
 // advance moves the clock forward by dt and fires the dispatcher's timer.
-func (r *rig) advance(dt time.Duration) []Action {
+func (r *fixture) advance(dt time.Duration) []Action {
 	r.now += dt
 	return r.handle(TimerFired{"wake"})
 }
 
 // complete ends an attempt with the given result. The client gets its answer if the result is OK.
-func (r *rig) complete(id RequestID, attempt int, result AttemptResult) []Action {
+func (r *fixture) complete(id RequestID, attempt int, result AttemptResult) []Action {
 	return r.handle(AttemptCompleted{
 		ID:        id,
 		Attempt:   attempt,
--- a/dispatch/latency_test.go
+++ b/dispatch/latency_test.go
@@ -10,7 +10,7 @@
 // bounds the delay that one response shows. An implausible report is ignored.
 func TestLoadReportBoundsDelay(t *testing.T) {
 	delayAfter := func(report LoadReport, latency time.Duration) time.Duration {
-		r := newRig(t, testConfig())
+		r := newFixture(t, testConfig())
 		for range 2 {
 			id, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 			r.handle(AttemptCompleted{ID: id, Result: OK, Responded: true, Latency: 10 * ms})
@@ -37,7 +37,7 @@
 }
 
 func TestSilenceCountsAsDelay(t *testing.T) {
-	r := newRig(t, testConfig())
+	r := newFixture(t, testConfig())
 	for range 4 {
 		id, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 		r.complete(id, 0, OK)
--- a/dispatch/loss_test.go
+++ b/dispatch/loss_test.go
@@ -17,7 +17,7 @@
 
 // observeResponses lets n0 answer a few requests, so that the dispatcher knows its service
 // time.
-func observeResponses(r *rig) {
+func observeResponses(r *fixture) {
 	for range 4 {
 		id, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 		r.complete(id, 0, OK)
@@ -27,7 +27,7 @@
 // TestOvertakenAttemptDoesNotCountAsDelay checks that the age of an attempt does not count as
 // delay once its node has promptly answered an attempt that was sent later.
 func TestOvertakenAttemptDoesNotCountAsDelay(t *testing.T) {
-	r := newRig(t, testConfig())
+	r := newFixture(t, testConfig())
 	observeResponses(r)
 	r.request(Request{Shard: 0, Plan: unlimitedPlan, Class: nonIdempotentClass}) // the response to this request is lost
 	r.advance(1 * ms)
@@ -44,7 +44,7 @@
 // TestLateResponseDoesNotOvertake checks that a late response to a later attempt does not make
 // an earlier attempt count as lost, because a late response shows that the node is slow.
 func TestLateResponseDoesNotOvertake(t *testing.T) {
-	r := newRig(t, testConfig())
+	r := newFixture(t, testConfig())
 	observeResponses(r)
 	first, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 	r.advance(1 * ms)
@@ -75,7 +75,7 @@
 		cfg := testConfig()
 		cfg.Classes[0] = c.class
 		cfg.Classes[0].Ordered = false
-		r := newRig(t, cfg)
+		r := newFixture(t, cfg)
 		observeResponses(r)
 		lost, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 		r.advance(60 * ms)
@@ -113,7 +113,7 @@
 	cfg := testConfig()
 	cfg.RetryBudget.MinRetries = 0
 	cfg.RetryBudget.Ratio = 0
-	r := newRig(t, cfg)
+	r := newFixture(t, cfg)
 	observeResponses(r)
 	r.request(Request{Shard: 0, Plan: unlimitedPlan})
 	r.advance(60 * ms)
@@ -125,7 +125,7 @@
 }
 
 // loseResponse sends a request to n0 that times out.
-func loseResponse(r *rig) {
+func loseResponse(r *fixture) {
 	id, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 	r.now += time.Second
 	r.complete(id, 0, TimedOut)
@@ -133,7 +133,7 @@
 
 // answerPromptly lets n0 answer a request promptly. It checks that the request was sent without
 // an early deadline.
-func answerPromptly(t *testing.T, r *rig) {
+func answerPromptly(t *testing.T, r *fixture) {
 	t.Helper()
 	id, acts := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 	if sentDeadline(t, acts) != 0 {
@@ -159,7 +159,7 @@
 // deadline once it has detected lost responses. A request with a lost response can then be
 // retried within its latency objective.
 func TestLossRateSetsEarlyDeadlines(t *testing.T) {
-	r := newRig(t, testConfig())
+	r := newFixture(t, testConfig())
 	answerPromptly(t, r)
 	loseResponse(r)
 	if r.d.lossRate != 0 {
@@ -179,7 +179,7 @@
 }
 
 func TestLossRateIgnoresSlowNodes(t *testing.T) {
-	r := newRig(t, testConfig())
+	r := newFixture(t, testConfig())
 	answerPromptly(t, r)
 	loseResponse(r)
 	id, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
--- a/dispatch/ordering_test.go
+++ b/dispatch/ordering_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestOrderByKey(t *testing.T) {
-	r := newRig(t, testConfig())
+	r := newFixture(t, testConfig())
 	put := func(key string) (RequestID, []Action) {
 		return r.request(Request{Shard: 0, Class: deduplicatedClass, Key: key, Plan: unlimitedPlan})
 	}
--- a/dispatch/outlier_test.go
+++ b/dispatch/outlier_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestEjectionNeedsConsecutiveFailures(t *testing.T) {
-	r := newRig(t, testConfig())
+	r := newFixture(t, testConfig())
 	n := r.d.nodes["n0"]
 	for i := range ejectionThreshold {
 		if n.ejectedUntil > r.now {
--- a/dispatch/queuetime_test.go
+++ b/dispatch/queuetime_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// timedRig is a test rig: a dispatcher with one class of requests whose timers fire when they
+// timedFixture is a test fixture: a dispatcher with one class of requests whose timers fire when they
 // are due.
-type timedRig struct {
+type timedFixture struct {
 	d        *Dispatcher
 	now      time.Duration
 	wakeAt   time.Duration
@@ -19,7 +19,7 @@
 // noTimer is the value of wakeAt if no timer is set. It is later than every timer.
 const noTimer = 1 << 62
 
-func newTimedRig(t *testing.T, cfg Config) *timedRig {
+func newTimedFixture(t *testing.T, cfg Config) *timedFixture {
 	t.Helper()
 	cfg.DispatcherCount = 1
 	cfg.MeanUnits = 1
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &timedRig{
+	return &timedFixture{
 		d:        d,
 		wakeAt:   noTimer,
 		sent:     map[RequestID]SendAttempt{},
@@ -39,7 +39,7 @@
 	}
 }
 
-func (r *timedRig) handle(ev Event) {
+func (r *timedFixture) handle(ev Event) {
 	for _, a := range r.d.Handle(r.now, ev) {
 		switch a := a.(type) {
 		case SendAttempt:
@@ -53,7 +53,7 @@
 	}
 }
 
-func (r *timedRig) advanceTo(end time.Duration) {
+func (r *timedFixture) advanceTo(end time.Duration) {
 	for r.wakeAt <= end {
 		r.now = max(r.now, r.wakeAt)
 		r.wakeAt = noTimer
@@ -62,17 +62,17 @@
 	r.now = end
 }
 
-func (r *timedRig) request(id RequestID, volume VolumeID) {
+func (r *timedFixture) request(id RequestID, volume VolumeID) {
 	r.handle(Request{ID: id, Volume: volume, Units: 1, Dispatchers: 1, Timeout: 20 * time.Second})
 }
 
-func (r *timedRig) complete(id RequestID, result AttemptResult) {
+func (r *timedFixture) complete(id RequestID, result AttemptResult) {
 	r.handle(AttemptCompleted{ID: id, Attempt: 0, Node: "a", Result: result, Responded: true, Latency: 20 * ms})
 }
 
 // firstSentBefore returns the lowest ID among the requests in flight that were sent no later
 // than the time at.
-func (r *timedRig) firstSentBefore(at time.Duration) (first RequestID, ok bool) {
+func (r *timedFixture) firstSentBefore(at time.Duration) (first RequestID, ok bool) {
 	for id := range r.sent {
 		if r.sentAt[id] <= at && (!ok || id < first) {
 			first, ok = id, true
@@ -84,7 +84,7 @@
 var unlimitedPlans = []Plan{{Weight: 1, Reserve: 1000, Price: 1}}
 
 func TestQueueTimeOfConcurrency(t *testing.T) {
-	r := newTimedRig(t, Config{Plans: unlimitedPlans})
+	r := newTimedFixture(t, Config{Plans: unlimitedPlans})
 	r.handle(EndpointUpdate{Kind: Snapshot, Nodes: []Node{{ID: "a"}}})
 	for i := range RequestID(6) {
 		r.request(i+1, "v")
@@ -100,7 +100,7 @@
 }
 
 func TestQueueTimeOfRateLimit(t *testing.T) {
-	r := newTimedRig(t, Config{Plans: []Plan{{Weight: 1, Reserve: 1000, Price: 1, RateLimit: 10, Burst: 4, Slack: 1}}})
+	r := newTimedFixture(t, Config{Plans: []Plan{{Weight: 1, Reserve: 1000, Price: 1, RateLimit: 10, Burst: 4, Slack: 1}}})
 	r.handle(EndpointUpdate{Kind: Snapshot, Nodes: []Node{{ID: "a"}}})
 	r.request(1, "v") // this request waits, because the token bucket starts empty
 	r.advanceTo(time.Second)
@@ -110,7 +110,7 @@
 }
 
 func TestQueueTimeOfSlowStart(t *testing.T) {
-	r := newTimedRig(t, Config{Plans: unlimitedPlans, SlowStart: SlowStart{
+	r := newTimedFixture(t, Config{Plans: unlimitedPlans, SlowStart: SlowStart{
 		InitialCapacity: 0.2,
 		WarmUp:          10 * time.Second,
 		OverloadFactor:  2,
@@ -160,7 +160,7 @@
 // TestQueueTimePartsSumToWait checks that the parts of the queue time add up to the time for
 // which the request was queued, whatever blocked it.
 func TestQueueTimePartsSumToWait(t *testing.T) {
-	r := newTimedRig(t, Config{
+	r := newTimedFixture(t, Config{
 		Plans: []Plan{{Weight: 1, Reserve: 1000, Price: 1, RateLimit: 80, Burst: 8, Slack: 1}},
 		SlowStart: SlowStart{
 			InitialCapacity: 0.2,
--- a/dispatch/quota_test.go
+++ b/dispatch/quota_test.go
@@ -9,7 +9,7 @@
 // TestCostCorrectionChargesQuota checks that a cost correction is charged to the rate limit and
 // the reserve of the volume. An implausible correction changes nothing.
 func TestCostCorrectionChargesQuota(t *testing.T) {
-	r := newRig(t, testConfig())
+	r := newFixture(t, testConfig())
 	r.request(Request{Shard: 0, Plan: limitedPlan})
 	v := r.d.volumes["v"]
 	r.d.refillTokens(v)
@@ -33,7 +33,7 @@
 }
 
 func TestRateLimit(t *testing.T) {
-	r := newRig(t, testConfig())
+	r := newFixture(t, testConfig())
 	units := 0.0
 	for range 100 {
 		id, acts := r.request(Request{Shard: 0, Plan: limitedPlan, Units: 4, Dispatchers: 2})
@@ -56,7 +56,7 @@
 		expectOutcome(t, "request after the rate limit has added a unit", acts, 1, sent)
 	})
 	t.Run("fewer dispatchers do not enlarge the share", func(t *testing.T) {
-		r := newRig(t, testConfig())
+		r := newFixture(t, testConfig())
 		r.request(Request{Volume: "w", Dispatchers: 4, Shard: 0})
 		r.request(Request{Volume: "w", Dispatchers: 1, Shard: 0})
 		if got := r.d.volumes["w"].dispatchers; got != 4 {
@@ -69,7 +69,7 @@
 // number of dispatchers that requests report for a volume, even if fewer dispatchers are
 // configured.
 func TestRateLimitWithMoreDispatchersThanConfigured(t *testing.T) {
-	r := newRig(t, testConfig()) // rate limit 30; burst plus slack is 48, divided into 12 shares
+	r := newFixture(t, testConfig()) // rate limit 30; burst plus slack is 48, divided into 12 shares
 	units := 0.0
 	for range 40 {
 		id, _ := r.request(Request{Shard: 0, Dispatchers: 12})
--- a/dispatch/request_test.go
+++ b/dispatch/request_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestRequestIsAnsweredOnce(t *testing.T) {
-	r := newRig(t, testConfig())
+	r := newFixture(t, testConfig())
 	id, acts := r.request(Request{Shard: 0})
 	expectOutcome(t, "request to an idle node", acts, id, sent)
 	r.now += time.Second
@@ -29,7 +29,7 @@
 }
 
 func TestQueuedRequestIsAnsweredByItsObjective(t *testing.T) {
-	r := newRig(t, testConfig())
+	r := newFixture(t, testConfig())
 	var ids []RequestID
 	for range 12 {
 		id, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
@@ -53,7 +53,7 @@
 }
 
 func TestDuplicateCompletionIsIgnored(t *testing.T) {
-	r := newRig(t, testConfig())
+	r := newFixture(t, testConfig())
 	id, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 	r.now += 10 * ms
 	r.complete(id, 0, TimedOut)
--- a/dispatch/retry_test.go
+++ b/dispatch/retry_test.go
@@ -25,7 +25,7 @@
 		{"non-idempotent after a timeout fails", nonIdempotentClass, TimedOut, 0, failed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, testConfig())
+			r := newFixture(t, testConfig())
 			id, acts := r.request(Request{Shard: 0, Class: c.class, Plan: unlimitedPlan})
 			expectOutcome(t, "first attempt", acts, id, sent)
 			r.now += 10 * ms
@@ -38,7 +38,7 @@
 		})
 	}
 	t.Run("deduplicated stays in its scope and window", func(t *testing.T) {
-		r := newRig(t, testConfig())
+		r := newFixture(t, testConfig())
 		q := &request{
 			class:          &r.d.cfg.Classes[deduplicatedClass],
 			attempts:       1,
@@ -60,7 +60,7 @@
 }
 
 func TestRetryBudget(t *testing.T) {
-	r := newRig(t, testConfig()) // the retry budget is 2 plus 10 % of the requests
+	r := newFixture(t, testConfig()) // the retry budget is 2 plus 10 % of the requests
 	retries := 0
 	for range 10 {
 		id, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
@@ -75,7 +75,7 @@
 	}
 	cfg := testConfig()
 	cfg.RetryBudget = RetryBudget{}
-	r = newRig(t, cfg)
+	r = newFixture(t, cfg)
 	for range 10 {
 		id, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 		r.complete(id, 0, ServerError)
--- a/dispatch/retryclaim_test.go
+++ b/dispatch/retryclaim_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// oneRetryRig returns a rig whose retry budget has room for one retry. The dispatcher knows the
+// oneRetryFixture returns a fixture whose retry budget has room for one retry. The dispatcher knows the
 // service time of n0.
-func oneRetryRig(t *testing.T) *rig {
+func oneRetryFixture(t *testing.T) *fixture {
 	t.Helper()
 	cfg := testConfig()
 	cfg.Classes[idempotentClass].LatencyObjective = 1000 * ms
 	cfg.Classes[idempotentClass].Deadline = 2000 * ms
 	cfg.RetryBudget = RetryBudget{MinRetries: 1, Window: 5000 * ms}
-	r := newRig(t, cfg)
+	r := newFixture(t, cfg)
 	for range 40 {
 		id, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 		r.advance(2 * ms)
@@ -22,7 +22,7 @@
 // TestBackoffHoldsRoomInTheRetryBudget checks that the dispatcher does not cancel an attempt if
 // a request in backoff needs the last retry that the budget allows.
 func TestBackoffHoldsRoomInTheRetryBudget(t *testing.T) {
-	r := oneRetryRig(t)
+	r := oneRetryFixture(t)
 	slow, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 	r.advance(60 * ms)
 	other, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
@@ -39,7 +39,7 @@
 // request ends or its retry is sent. A claim without an end would reduce the budget of other
 // requests forever.
 func TestRetryClaimEndsWithItsRequest(t *testing.T) {
-	r := oneRetryRig(t)
+	r := oneRetryFixture(t)
 	canceled, _ := r.request(Request{Shard: 1, Plan: unlimitedPlan})
 	r.complete(canceled, 0, ConnectionReset)
 	if r.d.scheduledRetries != 1 {
@@ -60,7 +60,7 @@
 // TestReservedRetryEndsWithItsRequest checks that the reservation for the retry of a canceled
 // attempt ends when the client cancels the request.
 func TestReservedRetryEndsWithItsRequest(t *testing.T) {
-	r := oneRetryRig(t)
+	r := oneRetryFixture(t)
 	slow, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 	r.advance(60 * ms)
 	other, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -11,11 +11,11 @@
 	evenShare       = 20.0 / 2 * slowStartSafetyFactor // units per window from this dispatcher's share of InitialUnits
 )
 
-// newSlowStartRig returns a rig whose node n0 has just started. Before that, the shard of n0
+// newSlowStartFixture returns a fixture whose node n0 has just started. Before that, the shard of n0
 // had the given throughput.
-func newSlowStartRig(t *testing.T, throughput float64) *rig {
+func newSlowStartFixture(t *testing.T, throughput float64) *fixture {
 	t.Helper()
-	r := newRig(t, testConfig())
+	r := newFixture(t, testConfig())
 	r.updateEndpoints(Delta, Node{ID: "n0", Shard: 0, Started: r.now})
 	history := 1 - decayFactor(r.now-r.d.startedAt, shardThroughputWindow)
 	served := r.d.throughputOf(0)
@@ -26,7 +26,7 @@
 
 // unitsSent passes requests for n0 to the dispatcher for a while. It returns the units of those
 // that are sent to n0.
-func unitsSent(r *rig, duration time.Duration) (units float64) {
+func unitsSent(r *fixture, duration time.Duration) (units float64) {
 	for end := r.now + duration; r.now < end; {
 		_, acts := r.request(Request{Shard: 0, Plan: unlimitedPlan, Units: 3})
 		acts = append(acts, r.advance(10*ms)...)
@@ -39,26 +39,26 @@
 }
 
 func TestSlowStartBoundsUnits(t *testing.T) {
-	units := unitsSent(newSlowStartRig(t, 0), 3*time.Second)
+	units := unitsSent(newSlowStartFixture(t, 0), 3*time.Second)
 	if units > 3*1.5*evenShare+6 || units == 0 {
 		t.Errorf("units sent without history: got %g, want above 0 and at most the even share", units)
 	}
 	limit := evenShare + usualThroughput*2.5*0.2*slowStartSafetyFactor
-	units = unitsSent(newSlowStartRig(t, usualThroughput), time.Second)
+	units = unitsSent(newSlowStartFixture(t, usualThroughput), time.Second)
 	if units > limit+6 || units < limit/2 {
 		t.Errorf("units sent in the first second: got %g, want about %g by the shard's usual throughput", units, limit)
 	}
 }
 
 func TestSlowStartEndsAfterWarmUp(t *testing.T) {
-	r := newRig(t, testConfig())
+	r := newFixture(t, testConfig())
 	r.updateEndpoints(Delta, Node{ID: "n0", Shard: 0, Started: r.now - 12*time.Second})
 	id, acts := r.request(Request{Shard: 0, Units: 8, Plan: unlimitedPlan})
 	expectOutcome(t, "request to a warm node", acts, id, sent)
 }
 
 func TestUsualThroughputOutlivesNodeAndDecays(t *testing.T) {
-	r := newSlowStartRig(t, usualThroughput)
+	r := newSlowStartFixture(t, usualThroughput)
 	r.updateEndpoints(Delta,
 		Node{ID: "n0", Shard: 0, State: Removed}, Node{ID: "n9", Shard: 0, Started: r.now})
 	got := r.d.usualThroughput(r.d.nodes["n9"])
@@ -100,7 +100,7 @@
 		{"beyond the reserve", -20, rejected},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newSlowStartRig(t, usualThroughput)
+			r := newSlowStartFixture(t, usualThroughput)
 			n := r.d.nodes["n0"]
 			r.d.slowStartReadyAt(n, 0)
 			n.slowStartDebt = -0.5 // 0.5 units, less than a mean request, are paid in advance
@@ -118,7 +118,7 @@
 func TestSlowStartAmongManyDispatchers(t *testing.T) {
 	cfg := testConfig()
 	cfg.DispatcherCount = 200 // more than SlowStart.InitialUnits
-	r := newRig(t, cfg)
+	r := newFixture(t, cfg)
 	r.updateEndpoints(Delta, Node{ID: "n0", Shard: 0, Started: r.now})
 	if units := unitsSent(r, time.Second); units > 3 {
 		t.Errorf("units sent without history: got %g, want at most one request", units)
--- a/dispatch/weights_test.go
+++ b/dispatch/weights_test.go
@@ -20,7 +20,7 @@
 		{"recovers when usage falls", []float64{201, 51}, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, testConfig())
+			r := newFixture(t, testConfig())
 			v := r.d.volumeFor(Request{Volume: "v", Plan: unlimitedPlan, Dispatchers: 1})
 			for _, u := range c.usage {
 				if u > 0 {
@@ -36,7 +36,7 @@
 }
 
 func TestRepeatedQuotaUsageActsOncePerInterval(t *testing.T) {
-	r := newRig(t, testConfig())
+	r := newFixture(t, testConfig())
 	for range 6 {
 		id, _ := r.request(Request{Shard: 0, Plan: unlimitedPlan})
 		r.handle(AttemptCompleted{ID: id, Result: OK, Responded: true, Latency: 5 * ms, QuotaUsage: 301})
