--- a/attribution/aggregator.go
+++ b/attribution/aggregator.go
@@ -89,7 +89,7 @@
 			continue
 		}
 		held++
-		s.correct(&c)
+		s.applyCorrection(&c)
 		if !s.closed {
 			break
 		}
@@ -102,7 +102,7 @@
 			continue
 		}
 		if h := s.distributions[c.Volume]; h != nil {
-			h.correct(&c)
+			h.applyCorrection(&c)
 			if s.closed {
 				h.pack()
 			}
--- a/attribution/bins.go
+++ b/attribution/bins.go
@@ -45,8 +45,8 @@
 	b.N = append(b.N, n)
 }
 
-// plus returns the buckets of both lists and adds the counts of buckets that are in both.
-func (b Bins) plus(o Bins) Bins {
+// addCounts returns the buckets of both lists and adds the counts of buckets that are in both.
+func (b Bins) addCounts(o Bins) Bins {
 	room := len(b.At) + len(o.At)
 	out := Bins{At: make([]uint16, 0, room), N: make([]int64, 0, room)}
 	i, j := 0, 0
--- a/attribution/histograms.go
+++ b/attribution/histograms.go
@@ -61,9 +61,9 @@
 	}
 }
 
-// correct removes a request's time in one component and records the times in which a late report
-// divides it.
-func (h *histogramSet) correct(c *Correction) {
+// applyCorrection removes a request's time in one component and records the times in which a late
+// report divides it.
+func (h *histogramSet) applyCorrection(c *Correction) {
 	left := c.Had
 	for _, to := range c.To {
 		if to.Time > 0 {
@@ -90,7 +90,7 @@
 			h.packed[i] = Bins{At: append([]uint16(nil), b.At...), N: append([]int64(nil), b.N...)}
 			continue
 		}
-		h.packed[i] = h.bins(i).plus(b)
+		h.packed[i] = h.bins(i).addCounts(b)
 		h.live[i] = nil
 		h.removed[i] = nil
 	}
@@ -136,7 +136,7 @@
 	}
 	b := binsOf(h.live[i])
 	if h.removed[i] != nil {
-		b = b.plus(binsOf(h.removed[i]).negate()).withoutEmpty()
+		b = b.addCounts(binsOf(h.removed[i]).negate()).withoutEmpty()
 	}
 	return b
 }
--- a/attribution/slot.go
+++ b/attribution/slot.go
@@ -120,9 +120,9 @@
 	return v
 }
 
-// correct reattributes time between components. It moves no more time than the volume has in the
+// applyCorrection reattributes time between components. It moves no more time than the volume has in the
 // component that the correction takes from.
-func (s *slot) correct(c *Correction) {
+func (s *slot) applyCorrection(c *Correction) {
 	v := s.byVolume[c.Volume]
 	if v == nil {
 		v = &s.others
--- a/attribution/window.go
+++ b/attribution/window.go
@@ -79,9 +79,9 @@
 // Apply returns a copy of the window to which the correction has been applied.
 func (w *Window) Apply(c Correction) Window {
 	s := restoreSlot(w)
-	s.correct(&c)
+	s.applyCorrection(&c)
 	if h := s.distributions[c.Volume]; h != nil {
-		h.correct(&c)
+		h.applyCorrection(&c)
 	}
 	s.corrected = true
 	return s.window(w.From, w.To, w.Slot)
--- a/cmd/chalkstand/attributiontest.go
+++ b/cmd/chalkstand/attributiontest.go
@@ -59,13 +59,13 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	failed, played := 0, 0
+	failed, executed := 0, 0
 	for _, s := range attributiontest.Scenarios() {
 		if t.only != "" && s.Name != t.only {
 			continue
 		}
-		played++
-		passed, err := t.playScenario(ctx, out, s, dir)
+		executed++
+		passed, err := t.runScenario(ctx, out, s, dir)
 		if err != nil {
 			return err
 		}
@@ -73,18 +73,18 @@
 			failed++
 		}
 	}
-	if played == 0 {
+	if executed == 0 {
 		return fmt.Errorf("--scenario %q: expected one of %s", t.only, strings.Join(attributiontest.Names(), ", "))
 	}
 	if failed > 0 {
-		return fmt.Errorf("%d of %d scenarios failed", failed, played)
+		return fmt.Errorf("%d of %d scenarios failed", failed, executed)
 	}
 	return nil
 }
 
-// playScenario performs all runs of a scenario and prints their common result. It reports
+// runScenario performs all runs of a scenario and prints their common result. It reports
 // whether all runs passed.
-func (t attributionTests) playScenario(
+func (t attributionTests) runScenario(
 	ctx context.Context, out io.Writer, s attributiontest.Scenario, dir string,
 ) (passed bool, err error) {
 	var maxError float64
--- a/cmd/chalkstand/soak_test.go
+++ b/cmd/chalkstand/soak_test.go
@@ -14,9 +14,9 @@
 // soakSeeds lists the seeds that CI runs. The command chalkstand soak runs other seeds by hand.
 var soakSeeds = []uint64{1, 2, 3, 4, 5}
 
-// playSoak runs the soak test of a program. The program is the test executable itself, so it
+// runSoakTest runs the soak test of a program. The program is the test executable itself, so it
 // has the race detector if the test has it.
-func playSoak(t *testing.T, program soak.Program, seed uint64, guard string) *soak.Report {
+func runSoakTest(t *testing.T, program soak.Program, seed uint64, guard string) *soak.Report {
 	t.Helper()
 	report, err := runSoak(t.Context(), soak.Options{
 		Seed:    seed,
@@ -41,7 +41,7 @@
 	for _, program := range []soak.Program{soak.Serve, soak.RESP} {
 		programs.Go(func() {
 			for _, seed := range soakSeeds {
-				report := playSoak(t, program, seed, "")
+				report := runSoakTest(t, program, seed, "")
 				var text strings.Builder
 				report.Write(&text)
 				t.Log(text.String())
@@ -61,7 +61,7 @@
 	for guard, invariant := range soak.Guards[soak.Serve] {
 		guards.Go(func() {
 			for _, seed := range soakSeeds {
-				report := playSoak(t, soak.Serve, seed, guard)
+				report := runSoakTest(t, soak.Serve, seed, guard)
 				if slices.ContainsFunc(report.Violations, func(v invariants.Violation) bool { return v.Invariant == invariant }) {
 					return
 				}
--- a/gateway/copy.go
+++ b/gateway/copy.go
@@ -220,15 +220,15 @@
 		return true
 	}
 	c.send(p)
-	return c.attached() && c.target.conn.Pending() == 0
+	return c.connCarriesWrite() && c.target.conn.Pending() == 0
 }
 
 // complete reports whether the source has a known length and all of its bytes have been received.
 func (c *objectCopy) complete() bool { return c.length >= 0 && c.received == c.length }
 
-// attached reports whether the target connection carries the write. It is false before the write's head
+// connCarriesWrite reports whether the target connection carries the write. It is false before the write's head
 // has been sent and after the write has its result.
-func (c *objectCopy) attached() bool { return c.target != nil && c.target.request == c.write }
+func (c *objectCopy) connCarriesWrite() bool { return c.target != nil && c.target.request == c.write }
 
 // send sends a part of the body to the target. If the write's head has not been sent, it keeps the part
 // for sendPending. If the write already has its result, it drops the part.
@@ -236,7 +236,7 @@
 	switch {
 	case c.target == nil:
 		c.pending = append(c.pending, p...)
-	case !c.attached():
+	case !c.connCarriesWrite():
 	case c.length < 0:
 		c.target.conn.Write(http1.AppendChunk(nil, p))
 	case len(p) > 0:
@@ -259,7 +259,7 @@
 // endBody ends the body of the write after the source has been read completely. It sends the last chunk,
 // or the last byte if the length is known.
 func (c *objectCopy) endBody() {
-	if !c.attached() {
+	if !c.connCarriesWrite() {
 		return
 	}
 	if c.length < 0 {
--- a/gateway/upload.go
+++ b/gateway/upload.go
@@ -46,15 +46,15 @@
 	}
 }
 
-// attached reports whether the upload's node connection still carries the upload's request.
-func (u *upload) attached() bool { return u.conn != nil && u.conn.request == u.request }
+// connCarriesRequest reports whether the upload's node connection still carries the upload's request.
+func (u *upload) connCarriesRequest() bool { return u.conn != nil && u.conn.request == u.request }
 
 // feed decodes and verifies a part of the body as the client sent it, and forwards the result to the
 // node. It returns the number of bytes consumed.
 func (u *upload) feed(b []byte) int {
 	t := u.transaction
 	c := t.conn
-	if !u.attached() { // the attempt has ended, and the request's result follows
+	if !u.connCarriesRequest() { // the attempt has ended, and the request's result follows
 		c.conn.Pause()
 		return 0
 	}
@@ -72,7 +72,7 @@
 		u.streaming = true
 		c.worker.handle(forwarder.BodyStreaming{ID: u.request.id})
 	}
-	if u.attached() && u.conn.conn.Pending() > 0 {
+	if u.connCarriesRequest() && u.conn.conn.Pending() > 0 {
 		u.nodeStall.start(t.now())
 		c.conn.Pause()
 	}
@@ -143,7 +143,7 @@
 func (u *upload) checkTimeout(waited time.Duration) {
 	t := u.transaction
 	switch {
-	case !u.attached() || waited <= t.conn.worker.gateway.cfg.Limits.ClientBody.D():
+	case !u.connCarriesRequest() || waited <= t.conn.worker.gateway.cfg.Limits.ClientBody.D():
 	case u.conn.conn.Pending() > 0:
 		u.conn.abort()
 	default:
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -87,8 +87,8 @@
 	RateLimited bool          `json:"paced"`    // the volume's byte rate delays it on at least one loop
 }
 
-// plus returns the sum of a volume's usage on two loops. The sum has the volume name and weight of u.
-func (u VolumeUsage) plus(other VolumeUsage) VolumeUsage {
+// addUsage returns the sum of a volume's usage on two loops. The sum has the volume name and weight of u.
+func (u VolumeUsage) addUsage(other VolumeUsage) VolumeUsage {
 	u.LoopTime += other.LoopTime
 	u.Bytes += other.Bytes
 	u.Waiting += other.Waiting
@@ -109,7 +109,7 @@
 		select {
 		case part := <-parts:
 			for name, u := range part {
-				sums[name] = u.plus(sums[name])
+				sums[name] = u.addUsage(sums[name])
 			}
 		case <-g.core.done:
 			return nil
--- a/internal/attributionlog/writer.go
+++ b/internal/attributionlog/writer.go
@@ -46,9 +46,9 @@
 	if err != nil {
 		return fmt.Errorf("attribution log: %w", err)
 	}
-	size, err := w.recover(f)
+	size, err := w.truncateToIntact(f)
 	if err != nil {
-		_ = f.Close() // a second error from Close would add nothing to the error of recover
+		_ = f.Close() // a second error from Close would add nothing to the error of truncateToIntact
 		return err
 	}
 	w.file = f
@@ -56,9 +56,9 @@
 	return nil
 }
 
-// recover truncates the file after its last intact record and returns the resulting size. If the
-// file ends within its header, recover replaces its contents with a new header.
-func (w *Writer) recover(f *os.File) (int64, error) {
+// truncateToIntact truncates the file after its last intact record and returns the resulting size.
+// If the file ends within its header, truncateToIntact replaces its contents with a new header.
+func (w *Writer) truncateToIntact(f *os.File) (int64, error) {
 	info, err := f.Stat()
 	if err != nil {
 		return 0, fmt.Errorf("attribution log: %w", err)
--- a/internal/modelcheck/replay.go
+++ b/internal/modelcheck/replay.go
@@ -11,7 +11,7 @@
 )
 
 // A replay is a text file. Its first line has the name and the version of the format, and its
-// second line names the scenario. Each further line has one move. The player ignores empty
+// second line names the scenario. Each further line has one move. Play ignores empty
 // lines, and the rest of a line after a #. Replays are stored, so the format and its words must
 // not change.
 const (
@@ -21,7 +21,7 @@
 
 var errNoScenario = errors.New("the replay ends before its scenario is named")
 
-// ReplayError describes a line of a replay that cannot be played.
+// ReplayError describes a line of a replay that cannot be executed.
 type ReplayError struct {
 	Line int // line number, starting at 1
 	Err  error
@@ -29,7 +29,7 @@
 
 func (e *ReplayError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
-// Unwrap returns the reason why the line cannot be played.
+// Unwrap returns the reason why the line cannot be executed.
 func (e *ReplayError) Unwrap() error { return e.Err }
 
 // WriteReplay writes the moves of a path as a replay of the scenario.
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// GoTest writes the Go source of a test of this package. The test plays the path, which
+// GoTest writes the Go source of a test of this package. The test executes the path, which
 // violates a rule, and fails until the violation is fixed.
 func GoTest(out io.Writer, s Scenario, path []Move, v *Violation) error {
 	var replay strings.Builder
@@ -66,25 +66,25 @@
 	return err
 }
 
-// Play plays a replay and returns the violation that the moves lead to, or nil. If log is not
+// Play executes a replay and returns the violation that the moves lead to, or nil. If log is not
 // nil, Play logs each move and the actions that follow from it. Play returns a *ReplayError for
 // a move that cannot happen, and for a line that names an unknown scenario, move, request,
 // connection or node.
 func Play(in io.Reader, log func(format string, args ...any)) (*Violation, error) {
-	return (&player{log: log}).play(in)
+	return (&replayExecutor{log: log}).execute(in)
 }
 
-// player plays one replay.
-type player struct {
+// replayExecutor executes one replay.
+type replayExecutor struct {
 	log        func(format string, args ...any)
 	beforeMove func(line int, m Move) // called before each move, unless nil
 	afterMove  func()                 // called after each move, unless nil
 
 	headerRead bool
-	world      *World // nil until the player has read the scenario line
+	world      *World // nil until the executor has read the scenario line
 }
 
-func (p *player) play(in io.Reader) (*Violation, error) {
+func (e *replayExecutor) execute(in io.Reader) (*Violation, error) {
 	lines := bufio.NewScanner(in)
 	for number := 1; lines.Scan(); number++ {
 		line, _, _ := strings.Cut(lines.Text(), "#")
@@ -92,58 +92,58 @@
 		if len(words) == 0 {
 			continue
 		}
-		if err := p.playLine(number, words); err != nil {
+		if err := e.executeLine(number, words); err != nil {
 			return nil, &ReplayError{Line: number, Err: err}
 		}
-		if p.world != nil && p.world.checker.violation != nil {
-			return p.world.checker.violation, nil
+		if e.world != nil && e.world.checker.violation != nil {
+			return e.world.checker.violation, nil
 		}
 	}
 	if err := lines.Err(); err != nil {
 		return nil, err
 	}
-	if p.world == nil {
+	if e.world == nil {
 		return nil, errNoScenario
 	}
-	if len(p.world.enabledMoves(false)) == 0 {
-		p.world.checkEnd()
+	if len(e.world.enabledMoves(false)) == 0 {
+		e.world.checkEnd()
 	}
-	return p.world.checker.violation, nil
+	return e.world.checker.violation, nil
 }
 
-func (p *player) playLine(number int, words []string) error {
+func (e *replayExecutor) executeLine(number int, words []string) error {
 	switch {
-	case !p.headerRead:
-		return p.readHeader(words)
-	case p.world == nil:
-		return p.readScenario(words)
+	case !e.headerRead:
+		return e.readHeader(words)
+	case e.world == nil:
+		return e.readScenario(words)
 	}
-	m, err := p.world.parseMove(words)
+	m, err := e.world.parseMove(words)
 	if err != nil {
 		return err
 	}
-	if err := p.world.checkEnabled(m); err != nil {
+	if err := e.world.checkEnabled(m); err != nil {
 		return err
 	}
-	if p.beforeMove != nil {
-		p.beforeMove(number, m)
+	if e.beforeMove != nil {
+		e.beforeMove(number, m)
 	}
-	p.world.apply(m)
-	if p.afterMove != nil {
-		p.afterMove()
+	e.world.apply(m)
+	if e.afterMove != nil {
+		e.afterMove()
 	}
 	return nil
 }
 
-func (p *player) readHeader(words []string) error {
+func (e *replayExecutor) readHeader(words []string) error {
 	if expected := []string{replayFormat, replayVersion}; !slices.Equal(words, expected) {
 		return fmt.Errorf("%q: expected %q", strings.Join(words, " "), strings.Join(expected, " "))
 	}
-	p.headerRead = true
+	e.headerRead = true
 	return nil
 }
 
-func (p *player) readScenario(words []string) error {
+func (e *replayExecutor) readScenario(words []string) error {
 	if len(words) != 2 || words[0] != "scenario" {
 		return fmt.Errorf("%q: expected \"scenario NAME\"", strings.Join(words, " "))
 	}
@@ -151,8 +151,8 @@
 	if err != nil {
 		return err
 	}
-	p.world = newWorld(&s)
-	p.world.log = p.log
+	e.world = newWorld(&s)
+	e.world.log = e.log
 	return nil
 }
 
--- a/internal/modelcheck/replay_test.go
+++ b/internal/modelcheck/replay_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestStoredReplays plays paths that violated a rule before a fix, and checks that they violate
+// TestStoredReplays executes paths that violated a rule before a fix, and checks that they violate
 // none now.
 func TestStoredReplays(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.replay")
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	if v, err := Play(strings.NewReader(replay.String()), nil); v != nil || err != nil {
-		t.Fatalf("playing the written replay: got violation %v and error %v, want neither", v, err)
+		t.Fatalf("executing the written replay: got violation %v and error %v, want neither", v, err)
 	}
 	var source strings.Builder
 	err := GoTest(&source, s, path, &Violation{Rule: ruleOrder, Message: "as an example"})
--- a/internal/modelcheck/script.go
+++ b/internal/modelcheck/script.go
@@ -26,29 +26,29 @@
 	Outcomes []string // outcome of each request: deliver, refuse, fail, cut, left, or "" if it has none
 }
 
-// ReadScript plays a replay and returns its script. It returns an error if the replay violates a
+// ReadScript executes a replay and returns its script. It returns an error if the replay violates a
 // rule.
 func ReadScript(in io.Reader) (*Script, error) {
 	script := &Script{}
-	p := &player{}
-	p.beforeMove = func(line int, m Move) {
-		script.Steps = append(script.Steps, p.world.step(line, m))
+	e := &replayExecutor{}
+	e.beforeMove = func(line int, m Move) {
+		script.Steps = append(script.Steps, e.world.step(line, m))
 	}
-	p.afterMove = func() {
+	e.afterMove = func() {
 		last := &script.Steps[len(script.Steps)-1]
-		for _, r := range p.world.requests {
+		for _, r := range e.world.requests {
 			last.AttemptsSent = append(last.AttemptsSent, r.attempts)
 		}
 	}
-	violation, err := p.play(in)
+	violation, err := e.execute(in)
 	if err != nil {
 		return nil, err
 	}
 	if violation != nil {
 		return nil, fmt.Errorf("the replay violates a rule: %v", violation)
 	}
-	script.Scenario = *p.world.scenario
-	for _, r := range p.world.requests {
+	script.Scenario = *e.world.scenario
+	for _, r := range e.world.requests {
 		script.Outcomes = append(script.Outcomes, r.outcome)
 	}
 	return script, nil
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -63,7 +63,7 @@
 			search.result.Complete = false
 			break
 		}
-		frontier = search.expandAll(ctx, frontier)
+		frontier = search.expandFrontier(ctx, frontier)
 		if len(frontier) > 0 {
 			search.result.Depth++
 		}
@@ -138,9 +138,9 @@
 // batchSize is the number of states that a worker claims at a time.
 const batchSize = 16
 
-// expandAll takes every possible move from each state of one depth. It returns the states that
+// expandFrontier takes every possible move from each state of one depth. It returns the states that
 // the search has not seen before.
-func (s *searcher) expandAll(ctx context.Context, frontier []*searchNode) []*searchNode {
+func (s *searcher) expandFrontier(ctx context.Context, frontier []*searchNode) []*searchNode {
 	next := make([][]*searchNode, s.options.Workers)
 	var taken atomic.Int64
 	var wg sync.WaitGroup
@@ -248,7 +248,7 @@
 	return int(a.Target) - int(b.Target)
 }
 
-// Explain plays a path and logs each move with the actions that follow from it. It returns the
+// Explain executes a path and logs each move with the actions that follow from it. It returns the
 // violation that the path leads to, or nil.
 func Explain(s Scenario, path []Move, log func(format string, args ...any)) *Violation {
 	w := newWorld(&s)
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// first returns the first error that is not nil.
-func first(errs ...*ConfigError) *ConfigError {
+// firstError returns the first error that is not nil.
+func firstError(errs ...*ConfigError) *ConfigError {
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -56,9 +56,9 @@
 	return nil
 }
 
-// expect returns nil if ok is true. Otherwise, it returns an error for field that describes
+// errorUnless returns nil if ok is true. Otherwise, it returns an error for field that describes
 // the expected value.
-func expect(ok bool, field, expected string) *ConfigError {
+func errorUnless(ok bool, field, expected string) *ConfigError {
 	if ok {
 		return nil
 	}
@@ -100,16 +100,16 @@
 }
 
 func (s *Settings) checkGateway() *ConfigError {
-	return first(
-		expect(s.Name != "", "name", "a non-empty name"),
-		expect(isAddress(s.Listen), "listen", `HOST:PORT, such as "127.0.0.1:9000"`),
-		expect(s.Admin == "" || isAddress(s.Admin), "admin", `HOST:PORT, such as "127.0.0.1:9001", or ""`),
-		expect(s.Region != "", "region", "the region that clients use in their signatures"),
-		expect(within(s.Loops, 0, maxLoops), "loops", fmt.Sprintf("0 to %d", maxLoops)),
-		expect(s.Peers >= 1, "peers", "at least 1, because this gateway is included"),
-		expect(within(s.Me, 0, s.Peers-1), "me", fmt.Sprintf("0 to %d, less than peers", s.Peers-1)),
-		expect(s.Log.hasKnownLevel(), "log.level", "debug, info, warn or error"),
-		expect(isGatewayName(s.Name), "name",
+	return firstError(
+		errorUnless(s.Name != "", "name", "a non-empty name"),
+		errorUnless(isAddress(s.Listen), "listen", `HOST:PORT, such as "127.0.0.1:9000"`),
+		errorUnless(s.Admin == "" || isAddress(s.Admin), "admin", `HOST:PORT, such as "127.0.0.1:9001", or ""`),
+		errorUnless(s.Region != "", "region", "the region that clients use in their signatures"),
+		errorUnless(within(s.Loops, 0, maxLoops), "loops", fmt.Sprintf("0 to %d", maxLoops)),
+		errorUnless(s.Peers >= 1, "peers", "at least 1, because this gateway is included"),
+		errorUnless(within(s.Me, 0, s.Peers-1), "me", fmt.Sprintf("0 to %d, less than peers", s.Peers-1)),
+		errorUnless(s.Log.hasKnownLevel(), "log.level", "debug, info, warn or error"),
+		errorUnless(isGatewayName(s.Name), "name",
 			fmt.Sprintf("at most %d printable ASCII characters without spaces and slashes", maxName)),
 	)
 }
@@ -136,11 +136,11 @@
 	ids := map[string]bool{}
 	for i, k := range s.Keys {
 		prefix := fmt.Sprintf("keys[%d].", i)
-		err := first(
-			expect(len(k.ID) >= minKeyID, prefix+"id", fmt.Sprintf("at least %d characters", minKeyID)),
-			expect(len(k.Secret) >= minKeySecret, prefix+"secret", fmt.Sprintf("at least %d characters", minKeySecret)),
+		err := firstError(
+			errorUnless(len(k.ID) >= minKeyID, prefix+"id", fmt.Sprintf("at least %d characters", minKeyID)),
+			errorUnless(len(k.Secret) >= minKeySecret, prefix+"secret", fmt.Sprintf("at least %d characters", minKeySecret)),
 			reject(ids[k.ID], prefix+"id", "the access key is listed twice"),
-			expect(len(k.Buckets) > 0, prefix+"buckets", `at least one bucket pattern, such as ["*"]`),
+			errorUnless(len(k.Buckets) > 0, prefix+"buckets", `at least one bucket pattern, such as ["*"]`),
 		)
 		if err != nil {
 			return err
@@ -148,7 +148,7 @@
 		ids[k.ID] = true
 		for j, p := range k.Buckets {
 			if !isPattern(p) {
-				return expect(false, fmt.Sprintf("%sbuckets[%d]", prefix, j), `a valid pattern, such as "photos-*"`)
+				return errorUnless(false, fmt.Sprintf("%sbuckets[%d]", prefix, j), `a valid pattern, such as "photos-*"`)
 			}
 		}
 	}
@@ -156,8 +156,8 @@
 }
 
 func (s *Settings) checkNodes() *ConfigError {
-	err := first(
-		expect(within(s.Shards, 1, maxShards), "shards", fmt.Sprintf("1 to %d", maxShards)),
+	err := firstError(
+		errorUnless(within(s.Shards, 1, maxShards), "shards", fmt.Sprintf("1 to %d", maxShards)),
 		reject(s.Embedded != nil && len(s.Nodes) > 0, "nodes", "nodes and embedded_nodes must not both be set"),
 		s.Embedded.check(),
 	)
@@ -167,12 +167,12 @@
 	ids := map[string]bool{}
 	for i, n := range s.Nodes {
 		prefix := fmt.Sprintf("nodes[%d].", i)
-		err := first(
-			expect(n.ID != "", prefix+"id", "a non-empty name"),
+		err := firstError(
+			errorUnless(n.ID != "", prefix+"id", "a non-empty name"),
 			reject(ids[n.ID], prefix+"id", "the node is listed twice"),
-			expect(isAddress(n.Addr), prefix+"addr", `HOST:PORT, such as "127.0.0.1:9100"`),
-			expect(within(n.Shard, 0, s.Shards-1), prefix+"shard", fmt.Sprintf("0 to %d, less than shards", s.Shards-1)),
-			expect(n.hasKnownState(), prefix+"state", "serving or draining"),
+			errorUnless(isAddress(n.Addr), prefix+"addr", `HOST:PORT, such as "127.0.0.1:9100"`),
+			errorUnless(within(n.Shard, 0, s.Shards-1), prefix+"shard", fmt.Sprintf("0 to %d, less than shards", s.Shards-1)),
+			errorUnless(n.hasKnownState(), prefix+"state", "serving or draining"),
 		)
 		if err != nil {
 			return err
@@ -196,22 +196,22 @@
 
 func (s *Settings) checkClasses() *ConfigError {
 	if len(s.Classes) == 0 {
-		return expect(false, "classes", "at least one class")
+		return errorUnless(false, "classes", "at least one class")
 	}
 	names := map[string]bool{}
 	for i, c := range s.Classes {
 		prefix := fmt.Sprintf("classes[%d].", i)
 		_, knownEffect := idempotencyOf[c.Effect]
 		_, knownGroup := dedupScopeOf[c.Group]
-		err := first(
-			expect(c.Name != "" && !names[c.Name], prefix+"name", "a name that no other class has"),
-			expect(c.Aim > 0, prefix+"aim", `a time above 0, such as "300ms"`),
-			expect(c.Deadline >= c.Aim, prefix+"deadline", "a time of at least the aim"),
-			expect(c.Deadline > s.Limits.Margin, prefix+"deadline", "a time above limits.margin"),
-			expect(c.Worth >= 0, prefix+"worth", "0 or more"),
-			expect(knownEffect, prefix+"effect", "safe, keyed or unsafe"),
-			expect(knownGroup, prefix+"group", "all, zone or shard"),
-			expect(c.Effect != effectKeyed || c.Window > 0, prefix+"window",
+		err := firstError(
+			errorUnless(c.Name != "" && !names[c.Name], prefix+"name", "a name that no other class has"),
+			errorUnless(c.Aim > 0, prefix+"aim", `a time above 0, such as "300ms"`),
+			errorUnless(c.Deadline >= c.Aim, prefix+"deadline", "a time of at least the aim"),
+			errorUnless(c.Deadline > s.Limits.Margin, prefix+"deadline", "a time above limits.margin"),
+			errorUnless(c.Worth >= 0, prefix+"worth", "0 or more"),
+			errorUnless(knownEffect, prefix+"effect", "safe, keyed or unsafe"),
+			errorUnless(knownGroup, prefix+"group", "all, zone or shard"),
+			errorUnless(c.Effect != effectKeyed || c.Window > 0, prefix+"window",
 				"a time above 0, for which nodes drop repeats of a keyed request"),
 		)
 		if err != nil {
@@ -224,13 +224,13 @@
 
 func (s *Settings) checkPlans() *ConfigError {
 	if len(s.Plans) == 0 {
-		return expect(false, "plans", "at least one plan")
+		return errorUnless(false, "plans", "at least one plan")
 	}
 	names := map[string]bool{}
 	for i, p := range s.Plans {
 		prefix := fmt.Sprintf("plans[%d].", i)
-		err := first(
-			expect(p.Name != "" && !names[p.Name], prefix+"name", "a name that no other plan has"),
+		err := firstError(
+			errorUnless(p.Name != "" && !names[p.Name], prefix+"name", "a name that no other plan has"),
 			p.check(prefix, s.Rules.LargestUnits),
 		)
 		if err != nil {
@@ -242,15 +242,15 @@
 }
 
 func (p Plan) check(prefix string, largestUnits float64) *ConfigError {
-	return first(
-		expect(p.Rate > 0, prefix+"rate", "a number of cost units per second above 0"),
-		expect(p.Weight > 0, prefix+"weight", "a number above 0"),
+	return firstError(
+		errorUnless(p.Rate > 0, prefix+"rate", "a number of cost units per second above 0"),
+		errorUnless(p.Weight > 0, prefix+"weight", "a number above 0"),
 		reject(!nonNegative(p.Reserve, p.Price, p.Limit, p.Burst, p.Slack), prefix+"reserve",
 			"reserve, price, limit, burst and slack must not be negative"),
-		expect(within(p.MiBPerSecond, 0, maxMiB), prefix+"mib_per_second", fmt.Sprintf("0 (no limit) to %d", maxMiB)),
-		expect(within(p.MiBBurst, 0, maxMiB), prefix+"mib_burst", fmt.Sprintf("0 (the amount of one second) to %d", maxMiB)),
+		errorUnless(within(p.MiBPerSecond, 0, maxMiB), prefix+"mib_per_second", fmt.Sprintf("0 (no limit) to %d", maxMiB)),
+		errorUnless(within(p.MiBBurst, 0, maxMiB), prefix+"mib_burst", fmt.Sprintf("0 (the amount of one second) to %d", maxMiB)),
 		reject(p.MiBBurst > 0 && p.MiBPerSecond == 0, prefix+"mib_burst", "mib_burst requires mib_per_second above 0"),
-		expect(within(p.Weight, minWeight, maxWeight), prefix+"weight", "0.000001 to 1000000"),
+		errorUnless(within(p.Weight, minWeight, maxWeight), prefix+"weight", "0.000001 to 1000000"),
 		reject(p.Limit > 0 && p.Burst+p.Slack < largestUnits, prefix+"burst",
 			"burst plus slack must be at least rules.largest_units, the cost of the largest request"),
 	)
@@ -258,15 +258,15 @@
 
 func (s *Settings) checkBuckets() *ConfigError {
 	if len(s.Buckets) == 0 {
-		return expect(false, "buckets", `at least one rule, such as {"pattern": "*", "plan": "NAME"}`)
+		return errorUnless(false, "buckets", `at least one rule, such as {"pattern": "*", "plan": "NAME"}`)
 	}
 	for i, b := range s.Buckets {
 		prefix := fmt.Sprintf("buckets[%d].", i)
-		err := first(
-			expect(b.Pattern != "" && isPattern(b.Pattern), prefix+"pattern", `a valid pattern, such as "photos-*"`),
-			expect(s.planNamed(b.Plan) >= 0, prefix+"plan", "the name of a plan"),
-			expect(within(b.Hosts, 0, s.Peers), prefix+"hosts", "0 (all) to peers"),
-			expect(within(b.Spread, 0, s.Shards), prefix+"spread", "0 (all) to shards"),
+		err := firstError(
+			errorUnless(b.Pattern != "" && isPattern(b.Pattern), prefix+"pattern", `a valid pattern, such as "photos-*"`),
+			errorUnless(s.planNamed(b.Plan) >= 0, prefix+"plan", "the name of a plan"),
+			errorUnless(within(b.Hosts, 0, s.Peers), prefix+"hosts", "0 (all) to peers"),
+			errorUnless(within(b.Spread, 0, s.Shards), prefix+"spread", "0 (all) to shards"),
 		)
 		if err != nil {
 			return err
@@ -279,11 +279,11 @@
 	for i, o := range s.Operations {
 		prefix := fmt.Sprintf("operations[%d].", i)
 		if s.classIndex(o.Class) < 0 {
-			return expect(false, prefix+"class", "the name of a class")
+			return errorUnless(false, prefix+"class", "the name of a class")
 		}
 		for j, name := range o.Operations {
 			if _, ok := objectapi.KindNamed(name); !ok && name != anyOperation {
-				return expect(false, fmt.Sprintf("%soperations[%d]", prefix, j),
+				return errorUnless(false, fmt.Sprintf("%soperations[%d]", prefix, j),
 					`the name of an operation, such as "GetObject", or "*"`)
 			}
 		}
@@ -298,11 +298,11 @@
 	r := s.Rules
 	c := r.Cold
 	slowStart := c.YoungLimit > 0
-	return first(
-		expect(r.MaxAttempts >= 1, "rules.max_attempts", "at least 1"),
-		expect(r.MaxRetryAfter > 0, "rules.max_retry_after", "a time above 0"),
+	return firstError(
+		errorUnless(r.MaxAttempts >= 1, "rules.max_attempts", "at least 1"),
+		errorUnless(r.MaxRetryAfter > 0, "rules.max_retry_after", "a time above 0"),
 		reject(!nonNegative(r.Settle, r.Round), "rules.settle", "settle and round must not be negative"),
-		expect(r.UsualUnits > 0 && r.LargestUnits >= r.UsualUnits, "rules.largest_units",
+		errorUnless(r.UsualUnits > 0 && r.LargestUnits >= r.UsualUnits, "rules.largest_units",
 			"0 < usual_units <= largest_units"),
 		reject(!nonNegative(r.Budget.Free, r.Budget.Ratio) || r.Budget.Span < 0, "rules.budget",
 			"free, ratio and span must not be negative"),
--- a/internal/settings/check_limits.go
+++ b/internal/settings/check_limits.go
@@ -16,7 +16,7 @@
 
 func (s *Settings) checkLimits() *ConfigError {
 	l := s.Limits
-	return first(
+	return firstError(
 		atLeast(l.Line, minLine, "limits.line"),
 		atLeast(l.Headers, minHeaders, "limits.headers"),
 		atLeast(l.Head, minHead, "limits.head"),
@@ -27,7 +27,7 @@
 		atLeast(l.Conns, 1, "limits.conns"),
 		atLeast(l.Calls, 1, "limits.calls"),
 		atLeast(l.ConnsPerNode, 1, "limits.conns_per_node"),
-		expect(l.Replay <= maxReplay, "limits.replay", fmt.Sprintf("at most %d, because larger bodies are streamed", maxReplay)),
+		errorUnless(l.Replay <= maxReplay, "limits.replay", fmt.Sprintf("at most %d, because larger bodies are streamed", maxReplay)),
 		positive(l.NodeIdle, "limits.node_idle"),
 		positive(l.NodeAge, "limits.node_age"),
 		positive(l.Connect, "limits.connect"),
@@ -36,54 +36,54 @@
 		positive(l.ClientBody, "limits.client_body"),
 		positive(l.Skew, "limits.skew"),
 		positive(l.DrainWait, "limits.drain_wait"),
-		expect(within(l.Streams, 0, l.ConnsPerNode-1), "limits.streams_per_node",
+		errorUnless(within(l.Streams, 0, l.ConnsPerNode-1), "limits.streams_per_node",
 			"0 or more and less than conns_per_node, because the dispatcher needs the other connections"),
-		expect(l.Margin >= 0, "limits.margin", "0 or more"),
+		errorUnless(l.Margin >= 0, "limits.margin", "0 or more"),
 	)
 }
 
 func atLeast[T int | int64](v, low T, field string) *ConfigError {
-	return expect(v >= low, field, "at least "+strconv.FormatInt(int64(low), 10))
+	return errorUnless(v >= low, field, "at least "+strconv.FormatInt(int64(low), 10))
 }
 
 func positive(d Duration, field string) *ConfigError {
-	return expect(d > 0, field, `a time above 0, such as "30s"`)
+	return errorUnless(d > 0, field, `a time above 0, such as "30s"`)
 }
 
 func (s *Settings) checkShare() *ConfigError {
 	share := s.Share
-	return first(
-		expect(share.Order == orderFair || share.Order == orderArrival, "share.order", "fair or arrival"),
-		expect(within(share.Quantum, 4*kib, 16*mib), "share.quantum", "4096 to 16777216 bytes"),
-		expect(within(share.Slice, 10*microsecond, 100*millisecond), "share.slice", `"10us" to "100ms"`),
-		expect(within(share.Window, millisecond, 10*second), "share.window", `"1ms" to "10s"`),
-		expect(within(share.ByteTime, 0, 1000), "share.byte_time", "0 to 1000 nanoseconds"),
-		expect(within(share.Finishing, 0.01, 100), "share.finishing", "a weight, 0.01 to 100"),
-		expect(within(share.Flows, 1, 1<<20), "share.flows", "1 to 1048576"),
-		expect(within(share.Newcomers, minWeight, maxWeight), "share.newcomers", "a weight, 0.000001 to 1000000"),
-		expect(within(share.Depth, 1, 1<<16), "share.depth", "1 to 65536"),
-		expect(within(share.Crowd, 1, 1<<16), "share.crowd", "1 to 65536"),
-		expect(within(share.Draw, 16*kib, 1<<30), "share.draw", "16384 to 1073741824 bytes"),
-		expect(within(share.Lease, millisecond, 10*second), "share.lease", `"1ms" to "10s"`),
-		expect(within(share.Receive, 16*kib, 64*mib), "share.receive", "16384 to 67108864 bytes"),
-		expect(share.MaxWait > 0, "share.max_wait", `a time above 0, such as "2s"`),
+	return firstError(
+		errorUnless(share.Order == orderFair || share.Order == orderArrival, "share.order", "fair or arrival"),
+		errorUnless(within(share.Quantum, 4*kib, 16*mib), "share.quantum", "4096 to 16777216 bytes"),
+		errorUnless(within(share.Slice, 10*microsecond, 100*millisecond), "share.slice", `"10us" to "100ms"`),
+		errorUnless(within(share.Window, millisecond, 10*second), "share.window", `"1ms" to "10s"`),
+		errorUnless(within(share.ByteTime, 0, 1000), "share.byte_time", "0 to 1000 nanoseconds"),
+		errorUnless(within(share.Finishing, 0.01, 100), "share.finishing", "a weight, 0.01 to 100"),
+		errorUnless(within(share.Flows, 1, 1<<20), "share.flows", "1 to 1048576"),
+		errorUnless(within(share.Newcomers, minWeight, maxWeight), "share.newcomers", "a weight, 0.000001 to 1000000"),
+		errorUnless(within(share.Depth, 1, 1<<16), "share.depth", "1 to 65536"),
+		errorUnless(within(share.Crowd, 1, 1<<16), "share.crowd", "1 to 65536"),
+		errorUnless(within(share.Draw, 16*kib, 1<<30), "share.draw", "16384 to 1073741824 bytes"),
+		errorUnless(within(share.Lease, millisecond, 10*second), "share.lease", `"1ms" to "10s"`),
+		errorUnless(within(share.Receive, 16*kib, 64*mib), "share.receive", "16384 to 67108864 bytes"),
+		errorUnless(share.MaxWait > 0, "share.max_wait", `a time above 0, such as "2s"`),
 		share.Overload.check(),
 	)
 }
 
 func (o Overload) check() *ConfigError {
-	return first(
-		expect(within(o.Target, 0, minute), "share.overload.target", `"0s" to "1m"`),
-		expect(o.Interval >= o.Target && within(o.Interval, millisecond, minute), "share.overload.interval",
+	return firstError(
+		errorUnless(within(o.Target, 0, minute), "share.overload.target", `"0s" to "1m"`),
+		errorUnless(o.Interval >= o.Target && within(o.Interval, millisecond, minute), "share.overload.interval",
 			`"1ms" to "1m" and at least share.overload.target`),
-		expect(o.Back >= millisecond, "share.overload.back", `at least "1ms"`),
-		expect(within(o.MaxBack, o.Back, hour), "share.overload.max_back", `at least share.overload.back and at most "1h"`),
+		errorUnless(o.Back >= millisecond, "share.overload.back", `at least "1ms"`),
+		errorUnless(within(o.MaxBack, o.Back, hour), "share.overload.max_back", `at least share.overload.back and at most "1h"`),
 	)
 }
 
 func (s *Settings) checkAccounts() *ConfigError {
 	a := s.Accounts
-	return first(
+	return firstError(
 		fromTo(a.Volumes, 1, 4096, "accounts.volumes"),
 		fromTo(a.Pairs, 1, 16384, "accounts.pairs"),
 		fromTo(a.Distributions, 0, 256, "accounts.distributions"),
@@ -95,5 +95,5 @@
 }
 
 func fromTo(v, low, high int, field string) *ConfigError {
-	return expect(within(v, low, high), field, fmt.Sprintf("%d to %d", low, high))
+	return errorUnless(within(v, low, high), field, fmt.Sprintf("%d to %d", low, high))
 }
--- a/lab/attributiontest/clients.go
+++ b/lab/attributiontest/clients.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// after returns a channel that is closed once the duration has passed.
-func after(d time.Duration) <-chan struct{} {
+// closedAfter returns a channel that is closed once the duration has passed.
+func closedAfter(d time.Duration) <-chan struct{} {
 	c := make(chan struct{})
 	time.AfterFunc(d, func() { close(c) })
 	return c
--- a/lab/attributiontest/scenarios.go
+++ b/lab/attributiontest/scenarios.go
@@ -52,7 +52,7 @@
 			r.startClients(ctx, 32, floodVolume, 0, r.done)
 			r.startClients(ctx, 1, busyVolume, 30*time.Millisecond, r.done)
 			r.startClients(ctx, 2, reviewVolume, 5*time.Millisecond, r.done)
-			<-after(2 * time.Second)
+			<-closedAfter(2 * time.Second)
 		},
 		check: func(v *verifier) { v.expectCulprit(floodVolume, busyVolume) },
 	}
@@ -67,7 +67,7 @@
 			r.startClients(ctx, 20, flood2Volume, 0, r.done)
 			r.startClients(ctx, 1, busyVolume, 30*time.Millisecond, r.done)
 			r.startClients(ctx, 2, reviewVolume, 5*time.Millisecond, r.done)
-			<-after(2 * time.Second)
+			<-closedAfter(2 * time.Second)
 		},
 		check: func(v *verifier) {
 			first, second := v.reviewBehind(floodVolume), v.reviewBehind(flood2Volume)
@@ -86,11 +86,11 @@
 		Name:        "flood-stops",
 		Description: "a flood ends; later waits are not attributed to it",
 		run: func(ctx context.Context, r *testRun) {
-			r.startClients(ctx, 32, floodVolume, 0, after(1200*time.Millisecond))
+			r.startClients(ctx, 32, floodVolume, 0, closedAfter(1200*time.Millisecond))
 			r.startClients(ctx, 2, reviewVolume, 5*time.Millisecond, r.done)
-			<-after(3 * time.Second)
+			<-closedAfter(3 * time.Second)
 			at := r.gateway.Now()
-			<-after(1500 * time.Millisecond)
+			<-closedAfter(1500 * time.Millisecond)
 			r.afterFlood = r.windowSince(at)
 		},
 		check: func(v *verifier) {
@@ -113,7 +113,7 @@
 			r.node.Inject(storagenode.Fault{Kind: storagenode.Slow, Factor: 6, For: time.Minute})
 			r.startClients(ctx, 1, reviewVolume, 5*time.Millisecond, r.done)
 			r.startClients(ctx, 1, busyVolume, 40*time.Millisecond, r.done)
-			<-after(2 * time.Second)
+			<-closedAfter(2 * time.Second)
 		},
 		check: func(v *verifier) {
 			v.expectShare(reviewVolume, 0.8, attribution.NodeService)
@@ -132,7 +132,7 @@
 		run: func(ctx context.Context, r *testRun) {
 			r.startClients(ctx, 6, cappedVolume, 0, r.done)
 			r.startClients(ctx, 1, reviewVolume, 10*time.Millisecond, r.done)
-			<-after(2500 * time.Millisecond)
+			<-closedAfter(2500 * time.Millisecond)
 		},
 		check: func(v *verifier) {
 			v.expectShare(cappedVolume, 0.7, attribution.RateLimited)
@@ -155,7 +155,7 @@
 				Hold:  150 * time.Millisecond,
 			})
 			r.startClients(ctx, 2, reviewVolume, 5*time.Millisecond, r.done)
-			<-after(2500 * time.Millisecond)
+			<-closedAfter(2500 * time.Millisecond)
 		},
 		check: func(v *verifier) {
 			v.expectShare(reviewVolume, 0.3, attribution.FailedAttempts, attribution.RetryBackoff)
@@ -188,9 +188,9 @@
 			c.TimingLossRate = 0.3
 		},
 		run: func(ctx context.Context, r *testRun) {
-			r.startClients(ctx, 12, floodVolume, 0, after(1500*time.Millisecond))
+			r.startClients(ctx, 12, floodVolume, 0, closedAfter(1500*time.Millisecond))
 			r.startClients(ctx, 2, reviewVolume, 5*time.Millisecond, r.done)
-			<-after(5 * time.Second)
+			<-closedAfter(5 * time.Second)
 		},
 		check: func(v *verifier) {
 			if v.Counts.ReportedLate == 0 || v.Counts.Corrected == 0 || !v.Window.Corrected {
@@ -216,7 +216,7 @@
 		Description:   "a gateway is replaced by another, which gets late reports for requests of the first",
 		configureNode: func(c *storagenode.Config) { c.TimingDelay = 300 * time.Millisecond },
 		run: func(ctx context.Context, r *testRun) {
-			first := after(time.Second)
+			first := closedAfter(time.Second)
 			r.startClients(ctx, 4, reviewVolume, 5*time.Millisecond, first)
 			<-first
 			r.clients.Wait()
@@ -227,7 +227,7 @@
 				return
 			}
 			r.startClients(ctx, 4, reviewVolume, 5*time.Millisecond, r.done)
-			<-after(1200 * time.Millisecond)
+			<-closedAfter(1200 * time.Millisecond)
 		},
 		check: func(v *verifier) {
 			runs := map[string]bool{}
@@ -253,9 +253,9 @@
 		Description: "the wall clock is set back by five minutes",
 		run: func(ctx context.Context, r *testRun) {
 			r.startClients(ctx, 4, reviewVolume, 5*time.Millisecond, r.done)
-			<-after(700 * time.Millisecond)
+			<-closedAfter(700 * time.Millisecond)
 			r.clockOffset.Store(int64(-5 * time.Minute))
-			<-after(700 * time.Millisecond)
+			<-closedAfter(700 * time.Millisecond)
 		},
 		check: func(v *verifier) {
 			v.expectNote("wall clock was set by -5m0")
--- a/lab/faultinjection/faultinjection.go
+++ b/lab/faultinjection/faultinjection.go
@@ -49,7 +49,7 @@
 	gateways       []*gatewayInstance
 }
 
-// Run plays the script and returns the report. The report lists violated invariants; Run returns no error for them.
+// Run executes the script and returns the report. The report lists violated invariants; Run returns no error for them.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if o.Script == nil {
 		o.Script = GenerateScript(o.Seed, o.Duration)
--- a/lab/schedulereplay/clients.go
+++ b/lab/schedulereplay/clients.go
@@ -25,29 +25,29 @@
 )
 
 // sendRequest sends a client's request and waits until the gateway has accepted it.
-func (p *player) sendRequest(ctx context.Context, i int) error {
-	req, err := p.newRequest(ctx, i)
+func (e *executor) sendRequest(ctx context.Context, i int) error {
+	req, err := e.newRequest(ctx, i)
 	if err != nil {
 		return err
 	}
 	var dialer net.Dialer
-	c, err := dialer.DialContext(ctx, "tcp", p.addr)
+	c, err := dialer.DialContext(ctx, "tcp", e.addr)
 	if err != nil {
 		return err
 	}
-	p.mu.Lock()
-	p.clients[i] = c
-	p.mu.Unlock()
+	e.mu.Lock()
+	e.clients[i] = c
+	e.mu.Unlock()
 	if err := req.Write(c); err != nil {
 		return err
 	}
-	p.goroutines.Go(func() { p.receiveResponse(i, c, req) })
-	return p.awaitGateway(func() bool { return p.gateway.InFlight() == p.unanswered() || p.hasOutcome(i) })
+	e.goroutines.Go(func() { e.receiveResponse(i, c, req) })
+	return e.awaitGateway(func() bool { return e.gateway.InFlight() == e.unanswered() || e.hasOutcome(i) })
 }
 
 // newRequest returns a signed HTTP request with the class and key of a request in the scenario.
-func (p *player) newRequest(ctx context.Context, i int) (*http.Request, error) {
-	r := p.requests[i-1]
+func (e *executor) newRequest(ctx context.Context, i int) (*http.Request, error) {
+	r := e.requests[i-1]
 	method := methods[r.Class]
 	if method == "" || r.NotReplayable || r.Shard != 0 {
 		return nil, fmt.Errorf("a request that is not replayable, is not of shard 0, or has a class without a method %w", ErrUnsupported)
@@ -56,7 +56,7 @@
 	if key == "" {
 		key = "object-" + strconv.Itoa(i)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.addr+"/photos/"+key, nil)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+e.addr+"/photos/"+key, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -71,46 +71,46 @@
 }
 
 // cancelRequest closes a client's connection and waits until the gateway has noticed that.
-func (p *player) cancelRequest(i int) error {
-	p.mu.Lock()
-	c := p.clients[i]
-	p.outcomes[i] = outcomeCanceled
-	p.mu.Unlock()
+func (e *executor) cancelRequest(i int) error {
+	e.mu.Lock()
+	c := e.clients[i]
+	e.outcomes[i] = outcomeCanceled
+	e.mu.Unlock()
 	if err := c.Close(); err != nil {
 		return err
 	}
-	return p.awaitGateway(func() bool { return p.gateway.InFlight() == p.unanswered() })
+	return e.awaitGateway(func() bool { return e.gateway.InFlight() == e.unanswered() })
 }
 
 // unanswered returns the number of requests that were sent and have no outcome yet.
-func (p *player) unanswered() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (e *executor) unanswered() int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	n := 0
-	for i := range p.clients {
-		if p.outcomes[i] == "" {
+	for i := range e.clients {
+		if e.outcomes[i] == "" {
 			n++
 		}
 	}
 	return n
 }
 
-// hasOutcome reports whether the player has recorded an outcome for a request.
-func (p *player) hasOutcome(i int) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.outcomes[i] != ""
+// hasOutcome reports whether the executor has recorded an outcome for a request.
+func (e *executor) hasOutcome(i int) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.outcomes[i] != ""
 }
 
 // receiveResponse reads a client's response and records the request's outcome.
-func (p *player) receiveResponse(i int, c net.Conn, req *http.Request) {
+func (e *executor) receiveResponse(i int, c net.Conn, req *http.Request) {
 	outcome := readOutcome(c, req)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.outcomes[i] == "" && !p.closed {
-		p.outcomes[i] = outcome
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.outcomes[i] == "" && !e.closed {
+		e.outcomes[i] = outcome
 	}
-	p.changed.Broadcast()
+	e.changed.Broadcast()
 }
 
 // readOutcome reads a response and returns the outcome of its request.
--- a/lab/schedulereplay/nodes.go
+++ b/lab/schedulereplay/nodes.go
@@ -20,63 +20,63 @@
 }
 
 // startNode starts a node on a free port of the loopback address.
-func (p *player) startNode(ctx context.Context, name string) error {
+func (e *executor) startNode(ctx context.Context, name string) error {
 	var config net.ListenConfig
 	ln, err := config.Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	n := &node{listener: ln}
-	p.nodes[name] = n
-	p.goroutines.Go(func() { p.acceptConns(n) })
+	e.nodes[name] = n
+	e.goroutines.Go(func() { e.acceptConns(n) })
 	return nil
 }
 
 // acceptConns accepts the gateway's connections to a node until the node's listener is closed.
-func (p *player) acceptConns(n *node) {
+func (e *executor) acceptConns(n *node) {
 	for {
 		c, err := n.listener.Accept()
 		if err != nil {
 			return
 		}
-		if !p.addAccepted(c) {
+		if !e.addAccepted(c) {
 			closeConn(c)
 			continue
 		}
-		p.goroutines.Go(func() { p.receiveAttempts(c) })
+		e.goroutines.Go(func() { e.receiveAttempts(c) })
 	}
 }
 
 // addAccepted records a connection that a node has accepted, so that stop can close it. It
 // returns false after stop has begun.
-func (p *player) addAccepted(c net.Conn) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.closed {
+func (e *executor) addAccepted(c net.Conn) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.closed {
 		return false
 	}
-	p.accepted = append(p.accepted, c)
+	e.accepted = append(e.accepted, c)
 	return true
 }
 
 // receiveAttempts reads the requests on a node's connection and records them as attempts. It
 // sends no responses, because the moves of the replay do that.
-func (p *player) receiveAttempts(c net.Conn) {
+func (e *executor) receiveAttempts(c net.Conn) {
 	defer closeConn(c)
 	r := bufio.NewReader(c)
 	var last attempt // latest attempt on this connection; its tag is "" if there is none
 	for {
 		req, err := http.ReadRequest(r)
 		if last.tag != "" {
-			p.endAttempt(last, c)
+			e.endAttempt(last, c)
 		}
 		if err != nil {
 			return
 		}
 		last = parseAttempt(req)
-		p.startAttempt(last, c)
+		e.startAttempt(last, c)
 		if _, err := io.Copy(io.Discard, req.Body); err != nil {
-			p.endAttempt(last, c)
+			e.endAttempt(last, c)
 			return
 		}
 	}
@@ -90,32 +90,32 @@
 }
 
 // startAttempt records an attempt that a node has received.
-func (p *player) startAttempt(a attempt, c net.Conn) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.atNode[a] = c
-	p.received[a] = true
-	p.inFlight[a.tag]++
-	if p.inFlight[a.tag] > 1 {
-		p.failures = append(p.failures, fmt.Sprintf("request %s has two attempts in flight", a.tag))
+func (e *executor) startAttempt(a attempt, c net.Conn) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.atNode[a] = c
+	e.received[a] = true
+	e.inFlight[a.tag]++
+	if e.inFlight[a.tag] > 1 {
+		e.failures = append(e.failures, fmt.Sprintf("request %s has two attempts in flight", a.tag))
 	}
-	p.changed.Broadcast()
+	e.changed.Broadcast()
 }
 
 // endAttempt records the end of an attempt if the connection still carries the attempt.
-func (p *player) endAttempt(a attempt, c net.Conn) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.atNode[a] == c {
-		p.inFlight[a.tag]--
-		delete(p.atNode, a)
+func (e *executor) endAttempt(a attempt, c net.Conn) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.atNode[a] == c {
+		e.inFlight[a.tag]--
+		delete(e.atNode, a)
 	}
-	p.changed.Broadcast()
+	e.changed.Broadcast()
 }
 
 // resetConn resets the connection that a move refers to.
-func (p *player) resetConn(s modelcheck.Step) error {
-	c, err := p.connForStep(s)
+func (e *executor) resetConn(s modelcheck.Step) error {
+	c, err := e.connForStep(s)
 	if err != nil {
 		return err
 	}
@@ -130,21 +130,21 @@
 // connForStep returns the connection that a move refers to. If the move refers to a request, this is the
 // connection that carries the attempt. Otherwise it is the connection that an earlier move with the same
 // connection number referred to.
-func (p *player) connForStep(s modelcheck.Step) (net.Conn, error) {
+func (e *executor) connForStep(s modelcheck.Step) (net.Conn, error) {
 	if s.Request > 0 {
 		a := attempt{tag: strconv.Itoa(s.Request), number: s.Attempt}
 		arrived := func() bool {
-			if c := p.atNode[a]; c != nil {
-				p.conns[s.Move.Target] = c
+			if c := e.atNode[a]; c != nil {
+				e.conns[s.Move.Target] = c
 				return true
 			}
 			return false
 		}
-		if err := p.await(arrived); err != nil {
+		if err := e.await(arrived); err != nil {
 			return nil, fmt.Errorf("no node has attempt %d of request %d: %w", s.Attempt, s.Request, err)
 		}
 	}
-	if c := p.conns[s.Move.Target]; c != nil {
+	if c := e.conns[s.Move.Target]; c != nil {
 		return c, nil
 	}
 	return nil, fmt.Errorf("a move on a connection that has not carried a request %w", ErrUnsupported)
--- a/lab/schedulereplay/schedulereplay.go
+++ b/lab/schedulereplay/schedulereplay.go
@@ -1,9 +1,9 @@
-// Package schedulereplay plays the model checker's replays over sockets. It runs a real gateway on the
-// loopback address, with clients and nodes that act in the order of the replay. The model checker plays
-// the same replay. It determines which request, connection or node each move refers to, and how each
-// request must end. No step waits for a fixed time. The gateway opens connections and fires timers by
-// itself, and a later move that depends on such an event waits for it. Play rejects a replay with moves
-// that cannot be made over sockets.
+// Package schedulereplay executes the model checker's replays over sockets. It runs a real gateway on the
+// loopback address, with clients and nodes that act in the order of the replay. The model checker
+// executes the same replay. It determines which request, connection or node each move refers to, and
+// how each request must end. No step waits for a fixed time. The gateway opens connections and fires
+// timers by itself, and a later move that depends on such an event waits for it. Play rejects a replay
+// with moves that cannot be made over sockets.
 package schedulereplay
 
 import (
@@ -27,7 +27,7 @@
 const stepTimeout = 5 * time.Second
 
 var (
-	// ErrUnsupported is returned for a replay that cannot be played over sockets.
+	// ErrUnsupported is returned for a replay that cannot be executed over sockets.
 	ErrUnsupported = errors.New("cannot be reproduced over sockets")
 
 	// ErrTimeout is returned if the gateway takes longer than stepTimeout to do what a move needs.
@@ -55,8 +55,8 @@
 	Failures []string // messages about requests with two attempts in flight, and about a failed gateway
 }
 
-// player plays one replay.
-type player struct {
+// executor executes one replay.
+type executor struct {
 	gateway    *gateway.Gateway
 	addr       string // address that the gateway listens on
 	requests   []modelcheck.ScenarioRequest
@@ -82,7 +82,7 @@
 	number int
 }
 
-// Play plays a replay over sockets and reports the outcome of each request.
+// Play executes a replay over sockets and reports the outcome of each request.
 func Play(ctx context.Context, in io.Reader) (_ *Report, err error) {
 	script, err := modelcheck.ReadScript(in)
 	if err != nil {
@@ -92,21 +92,21 @@
 		return nil, fmt.Errorf("scenario %s begins with a history, which the replay does not contain: it %w",
 			script.Scenario.Name, ErrUnsupported)
 	}
-	p := newPlayer(script.Scenario.Requests())
-	defer func() { err = errors.Join(err, p.stop()) }()
-	if err := p.start(ctx, script.Scenario.Nodes()); err != nil {
+	e := newExecutor(script.Scenario.Requests())
+	defer func() { err = errors.Join(err, e.stop()) }()
+	if err := e.start(ctx, script.Scenario.Nodes()); err != nil {
 		return nil, err
 	}
 	for _, s := range script.Steps {
-		if err := p.playStep(ctx, s); err != nil {
+		if err := e.executeStep(ctx, s); err != nil {
 			return nil, &StepError{Line: s.Line, Text: s.Text, Err: err}
 		}
 	}
-	return p.report(script.Outcomes)
+	return e.report(script.Outcomes)
 }
 
-func newPlayer(requests []modelcheck.ScenarioRequest) *player {
-	p := &player{
+func newExecutor(requests []modelcheck.ScenarioRequest) *executor {
+	e := &executor{
 		requests: requests,
 		nodes:    map[string]*node{},
 		conns:    map[uint32]net.Conn{},
@@ -116,75 +116,75 @@
 		outcomes: map[int]string{},
 		clients:  map[int]net.Conn{},
 	}
-	p.changed = sync.NewCond(&p.mu)
-	return p
+	e.changed = sync.NewCond(&e.mu)
+	return e
 }
 
 // start starts the nodes and the gateway. For each node name, listed says whether the first endpoint list
 // has the node.
-func (p *player) start(ctx context.Context, listed map[string]bool) error {
+func (e *executor) start(ctx context.Context, listed map[string]bool) error {
 	cfg, err := settings.Parse("schedulereplay", []byte(gatewaySettings))
 	if err != nil {
 		return err
 	}
-	if p.gateway, err = gateway.New(*cfg, gateway.WithSeed(1)); err != nil {
+	if e.gateway, err = gateway.New(*cfg, gateway.WithSeed(1)); err != nil {
 		return err
 	}
 	var endpoints []forwarder.Node
 	for name, isListed := range listed {
-		if err := p.startNode(ctx, name); err != nil {
+		if err := e.startNode(ctx, name); err != nil {
 			return err
 		}
 		if isListed {
-			endpoints = append(endpoints, p.endpoint(name, dispatch.Ready))
+			endpoints = append(endpoints, e.endpoint(name, dispatch.Ready))
 		}
 	}
-	p.gateway.UpdateEndpoints(dispatch.Snapshot, endpoints)
+	e.gateway.UpdateEndpoints(dispatch.Snapshot, endpoints)
 	ln, err := gateway.Listen("127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	p.addr = ln.Addr().String()
-	p.goroutines.Go(func() {
-		if err := p.gateway.Serve(ctx, ln); err != nil {
-			p.addFailure("the gateway stopped serving: %v", err)
+	e.addr = ln.Addr().String()
+	e.goroutines.Go(func() {
+		if err := e.gateway.Serve(ctx, ln); err != nil {
+			e.addFailure("the gateway stopped serving: %v", err)
 		}
 	})
 	return nil
 }
 
 // endpoint returns the endpoint list entry of a node in the given state.
-func (p *player) endpoint(name string, state dispatch.NodeState) forwarder.Node {
+func (e *executor) endpoint(name string, state dispatch.NodeState) forwarder.Node {
 	return forwarder.Node{
-		Addr: p.nodes[name].listener.Addr().String(),
+		Addr: e.nodes[name].listener.Addr().String(),
 		Node: dispatch.Node{ID: dispatch.NodeID(name), State: state},
 	}
 }
 
 // stop closes the gateway, the nodes and all connections, and waits until all goroutines have ended.
-func (p *player) stop() error {
-	p.mu.Lock()
-	p.closed = true
-	for _, c := range p.clients {
+func (e *executor) stop() error {
+	e.mu.Lock()
+	e.closed = true
+	for _, c := range e.clients {
 		closeConn(c)
 	}
-	for _, c := range p.atNode {
+	for _, c := range e.atNode {
 		closeConn(c)
 	}
-	p.mu.Unlock()
+	e.mu.Unlock()
 	var errs []error
-	for _, n := range p.nodes {
+	for _, n := range e.nodes {
 		errs = append(errs, n.listener.Close())
 	}
-	if p.gateway != nil {
-		errs = append(errs, p.gateway.Close())
+	if e.gateway != nil {
+		errs = append(errs, e.gateway.Close())
 	}
 	// If a dial of the gateway completes while the gateway is closing, its socket stays open
 	// (docs/ROADMAP.md, eventloop.Loop.Dial). The node's side therefore closes the connection.
-	for _, c := range p.accepted {
+	for _, c := range e.accepted {
 		closeConn(c)
 	}
-	p.goroutines.Wait()
+	e.goroutines.Wait()
 	return errors.Join(errs...)
 }
 
@@ -192,59 +192,59 @@
 func closeConn(c net.Conn) { _ = c.Close() }
 
 // addFailure adds a message to the failures of the report.
-func (p *player) addFailure(format string, args ...any) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.failures = append(p.failures, fmt.Sprintf(format, args...))
+func (e *executor) addFailure(format string, args ...any) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.failures = append(e.failures, fmt.Sprintf(format, args...))
 }
 
 // report waits until each request that ends in the model checker has an outcome, and returns the report.
-func (p *player) report(expected []string) (*Report, error) {
+func (e *executor) report(expected []string) (*Report, error) {
 	r := &Report{Expected: expected}
 	for i, expectedOutcome := range expected {
 		outcome := ""
 		if expectedOutcome != "" {
 			hasOutcome := func() bool { // await calls it with the lock held, because other requests may still end
-				outcome = p.outcomes[i+1]
+				outcome = e.outcomes[i+1]
 				return outcome != ""
 			}
-			if err := p.await(hasOutcome); err != nil {
+			if err := e.await(hasOutcome); err != nil {
 				return nil, fmt.Errorf("request %d has no outcome: %w", i+1, err)
 			}
 		}
 		r.Outcomes = append(r.Outcomes, outcome)
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	r.Failures = p.failures
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	r.Failures = e.failures
 	return r, nil
 }
 
-// await waits until a condition on the fields that p.mu guards holds. It holds p.mu when it calls the
+// await waits until a condition on the fields that e.mu guards holds. It holds e.mu when it calls the
 // condition.
-func (p *player) await(condition func() bool) error {
+func (e *executor) await(condition func() bool) error {
 	timedOut := false
 	timer := time.AfterFunc(stepTimeout, func() {
-		p.mu.Lock()
-		defer p.mu.Unlock()
+		e.mu.Lock()
+		defer e.mu.Unlock()
 		timedOut = true
-		p.changed.Broadcast()
+		e.changed.Broadcast()
 	})
 	defer timer.Stop()
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	for !condition() {
 		if timedOut {
 			return ErrTimeout
 		}
-		p.changed.Wait()
+		e.changed.Wait()
 	}
 	return nil
 }
 
-// awaitGateway polls a condition on the gateway until it holds. It does not hold p.mu when it calls the
+// awaitGateway polls a condition on the gateway until it holds. It does not hold e.mu when it calls the
 // condition.
-func (p *player) awaitGateway(condition func() bool) error {
+func (e *executor) awaitGateway(condition func() bool) error {
 	for end := time.Now().Add(stepTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			return ErrTimeout
@@ -253,10 +253,10 @@
 	return nil
 }
 
-// playStep makes a move. It then waits until the nodes have received the latest attempt that each request has
-// after this move in the model checker.
-func (p *player) playStep(ctx context.Context, s modelcheck.Step) error {
-	if err := p.makeMove(ctx, s); err != nil {
+// executeStep makes a move. It then waits until the nodes have received the latest attempt that each
+// request has after this move in the model checker.
+func (e *executor) executeStep(ctx context.Context, s modelcheck.Step) error {
+	if err := e.makeMove(ctx, s); err != nil {
 		return err
 	}
 	for i, sent := range s.AttemptsSent {
@@ -264,7 +264,7 @@
 			continue
 		}
 		last := attempt{tag: strconv.Itoa(i + 1), number: sent - 1}
-		if err := p.await(func() bool { return p.received[last] }); err != nil {
+		if err := e.await(func() bool { return e.received[last] }); err != nil {
 			return fmt.Errorf("no node received attempt %d of request %d: %w", last.number, i+1, err)
 		}
 	}
@@ -272,32 +272,32 @@
 }
 
 // makeMove makes one move of the replay, or returns ErrUnsupported if sockets do not allow it.
-func (p *player) makeMove(ctx context.Context, s modelcheck.Step) error {
+func (e *executor) makeMove(ctx context.Context, s modelcheck.Step) error {
 	switch s.Move.Kind {
 	case modelcheck.StartRequest:
-		return p.sendRequest(ctx, s.Request)
+		return e.sendRequest(ctx, s.Request)
 	case modelcheck.CancelRequest:
-		return p.cancelRequest(s.Request)
+		return e.cancelRequest(s.Request)
 	case modelcheck.CompleteDial, modelcheck.RunLoop0, modelcheck.RunLoop1,
 		modelcheck.FireTimer, modelcheck.AdvanceBefore, modelcheck.AdvanceTo:
 		return nil // the gateway makes this move by itself
 	case modelcheck.DrainNode:
-		p.updateNode(s.Node, dispatch.Draining)
+		e.updateNode(s.Node, dispatch.Draining)
 		return nil
 	case modelcheck.RemoveNode:
-		p.updateNode(s.Node, dispatch.Removed)
+		e.updateNode(s.Node, dispatch.Removed)
 		return nil
 	case modelcheck.AddNode:
-		p.updateNode(s.Node, dispatch.Ready)
+		e.updateNode(s.Node, dispatch.Ready)
 		return nil
 	case modelcheck.ResetConn:
-		return p.resetConn(s)
+		return e.resetConn(s)
 	}
 	response, ok := responses[s.Move.Kind]
 	if !ok {
 		return ErrUnsupported
 	}
-	c, err := p.connForStep(s)
+	c, err := e.connForStep(s)
 	if err != nil {
 		return err
 	}
@@ -306,6 +306,6 @@
 }
 
 // updateNode reports a new state of a node to the gateway.
-func (p *player) updateNode(name string, state dispatch.NodeState) {
-	p.gateway.UpdateEndpoints(dispatch.Delta, []forwarder.Node{p.endpoint(name, state)})
+func (e *executor) updateNode(name string, state dispatch.NodeState) {
+	e.gateway.UpdateEndpoints(dispatch.Delta, []forwarder.Node{e.endpoint(name, state)})
 }
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -80,7 +80,7 @@
 	defer stopMonitor()
 	r.stalls = stall.Start(monitorCtx)
 	r.progress("%s", r.plan.String())
-	if err := r.play(ctx, filepath.Join(dir, "config")); err != nil {
+	if err := r.runPhases(ctx, filepath.Join(dir, "config")); err != nil {
 		return nil, err
 	}
 	return newReport(r), ctx.Err()
@@ -96,8 +96,8 @@
 	return nil, fmt.Errorf("soak: program: expected %s or %s, got %q", Serve, RESP, r.options.Program)
 }
 
-// play starts the program, runs the phases of the plan one after the other, and waits for the program to end.
-func (r *run) play(ctx context.Context, configFile string) error {
+// runPhases starts the program, runs the phases of the plan one after the other, and waits for the program to end.
+func (r *run) runPhases(ctx context.Context, configFile string) error {
 	if err := r.startProgram(ctx, configFile); err != nil {
 		return err
 	}
@@ -106,14 +106,14 @@
 	if r.usageBefore, err = r.process.usage(); err != nil {
 		return r.reportEarlyEnd("before the load", err)
 	}
-	if err := r.playLoad(ctx, configFile); err != nil {
+	if err := r.runLoadPhase(ctx, configFile); err != nil {
 		return err
 	}
 	sleep(ctx, quietTime)
 	if r.usageAfter, err = r.process.usage(); err != nil {
 		return r.reportEarlyEnd("after the load", err)
 	}
-	return r.playStop(ctx)
+	return r.runStopPhase(ctx)
 }
 
 // reportEarlyEnd reports a violation if the process has ended early. If the process is still running, it returns
@@ -174,9 +174,9 @@
 	return false
 }
 
-// playLoad runs the first phase, with clients, idle and bad clients, faults and reloads. When it returns, all
+// runLoadPhase runs the first phase, with clients, idle and bad clients, faults and reloads. When it returns, all
 // client connections are closed.
-func (r *run) playLoad(ctx context.Context, configFile string) error {
+func (r *run) runLoadPhase(ctx context.Context, configFile string) error {
 	loadCtx, cancel := context.WithTimeout(ctx, r.plan.Load)
 	defer cancel()
 	var tasks sync.WaitGroup
@@ -190,7 +190,7 @@
 			}
 		})
 	}
-	err := r.playSteps(loadCtx, configFile)
+	err := r.runLoadSteps(loadCtx, configFile)
 	tasks.Wait()
 	r.system.clearFaults()
 	return err
@@ -205,16 +205,16 @@
 	}
 }
 
-// playSteps carries out the faults and reloads of the first phase in the order of their times, then waits for the
+// runLoadSteps carries out the faults and reloads of the first phase in the order of their times, then waits for the
 // end of ctx.
-func (r *run) playSteps(ctx context.Context, configFile string) error {
+func (r *run) runLoadSteps(ctx context.Context, configFile string) error {
 	faults, reloads := r.plan.sortedSteps()
 	for len(faults)+len(reloads) > 0 && ctx.Err() == nil && !r.process.hasEnded() {
 		if len(reloads) == 0 || len(faults) > 0 && faults[0].At <= reloads[0].At {
 			f := faults[0]
 			faults = faults[1:]
 			if sleep(ctx, r.until(f.At)) {
-				if err := r.playFault(f, configFile); err != nil {
+				if err := r.injectFault(f, configFile); err != nil {
 					return err
 				}
 			}
@@ -223,7 +223,7 @@
 		step := reloads[0]
 		reloads = reloads[1:]
 		if sleep(ctx, r.until(step.At)) {
-			if err := r.playReload(step, configFile); err != nil {
+			if err := r.reloadConfig(step, configFile); err != nil {
 				return err
 			}
 		}
@@ -235,7 +235,7 @@
 // until returns how long it takes from now until the time at of the plan.
 func (r *run) until(at time.Duration) time.Duration { return r.startedAt + at - r.now() }
 
-func (r *run) playFault(f fault, configFile string) error {
+func (r *run) injectFault(f fault, configFile string) error {
 	r.progress("%s at shard %d for %v", f.Kind, f.Shard, f.For)
 	if f.Kind != drain {
 		return r.system.inject(f)
@@ -260,7 +260,7 @@
 	return nil
 }
 
-func (r *run) playReload(step reload, configFile string) error {
+func (r *run) reloadConfig(step reload, configFile string) error {
 	r.progress("%d SIGHUP", step.Count)
 	r.system.changeConfiguration()
 	if err := replaceFile(configFile, r.system.configuration()); err != nil {
@@ -273,10 +273,10 @@
 	return nil
 }
 
-// playStop runs the last phase. Clients send requests again, a node fails until the end of the run, and the program
-// receives SIGTERM among other signals. If the program has not ended by the earliest time at which a supervisor may
-// kill it, playStop kills it.
-func (r *run) playStop(ctx context.Context) error {
+// runStopPhase runs the last phase. Clients send requests again, a node fails until the end of the run, and the
+// program receives SIGTERM among other signals. If the program has not ended by the earliest time at which a
+// supervisor may kill it, runStopPhase kills it.
+func (r *run) runStopPhase(ctx context.Context) error {
 	clientCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var clients sync.WaitGroup
