--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -104,7 +104,7 @@
 	for _, c := range all { // the first request assigns the connection to its volume
 		c.sendRequest(t, kit.Secret)
 		if resp := c.readResponse(t); resp.Status != http.StatusOK {
-			t.Fatal(resp)
+			t.Fatalf("first request of a connection: got response %v, want status 200", resp)
 		}
 	}
 	release := site.Gateway.Overload("photos")
@@ -174,7 +174,7 @@
 	site, all := startOverloaded(t, overloadSettings(0), clients, kit.Secret, onEntry)
 	for _, c := range all {
 		if resp := c.readResponse(t); resp.Status != http.StatusOK {
-			t.Error(resp)
+			t.Errorf("request on the overloaded loop: got response %v, want status 200", resp)
 		}
 	}
 	if err := site.Gateway.Close(); err != nil { // Close flushes the attribution entries
--- a/internal/e2e/multipart_test.go
+++ b/internal/e2e/multipart_test.go
@@ -106,7 +106,7 @@
 	checkErrorCode(t, err, "InvalidPartOrder")
 	completed := kit.Must(u.complete(t, u.parts))(t)
 	if !strings.HasSuffix(*completed.ETag, `-3"`) {
-		t.Fatal(*completed.ETag)
+		t.Fatalf("ETag of the completed object: got %s, want the suffix -3 of an upload with 3 parts", *completed.ETag)
 	}
 	b.checkContent(t, "big", want)
 
--- a/internal/e2e/nodefault_test.go
+++ b/internal/e2e/nodefault_test.go
@@ -28,7 +28,7 @@
 	byteRange := http.Header{"Range": {"bytes=2-4"}}
 	resp := site.Do(http.MethodGet, "/photos/k", byteRange, nil)
 	if resp.Status != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
-		t.Fatal(resp)
+		t.Fatalf("read from a stalled node: got response %v, want status 503 with a Retry-After", resp)
 	}
 	if elapsed := time.Since(start); elapsed > deadline {
 		t.Fatalf("response time: got %v, want at most the deadline of %v", elapsed, deadline)
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -51,7 +51,7 @@
 		t.Log(r)
 		if r.Violation != nil {
 			Explain(s, r.Path, t.Logf)
-			t.Fatal(r.Violation)
+			t.Fatalf("search of a scenario: got violation %v, want none", r.Violation)
 		}
 		if c.maxStates == 0 && workDivisor == 1 && !r.Complete {
 			t.Errorf("scenario %s: got an incomplete search, want a complete one", c.name)
--- a/internal/payload/payload_test.go
+++ b/internal/payload/payload_test.go
@@ -133,7 +133,7 @@
 	var h http1.Head
 	var r http1.Request
 	if n, err := h.ParseRequest([]byte(text), http1.DefaultLimits, &r); err != nil || n != len(text) {
-		t.Fatal(n, err)
+		t.Fatalf("ParseRequest: got length %d and error %v, want the length of the text and no error", n, err)
 	}
 	return &r
 }
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -149,7 +149,7 @@
 	}
 	_, err = Replay(bytes.NewReader(z.EncodeAll([]byte("{\"Version\":2}\n"), nil)))
 	if versionErr := (*VersionError)(nil); !errors.As(err, &versionErr) || versionErr.Version != 2 {
-		t.Fatal(err)
+		t.Fatalf("replay of a trace of version 2: got error %v, want a *VersionError with version 2", err)
 	}
 }
 
@@ -164,7 +164,7 @@
 	}
 	close(unblock)
 	if err := w.Close(); !errors.Is(err, ErrQueueFull) {
-		t.Fatal(err)
+		t.Fatalf("Close after the queue was full: got error %v, want ErrQueueFull", err)
 	}
 }
 
