--- a/internal/attributionlog/errors.go
+++ b/internal/attributionlog/errors.go
@@ -28,5 +28,5 @@
 }
 
 func (e *CorruptionError) Error() string {
-	return fmt.Sprintf("%s: whole up to byte %d; there %s", e.File, e.Offset, e.Reason)
+	return fmt.Sprintf("%s: intact up to byte %d, then corrupt: %s", e.File, e.Offset, e.Reason)
 }
--- a/internal/attributionlog/reader.go
+++ b/internal/attributionlog/reader.go
@@ -94,7 +94,7 @@
 // headerError returns the error for a header that differs from the header of this version.
 func headerError(head []byte) error {
 	if len(head) == 0 || bytes.HasPrefix(header(), head) {
-		return &CorruptionError{Offset: 0, Reason: "its first line is cut short"}
+		return &CorruptionError{Offset: 0, Reason: "the header is truncated"}
 	}
 	version, ok := bytes.CutPrefix(head, []byte(magic))
 	if !ok {
@@ -108,31 +108,31 @@
 func readRecord(r io.Reader, left int64, decoder *zstd.Decoder) (rec Record, n int64, err error) {
 	var frame [frameSize]byte
 	if left < frameSize {
-		return rec, 0, fmt.Errorf("a record's frame is cut short: %d of %d bytes", left, frameSize)
+		return rec, 0, fmt.Errorf("the frame of a record is truncated to %d of %d bytes", left, frameSize)
 	}
 	if _, err := io.ReadFull(r, frame[:]); err != nil {
 		return rec, 0, err
 	}
 	size := int64(binary.LittleEndian.Uint32(frame[:]))
 	if size > maxRecord {
-		return rec, 0, fmt.Errorf("a record claims %d bytes; at most %d are allowed", size, maxRecord)
+		return rec, 0, fmt.Errorf("the length of a record is %d bytes, must be at most %d", size, maxRecord)
 	}
 	if size > left-frameSize {
-		return rec, 0, fmt.Errorf("a record is cut short: %d of %d bytes", left-frameSize, size)
+		return rec, 0, fmt.Errorf("a record is truncated to %d of %d bytes", left-frameSize, size)
 	}
 	body := make([]byte, size)
 	if _, err := io.ReadFull(r, body); err != nil {
 		return rec, 0, err
 	}
 	if xxhash.Sum64(body) != binary.LittleEndian.Uint64(frame[lengthSize:]) {
-		return rec, 0, errors.New("a record's checksum does not match")
+		return rec, 0, errors.New("the checksum of a record does not match its content")
 	}
 	uncompressed, err := decoder.DecodeAll(body, nil)
 	if err != nil {
 		return rec, 0, fmt.Errorf("a record cannot be decompressed: %w", err)
 	}
 	if err := json.Unmarshal(uncompressed, &rec); err != nil {
-		return rec, 0, fmt.Errorf("a record cannot be read: %w", err)
+		return rec, 0, fmt.Errorf("a record cannot be decoded: %w", err)
 	}
 	return rec, frameSize + size, nil
 }
