--- a/dispatch/queuetime_test.go
+++ b/dispatch/queuetime_test.go
@@ -158,7 +158,7 @@
 }
 
 // TestQueueTimePartsSumToWait checks that the parts of the queue time add up to the time for
-// which the request was queued, whatever blocked it.
+// which the request was queued, regardless of what blocked it.
 func TestQueueTimePartsSumToWait(t *testing.T) {
 	r := newTimedFixture(t, Config{
 		Plans: []Plan{{Weight: 1, Reserve: 1000, Price: 1, RateLimit: 80, Burst: 8, Slack: 1}},
--- a/dispatch/timers_test.go
+++ b/dispatch/timers_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestAnsweredRequestsLeaveNoTimers checks that a completed request leaves no timer behind
+// TestAnsweredRequestsLeaveNoTimers checks that no timer of a completed request stays in the queue
 // until its latency objective. With long objectives, such timers would keep every request of
 // the last minutes in the timer queue.
 func TestAnsweredRequestsLeaveNoTimers(t *testing.T) {
--- a/fairshare/gate_test.go
+++ b/fairshare/gate_test.go
@@ -15,7 +15,7 @@
 	return g
 }
 
-// If the resource behind a gate is the bottleneck, flows share it by weight, regardless of
+// If the resource that a gate guards is the bottleneck, flows share it by weight, regardless of
 // their number of streams. The resource is a simulated link that moves one quantum at a time
 // for each stream with a grant, in turn.
 func TestGateSharesByWeight(t *testing.T) {
--- a/fairshare/scheduler_test.go
+++ b/fairshare/scheduler_test.go
@@ -55,7 +55,7 @@
 // The test checks the fairness bound of start-time fair queuing (Goyal, Vin and Cheng 1996,
 // theorem 1). The normalized service of a flow is its service divided by its weight. While
 // two flows are backlogged, their normalized services differ by at most the sum of the
-// largest normalized services of one item of each flow. Meanwhile, other flows become
+// largest normalized services of one item of each flow. In the meantime, other flows become
 // backlogged and idle, and change their weights.
 func TestLagOfBackloggedFlowsIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/gateway/worker.go
+++ b/gateway/worker.go
@@ -76,7 +76,7 @@
 	return w
 }
 
-// now returns the time of the last sweep. It does not read the clock, so its result lags behind by about
+// now returns the time of the last sweep. It does not read the clock, so its result lags the clock by about
 // sweepInterval.
 func (w *loopWorker) now() time.Time { return w.coarseNow }
 
--- a/internal/e2e/fairshare_test.go
+++ b/internal/e2e/fairshare_test.go
@@ -53,8 +53,8 @@
 	kit.CheckEqual(t, what, resp.Body, bucketContent(bucket, largeSize))
 }
 
-// TestContendingStreamsAreWhole checks that responses that contend for a node arrive whole. Meanwhile, other clients
-// disconnect in the middle of a response, disconnect while their response waits for a grant, or do not read.
+// TestContendingStreamsAreWhole checks that responses that contend for a node arrive whole. At the same time, other
+// clients disconnect in the middle of a response, disconnect while their response waits for a grant, or do not read.
 func TestContendingStreamsAreWhole(t *testing.T) {
 	const (
 		clients         = 24
@@ -115,7 +115,7 @@
 }
 
 // TestStalledStreamIsAborted checks that the gateway aborts a response whose node stalls after the response has given
-// up its grant to other responses. The other responses must continue meanwhile.
+// up its grant to other responses. The other responses must continue in the meantime.
 func TestStalledStreamIsAborted(t *testing.T) {
 	site := startContendedSite(t, func(s *settings.Settings) {
 		s.Limits.ClientBody = settings.Duration(500 * time.Millisecond)
--- a/internal/e2e/flowcontrol_test.go
+++ b/internal/e2e/flowcontrol_test.go
@@ -38,7 +38,7 @@
 }
 
 // TestMoreStreamsThanLimit opens more responses than the gateway may stream at once. It checks that the gateway
-// forwards all of them whole, and that it serves a small request meanwhile.
+// forwards all of them whole, and that it serves a small request in the meantime.
 func TestMoreStreamsThanLimit(t *testing.T) {
 	s := kit.Settings(1)
 	s.Limits.ConnsPerNode = 12
--- a/internal/modelcheck/statewalk.go
+++ b/internal/modelcheck/statewalk.go
@@ -130,7 +130,7 @@
 }
 
 // unsigned writes an unsigned number, or reserves a place in the buffer for its rank. It always
-// uses the rank for connection IDs, whatever field they are in.
+// uses the rank for connection IDs, regardless of the field that holds them.
 func (p *fingerprinter) unsigned(v reflect.Value, use fieldUse) {
 	group := v.Type().Name()
 	if use != byRank && group != "ConnID" {
--- a/internal/payload/payload_test.go
+++ b/internal/payload/payload_test.go
@@ -222,7 +222,7 @@
 	}
 }
 
-// TestFramingByLength checks that a body with a Content-Length ends after so many bytes, and that
+// TestFramingByLength checks that a body with a Content-Length ends after that many bytes, and that
 // Feed does not consume the bytes of the next request.
 func TestFramingByLength(t *testing.T) {
 	for _, body := range []string{"abc", ""} {
