--- a/cmd/chalkstand/attributionlog.go
+++ b/cmd/chalkstand/attributionlog.go
@@ -24,10 +24,10 @@
 // openAttributionLog opens the attribution log. It returns nil if the settings contain no log
 // file or disable latency attribution.
 func openAttributionLog(s *settings.Settings, log *zap.Logger) (*attributionLog, error) {
-	if s.Accounts.Log == "" || !s.Accounts.On {
+	if s.Attribution.Log == "" || !s.Attribution.Enabled {
 		return nil, nil
 	}
-	w, err := attributionlog.Open(s.Accounts.Log, s.Accounts.LogBytes, s.Accounts.LogFiles)
+	w, err := attributionlog.Open(s.Attribution.Log, s.Attribution.LogBytes, s.Attribution.LogFiles)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/chalkstand/benchoverload.go
+++ b/cmd/chalkstand/benchoverload.go
@@ -42,7 +42,7 @@
 
 // overloadCases returns the cases that the overload part measures.
 func overloadCases() []overloadCase {
-	target := settings.Default().Share.Overload.Target.D()
+	target := settings.Default().FairSharing.Overload.Target.D()
 	return []overloadCase{
 		{"default, users heed them", target, true},
 		{"default, users do not", target, false},
--- a/cmd/chalkstand/embedded.go
+++ b/cmd/chalkstand/embedded.go
@@ -36,7 +36,7 @@
 	epoch := time.Now()
 	var endpoints []forwarder.Node
 	for shard := range s.Shards {
-		n, err := e.start(s.Embedded, shard, ledger, epoch)
+		n, err := e.start(s.EmbeddedNodes, shard, ledger, epoch)
 		if err != nil {
 			e.close()
 			return nil, err
@@ -50,7 +50,7 @@
 
 // start starts the node of a shard.
 func (e *embeddedNodes) start(
-	s *settings.Embedded, shard int, ledger *storagenode.Ledger, epoch time.Time,
+	s *settings.EmbeddedNodes, shard int, ledger *storagenode.Ledger, epoch time.Time,
 ) (*storagenode.Node, error) {
 	data := storagenode.NewDataset("")
 	if s.Dir != "" {
--- a/cmd/chalkstand/serve.go
+++ b/cmd/chalkstand/serve.go
@@ -143,7 +143,7 @@
 		attributionLog.bind(d.gateway)
 	}
 	d.onClose(d.closeGateway)
-	if d.settings.Embedded != nil {
+	if d.settings.EmbeddedNodes != nil {
 		nodes, err := startEmbeddedNodes(d.settings, d.gateway, d.log)
 		if err != nil {
 			return err
@@ -189,7 +189,7 @@
 // the settings.
 func (d *daemon) shutdown(received os.Signal) {
 	d.log.Info("graceful shutdown started", zap.Stringer("signal", received))
-	ctx, cancel := context.WithTimeout(context.Background(), d.settings.Limits.DrainWait.D())
+	ctx, cancel := context.WithTimeout(context.Background(), d.settings.Limits.ShutdownTimeout.D())
 	defer cancel()
 	if err := d.gateway.Drain(ctx); err != nil {
 		d.log.Warn("graceful shutdown incomplete", zap.Error(err))
@@ -206,7 +206,7 @@
 		return
 	}
 	d.gateway.SetKeys(s.Keys)
-	if d.settings.Embedded == nil && s.Embedded == nil {
+	if d.settings.EmbeddedNodes == nil && s.EmbeddedNodes == nil {
 		d.gateway.UpdateEndpoints(dispatch.Snapshot, gateway.EndpointsOf(s.Nodes))
 	}
 	d.log.Info("configuration reloaded", zap.Int("keys", len(s.Keys)), zap.Int("nodes", len(s.Nodes)))
--- a/gateway/attribution.go
+++ b/gateway/attribution.go
@@ -35,7 +35,7 @@
 // newAttributionWorker returns a worker that calls onEntry for each entry, and onAction for each action
 // of the collector. Either function may be nil.
 func newAttributionWorker(
-	s settings.Accounts,
+	s settings.Attribution,
 	now func() time.Duration,
 	onEntry func(attribution.Entry),
 	onAction func(attribution.Action),
--- a/gateway/export_test.go
+++ b/gateway/export_test.go
@@ -8,7 +8,7 @@
 	stopped, resume := make(chan struct{}), make(chan struct{})
 	w := g.workers[0]
 	w.loop.Post(func() {
-		interval := g.cfg.Share.Overload.Interval.D()
+		interval := g.cfg.FairSharing.Overload.Interval.D()
 		c := w.volumeOf(volume).overload
 		c.ShouldReject(0, time.Minute)
 		c.ShouldReject(interval, time.Minute)
--- a/gateway/flowcontrol.go
+++ b/gateway/flowcontrol.go
@@ -29,12 +29,12 @@
 		g.lastUsed = w.now()
 		return g
 	}
-	share := w.gateway.cfg.Share
+	share := w.gateway.cfg.FairSharing
 	fairGate, err := fairshare.NewGate[*nodeConn](fairshare.GateConfig{
 		Depth:           share.Depth,
-		WaitersPerGrant: share.Crowd,
-		Quantum:         share.Draw,
-		GrantTimeout:    share.Lease.D(),
+		WaitersPerGrant: share.WaitersPerGrant,
+		Quantum:         share.GrantBytes,
+		GrantTimeout:    share.GrantTimeout.D(),
 		Window:          share.Window.D(),
 		Flows:           share.Flows,
 		FIFO:            share.Order == "arrival",
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -79,7 +79,7 @@
 	}
 	g.shards = placement.New(cfg.Shards)
 	g.SetKeys(cfg.Keys)
-	g.verifier = &sigv4.Verifier{Region: cfg.Region, Skew: cfg.Limits.Skew.D(), Secret: g.secret}
+	g.verifier = &sigv4.Verifier{Region: cfg.Region, Skew: cfg.Limits.ClockSkew.D(), Secret: g.secret}
 	f, err := forwarder.New(forwarderConfig(&cfg, g.seed))
 	if err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
@@ -88,8 +88,8 @@
 	g.core = newCore(f)
 	g.started = g.wallClock()
 	g.nextID.Store(firstID())
-	if cfg.Accounts.On {
-		g.attribution, err = newAttributionWorker(cfg.Accounts, g.core.now, g.onEntry, g.onLogAction)
+	if cfg.Attribution.Enabled {
+		g.attribution, err = newAttributionWorker(cfg.Attribution, g.core.now, g.onEntry, g.onLogAction)
 		if err != nil {
 			return nil, fmt.Errorf("gateway: %w", err)
 		}
@@ -138,9 +138,9 @@
 		IdleTimeout:       l.NodeIdle.D(),
 		MaxConnAge:        l.NodeAge.D(),
 		DialTimeout:       l.Connect.D(),
-		ResponseMargin:    l.Margin.D(),
-		MaxRequests:       l.Calls,
-		Attribution:       cfg.Accounts.On,
+		ResponseMargin:    l.ResponseMargin.D(),
+		MaxRequests:       l.Requests,
+		Attribution:       cfg.Attribution.Enabled,
 	}
 }
 
@@ -255,7 +255,7 @@
 func (g *Gateway) Shard(bucket, key string) int {
 	spread := 0
 	if i := g.cfg.BucketRule(bucket); i >= 0 {
-		spread = g.cfg.Buckets[i].Spread
+		spread = g.cfg.Buckets[i].ShardCount
 	}
 	return int(g.shards.Volume(bucket, spread).Shard(key))
 }
--- a/gateway/listen_test.go
+++ b/gateway/listen_test.go
@@ -17,7 +17,7 @@
 func newTestGateway(t *testing.T) *gateway.Gateway {
 	t.Helper()
 	s := kit.Settings(1)
-	s.Embedded = nil
+	s.EmbeddedNodes = nil
 	s.Loops = 2
 	return kit.Must(gateway.New(s))(t)
 }
--- a/gateway/newfails_test.go
+++ b/gateway/newfails_test.go
@@ -19,7 +19,7 @@
 	}
 	openFiles := testfd.Count(t)
 	s := kit.Settings(1)
-	s.Embedded = nil
+	s.EmbeddedNodes = nil
 	s.Loops = 64
 	lowered := unix.Rlimit{Cur: uint64(openFiles + 20), Max: oldLimit.Max}
 	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &lowered); err != nil {
--- a/gateway/nodeconn.go
+++ b/gateway/nodeconn.go
@@ -59,7 +59,7 @@
 	}
 	if err == nil {
 		n.conn.AssignFlow(w.gatewayVolume.flow)
-		n.conn.SetReceiveBuffer(w.gateway.cfg.Share.Receive)
+		n.conn.SetReceiveBuffer(w.gateway.cfg.FairSharing.ReceiveBuffer)
 	} else {
 		delete(w.conns, n.id)
 	}
@@ -189,7 +189,7 @@
 		n.releaseGrant()
 		return false
 	}
-	return n.grantUsed < n.worker.gateway.cfg.Share.Draw || n.renewGrant()
+	return n.grantUsed < n.worker.gateway.cfg.FairSharing.GrantBytes || n.renewGrant()
 }
 
 // completeResponse reports a complete response to the forwarder. The forwarder decides whether the
--- a/gateway/nodehead.go
+++ b/gateway/nodehead.go
@@ -66,9 +66,9 @@
 		d.Dispatchers = v.dispatchers
 	} else {
 		d.Volume = noBucketVolume
-		d.Dispatchers = g.cfg.Peers
+		d.Dispatchers = g.cfg.DispatcherCount
 	}
-	if class.InTurn && key != "" {
+	if class.Ordered && key != "" {
 		d.Key = string(d.Volume) + "/" + key
 	}
 	return d
--- a/gateway/options.go
+++ b/gateway/options.go
@@ -39,7 +39,7 @@
 func WithAttribution(f func(attribution.Entry)) Option {
 	return func(g *Gateway) {
 		g.onEntry = f
-		g.cfg.Accounts.On = true
+		g.cfg.Attribution.Enabled = true
 	}
 }
 
--- a/gateway/overload.go
+++ b/gateway/overload.go
@@ -11,12 +11,12 @@
 
 // newOverloadController returns a controller for the overload control of one volume on this worker.
 func (w *loopWorker) newOverloadController() *overload.Controller {
-	o := w.gateway.cfg.Share.Overload
+	o := w.gateway.cfg.FairSharing.Overload
 	c, err := overload.New(overload.Config{
 		Target:        o.Target.D(),
 		Interval:      o.Interval.D(),
-		RetryAfter:    o.Back.D(),
-		MaxRetryAfter: o.MaxBack.D(),
+		RetryAfter:    o.RetryAfter.D(),
+		MaxRetryAfter: o.MaxRetryAfter.D(),
 	})
 	if err != nil {
 		panic("gateway: " + err.Error()) // cannot happen: loading the settings validates these values
--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -56,13 +56,13 @@
 func overloadSettings(retryAfter time.Duration) settings.Settings {
 	s := kit.Settings(1)
 	s.Loops = 1
-	s.Share.Overload = settings.Overload{}
+	s.FairSharing.Overload = settings.Overload{}
 	if retryAfter > 0 {
-		s.Share.Overload = settings.Overload{
-			Target:   1,
-			Interval: settings.Duration(time.Minute),
-			Back:     settings.Duration(retryAfter),
-			MaxBack:  settings.Duration(2 * retryAfter),
+		s.FairSharing.Overload = settings.Overload{
+			Target:        1,
+			Interval:      settings.Duration(time.Minute),
+			RetryAfter:    settings.Duration(retryAfter),
+			MaxRetryAfter: settings.Duration(2 * retryAfter),
 		}
 	}
 	// With one attempt per request, the dispatcher does not cancel attempts that it presumes lost because
@@ -71,7 +71,7 @@
 	s.Rules.MaxAttempts = 1
 	s.Limits.Connect = settings.Duration(3 * clientTimeout)
 	for i := range s.Classes {
-		s.Classes[i].Aim = settings.Duration(3 * clientTimeout)
+		s.Classes[i].LatencyObjective = settings.Duration(3 * clientTimeout)
 		s.Classes[i].Deadline = settings.Duration(6 * clientTimeout)
 	}
 	return s
@@ -96,7 +96,7 @@
 	var all []testClient
 	for i := range clients {
 		path := "/photos/small"
-		if s.Share.Overload.Target == 0 && i%2 == 1 {
+		if s.FairSharing.Overload.Target == 0 && i%2 == 1 {
 			path = "/loans/small"
 		}
 		all = append(all, dialTestClient(t, site.Addr, path))
--- a/gateway/serve_test.go
+++ b/gateway/serve_test.go
@@ -12,7 +12,7 @@
 func TestServeReturnsAfterClose(t *testing.T) {
 	const returnTimeout = 5 * time.Second
 	s := kit.Settings(1)
-	s.Embedded = nil
+	s.EmbeddedNodes = nil
 	g := kit.Must(gateway.New(s))(t)
 	ln := kit.Must(gateway.Listen("127.0.0.1:0"))(t)
 	if err := g.Close(); err != nil {
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -15,16 +15,16 @@
 
 // loopOptions returns the options of an event loop that uses the function now as its clock.
 func loopOptions(s *settings.Settings, now func() time.Duration) eventloop.Options {
-	share := s.Share
+	share := s.FairSharing
 	return eventloop.Options{
 		Quantum:      share.Quantum,
-		PollInterval: share.Slice.D(),
+		PollInterval: share.PollInterval.D(),
 		Now:          now,
 		FairShare: fairshare.Config{
 			ByteTime:         share.ByteTime,
 			Window:           share.Window.D(),
 			Flows:            share.Flows,
-			InProgressWeight: share.Finishing,
+			InProgressWeight: share.InProgressWeight,
 			FIFO:             share.Order == "arrival",
 		},
 	}
@@ -46,7 +46,7 @@
 	if u := r.byVolume[name]; u != nil {
 		return u
 	}
-	if len(r.byVolume) >= cfg.Share.Flows {
+	if len(r.byVolume) >= cfg.FairSharing.Flows {
 		return nil
 	}
 	if r.byVolume == nil {
@@ -69,7 +69,7 @@
 // request is accepted. A request is not accepted if the volume's byte rate would delay its body for
 // longer than share.max_wait.
 func (w *loopWorker) rateLimitDelay(v *volume) time.Duration {
-	if wait := w.loop.Delay(v.flow, w.gateway.cfg.Share.Quantum); wait > w.gateway.cfg.Share.MaxWait.D() {
+	if wait := w.loop.Delay(v.flow, w.gateway.cfg.FairSharing.Quantum); wait > w.gateway.cfg.FairSharing.MaxDelay.D() {
 		return wait
 	}
 	return 0
--- a/gateway/volume.go
+++ b/gateway/volume.go
@@ -43,7 +43,7 @@
 		name:        strings.Clone(bucket),
 		plan:        cfg.PlanIndex(rule),
 		dispatchers: cfg.Dispatchers(rule),
-		placement:   w.gateway.shards.Volume(bucket, cfg.Buckets[rule].Spread),
+		placement:   w.gateway.shards.Volume(bucket, cfg.Buckets[rule].ShardCount),
 	}
 	v.rate = cfg.Plans[v.plan].Rate
 	v.flowConfig = cfg.FlowConfig(rule)
--- a/gateway/worker.go
+++ b/gateway/worker.go
@@ -66,7 +66,7 @@
 	}
 	w.newcomers = &volume{
 		name:       newcomersVolumeName,
-		flowConfig: fairshare.FlowConfig{Weight: g.cfg.Share.Newcomers},
+		flowConfig: fairshare.FlowConfig{Weight: g.cfg.FairSharing.NewConnsWeight},
 		overload:   w.newOverloadController(),
 	}
 	w.newcomers.flow = loop.Flow(newcomersVolumeName, w.newcomers.flowConfig, g.usage.sharedUsage(newcomersVolumeName, g.cfg))
--- a/internal/e2e/bench_test.go
+++ b/internal/e2e/bench_test.go
@@ -34,7 +34,7 @@
 	b.Helper()
 	s := kit.Settings(1)
 	s.Loops = 1
-	s.Accounts.On = attribution
+	s.Attribution.Enabled = attribution
 	g, err := gateway.New(s, gateway.WithSeed(1))
 	if err != nil {
 		b.Fatal(err)
--- a/internal/e2e/fairshare_test.go
+++ b/internal/e2e/fairshare_test.go
@@ -27,9 +27,9 @@
 	t.Helper()
 	s := kit.Settings(1)
 	s.Loops = 1
-	s.Share.Depth = 1
-	s.Share.Crowd = 1000
-	s.Share.Draw = 16 << 10
+	s.FairSharing.Depth = 1
+	s.FairSharing.WaitersPerGrant = 1000
+	s.FairSharing.GrantBytes = 16 << 10
 	if change != nil {
 		change(&s)
 	}
@@ -171,7 +171,7 @@
 	site := startContendedSite(t, func(s *settings.Settings) {
 		s.Plans[0].MiBPerSecond = 0.5
 		s.Plans[0].MiBBurst = 0.125
-		s.Share.MaxWait = settings.Duration(time.Millisecond)
+		s.FairSharing.MaxDelay = settings.Duration(time.Millisecond)
 	})
 	longResponse := site.OpenStream("/photos/large") // keeps the volume photos at its limit
 	var reader sync.WaitGroup
@@ -203,9 +203,9 @@
 	site := startContendedSite(t, func(s *settings.Settings) {
 		s.Plans[0].MiBPerSecond = 4
 		s.Plans[0].MiBBurst = 0.125
-		s.Share.Overload.Target = settings.Duration(10 * time.Millisecond)
-		s.Share.Overload.Interval = settings.Duration(150 * time.Millisecond)
-		s.Share.MaxWait = settings.Duration(time.Minute)
+		s.FairSharing.Overload.Target = settings.Duration(10 * time.Millisecond)
+		s.FairSharing.Overload.Interval = settings.Duration(150 * time.Millisecond)
+		s.FairSharing.MaxDelay = settings.Duration(time.Minute)
 	})
 	site.Data[0].Store("photos", "k", bucketContent("photos", 100<<10))
 	var clients sync.WaitGroup
@@ -225,7 +225,7 @@
 // TestArrivalOrderScheduling checks that the gateway serves reads and writes when it schedules responses in the order
 // of arrival. This order exists for comparison with fair scheduling.
 func TestArrivalOrderScheduling(t *testing.T) {
-	site := startContendedSite(t, func(s *settings.Settings) { s.Share.Order = "arrival" })
+	site := startContendedSite(t, func(s *settings.Settings) { s.FairSharing.Order = "arrival" })
 	for i := range 3 {
 		checkLargeObject(t, fmt.Sprint("read ", i), site, "loans")
 	}
@@ -239,9 +239,9 @@
 	site := startContendedSite(t, func(s *settings.Settings) {
 		s.Plans[0].MiBPerSecond = 0.0625
 		s.Plans[0].MiBBurst = 0.001
-		s.Share.Quantum = 16 << 10 // one quantum takes a quarter of a second at 0.0625 MiB per second
+		s.FairSharing.Quantum = 16 << 10 // one quantum takes a quarter of a second at 0.0625 MiB per second
 		s.Limits.ClientBody = settings.Duration(50 * time.Millisecond)
-		s.Share.MaxWait = settings.Duration(time.Minute)
+		s.FairSharing.MaxDelay = settings.Duration(time.Minute)
 	})
 	body := bucketContent("photos", 100<<10)
 	site.Data[0].Store("photos", "k", body)
--- a/internal/e2e/nodefault_test.go
+++ b/internal/e2e/nodefault_test.go
@@ -18,7 +18,7 @@
 func TestStalledReadIsRejectedWithoutRetry(t *testing.T) {
 	const deadline = 600 * time.Millisecond
 	s := kit.Settings(1)
-	s.Classes[0].Aim = settings.Duration(300 * time.Millisecond)
+	s.Classes[0].LatencyObjective = settings.Duration(300 * time.Millisecond)
 	s.Classes[0].Deadline = settings.Duration(deadline)
 	site := kit.Start(t, s, nil)
 	createBucket(t, site, "photos").put(t, "k", []byte("0123456789"))
@@ -91,7 +91,7 @@
 // executing the write.
 func TestLostWriteResponses(t *testing.T) {
 	s := kit.Settings(1)
-	s.Classes[1].Aim = settings.Duration(300 * time.Millisecond)
+	s.Classes[1].LatencyObjective = settings.Duration(300 * time.Millisecond)
 	s.Classes[1].Deadline = settings.Duration(500 * time.Millisecond)
 	site := kit.Start(t, s, nil)
 	createBucket(t, site, "photos")
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -35,8 +35,8 @@
 		s.checkOperations,
 		s.checkRules,
 		s.checkLimits,
-		s.checkShare,
-		s.checkAccounts,
+		s.checkFairSharing,
+		s.checkAttribution,
 	}
 	for _, check := range checks {
 		if err := check(); err != nil {
@@ -106,8 +106,8 @@
 		errorUnless(s.Admin == "" || isAddress(s.Admin), "admin", `HOST:PORT, such as "127.0.0.1:9001", or ""`),
 		errorUnless(s.Region != "", "region", "the region that clients use in their signatures"),
 		errorUnless(within(s.Loops, 0, maxLoops), "loops", fmt.Sprintf("0 to %d", maxLoops)),
-		errorUnless(s.Peers >= 1, "peers", "at least 1, because this gateway is included"),
-		errorUnless(within(s.Me, 0, s.Peers-1), "me", fmt.Sprintf("0 to %d, less than peers", s.Peers-1)),
+		errorUnless(s.DispatcherCount >= 1, "peers", "at least 1, because this gateway is included"),
+		errorUnless(within(s.DispatcherIndex, 0, s.DispatcherCount-1), "me", fmt.Sprintf("0 to %d, less than peers", s.DispatcherCount-1)),
 		errorUnless(s.Log.hasKnownLevel(), "log.level", "debug, info, warn or error"),
 		errorUnless(isGatewayName(s.Name), "name",
 			fmt.Sprintf("at most %d printable ASCII characters without spaces and slashes", maxName)),
@@ -158,8 +158,8 @@
 func (s *Settings) checkNodes() *ConfigError {
 	err := firstError(
 		errorUnless(within(s.Shards, 1, maxShards), "shards", fmt.Sprintf("1 to %d", maxShards)),
-		reject(s.Embedded != nil && len(s.Nodes) > 0, "nodes", "nodes and embedded_nodes must not both be set"),
-		s.Embedded.check(),
+		reject(s.EmbeddedNodes != nil && len(s.Nodes) > 0, "nodes", "nodes and embedded_nodes must not both be set"),
+		s.EmbeddedNodes.check(),
 	)
 	if err != nil {
 		return err
@@ -182,7 +182,7 @@
 	return nil
 }
 
-func (e *Embedded) check() *ConfigError {
+func (e *EmbeddedNodes) check() *ConfigError {
 	if e == nil {
 		return nil
 	}
@@ -201,17 +201,17 @@
 	names := map[string]bool{}
 	for i, c := range s.Classes {
 		prefix := fmt.Sprintf("classes[%d].", i)
-		_, knownEffect := idempotencyOf[c.Effect]
-		_, knownGroup := dedupScopeOf[c.Group]
+		_, knownIdempotency := idempotencyOf[c.Idempotency]
+		_, knownScope := dedupScopeOf[c.DedupScope]
 		err := firstError(
 			errorUnless(c.Name != "" && !names[c.Name], prefix+"name", "a name that no other class has"),
-			errorUnless(c.Aim > 0, prefix+"aim", `a time above 0, such as "300ms"`),
-			errorUnless(c.Deadline >= c.Aim, prefix+"deadline", "a time of at least the aim"),
-			errorUnless(c.Deadline > s.Limits.Margin, prefix+"deadline", "a time above limits.margin"),
-			errorUnless(c.Worth >= 0, prefix+"worth", "0 or more"),
-			errorUnless(knownEffect, prefix+"effect", "safe, keyed or unsafe"),
-			errorUnless(knownGroup, prefix+"group", "all, zone or shard"),
-			errorUnless(c.Effect != effectKeyed || c.Window > 0, prefix+"window",
+			errorUnless(c.LatencyObjective > 0, prefix+"aim", `a time above 0, such as "300ms"`),
+			errorUnless(c.Deadline >= c.LatencyObjective, prefix+"deadline", "a time of at least the aim"),
+			errorUnless(c.Deadline > s.Limits.ResponseMargin, prefix+"deadline", "a time above limits.margin"),
+			errorUnless(c.PriorityWeight >= 0, prefix+"worth", "0 or more"),
+			errorUnless(knownIdempotency, prefix+"effect", "safe, keyed or unsafe"),
+			errorUnless(knownScope, prefix+"group", "all, zone or shard"),
+			errorUnless(c.Idempotency != effectKeyed || c.DedupWindow > 0, prefix+"window",
 				"a time above 0, for which nodes drop repeats of a keyed request"),
 		)
 		if err != nil {
@@ -231,7 +231,7 @@
 		prefix := fmt.Sprintf("plans[%d].", i)
 		err := firstError(
 			errorUnless(p.Name != "" && !names[p.Name], prefix+"name", "a name that no other plan has"),
-			p.check(prefix, s.Rules.LargestUnits),
+			p.check(prefix, s.Rules.MaxUnits),
 		)
 		if err != nil {
 			return err
@@ -241,17 +241,17 @@
 	return nil
 }
 
-func (p Plan) check(prefix string, largestUnits float64) *ConfigError {
+func (p Plan) check(prefix string, maxUnits float64) *ConfigError {
 	return firstError(
 		errorUnless(p.Rate > 0, prefix+"rate", "a number of cost units per second above 0"),
 		errorUnless(p.Weight > 0, prefix+"weight", "a number above 0"),
-		reject(!nonNegative(p.Reserve, p.Price, p.Limit, p.Burst, p.Slack), prefix+"reserve",
+		reject(!nonNegative(p.Reserve, p.Price, p.RateLimit, p.Burst, p.Slack), prefix+"reserve",
 			"reserve, price, limit, burst and slack must not be negative"),
 		errorUnless(within(p.MiBPerSecond, 0, maxMiB), prefix+"mib_per_second", fmt.Sprintf("0 (no limit) to %d", maxMiB)),
 		errorUnless(within(p.MiBBurst, 0, maxMiB), prefix+"mib_burst", fmt.Sprintf("0 (the amount of one second) to %d", maxMiB)),
 		reject(p.MiBBurst > 0 && p.MiBPerSecond == 0, prefix+"mib_burst", "mib_burst requires mib_per_second above 0"),
 		errorUnless(within(p.Weight, minWeight, maxWeight), prefix+"weight", "0.000001 to 1000000"),
-		reject(p.Limit > 0 && p.Burst+p.Slack < largestUnits, prefix+"burst",
+		reject(p.RateLimit > 0 && p.Burst+p.Slack < maxUnits, prefix+"burst",
 			"burst plus slack must be at least rules.largest_units, the cost of the largest request"),
 	)
 }
@@ -265,8 +265,8 @@
 		err := firstError(
 			errorUnless(b.Pattern != "" && isPattern(b.Pattern), prefix+"pattern", `a valid pattern, such as "photos-*"`),
 			errorUnless(s.planNamed(b.Plan) >= 0, prefix+"plan", "the name of a plan"),
-			errorUnless(within(b.Hosts, 0, s.Peers), prefix+"hosts", "0 (all) to peers"),
-			errorUnless(within(b.Spread, 0, s.Shards), prefix+"spread", "0 (all) to shards"),
+			errorUnless(within(b.Dispatchers, 0, s.DispatcherCount), prefix+"hosts", "0 (all) to peers"),
+			errorUnless(within(b.ShardCount, 0, s.Shards), prefix+"spread", "0 (all) to shards"),
 		)
 		if err != nil {
 			return err
@@ -296,17 +296,17 @@
 
 func (s *Settings) checkRules() *ConfigError {
 	r := s.Rules
-	c := r.Cold
-	slowStart := c.YoungLimit > 0
+	c := r.SlowStart
+	slowStart := c.InitialUnits > 0
 	return firstError(
 		errorUnless(r.MaxAttempts >= 1, "rules.max_attempts", "at least 1"),
 		errorUnless(r.MaxRetryAfter > 0, "rules.max_retry_after", "a time above 0"),
-		reject(!nonNegative(r.Settle, r.Round), "rules.settle", "settle and round must not be negative"),
-		errorUnless(r.UsualUnits > 0 && r.LargestUnits >= r.UsualUnits, "rules.largest_units",
+		reject(!nonNegative(r.Quiescence, r.RoundTrip), "rules.settle", "settle and round must not be negative"),
+		errorUnless(r.MeanUnits > 0 && r.MaxUnits >= r.MeanUnits, "rules.largest_units",
 			"0 < usual_units <= largest_units"),
-		reject(!nonNegative(r.Budget.Free, r.Budget.Ratio) || r.Budget.Span < 0, "rules.budget",
+		reject(!nonNegative(r.RetryBudget.MinRetries, r.RetryBudget.Ratio) || r.RetryBudget.Window < 0, "rules.budget",
 			"free, ratio and span must not be negative"),
-		reject(slowStart && !(c.Span > 0 && c.From > 0 && c.From <= 1), "rules.cold",
+		reject(slowStart && !(c.Window > 0 && c.InitialCapacity > 0 && c.InitialCapacity <= 1), "rules.cold",
 			"young_limit requires a span above 0 and a from above 0 and at most 1"),
 	)
 }
--- a/internal/settings/check_limits.go
+++ b/internal/settings/check_limits.go
@@ -25,7 +25,7 @@
 		atLeast(l.Pipelined, 1, "limits.pipelined"),
 		atLeast(l.FanOut, 1, "limits.fan_out"),
 		atLeast(l.Conns, 1, "limits.conns"),
-		atLeast(l.Calls, 1, "limits.calls"),
+		atLeast(l.Requests, 1, "limits.calls"),
 		atLeast(l.ConnsPerNode, 1, "limits.conns_per_node"),
 		errorUnless(l.Replay <= maxReplay, "limits.replay", fmt.Sprintf("at most %d, because larger bodies are streamed", maxReplay)),
 		positive(l.NodeIdle, "limits.node_idle"),
@@ -34,11 +34,11 @@
 		positive(l.ClientHead, "limits.client_head"),
 		positive(l.ClientIdle, "limits.client_idle"),
 		positive(l.ClientBody, "limits.client_body"),
-		positive(l.Skew, "limits.skew"),
-		positive(l.DrainWait, "limits.drain_wait"),
+		positive(l.ClockSkew, "limits.skew"),
+		positive(l.ShutdownTimeout, "limits.drain_wait"),
 		errorUnless(within(l.Streams, 0, l.ConnsPerNode-1), "limits.streams_per_node",
 			"0 or more and less than conns_per_node, because the dispatcher needs the other connections"),
-		errorUnless(l.Margin >= 0, "limits.margin", "0 or more"),
+		errorUnless(l.ResponseMargin >= 0, "limits.margin", "0 or more"),
 	)
 }
 
@@ -50,23 +50,23 @@
 	return errorUnless(d > 0, field, `a time above 0, such as "30s"`)
 }
 
-func (s *Settings) checkShare() *ConfigError {
-	share := s.Share
+func (s *Settings) checkFairSharing() *ConfigError {
+	share := s.FairSharing
 	return firstError(
 		errorUnless(share.Order == orderFair || share.Order == orderArrival, "share.order", "fair or arrival"),
 		errorUnless(within(share.Quantum, 4*kib, 16*mib), "share.quantum", "4096 to 16777216 bytes"),
-		errorUnless(within(share.Slice, 10*microsecond, 100*millisecond), "share.slice", `"10us" to "100ms"`),
+		errorUnless(within(share.PollInterval, 10*microsecond, 100*millisecond), "share.slice", `"10us" to "100ms"`),
 		errorUnless(within(share.Window, millisecond, 10*second), "share.window", `"1ms" to "10s"`),
 		errorUnless(within(share.ByteTime, 0, 1000), "share.byte_time", "0 to 1000 nanoseconds"),
-		errorUnless(within(share.Finishing, 0.01, 100), "share.finishing", "a weight, 0.01 to 100"),
+		errorUnless(within(share.InProgressWeight, 0.01, 100), "share.finishing", "a weight, 0.01 to 100"),
 		errorUnless(within(share.Flows, 1, 1<<20), "share.flows", "1 to 1048576"),
-		errorUnless(within(share.Newcomers, minWeight, maxWeight), "share.newcomers", "a weight, 0.000001 to 1000000"),
+		errorUnless(within(share.NewConnsWeight, minWeight, maxWeight), "share.newcomers", "a weight, 0.000001 to 1000000"),
 		errorUnless(within(share.Depth, 1, 1<<16), "share.depth", "1 to 65536"),
-		errorUnless(within(share.Crowd, 1, 1<<16), "share.crowd", "1 to 65536"),
-		errorUnless(within(share.Draw, 16*kib, 1<<30), "share.draw", "16384 to 1073741824 bytes"),
-		errorUnless(within(share.Lease, millisecond, 10*second), "share.lease", `"1ms" to "10s"`),
-		errorUnless(within(share.Receive, 16*kib, 64*mib), "share.receive", "16384 to 67108864 bytes"),
-		errorUnless(share.MaxWait > 0, "share.max_wait", `a time above 0, such as "2s"`),
+		errorUnless(within(share.WaitersPerGrant, 1, 1<<16), "share.crowd", "1 to 65536"),
+		errorUnless(within(share.GrantBytes, 16*kib, 1<<30), "share.draw", "16384 to 1073741824 bytes"),
+		errorUnless(within(share.GrantTimeout, millisecond, 10*second), "share.lease", `"1ms" to "10s"`),
+		errorUnless(within(share.ReceiveBuffer, 16*kib, 64*mib), "share.receive", "16384 to 67108864 bytes"),
+		errorUnless(share.MaxDelay > 0, "share.max_wait", `a time above 0, such as "2s"`),
 		share.Overload.check(),
 	)
 }
@@ -76,13 +76,13 @@
 		errorUnless(within(o.Target, 0, minute), "share.overload.target", `"0s" to "1m"`),
 		errorUnless(o.Interval >= o.Target && within(o.Interval, millisecond, minute), "share.overload.interval",
 			`"1ms" to "1m" and at least share.overload.target`),
-		errorUnless(o.Back >= millisecond, "share.overload.back", `at least "1ms"`),
-		errorUnless(within(o.MaxBack, o.Back, hour), "share.overload.max_back", `at least share.overload.back and at most "1h"`),
+		errorUnless(o.RetryAfter >= millisecond, "share.overload.back", `at least "1ms"`),
+		errorUnless(within(o.MaxRetryAfter, o.RetryAfter, hour), "share.overload.max_back", `at least share.overload.back and at most "1h"`),
 	)
 }
 
-func (s *Settings) checkAccounts() *ConfigError {
-	a := s.Accounts
+func (s *Settings) checkAttribution() *ConfigError {
+	a := s.Attribution
 	return firstError(
 		fromTo(a.Volumes, 1, 4096, "accounts.volumes"),
 		fromTo(a.Pairs, 1, 16384, "accounts.pairs"),
--- a/internal/settings/convert.go
+++ b/internal/settings/convert.go
@@ -59,17 +59,17 @@
 func (s *Settings) DispatchConfig() dispatch.Config {
 	r := s.Rules
 	c := dispatch.Config{
-		DispatcherIndex: s.Me,
-		DispatcherCount: s.Peers,
+		DispatcherIndex: s.DispatcherIndex,
+		DispatcherCount: s.DispatcherCount,
 		CancelAttempts:  true,
 		MaxRetryAfter:   r.MaxRetryAfter.D(),
 		MaxAttempts:     r.MaxAttempts,
-		RoundTrip:       r.Round.D(),
-		MeanUnits:       r.UsualUnits,
-		MaxUnits:        r.LargestUnits,
-		Quiescence:      r.Settle.D(),
-		RetryBudget:     r.Budget.retryBudget(),
-		SlowStart:       r.Cold.slowStart(),
+		RoundTrip:       r.RoundTrip.D(),
+		MeanUnits:       r.MeanUnits,
+		MaxUnits:        r.MaxUnits,
+		Quiescence:      r.Quiescence.D(),
+		RetryBudget:     r.RetryBudget.retryBudget(),
+		SlowStart:       r.SlowStart.slowStart(),
 	}
 	for _, class := range s.Classes {
 		c.Classes = append(c.Classes, class.dispatchClass())
@@ -80,34 +80,34 @@
 	return c
 }
 
-func (b Budget) retryBudget() dispatch.RetryBudget {
+func (b RetryBudget) retryBudget() dispatch.RetryBudget {
 	return dispatch.RetryBudget{
-		MinRetries: b.Free,
+		MinRetries: b.MinRetries,
 		Ratio:      b.Ratio,
-		Window:     b.Span.D(),
+		Window:     b.Window.D(),
 	}
 }
 
-func (c Cold) slowStart() dispatch.SlowStart {
+func (c SlowStart) slowStart() dispatch.SlowStart {
 	return dispatch.SlowStart{
-		InitialCapacity: c.From,
+		InitialCapacity: c.InitialCapacity,
 		WarmUp:          c.WarmUp.D(),
-		OverloadFactor:  c.Multiple,
-		Window:          c.Span.D(),
-		InitialUnits:    c.YoungLimit,
+		OverloadFactor:  c.OverloadFactor,
+		Window:          c.Window.D(),
+		InitialUnits:    c.InitialUnits,
 	}
 }
 
 func (c Class) dispatchClass() dispatch.Class {
 	return dispatch.Class{
 		Name:             c.Name,
-		LatencyObjective: c.Aim.D(),
+		LatencyObjective: c.LatencyObjective.D(),
 		Deadline:         c.Deadline.D(),
-		PriorityWeight:   c.Worth,
-		Idempotency:      idempotencyOf[c.Effect],
-		DedupScope:       dedupScopeOf[c.Group],
-		DedupWindow:      c.Window.D(),
-		Ordered:          c.InTurn,
+		PriorityWeight:   c.PriorityWeight,
+		Idempotency:      idempotencyOf[c.Idempotency],
+		DedupScope:       dedupScopeOf[c.DedupScope],
+		DedupWindow:      c.DedupWindow.D(),
+		Ordered:          c.Ordered,
 	}
 }
 
@@ -117,7 +117,7 @@
 		Reserve:   p.Reserve,
 		Weight:    p.Weight,
 		Price:     p.Price,
-		RateLimit: p.Limit,
+		RateLimit: p.RateLimit,
 		Burst:     p.Burst,
 		Slack:     p.Slack,
 	}
@@ -134,10 +134,10 @@
 			Class:        s.classIndex(o.Class),
 			Units:        o.Units,
 			PerMiB:       o.PerMiB,
-			AssumedBytes: o.Assume,
+			AssumedBytes: o.AssumedBytes,
 		})
 	}
-	return costmodel.New(rules, objectapi.Kinds(), len(s.Classes), s.Rules.LargestUnits)
+	return costmodel.New(rules, objectapi.Kinds(), len(s.Classes), s.Rules.MaxUnits)
 }
 
 // kinds returns the kinds of the operations that the rule applies to. Unknown names are
@@ -173,10 +173,10 @@
 // Dispatchers returns the number of gateways that receive the requests for a volume under a
 // bucket rule.
 func (s *Settings) Dispatchers(rule int) int {
-	if n := s.Buckets[rule].Hosts; n > 0 {
+	if n := s.Buckets[rule].Dispatchers; n > 0 {
 		return n
 	}
-	return s.Peers
+	return s.DispatcherCount
 }
 
 // FlowConfig returns the weight and the rate limit of a volume under a bucket rule. The rate
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Shards != 4 || s.Classes[0].Aim.D() != 300*time.Millisecond || !s.Classes[1].InTurn ||
+	if s.Shards != 4 || s.Classes[0].LatencyObjective.D() != 300*time.Millisecond || !s.Classes[1].Ordered ||
 		s.Limits.Replay != 64<<10 || s.Rules.MaxAttempts != 3 {
 		t.Fatalf("quickstart settings: got %+v, want the values of the file over the defaults", s)
 	}
--- a/lab/faultinjection/report.go
+++ b/lab/faultinjection/report.go
@@ -65,7 +65,7 @@
 		report.Classes = append(report.Classes, ClassReport{Name: c.Name, Latency: latency})
 	}
 	for _, q := range r.log.Requests {
-		report.Classes[q.Class].add(q, site.Classes[q.Class].Aim.D())
+		report.Classes[q.Class].add(q, site.Classes[q.Class].LatencyObjective.D())
 	}
 	for _, e := range r.log.Entries {
 		report.Attempts++
--- a/lab/faultinjection/site.go
+++ b/lab/faultinjection/site.go
@@ -108,18 +108,18 @@
 func disableGuard(s *settings.Settings, guard string) {
 	switch guard {
 	case guardBudget:
-		s.Rules.Budget.Span = 0
+		s.Rules.RetryBudget.Window = 0
 		s.Rules.MaxAttempts = 20
 	case guardLimits:
-		s.Plans[0].Limit = 0
+		s.Plans[0].RateLimit = 0
 	case guardOrder:
-		s.Classes[classWrite].InTurn = false
+		s.Classes[classWrite].Ordered = false
 	case guardIdempotency:
 		for i := range s.Classes {
-			s.Classes[i].Effect = "safe"
+			s.Classes[i].Idempotency = "safe"
 		}
 	case guardSlowStart:
-		s.Rules.Cold = settings.Cold{}
+		s.Rules.SlowStart = settings.SlowStart{}
 	case guardDeadlines:
 		for i := range s.Classes {
 			s.Classes[i].Deadline *= 4
@@ -139,10 +139,10 @@
 	s := siteSettings(o, 0)
 	params := invariants.Parameters{
 		DrainGrace:        drainGrace,
-		Quiescence:        s.Rules.Settle.D(),
-		BudgetFree:        s.Rules.Budget.Free,
-		BudgetRatio:       s.Rules.Budget.Ratio,
-		BudgetWindow:      s.Rules.Budget.Span.D(),
+		Quiescence:        s.Rules.Quiescence.D(),
+		BudgetFree:        s.Rules.RetryBudget.MinRetries,
+		BudgetRatio:       s.Rules.RetryBudget.Ratio,
+		BudgetWindow:      s.Rules.RetryBudget.Window.D(),
 		Limits:            map[string]invariants.RateLimit{},
 		LogTolerance:      logTolerance,
 		ResponseTolerance: responseTolerance,
@@ -150,8 +150,8 @@
 	for _, c := range s.Classes {
 		params.Classes = append(params.Classes, invariants.Class{
 			Deadline:    c.Deadline.D(),
-			Idempotency: idempotencies[c.Effect],
-			Ordered:     c.InTurn,
+			Idempotency: idempotencies[c.Idempotency],
+			Ordered:     c.Ordered,
 		})
 	}
 	for _, volume := range volumeNames(o) {
