--- a/fake/storagenode/buckets.go
+++ b/fake/storagenode/buckets.go
@@ -16,7 +16,7 @@
 func (d *Dataset) listBuckets(objectapi.Operation, *http.Request) (response, *objectapi.Error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	res := objectapi.ListAllMyBucketsResult{Owner: objectapi.TheOwner}
+	res := objectapi.ListAllMyBucketsResult{Owner: objectapi.DefaultOwner}
 	for name, b := range d.buckets {
 		res.Buckets = append(res.Buckets, objectapi.Bucket{Name: name, CreationDate: objectapi.FormatTime(b.created)})
 	}
--- a/gateway/buckets.go
+++ b/gateway/buckets.go
@@ -37,7 +37,7 @@
 				}
 			}
 		}
-		result := objectapi.ListAllMyBucketsResult{Owner: objectapi.TheOwner}
+		result := objectapi.ListAllMyBucketsResult{Owner: objectapi.DefaultOwner}
 		for name, date := range created {
 			result.Buckets = append(result.Buckets, objectapi.Bucket{Name: name, CreationDate: date})
 		}
--- a/gateway/list.go
+++ b/gateway/list.go
@@ -74,8 +74,8 @@
 		if !t.requireAll(responses, http.StatusOK) {
 			return
 		}
-		t.respondInSlices(func(pause objectapi.Pause) any {
-			pages, err := parseShards(responses, objectapi.ParseList, pause)
+		t.respondInSlices(func(yield objectapi.YieldFunc) any {
+			pages, err := parseShards(responses, objectapi.ParseList, yield)
 			if err != nil {
 				return nil
 			}
@@ -108,7 +108,7 @@
 	for _, c := range p.Contents {
 		c.Key = encode(c.Key)
 		if !v2 || in.Get("fetch-owner") == "true" {
-			c.Owner = &objectapi.Owner{ID: objectapi.TheOwner.ID, DisplayName: objectapi.TheOwner.DisplayName}
+			c.Owner = &objectapi.Owner{ID: objectapi.DefaultOwner.ID, DisplayName: objectapi.DefaultOwner.DisplayName}
 		}
 		result.Contents = append(result.Contents, c)
 	}
@@ -147,8 +147,8 @@
 		if !t.requireAll(responses, http.StatusOK) {
 			return
 		}
-		t.respondInSlices(func(pause objectapi.Pause) any {
-			lists, err := parseShards(responses, objectapi.ParseUploads, pause)
+		t.respondInSlices(func(yield objectapi.YieldFunc) any {
+			lists, err := parseShards(responses, objectapi.ParseUploads, yield)
 			if err != nil {
 				return nil
 			}
@@ -194,17 +194,17 @@
 	return result
 }
 
-// parseShards parses the response document of each shard. The parse function calls pause every few
+// parseShards parses the response document of each shard. The parse function calls yield every few
 // kilobytes, so that other work on the loop can run.
 func parseShards[T any](
 	responses []shardResponse,
-	parse func([]byte, objectapi.Pause) (T, error),
-	pause objectapi.Pause,
+	parse func([]byte, objectapi.YieldFunc) (T, error),
+	yield objectapi.YieldFunc,
 ) ([]T, error) {
 	all := make([]T, len(responses))
 	for i, r := range responses {
 		var err error
-		if all[i], err = parse(r.document, pause); err != nil {
+		if all[i], err = parse(r.document, yield); err != nil {
 			return nil, err
 		}
 	}
@@ -214,10 +214,10 @@
 // respondInSlices responds with a document that may take long to build. The work runs in time slices
 // that are charged to the transaction's volume, so other work on the loop waits for one slice at most.
 // The function build returns nil if a shard's document is malformed.
-func (t *transaction) respondInSlices(build func(objectapi.Pause) any) {
+func (t *transaction) respondInSlices(build func(objectapi.YieldFunc) any) {
 	w := t.conn.worker
-	w.loop.RunInSlices(w.chargedVolume(t).flow, func(pause func() bool) {
-		shouldContinue := func() bool { return !t.responded && pause() && !t.responded }
+	w.loop.RunInSlices(w.chargedVolume(t).flow, func(yield func() bool) {
+		shouldContinue := func() bool { return !t.responded && yield() && !t.responded }
 		v := build(shouldContinue)
 		if t.responded {
 			return
@@ -226,7 +226,7 @@
 			t.respondFailure(false)
 			return
 		}
-		if doc, ok := objectapi.MarshalWithPauses(v, shouldContinue); ok {
+		if doc, ok := objectapi.MarshalWithYield(v, shouldContinue); ok {
 			t.respond(http.StatusOK, []byte(xmlHeader), doc)
 		}
 	})
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -70,7 +70,7 @@
 			return float64(g.inFlight.Load())
 		}),
 	}
-	m.byOperation = make([][statusClasses]prometheus.Counter, objectapi.Kinds())
+	m.byOperation = make([][statusClasses]prometheus.Counter, objectapi.NumKinds())
 	for k := range m.byOperation {
 		for class := range statusClasses {
 			label := string(rune('0'+class)) + "xx"
--- a/internal/eventloop/tasks.go
+++ b/internal/eventloop/tasks.go
@@ -137,12 +137,12 @@
 }
 
 // RunInSlices runs f on the loop in time slices that the loop charges to a flow. The first slice
-// starts after the current event. f must call pause often. pause returns true if f must continue, and
+// starts after the current event. f must call yield often. yield returns true if f must continue, and
 // false if the loop has ended and f must return. Other connections and tasks run between two slices of
-// f, so state that f uses may have changed when pause returns. RunInSlices must be called on the loop.
+// f, so state that f uses may have changed when yield returns. RunInSlices must be called on the loop.
 //
 // f runs as a coroutine of the loop, and never in parallel with other code on the loop.
-func (l *Loop) RunInSlices(flow *Flow, f func(pause func() bool)) {
+func (l *Loop) RunInSlices(flow *Flow, f func(yield func() bool)) {
 	sliceStart := time.Duration(0)
 	t := &task{}
 	t.next, t.stop = iter.Pull(func(yield func(struct{}) bool) {
@@ -169,7 +169,7 @@
 	}
 }
 
-// stopTasks stops all unfinished tasks: the pause function of each task returns false.
+// stopTasks stops all unfinished tasks: the yield function of each task returns false.
 func (l *Loop) stopTasks() {
 	for t := range l.tasks {
 		t.stop()
--- a/internal/eventloop/tasks_test.go
+++ b/internal/eventloop/tasks_test.go
@@ -21,11 +21,11 @@
 	heavy, light := 0, 0
 	l.Post(func() {
 		countSlices := func(n *int, limit int) func(func() bool) {
-			return func(pause func() bool) {
+			return func(yield func() bool) {
 				for *n < limit {
 					*n++
 					clock += o.PollInterval
-					if !pause() {
+					if !yield() {
 						stopped <- true
 						return
 					}
--- a/internal/objectapi/documents.go
+++ b/internal/objectapi/documents.go
@@ -17,8 +17,8 @@
 	DisplayName string
 }
 
-// TheOwner is the owner that the gateway reports for every bucket, object and upload.
-var TheOwner = Owner{ID: "chalkstand", DisplayName: "chalkstand"}
+// DefaultOwner is the owner that the gateway reports for every bucket, object and upload.
+var DefaultOwner = Owner{ID: "chalkstand", DisplayName: "chalkstand"}
 
 // Bucket is the entry of one bucket in a ListAllMyBucketsResult.
 type Bucket struct {
--- a/internal/objectapi/kind.go
+++ b/internal/objectapi/kind.go
@@ -62,12 +62,12 @@
 	return kindNames[k]
 }
 
-// Kinds returns the number of operations. Every valid Kind is at least 0 and less than this number.
-func Kinds() int { return int(kindCount) }
+// NumKinds returns the number of operations. Every valid Kind is at least 0 and less than this number.
+func NumKinds() int { return int(kindCount) }
 
-// KindNamed returns the operation with the given name of the specification, and whether such an
-// operation exists.
-func KindNamed(name string) (Kind, bool) {
+// ParseKind returns the operation that has the given name in the specification. It returns false if
+// no operation has that name.
+func ParseKind(name string) (Kind, bool) {
 	for k, n := range kindNames {
 		if n == name {
 			return Kind(k), true
--- a/internal/objectapi/merge.go
+++ b/internal/objectapi/merge.go
@@ -29,9 +29,9 @@
 }
 
 // ParseList parses a ListBucketResult that was requested with encoding-type=url into a Page.
-func ParseList(doc []byte, pause Pause) (Page, error) {
+func ParseList(doc []byte, yield YieldFunc) (Page, error) {
 	var r ListBucketResult
-	if err := unmarshal(doc, &r, pause); err != nil {
+	if err := unmarshal(doc, &r, yield); err != nil {
 		return Page{}, err
 	}
 	p := Page{Contents: r.Contents, Truncated: r.IsTruncated}
@@ -111,9 +111,9 @@
 
 // ParseUploads parses a ListMultipartUploadsResult that was requested with encoding-type=url. The
 // names in its result are decoded.
-func ParseUploads(doc []byte, pause Pause) (ListMultipartUploadsResult, error) {
+func ParseUploads(doc []byte, yield YieldFunc) (ListMultipartUploadsResult, error) {
 	var r ListMultipartUploadsResult
-	if err := unmarshal(doc, &r, pause); err != nil {
+	if err := unmarshal(doc, &r, yield); err != nil {
 		return r, err
 	}
 	for i := range r.Upload {
--- a/internal/objectapi/xml.go
+++ b/internal/objectapi/xml.go
@@ -7,24 +7,24 @@
 	"io"
 )
 
-// Pause is a function that the package calls every few kilobytes while it parses or encodes a
-// document. It returns true to continue the work, and false to abandon it. A nil Pause is never
-// called.
-type Pause func() bool
+// YieldFunc is a function that the package calls every few kilobytes while it parses or encodes a
+// document, so that the caller can run other work. It returns true to continue the document, and
+// false to abandon it. A nil YieldFunc is never called.
+type YieldFunc func() bool
 
-// errAbandoned is the error of work that was abandoned because a Pause returned false.
-var errAbandoned = errors.New("objectapi: abandoned in a pause")
+// errAbandoned is the error of work that was abandoned because a YieldFunc returned false.
+var errAbandoned = errors.New("objectapi: abandoned by the caller")
 
 // Marshal returns v as an XML document, which begins with the XML declaration.
 func Marshal(v any) []byte {
-	doc, _ := MarshalWithPauses(v, nil)
+	doc, _ := MarshalWithYield(v, nil)
 	return doc
 }
 
-// MarshalWithPauses encodes v like Marshal and calls pause at intervals. ok is false if pause
+// MarshalWithYield encodes v like Marshal and calls yield at intervals. ok is false if yield
 // abandoned the work.
-func MarshalWithPauses(v any, pause Pause) (doc []byte, ok bool) {
-	w := pausingWriter{pause: pause}
+func MarshalWithYield(v any, yield YieldFunc) (doc []byte, ok bool) {
+	w := yieldingWriter{yield: yield}
 	w.WriteString(xml.Header)
 	err := xml.NewEncoder(&w).Encode(v)
 	if errors.Is(err, errAbandoned) {
@@ -36,12 +36,12 @@
 	return w.Bytes(), true
 }
 
-// unmarshal parses doc into v like xml.Unmarshal and calls pause at intervals.
-func unmarshal(doc []byte, v any, pause Pause) error {
-	if pause == nil {
+// unmarshal parses doc into v like xml.Unmarshal and calls yield at intervals.
+func unmarshal(doc []byte, v any, yield YieldFunc) error {
+	if yield == nil {
 		return xml.Unmarshal(doc, v)
 	}
-	r := &pausingReader{pause: pause}
+	r := &yieldingReader{yield: yield}
 	r.doc.Reset(doc)
 	d := xml.NewDecoder(r)
 	if err := d.Decode(v); err != nil {
@@ -71,29 +71,29 @@
 	}
 }
 
-// pausingReader reads a document and calls pause before each read. It has no ReadByte method, so
+// yieldingReader reads a document and calls yield before each read. It has no ReadByte method, so
 // that xml.Decoder wraps it in a buffer and reads it in blocks.
-type pausingReader struct {
+type yieldingReader struct {
 	doc   bytes.Reader
-	pause Pause
+	yield YieldFunc
 }
 
-func (p *pausingReader) Read(b []byte) (int, error) {
-	if p.pause != nil && !p.pause() {
+func (r *yieldingReader) Read(b []byte) (int, error) {
+	if r.yield != nil && !r.yield() {
 		return 0, errAbandoned
 	}
-	return p.doc.Read(b)
+	return r.doc.Read(b)
 }
 
-// pausingWriter collects a document in a buffer and calls pause before each write of a block.
-type pausingWriter struct {
+// yieldingWriter collects a document in a buffer and calls yield before each write of a block.
+type yieldingWriter struct {
 	bytes.Buffer
-	pause Pause
+	yield YieldFunc
 }
 
-func (p *pausingWriter) Write(b []byte) (int, error) {
-	if p.pause != nil && !p.pause() {
+func (w *yieldingWriter) Write(b []byte) (int, error) {
+	if w.yield != nil && !w.yield() {
 		return 0, errAbandoned
 	}
-	return p.Buffer.Write(b)
+	return w.Buffer.Write(b)
 }
--- a/internal/objectapi/xml_test.go
+++ b/internal/objectapi/xml_test.go
@@ -5,17 +5,17 @@
 	"testing"
 )
 
-// countingPause returns a Pause that counts its calls in *n and always continues the work.
-func countingPause(n *int) Pause {
+// countingYield returns a YieldFunc that counts its calls in *n and always continues the work.
+func countingYield(n *int) YieldFunc {
 	return func() bool {
 		*n++
 		return true
 	}
 }
 
-// abandonAfter returns a Pause that continues the work in its first n calls and abandons it in the
+// abandonAfter returns a YieldFunc that continues the work in its first n calls and abandons it in the
 // next one.
-func abandonAfter(n int) Pause {
+func abandonAfter(n int) YieldFunc {
 	return func() bool {
 		n--
 		return n >= 0
@@ -33,40 +33,40 @@
 	return r
 }
 
-// minPauses returns the lowest accepted number of calls of a Pause while doc is parsed or encoded.
-func minPauses(doc []byte) int { return len(doc) / 8192 }
+// minYields returns the lowest accepted number of calls of a YieldFunc while doc is parsed or encoded.
+func minYields(doc []byte) int { return len(doc) / 8192 }
 
-// TestMarshalWithPauses checks that a Pause does not change the encoded document, and that each call
-// of the Pause can abandon the work.
-func TestMarshalWithPauses(t *testing.T) {
+// TestMarshalWithYield checks that a YieldFunc does not change the encoded document, and that each call
+// of the YieldFunc can abandon the work.
+func TestMarshalWithYield(t *testing.T) {
 	r := listOf1000()
 	n := 0
-	doc, ok := MarshalWithPauses(r, countingPause(&n))
-	if !ok || string(doc) != string(Marshal(r)) || n < minPauses(doc) {
-		t.Fatalf("encoding with a Pause: got ok %v and %d pauses for a document of %d bytes", ok, n, len(doc))
+	doc, ok := MarshalWithYield(r, countingYield(&n))
+	if !ok || string(doc) != string(Marshal(r)) || n < minYields(doc) {
+		t.Fatalf("encoding with a YieldFunc: got ok %v and %d calls of it for a document of %d bytes", ok, n, len(doc))
 	}
 	for stop := range n {
-		if _, ok := MarshalWithPauses(r, abandonAfter(stop)); ok {
-			t.Fatalf("the call %d of the Pause, counted from 0, did not abandon the encoding", stop)
+		if _, ok := MarshalWithYield(r, abandonAfter(stop)); ok {
+			t.Fatalf("the call %d of the YieldFunc, counted from 0, did not abandon the encoding", stop)
 		}
 	}
 }
 
-// TestParseListWithPauses checks that a document is parsed correctly with a Pause, and that each call
-// of the Pause can abandon the work.
-func TestParseListWithPauses(t *testing.T) {
+// TestParseListWithYield checks that a document is parsed correctly with a YieldFunc, and that each call
+// of the YieldFunc can abandon the work.
+func TestParseListWithYield(t *testing.T) {
 	doc := Marshal(listOf1000())
 	n := 0
-	page, err := ParseList(doc, countingPause(&n))
-	if err != nil || n < minPauses(doc) {
-		t.Fatalf("parsing with a Pause: got %d pauses and error %v", n, err)
+	page, err := ParseList(doc, countingYield(&n))
+	if err != nil || n < minYields(doc) {
+		t.Fatalf("parsing with a YieldFunc: got %d calls of it and error %v", n, err)
 	}
 	if len(page.Contents) != 1000 || page.Contents[999].Key != "line-7/photo 999" {
 		t.Fatalf("parsed list: got %d names, want 1000 with decoded keys", len(page.Contents))
 	}
 	for stop := range n {
 		if _, err := ParseList(doc, abandonAfter(stop)); err == nil {
-			t.Fatalf("the call %d of the Pause, counted from 0, did not abandon the parsing", stop)
+			t.Fatalf("the call %d of the YieldFunc, counted from 0, did not abandon the parsing", stop)
 		}
 	}
 }
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -282,7 +282,7 @@
 			return errorUnless(false, prefix+"class", "the name of a class")
 		}
 		for j, name := range o.Operations {
-			if _, ok := objectapi.KindNamed(name); !ok && name != anyOperation {
+			if _, ok := objectapi.ParseKind(name); !ok && name != anyOperation {
 				return errorUnless(false, fmt.Sprintf("%soperations[%d]", prefix, j),
 					`the name of an operation, such as "GetObject", or "*"`)
 			}
--- a/internal/settings/convert.go
+++ b/internal/settings/convert.go
@@ -137,7 +137,7 @@
 			AssumedBytes: o.AssumedBytes,
 		})
 	}
-	return costmodel.New(rules, objectapi.Kinds(), len(s.Classes), s.Rules.MaxUnits)
+	return costmodel.New(rules, objectapi.NumKinds(), len(s.Classes), s.Rules.MaxUnits)
 }
 
 // kinds returns the kinds of the operations that the rule applies to. Unknown names are
@@ -146,10 +146,10 @@
 	var kinds []objectapi.Kind
 	for _, name := range o.Operations {
 		if name == anyOperation {
-			for k := range objectapi.Kinds() {
+			for k := range objectapi.NumKinds() {
 				kinds = append(kinds, objectapi.Kind(k))
 			}
-		} else if k, ok := objectapi.KindNamed(name); ok {
+		} else if k, ok := objectapi.ParseKind(name); ok {
 			kinds = append(kinds, k)
 		}
 	}
