--- a/cmd/chalkstand/fakenodes.go
+++ b/cmd/chalkstand/fakenodes.go
@@ -80,7 +80,7 @@
 			ID:    fmt.Sprintf("s%d", i),
 			Addr:  node.Addr(),
 			State: "Ready",
-			Cell:  i,
+			Shard: i,
 		})
 	}
 	if err := f.writeConfig(discovery.Addr(), endpoints); err != nil {
--- a/fake/discovery/discovery.go
+++ b/fake/discovery/discovery.go
@@ -24,14 +24,14 @@
 	ID        string
 	Addr      string
 	State     string // Ready, Terminating or Gone
-	Cell      int    // shard of the node
+	Shard     int    // shard of the node
 	StartedMS int64  // start of the node, as a Unix time in milliseconds
 }
 
 func (e Endpoint) json() string {
 	return fmt.Sprintf(
 		`{"id":%q,"addr":%q,"zone":"a","kind":"m","cell":%d,"state":%q,"weight":1.0,"started_ms":%d}`,
-		e.ID, e.Addr, e.Cell, e.State, e.StartedMS)
+		e.ID, e.Addr, e.Shard, e.State, e.StartedMS)
 }
 
 // Document returns an endpoint list in the service's JSON format, without a newline at the end. If full is
--- a/gateway/clientconn.go
+++ b/gateway/clientconn.go
@@ -33,7 +33,7 @@
 	conn         *eventloop.Conn
 	state        clientState
 	lastProgress time.Time // when the state last changed or the connection last moved a byte
-	headParser   http1.Head
+	headParser   http1.HeadParser
 	request      http1.Request
 	current      *transaction // the transaction in progress; nil in stateReading
 	previous     *transaction // the last transaction, until the client has received its response
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -79,7 +79,7 @@
 func list(version int) string {
 	return fakediscovery.Document(version, true,
 		fakediscovery.Endpoint{ID: "s1", Addr: "127.0.0.1:1", State: "Ready"},
-		fakediscovery.Endpoint{ID: "s2", Addr: "127.0.0.1:2", State: "Terminating", Cell: 1})
+		fakediscovery.Endpoint{ID: "s2", Addr: "127.0.0.1:2", State: "Terminating", Shard: 1})
 }
 
 // indented returns a document with line breaks and indentation between its JSON tokens.
--- a/internal/e2e/bench_test.go
+++ b/internal/e2e/bench_test.go
@@ -123,7 +123,7 @@
 	conn     net.Conn
 	request  []byte
 	buf      []byte
-	parser   http1.Head
+	parser   http1.HeadParser
 	response http1.Response
 }
 
--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -64,7 +64,7 @@
 	Addr      string  `json:"addr"`
 	Zone      string  `json:"zone"`
 	Kind      string  `json:"kind"`
-	Cell      int     `json:"cell"`
+	Shard     int     `json:"cell"`
 	State     string  `json:"state"`
 	StartedMS float64 `json:"started_ms"`
 }
@@ -124,7 +124,7 @@
 			ID:      dispatch.NodeID(s.ID),
 			Zone:    zoneNumber(names.Zones, s.Zone),
 			Kind:    indexOrLen(names.Kinds, s.Kind),
-			Shard:   dispatch.Shard(s.Cell),
+			Shard:   dispatch.Shard(s.Shard),
 			State:   state,
 			Started: time.Duration(s.StartedMS * float64(time.Millisecond)),
 		},
@@ -140,8 +140,8 @@
 		return &FormatError{"state", "Ready, Terminating or Gone", fmt.Sprintf("%q", s.State)}
 	case s.StartedMS < 0 || s.StartedMS > maxStarted:
 		return &FormatError{"started_ms", "a Unix time from 0 to 1e15 milliseconds", fmt.Sprintf("%g", s.StartedMS)}
-	case s.Cell < int(dispatch.AnyShard) || s.Cell > maxShard:
-		return &FormatError{"cell", "a shard number from -1 to 2^24", strconv.Itoa(s.Cell)}
+	case s.Shard < int(dispatch.AnyShard) || s.Shard > maxShard:
+		return &FormatError{"cell", "a shard number from -1 to 2^24", strconv.Itoa(s.Shard)}
 	}
 	if state == dispatch.Removed {
 		return nil
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -7,18 +7,18 @@
 	doubleCRLF = []byte("\r\n\r\n")
 )
 
-// Head parses the head of a message while the message is still being received. It remembers how
-// many bytes it has searched for the end of the head, so that it does not search them again when
+// HeadParser parses the head of a message while the message is still being received. It remembers
+// how many bytes it has searched for the end of the head, so that it does not search them again when
 // more bytes arrive. The zero value is ready to use.
-type Head struct{ scanned int }
+type HeadParser struct{ scanned int }
 
 // Reset makes h forget the bytes that it has searched. The caller must call Reset before it passes
 // the bytes of another message.
-func (h *Head) Reset() { h.scanned = 0 }
+func (h *HeadParser) Reset() { h.scanned = 0 }
 
 // find returns the length of the head at the start of b, including the empty line that ends the
 // head. It returns 0 if b does not hold a complete head yet.
-func (h *Head) find(b []byte, limits Limits) (int, *Error) {
+func (h *HeadParser) find(b []byte, limits Limits) (int, *Error) {
 	from := max(h.scanned-(len(doubleCRLF)-1), 0)
 	if i := bytes.Index(b[from:], doubleCRLF); i >= 0 {
 		n := from + i + len(doubleCRLF)
--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -69,7 +69,7 @@
 			return nil, err
 		}
 		if len(line) == 0 {
-			if len(rest) != 0 { // b ends with the first empty line that Head.find found.
+			if len(rest) != 0 { // b ends with the first empty line that HeadParser.find found.
 				return nil, badRequest("an empty line inside the head")
 			}
 			return headers, nil
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -9,7 +9,7 @@
 func TestParseRequest(t *testing.T) {
 	const text = "PUT /a/b?c=d HTTP/1.1\r\nHost: x\r\nContent-Length: 12\r\nX: \t y z \t\r\nEmpty:\r\n" +
 		"Connection: keep-alive, Close\r\nExpect: 100-Continue\r\n\r\n"
-	var h Head
+	var h HeadParser
 	var r Request
 	n, err := h.ParseRequest([]byte(text+"body"), DefaultLimits, &r)
 	if err != nil || n != len(text) {
@@ -62,7 +62,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var h Head
+			var h HeadParser
 			var r Response
 			n, err := h.ParseResponse([]byte(c.text), DefaultLimits, c.method, &r)
 			if err != nil || n != len(c.text) || r.Framing != c.want || r.Close != c.close {
@@ -81,7 +81,7 @@
 		"no HTTP":            "ICY 200 OK\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			var h Head
+			var h HeadParser
 			var r Response
 			if _, err := h.ParseResponse([]byte(text), DefaultLimits, "GET", &r); err == nil {
 				t.Errorf("invalid response head %q was accepted and parsed to %+v", text, r)
@@ -97,7 +97,7 @@
 	f.Add([]byte("GET / HTTP/1.1\r\nA:b\n c\r\n\r\n"), 2)
 	f.Fuzz(func(t *testing.T, text []byte, size int) {
 		size = min(max(size, 1), 64)
-		var h Head
+		var h HeadParser
 		var whole Request
 		n, err := h.ParseRequest(text, DefaultLimits, &whole)
 		accepted := err == nil && n > 0
@@ -128,7 +128,7 @@
 // parseInPieces calls ParseRequest repeatedly, each time with size more bytes of text, until the
 // head is complete, an error occurs, or text ends.
 func parseInPieces(text []byte, size int, r *Request) (int, *Error) {
-	var h Head
+	var h HeadParser
 	for end := size; ; end += size {
 		n, err := h.ParseRequest(text[:min(end, len(text))], DefaultLimits, r)
 		if n > 0 || err != nil || end >= len(text) {
@@ -141,7 +141,7 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n"), "GET")
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\n"), "HEAD")
 	f.Fuzz(func(t *testing.T, text []byte, method string) {
-		var h Head
+		var h HeadParser
 		var r Response
 		n, err := h.ParseResponse(text, DefaultLimits, method, &r)
 		if err == nil && n > 0 && (r.Status < 100 || r.Status > 599 || r.Length < 0 || r.Chunked && r.Length > 0) {
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -16,7 +16,7 @@
 // ParseRequest parses the request head at the start of b into r and returns the head's length. It
 // reuses the slice r.Headers. It returns 0 if b does not hold a complete head yet. The caller must
 // skip empty lines before the request with SkipBlank.
-func (h *Head) ParseRequest(b []byte, limits Limits, r *Request) (int, *Error) {
+func (h *HeadParser) ParseRequest(b []byte, limits Limits, r *Request) (int, *Error) {
 	n, err := h.find(b, limits)
 	if n == 0 || err != nil {
 		return 0, err
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -18,7 +18,7 @@
 // ParseResponse parses the response head at the start of b into r and returns the head's length. It
 // reuses the slice r.Headers. It returns 0 if b does not hold a complete head yet. method is the
 // method of the request, because a response to HEAD has no body.
-func (h *Head) ParseResponse(b []byte, limits Limits, method string, r *Response) (int, *Error) {
+func (h *HeadParser) ParseResponse(b []byte, limits Limits, method string, r *Response) (int, *Error) {
 	n, err := h.find(b, limits)
 	if n == 0 || err != nil {
 		return 0, err
--- a/internal/payload/payload_test.go
+++ b/internal/payload/payload_test.go
@@ -130,7 +130,7 @@
 // parseHead parses a complete request head.
 func parseHead(t *testing.T, text string) *http1.Request {
 	t.Helper()
-	var h http1.Head
+	var h http1.HeadParser
 	var r http1.Request
 	if n, err := h.ParseRequest([]byte(text), http1.DefaultLimits, &r); err != nil || n != len(text) {
 		t.Fatalf("ParseRequest: got length %d and error %v, want the length of the text and no error", n, err)
--- a/internal/upstreamhttp/reader.go
+++ b/internal/upstreamhttp/reader.go
@@ -24,7 +24,7 @@
 	state       State
 	method      string // method of the request that was sent last
 	bufferLimit int    // length in bytes of the longest body that the Reader buffers
-	head        http1.Head
+	head        http1.HeadParser
 	total       int            // bytes of head and body together, for a buffered response of known length
 	remaining   int64          // bytes of a streamed body that were not read yet, or untilClose
 	chunks      *http1.Chunked // decoder of a chunked body; nil for any other body
--- a/lab/bench/bench.go
+++ b/lab/bench/bench.go
@@ -121,7 +121,7 @@
 	}
 	defer closeConn(c)
 	r := bufio.NewReaderSize(c, 64<<10)
-	var parser http1.Head
+	var parser http1.HeadParser
 	var resp http1.Response
 	for {
 		start := time.Now()
--- a/lab/bench/load.go
+++ b/lab/bench/load.go
@@ -114,7 +114,7 @@
 		return err
 	}
 	r := bufio.NewReaderSize(c, 16<<10)
-	var parser http1.Head
+	var parser http1.HeadParser
 	var resp http1.Response
 	for time.Now().Before(end) {
 		sent := time.Now()
@@ -141,7 +141,7 @@
 
 // exchange sends one request and reads its response.
 func (l *Load) exchange(
-	c net.Conn, r *bufio.Reader, raw syscall.RawConn, parser *http1.Head, resp *http1.Response,
+	c net.Conn, r *bufio.Reader, raw syscall.RawConn, parser *http1.HeadParser, resp *http1.Response,
 ) error {
 	if _, err := c.Write(l.Head); err != nil {
 		return err
@@ -169,7 +169,7 @@
 }
 
 // receive reads the head of a response, then counts and discards the body.
-func (l *Load) receive(r *bufio.Reader, raw syscall.RawConn, parser *http1.Head, resp *http1.Response) error {
+func (l *Load) receive(r *bufio.Reader, raw syscall.RawConn, parser *http1.HeadParser, resp *http1.Response) error {
 	if err := readHead(r, l.Method, parser, resp); err != nil {
 		return err
 	}
--- a/lab/bench/response.go
+++ b/lab/bench/response.go
@@ -9,7 +9,7 @@
 )
 
 // readResponse reads a response, discards its body, and returns the length of the body.
-func readResponse(r *bufio.Reader, method string, parser *http1.Head, resp *http1.Response) (int64, error) {
+func readResponse(r *bufio.Reader, method string, parser *http1.HeadParser, resp *http1.Response) (int64, error) {
 	if err := readHead(r, method, parser, resp); err != nil {
 		return 0, err
 	}
@@ -21,7 +21,7 @@
 }
 
 // readHead reads the head of a response into resp. The header values in resp are valid until the next read from r.
-func readHead(r *bufio.Reader, method string, parser *http1.Head, resp *http1.Response) error {
+func readHead(r *bufio.Reader, method string, parser *http1.HeadParser, resp *http1.Response) error {
 	for minBytes := 1; ; {
 		if _, err := r.Peek(minBytes); err != nil {
 			return err
--- a/lab/bench/users.go
+++ b/lab/bench/users.go
@@ -78,7 +78,7 @@
 	rng    *rand.Rand
 	conn   net.Conn // nil while the user is not connected
 	reader *bufio.Reader
-	parser http1.Head
+	parser http1.HeadParser
 	resp   http1.Response
 }
 
--- a/lab/faultinjection/faultinjection_test.go
+++ b/lab/faultinjection/faultinjection_test.go
@@ -93,9 +93,9 @@
 }
 
 // faultAtEveryNode returns a script that starts a fault of the kind at the node of each of the 8 shards.
-func faultAtEveryNode(kind string, times float64) (s Script) {
+func faultAtEveryNode(kind string, magnitude float64) (s Script) {
 	for i := range 8 {
-		s = append(s, Fault{At: 300, For: 9000, Kind: kind, Which: i, Times: times})
+		s = append(s, Fault{At: 300, For: 9000, Kind: kind, Target: i, Magnitude: magnitude})
 	}
 	return s
 }
@@ -109,17 +109,17 @@
 		capacityDivisor float64
 	}{
 		"budget":  {faultAtEveryNode(ConnectionResets, 0.5), 3, 1},
-		"limits":  {Script{{At: 300, For: 9000, Kind: Flood, Which: 0, Times: 12}}, 3, 1},
-		"order":   {Script{{At: 300, For: 9000, Kind: HotKey, Which: 2, Times: 0.9}}, 3, 1},
+		"limits":  {Script{{At: 300, For: 9000, Kind: Flood, Target: 0, Magnitude: 12}}, 3, 1},
+		"order":   {Script{{At: 300, For: 9000, Kind: HotKey, Target: 2, Magnitude: 0.9}}, 3, 1},
 		"effects": {faultAtEveryNode(LoseResponses, 0.3), 3, 1},
 		"cold": {Script{
-			{At: 100, For: 9000, Kind: Surge, Times: 5},
-			{At: 1000, For: 1500, Kind: DrainWave, Count: 4},
-			{At: 1000, For: 1500, Kind: DrainWave, Which: 4, Count: 4},
+			{At: 100, For: 9000, Kind: Surge, Magnitude: 5},
+			{At: 1000, For: 1500, Kind: DrainWave, NodeCount: 4},
+			{At: 1000, For: 1500, Kind: DrainWave, Target: 4, NodeCount: 4},
 		}, 6, 3},
 		"drains": {Script{
-			{At: 100, For: 9000, Kind: Surge, Times: 2},
-			{At: 500, For: 4000, Kind: DrainWave, Count: 4},
+			{At: 100, For: 9000, Kind: Surge, Magnitude: 2},
+			{At: 500, For: 4000, Kind: DrainWave, NodeCount: 4},
 		}, 3, 1},
 		"time": {faultAtEveryNode(Unresponsive, 0), 3, 1},
 	} {
--- a/lab/faultinjection/faults.go
+++ b/lab/faultinjection/faults.go
@@ -37,42 +37,42 @@
 
 // inject carries out a fault from its start to its end.
 func (r *run) inject(ctx context.Context, f Fault) {
-	r.printProgress("%s for %v (which %d, times %.2f)", f.Kind, f.For.Duration(), f.Which, f.Times)
+	r.printProgress("%s for %v (target %d, magnitude %.2f)", f.Kind, f.For.Duration(), f.Target, f.Magnitude)
 	switch f.Kind {
 	case Surge, Flood, EarlyCancel, HotKey:
 		r.injectLoadFault(ctx, f)
 	case DrainWave:
 		r.drainWave(ctx, f)
 	case NodeDeath:
-		r.killNode(ctx, f.Which%r.options.Shards, f.For.Duration()/2)
+		r.killNode(ctx, f.Target%r.options.Shards, f.For.Duration()/2)
 	case GatewayCrash:
-		r.crashGateway(ctx, f.Which%r.options.Gateways, f.For.Duration()/3)
+		r.crashGateway(ctx, f.Target%r.options.Gateways, f.For.Duration()/3)
 	case FrozenReports:
 		for _, n := range r.currentNodes() {
 			n.FreezeReport(f.For.Duration())
 		}
 	default:
 		nodes := r.currentNodes()
-		injectNodeFault(nodes[f.Which%len(nodes)], f)
+		injectNodeFault(nodes[f.Target%len(nodes)], f)
 	}
 }
 
 // injectLoadFault changes the load, waits for f.For, and restores the normal load.
 func (r *run) injectLoadFault(ctx context.Context, f Fault) {
-	volume := f.Which % len(r.volumes)
+	volume := f.Target % len(r.volumes)
 	var begin, end func()
 	switch f.Kind {
 	case Surge:
-		begin = func() { r.load.surgeFactor = f.Times }
+		begin = func() { r.load.surgeFactor = f.Magnitude }
 		end = func() { r.load.surgeFactor = 1 }
 	case Flood:
-		begin = func() { r.load.volume, r.load.floodFactor = volume, f.Times }
+		begin = func() { r.load.volume, r.load.floodFactor = volume, f.Magnitude }
 		end = func() { r.load.floodFactor = 1 }
 	case EarlyCancel:
-		begin = func() { r.load.earlyCancelShare = f.Times }
+		begin = func() { r.load.earlyCancelShare = f.Magnitude }
 		end = func() { r.load.earlyCancelShare = 0 }
 	case HotKey:
-		begin = func() { r.load.volume, r.load.hotKeyShare = volume, f.Times }
+		begin = func() { r.load.volume, r.load.hotKeyShare = volume, f.Magnitude }
 		end = func() { r.load.hotKeyShare = 0 }
 	}
 	r.locked(begin)
@@ -83,13 +83,13 @@
 // drainWave replaces the nodes of f.Count consecutive shards, one after the other. The successor of every
 // second node starts with a delay after the drain was published.
 func (r *run) drainWave(ctx context.Context, f Fault) {
-	for i := range f.Count {
+	for i := range f.NodeCount {
 		successorDelay := time.Duration(0)
 		if i%2 == 1 {
 			successorDelay = min(f.For.Duration()/4, maxSuccessorDelay)
 		}
-		r.replaceNode(ctx, (f.Which+i)%r.options.Shards, successorDelay, f.For.Duration()/2)
-		if !sleep(ctx, f.For.Duration()/time.Duration(f.Count)) {
+		r.replaceNode(ctx, (f.Target+i)%r.options.Shards, successorDelay, f.For.Duration()/2)
+		if !sleep(ctx, f.For.Duration()/time.Duration(f.NodeCount)) {
 			return
 		}
 	}
@@ -103,16 +103,16 @@
 		fault.Kind = storagenode.Stall
 	case SlowNode:
 		fault.Kind = storagenode.Slow
-		fault.Factor = f.Times
+		fault.Factor = f.Magnitude
 	case LoseResponses:
 		fault.Kind = storagenode.LoseResponse
-		fault.Share = f.Times
+		fault.Share = f.Magnitude
 	case TruncateResponses:
 		fault.Kind = storagenode.TruncateResponse
-		fault.Share = f.Times
+		fault.Share = f.Magnitude
 	case ConnectionResets:
 		fault.Kind = storagenode.ResetConnection
-		fault.Share = f.Times
+		fault.Share = f.Magnitude
 	default: // not reached: ParseScript rejects unknown kinds, and inject handles the other known ones
 		return
 	}
--- a/lab/faultinjection/script.go
+++ b/lab/faultinjection/script.go
@@ -37,12 +37,12 @@
 
 // Fault is one entry of a script: a fault with its start, its duration and its parameters.
 type Fault struct {
-	At    Millis  `json:"at_ms"`
-	For   Millis  `json:"for_ms"`
-	Kind  string  `json:"kind"`
-	Which int     `json:"which"` // index of the node, gateway or volume, taken modulo their number
-	Count int     `json:"count"` // number of nodes that a drain wave replaces
-	Times float64 `json:"times"` // a factor or a share from 0 to 1, depending on the kind
+	At        Millis  `json:"at_ms"`
+	For       Millis  `json:"for_ms"`
+	Kind      string  `json:"kind"`
+	Target    int     `json:"which"` // index of the affected node, gateway or volume, taken modulo their number
+	NodeCount int     `json:"count"` // number of nodes that a drain wave replaces
+	Magnitude float64 `json:"times"` // a factor or a share from 0 to 1, depending on the kind
 }
 
 // Millis is a duration in milliseconds, as scripts give it.
@@ -78,10 +78,10 @@
 	for i, kind := range kinds {
 		at := ms/12 + (ms*9/12)*i/len(kinds) + rng.IntN(ms/24)
 		f := Fault{
-			At:    Millis(at),
-			For:   Millis(ms/10 + rng.IntN(ms/10)),
-			Kind:  kind,
-			Which: rng.IntN(64),
+			At:     Millis(at),
+			For:    Millis(ms/10 + rng.IntN(ms/10)),
+			Kind:   kind,
+			Target: rng.IntN(64),
 		}
 		f.setMagnitude(rng)
 		script = append(script, f)
@@ -90,21 +90,22 @@
 	return script
 }
 
-// setMagnitude draws a random value for the field that sets the magnitude of the fault's kind: Times or Count.
+// setMagnitude draws a random value for the field that says how severe a fault of its kind is. That is NodeCount
+// for a drain wave, and Magnitude for the other kinds.
 func (f *Fault) setMagnitude(rng *rand.Rand) {
 	switch f.Kind {
 	case Surge:
-		f.Times = 2 + rng.Float64()
+		f.Magnitude = 2 + rng.Float64()
 	case Flood:
-		f.Times = 8 + 8*rng.Float64()
+		f.Magnitude = 8 + 8*rng.Float64()
 	case DrainWave:
-		f.Count = 2 + rng.IntN(3)
+		f.NodeCount = 2 + rng.IntN(3)
 	case SlowNode:
-		f.Times = 4 + 8*rng.Float64()
+		f.Magnitude = 4 + 8*rng.Float64()
 	case LoseResponses, TruncateResponses, ConnectionResets:
-		f.Times = 0.05 + 0.15*rng.Float64()
+		f.Magnitude = 0.05 + 0.15*rng.Float64()
 	case EarlyCancel, HotKey:
-		f.Times = 0.3 + 0.4*rng.Float64()
+		f.Magnitude = 0.3 + 0.4*rng.Float64()
 	}
 }
 
@@ -135,7 +136,7 @@
 	if !slices.Contains(FaultKinds, f.Kind) {
 		return &UnknownKindError{Kind: f.Kind}
 	}
-	if f.At < 0 || f.For < 0 || f.Times < 0 || f.Count < 0 || f.Which < 0 {
+	if f.At < 0 || f.For < 0 || f.Magnitude < 0 || f.NodeCount < 0 || f.Target < 0 {
 		return ErrNegative
 	}
 	return nil
--- a/lab/soak/report.go
+++ b/lab/soak/report.go
@@ -11,20 +11,20 @@
 
 // Report holds the results of a run.
 type Report struct {
-	Seed       uint64
-	Program    Program
-	Plan       string
-	Requests   int
-	Served     int
-	Rejected   int
-	Failed     int
-	Canceled   int // requests that clients canceled or that the program never read before it closed the connection
-	Attempts   int // attempts that arrived at nodes
-	Before     usage
-	After      usage
-	OwnTime    time.Duration // time from SIGTERM to the end of the program
-	Stall      time.Duration // longest time for which the machine kept this process from running
-	Violations []invariants.Violation
+	Seed            uint64
+	Program         Program
+	Plan            string
+	Requests        int
+	Served          int
+	Rejected        int
+	Failed          int
+	Canceled        int // requests that clients canceled or that the program never read before it closed the connection
+	Attempts        int // attempts that arrived at nodes
+	Before          usage
+	After           usage
+	TerminationTime time.Duration // time from SIGTERM to the end of the program
+	Stall           time.Duration // longest time for which the machine kept this process from running
+	Violations      []invariants.Violation
 
 	log        *invariants.Log
 	programLog []string
@@ -33,18 +33,18 @@
 func newReport(r *run) *Report {
 	violations, log := r.check()
 	report := &Report{
-		Seed:       r.options.Seed,
-		Program:    r.options.Program,
-		Plan:       r.plan.String(),
-		Requests:   len(log.Requests),
-		Attempts:   len(log.Entries),
-		Before:     r.usageBefore,
-		After:      r.usageAfter,
-		OwnTime:    r.terminationTime,
-		Stall:      r.stalls.Longest(),
-		Violations: violations,
-		log:        log,
-		programLog: r.process.log(),
+		Seed:            r.options.Seed,
+		Program:         r.options.Program,
+		Plan:            r.plan.String(),
+		Requests:        len(log.Requests),
+		Attempts:        len(log.Entries),
+		Before:          r.usageBefore,
+		After:           r.usageAfter,
+		TerminationTime: r.terminationTime,
+		Stall:           r.stalls.Longest(),
+		Violations:      violations,
+		log:             log,
+		programLog:      r.process.log(),
 	}
 	for _, q := range log.Requests {
 		switch {
@@ -71,7 +71,7 @@
 		"descriptors %d to %d, memory %.0f to %.0f MiB; ended %v after SIGTERM; longest stall %v; %d violations\n",
 		r.Program, r.Seed, r.Requests, r.Served, r.Rejected, r.Failed, r.Canceled, r.Attempts,
 		r.Before.Descriptors, r.After.Descriptors, r.Before.MemoryMiB, r.After.MemoryMiB,
-		r.OwnTime.Round(time.Millisecond), r.Stall.Round(time.Millisecond), len(r.Violations))
+		r.TerminationTime.Round(time.Millisecond), r.Stall.Round(time.Millisecond), len(r.Violations))
 	if len(r.Violations) == 0 {
 		return
 	}
--- a/lab/soak/respsystem.go
+++ b/lab/soak/respsystem.go
@@ -127,7 +127,7 @@
 )
 
 func (n *respNode) endpoint() fakediscovery.Endpoint {
-	return fakediscovery.Endpoint{ID: n.id, Addr: n.Addr(), State: n.state, Cell: n.shard}
+	return fakediscovery.Endpoint{ID: n.id, Addr: n.Addr(), State: n.state, Shard: n.shard}
 }
 
 func (s *respSystem) arguments(configFile string) []string {
