--- a/attribution/aggregator.go
+++ b/attribution/aggregator.go
@@ -69,7 +69,7 @@
 	for level, r := range a.cfg.Resolutions[:len(a.cfg.Resolutions)-1] {
 		var due []*slot
 		for _, s := range a.levels[level] {
-			if s != nil && !s.closed && time.Duration(s.index+1)*r.Slot+a.cfg.Settle <= now {
+			if s != nil && !s.closed && time.Duration(s.index+1)*r.Slot+a.cfg.CloseDelay <= now {
 				due = append(due, s)
 			}
 		}
--- a/attribution/clientspan_test.go
+++ b/attribution/clientspan_test.go
@@ -59,7 +59,7 @@
 	})
 }
 
-// The parts into which Divide divides a wait sum to the length of the wait.
+// The parts into which DivideWait divides a wait sum to the length of the wait.
 func TestDivideSumsExactly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var ahead []InFlightUnits
@@ -69,7 +69,7 @@
 		}
 		d := time.Duration(rapid.Int64Range(0, 1e12).Draw(t, "wait"))
 		var sum time.Duration
-		for _, b := range Divide(ahead, d) {
+		for _, b := range DivideWait(ahead, d) {
 			sum += b.Time
 		}
 		if sum != d {
--- a/attribution/collector.go
+++ b/attribution/collector.go
@@ -20,13 +20,13 @@
 // CollectorConfig configures the aggregator of a collector and bounds the collector's memory.
 type CollectorConfig struct {
 	Config
-	Late  int // maximum number of attempts of ended requests that wait for late reports
-	Early int // maximum number of reports that wait for the end of their request
+	LateReports  int // maximum number of attempts of ended requests that wait for late reports
+	EarlyReports int // maximum number of reports that wait for the end of their request
 }
 
 // DefaultCollectorConfig returns the default configuration of a collector.
 func DefaultCollectorConfig() CollectorConfig {
-	return CollectorConfig{Config: DefaultConfig(), Late: 8192, Early: 1024}
+	return CollectorConfig{Config: DefaultConfig(), LateReports: 8192, EarlyReports: 1024}
 }
 
 // Counts holds the counters of a collector since its start.
@@ -35,7 +35,7 @@
 	Unreported   int64 `json:"untold"`    // attempts whose node had not reported when the request ended
 	ReportedLate int64 `json:"told_late"` // attempts in Unreported whose node has reported since
 	Corrected    int64 `json:"corrected"` // attempts in ReportedLate that corrected a closed slot
-	Unplaced     int64 `json:"unplaced"`  // reports dropped because their request is unknown or no longer kept
+	Unmatched    int64 `json:"unplaced"`  // reports dropped because their request is unknown or no longer kept
 	Overdue      int64 `json:"overdue"`   // entries added to a slot that was closed and may have been saved
 	Lost         int64 `json:"lost"`      // entries that the gateway dropped before they reached the collector
 }
@@ -57,7 +57,7 @@
 // NewCollector returns a collector with an empty aggregator. It returns an error if the
 // configuration is invalid.
 func NewCollector(cfg CollectorConfig) (*Collector, error) {
-	if cfg.Late < 1 || cfg.Early < 1 {
+	if cfg.LateReports < 1 || cfg.EarlyReports < 1 {
 		return nil, errors.New("attribution: the limits for late and early reports must be at least 1")
 	}
 	a, err := NewAggregator(cfg.Config)
@@ -66,8 +66,8 @@
 	}
 	c := &Collector{
 		aggregator:   a,
-		unreported:   newBoundedMap[attemptKey, pendingReport](cfg.Late),
-		earlyReports: newBoundedMap[attemptKey, NodeReport](cfg.Early),
+		unreported:   newBoundedMap[attemptKey, pendingReport](cfg.LateReports),
+		earlyReports: newBoundedMap[attemptKey, NodeReport](cfg.EarlyReports),
 	}
 	a.onClose = func(level int, s *slot) {
 		length := cfg.Resolutions[level].Slot
@@ -146,7 +146,7 @@
 		queue, service := r.bounded(u.Unknown)
 		e.Move(NodeUnknown, NodeQueue, queue)
 		e.Move(NodeUnknown, NodeService, service)
-		e.Behind = append(e.Behind, Divide(u.Ahead, queue)...)
+		e.Behind = append(e.Behind, DivideWait(u.Ahead, queue)...)
 	}
 	return pending
 }
@@ -158,17 +158,17 @@
 	p, ok := c.unreported.take(key)
 	if !ok {
 		if _, evicted := c.earlyReports.put(key, r); evicted {
-			c.counts.Unplaced++
+			c.counts.Unmatched++
 		}
 		return
 	}
 	queue, service := r.bounded(p.unknown)
 	correction := Correction{
-		Volume: p.volume,
-		Ended:  p.ended,
-		From:   NodeUnknown,
-		Had:    *p.remaining,
-		Behind: Divide(p.ahead, queue),
+		Volume:       p.volume,
+		Ended:        p.ended,
+		From:         NodeUnknown,
+		PreviousTime: *p.remaining,
+		Behind:       DivideWait(p.ahead, queue),
 	}
 	for _, to := range []ComponentTime{{NodeQueue, queue}, {NodeService, service}} {
 		if to.Time > 0 {
--- a/attribution/collector_test.go
+++ b/attribution/collector_test.go
@@ -133,8 +133,8 @@
 // wait for their requests. It counts the reports that it evicts.
 func TestPendingReportsAreBounded(t *testing.T) {
 	c := newTestCollector(t, func(cfg *CollectorConfig) {
-		cfg.Late = 4
-		cfg.Early = 4
+		cfg.LateReports = 4
+		cfg.EarlyReports = 4
 	})
 	for i := range uint64(20) {
 		c.Handle(600*ms, Batch{Entries: []Entry{unreportedEntry("v", i, 550*ms)}})
@@ -143,7 +143,7 @@
 		c.Handle(700*ms, Batch{Reports: []NodeReport{{Request: i, Service: 30 * ms}}})
 	}
 	unreported, early := len(c.unreported.index), len(c.earlyReports.index)
-	if n := c.Counts(); n.ReportedLate != 4 || n.Unplaced != 12 || unreported != 0 || early != 4 {
+	if n := c.Counts(); n.ReportedLate != 4 || n.Unmatched != 12 || unreported != 0 || early != 4 {
 		t.Fatalf("got %+v, %d unreported, %d early, want 4 reported late, 12 unplaced, 0 unreported, 4 early",
 			n, unreported, early)
 	}
--- a/attribution/config.go
+++ b/attribution/config.go
@@ -18,7 +18,7 @@
 	Volumes       int           // maximum number of volumes in a slot; the slot sums all others
 	Pairs         int           // maximum number of pairs in a slot
 	Distributions int           // maximum number of volumes with distributions in each slot but the finest; 0: none
-	Settle        time.Duration // time from the end of a slot until the aggregator closes it
+	CloseDelay    time.Duration // time from the end of a slot until the aggregator closes it
 }
 
 // DefaultConfig returns a configuration that keeps slots of 1 second for 2 minutes, slots of 10
@@ -33,12 +33,12 @@
 		Volumes:       64,
 		Pairs:         128,
 		Distributions: 16,
-		Settle:        time.Second,
+		CloseDelay:    time.Second,
 	}
 }
 
 func (c Config) check() error {
-	if len(c.Resolutions) == 0 || c.Volumes < 1 || c.Pairs < 1 || c.Distributions < 0 || c.Settle < 0 {
+	if len(c.Resolutions) == 0 || c.Volumes < 1 || c.Pairs < 1 || c.Distributions < 0 || c.CloseDelay < 0 {
 		return errors.New("attribution: at least 1 resolution, 1 volume and 1 pair are required; " +
 			"the numbers of distributions and the settling time must not be negative")
 	}
--- a/attribution/contribution.go
+++ b/attribution/contribution.go
@@ -21,10 +21,10 @@
 	count  int // number of requests in flight
 }
 
-// Divide divides a wait of length d among the volumes that were ahead in the node's FIFO queue, in
-// proportion to their units. The parts sum to d. If no units were ahead, the whole wait is
+// DivideWait divides a wait of length d among the volumes that were ahead in the node's FIFO queue,
+// in proportion to their units. The parts sum to d. If no units were ahead, the whole wait is
 // attributed to no volume.
-func Divide(ahead []InFlightUnits, d time.Duration) []Contribution {
+func DivideWait(ahead []InFlightUnits, d time.Duration) []Contribution {
 	if d <= 0 {
 		return nil
 	}
--- a/attribution/distribution.go
+++ b/attribution/distribution.go
@@ -9,19 +9,19 @@
 // their times in each component.
 type Distribution struct {
 	Volume     string          `json:"volume"`
-	Whole      Bins            `json:"whole"`
+	Total      Bins            `json:"whole"`
 	Components map[string]Bins `json:"causes,omitempty"` // by component name; components without time are omitted
 }
 
 // Percentile returns the time that the given share of the requests, such as 0.99, did not exceed.
 func (d *Distribution) Percentile(share float64) time.Duration {
-	return percentile(d.Whole, d.Whole.Count(), share)
+	return percentile(d.Total, d.Total.Count(), share)
 }
 
 // ComponentPercentile returns the time in one component that the given share of the requests did
 // not exceed. Requests without time in the component count as 0.
 func (d *Distribution) ComponentPercentile(c Component, share float64) time.Duration {
-	return percentile(d.Components[c.String()], d.Whole.Count(), share)
+	return percentile(d.Components[c.String()], d.Total.Count(), share)
 }
 
 // percentile returns the time that the given share of n values does not exceed. Values that are not
--- a/attribution/distribution_test.go
+++ b/attribution/distribution_test.go
@@ -68,8 +68,8 @@
 	}
 	w, _ := c.Aggregator().Window(c.now, 4*time.Minute)
 	d, ok := w.Distribution("heavy")
-	if len(w.Distributions) > 2 || !ok || d.Whole.Count() < 8 {
+	if len(w.Distributions) > 2 || !ok || d.Total.Count() < 8 {
 		t.Fatalf("got %d distributions, want at most 2; volume heavy has one: %v, with %+v, want 8 or more requests",
-			len(w.Distributions), ok, d.Whole)
+			len(w.Distributions), ok, d.Total)
 	}
 }
--- a/attribution/histograms.go
+++ b/attribution/histograms.go
@@ -31,7 +31,7 @@
 // restoreHistogramSet returns a set with the contents of a distribution.
 func restoreHistogramSet(d *Distribution) *histogramSet {
 	h := &histogramSet{}
-	h.packed[wholeIndex] = d.Whole
+	h.packed[wholeIndex] = d.Total
 	for name, b := range d.Components {
 		if c, ok := ParseComponent(name); ok {
 			h.packed[c] = b
@@ -42,9 +42,9 @@
 
 // distribution returns the contents of the set as the distribution of a volume.
 func (h *histogramSet) distribution(volume string) Distribution {
-	d := Distribution{Volume: volume, Whole: h.bins(wholeIndex), Components: map[string]Bins{}}
+	d := Distribution{Volume: volume, Total: h.bins(wholeIndex), Components: map[string]Bins{}}
 	for c := range Components {
-		if b := h.bins(c); len(b.At) > 0 {
+		if b := h.bins(c); len(b.Indexes) > 0 {
 			d.Components[Component(c).String()] = b
 		}
 	}
@@ -64,15 +64,15 @@
 // applyCorrection removes a request's time in one component and records the times in which a late
 // report divides it.
 func (h *histogramSet) applyCorrection(c *Correction) {
-	left := c.Had
+	left := c.PreviousTime
 	for _, to := range c.To {
 		if to.Time > 0 {
 			h.record(int(to.Component), to.Time)
 			left -= to.Time
 		}
 	}
-	if c.Had > 0 && left != c.Had {
-		h.remove(int(c.From), c.Had)
+	if c.PreviousTime > 0 && left != c.PreviousTime {
+		h.remove(int(c.From), c.PreviousTime)
 		if left > 0 {
 			h.record(int(c.From), left)
 		}
@@ -83,11 +83,11 @@
 func (h *histogramSet) merge(o *histogramSet) {
 	for i := range histogramCount {
 		b := o.bins(i)
-		if len(b.At) == 0 {
+		if len(b.Indexes) == 0 {
 			continue
 		}
-		if h.live[i] == nil && len(h.packed[i].At) == 0 {
-			h.packed[i] = Bins{At: append([]uint16(nil), b.At...), N: append([]int64(nil), b.N...)}
+		if h.live[i] == nil && len(h.packed[i].Indexes) == 0 {
+			h.packed[i] = Bins{Indexes: append([]uint16(nil), b.Indexes...), Counts: append([]int64(nil), b.Counts...)}
 			continue
 		}
 		h.packed[i] = h.bins(i).addCounts(b)
--- a/cmd/chalkstand/attributionlog.go
+++ b/cmd/chalkstand/attributionlog.go
@@ -47,7 +47,7 @@
 	if l.disabled {
 		return
 	}
-	record := attributionlog.NewRecord(l.gateway.Run(), time.Now(), l.gateway.Now(), a)
+	record := attributionlog.NewRecord(l.gateway.RunInfo(), time.Now(), l.gateway.Now(), a)
 	if err := l.writer.Append(record); err != nil {
 		l.disabled = true
 		l.log.Error("attribution log disabled", zap.Error(err))
--- a/cmd/chalkstand/bench.go
+++ b/cmd/chalkstand/bench.go
@@ -157,14 +157,14 @@
 		for i, server := range b.servers {
 			for _, m := range rounds[i] {
 				fmt.Fprintf(b.out, "  %s: %.0f a second, %v of cpu a request\n",
-					server.Name, m.PerSecond(), m.CPUPerRequest().Round(cpuResolution))
+					server.Name, m.RequestsPerSecond(), m.CPUPerRequest().Round(cpuResolution))
 			}
 		}
 	}
 	for i := range b.servers {
 		m := bench.Median(rounds[i])
 		fmt.Fprintf(b.out, "%-34s %-11s %10.0f %9v %9v %9.0f %10v %7d\n",
-			what, m.Name, m.PerSecond(), m.Quantile(50), m.Quantile(99), m.MiBPerSecond(),
+			what, m.Name, m.RequestsPerSecond(), m.LatencyPercentile(50), m.LatencyPercentile(99), m.MiBPerSecond(),
 			m.CPUPerRequest().Round(cpuResolution), m.Non2xx)
 	}
 	return nil
--- a/cmd/chalkstand/benchaccounts.go
+++ b/cmd/chalkstand/benchaccounts.go
@@ -70,12 +70,12 @@
 			sums[i].CPU += m.CPU
 			sums[i].Elapsed += m.Elapsed
 		}
-		rateRatios = append(rateRatios, pair[0].PerSecond()/pair[1].PerSecond())
+		rateRatios = append(rateRatios, pair[0].RequestsPerSecond()/pair[1].RequestsPerSecond())
 		cpuRatios = append(cpuRatios, cpuSecondsPerRequest(pair[0])/cpuSecondsPerRequest(pair[1]))
 	}
 	for i, s := range b.servers {
 		fmt.Fprintf(b.out, "%-14s %8.0f a second, %v of processor time a request\n",
-			s.Name, sums[i].PerSecond(), sums[i].CPUPerRequest().Round(10*time.Nanosecond))
+			s.Name, sums[i].RequestsPerSecond(), sums[i].CPUPerRequest().Round(10*time.Nanosecond))
 	}
 	fmt.Fprintf(b.out, "rate with / without: %s\nprocessor time with / without: %s\n",
 		quartiles(rateRatios), quartiles(cpuRatios))
--- a/cmd/chalkstand/benchoverload.go
+++ b/cmd/chalkstand/benchoverload.go
@@ -91,7 +91,7 @@
 			if err != nil {
 				return err
 			}
-			peak = max(peak, m[0].PerSecond())
+			peak = max(peak, m[0].RequestsPerSecond())
 		}
 		return nil
 	})
--- a/cmd/chalkstand/benchshare.go
+++ b/cmd/chalkstand/benchshare.go
@@ -154,7 +154,7 @@
 	if err != nil {
 		return err
 	}
-	file, err := bench.WriteShareConfig(b.dir, bench.ShareConfig{
+	file, err := bench.WriteFairSharingConfig(b.dir, bench.FairSharingConfig{
 		Listen:           listen,
 		Node:             b.node.Addr,
 		Order:            g.order,
@@ -293,7 +293,7 @@
 				others = m[1].MiBPerSecond()
 			}
 			fmt.Fprintf(b.out, "%-6d %-8s %-34s %9.0f %9v %9v %9.0f\n",
-				g.loops, g.order, name, m[0].PerSecond(), m[0].Quantile(50), m[0].Quantile(99), others)
+				g.loops, g.order, name, m[0].RequestsPerSecond(), m[0].LatencyPercentile(50), m[0].LatencyPercentile(99), others)
 		}
 		return nil
 	})
--- a/cmd/chalkstand/modelcheck.go
+++ b/cmd/chalkstand/modelcheck.go
@@ -112,7 +112,7 @@
 		return err
 	}
 	fmt.Fprintln(out, "\nas a test:")
-	return modelcheck.GoTest(out, scenario, r.Path, r.Violation)
+	return modelcheck.WriteGoTest(out, scenario, r.Path, r.Violation)
 }
 
 // linePrinter returns a function that formats its arguments and prints them as a line with
--- a/cmd/chalkstand/top.go
+++ b/cmd/chalkstand/top.go
@@ -135,7 +135,7 @@
 	fmt.Fprintf(out, "%-30s %8s %8s %10s %7s %8s %s\n",
 		now.at.Format(time.TimeOnly), "weight", "share %", "MiB/s", "waits", "streams", "")
 	for i, u := range rows {
-		if i == n || u.LoopTime == 0 && u.Waiting+u.Streams == 0 {
+		if i == n || u.LoopTime == 0 && u.Waiting+u.WaitingResponses == 0 {
 			break
 		}
 		limited := ""
@@ -144,7 +144,7 @@
 		}
 		share := 100 * u.LoopTime.Seconds() / max(loopTime.Seconds(), 1e-9)
 		fmt.Fprintf(out, "%-30s %8g %8.1f %10.1f %7d %8d %s\n",
-			u.Volume, u.Weight, share, float64(u.Bytes)/(1<<20)/interval, u.Waiting, u.Streams, limited)
+			u.Volume, u.Weight, share, float64(u.Bytes)/(1<<20)/interval, u.Waiting, u.WaitingResponses, limited)
 	}
 	fmt.Fprintln(out)
 }
--- a/cmd/chalkstand/top_test.go
+++ b/cmd/chalkstand/top_test.go
@@ -19,7 +19,7 @@
 	}}
 	now := &usageSnapshot{at: at.Add(2 * time.Second), Shares: []gateway.VolumeUsage{
 		{Volume: "loans", Weight: 1, LoopTime: 1200 * time.Millisecond, Bytes: 5 << 20, Waiting: 3, RateLimited: true},
-		{Volume: "photos", Weight: 4, LoopTime: 800 * time.Millisecond, Bytes: 64 << 20, Streams: 7},
+		{Volume: "photos", Weight: 4, LoopTime: 800 * time.Millisecond, Bytes: 64 << 20, WaitingResponses: 7},
 		{Volume: "quiet", Weight: 1, LoopTime: time.Second},
 	}}
 	var out strings.Builder
--- a/forwarder/attribution.go
+++ b/forwarder/attribution.go
@@ -142,7 +142,7 @@
 	attr.timingKnown = true
 	queue := attr.span.Move(attribution.NodeUnknown, attribution.NodeQueue, info.QueueTime)
 	attr.span.Move(attribution.NodeUnknown, attribution.NodeService, info.ServiceTime)
-	attr.behind = append(attr.behind, attribution.Divide(attr.ahead, queue)...)
+	attr.behind = append(attr.behind, attribution.DivideWait(attr.ahead, queue)...)
 }
 
 // attribute completes the attribution of a finished request and emits it.
--- a/gateway/attribution.go
+++ b/gateway/attribution.go
@@ -15,8 +15,8 @@
 
 // These errors are returned by Gateway.Attribution.
 var (
-	ErrAttributionOff = errors.New("gateway: no accounts are kept: accounts.on is false in the settings")
-	ErrClosed         = errors.New("gateway: closed")
+	ErrAttributionDisabled = errors.New("gateway: no accounts are kept: accounts.on is false in the settings")
+	ErrClosed              = errors.New("gateway: closed")
 )
 
 // attributionWorker owns the collector of latency attribution and runs it on a separate goroutine. The
@@ -44,7 +44,7 @@
 	cfg.Volumes = s.Volumes
 	cfg.Pairs = s.Pairs
 	cfg.Distributions = s.Distributions
-	cfg.Late = s.Late
+	cfg.LateReports = s.LateReports
 	collector, err := attribution.NewCollector(cfg)
 	if err != nil {
 		return nil, err
@@ -63,7 +63,7 @@
 // run handles batches and queries until the channel batches is closed.
 func (a *attributionWorker) run() {
 	defer close(a.done)
-	t := time.NewTicker(attribution.DefaultConfig().Settle)
+	t := time.NewTicker(attribution.DefaultConfig().CloseDelay)
 	defer t.Stop()
 	for {
 		select {
@@ -135,10 +135,10 @@
 
 // Attribution calls f with the collector of latency attribution. The function f may read the collector
 // until f returns. It must be quick, because batches wait while it runs. The error is
-// ErrAttributionOff or ErrClosed.
+// ErrAttributionDisabled or ErrClosed.
 func (g *Gateway) Attribution(f func(now time.Duration, collector *attribution.Collector)) error {
 	if g.attribution == nil {
-		return ErrAttributionOff
+		return ErrAttributionDisabled
 	}
 	done := make(chan struct{})
 	query := func(now time.Duration, collector *attribution.Collector) {
@@ -170,7 +170,7 @@
 	}
 }
 
-// Run returns the identity of this run of the gateway, which attribution records carry.
-func (g *Gateway) Run() attribution.Run {
+// RunInfo returns the identity of this run of the gateway, which attribution records carry.
+func (g *Gateway) RunInfo() attribution.Run {
 	return attribution.Run{ID: g.core.nonce, Gateway: g.cfg.Name, Started: g.started}
 }
--- a/gateway/attributionhandler.go
+++ b/gateway/attributionhandler.go
@@ -23,7 +23,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		doc := attribution.Document{Version: attribution.Version, Run: g.Run()}
+		doc := attribution.Document{Version: attribution.Version, Run: g.RunInfo()}
 		covered := false
 		maxSpan := time.Duration(0)
 		err = g.Attribution(func(now time.Duration, collector *attribution.Collector) {
--- a/gateway/clientconn.go
+++ b/gateway/clientconn.go
@@ -50,7 +50,7 @@
 // setState changes the connection's state and restarts the time limit of the state.
 func (c *clientConn) setState(s clientState) {
 	c.state = s
-	c.conn.SetStarting(s == stateReading || s == stateLingering)
+	c.conn.SetNewWork(s == stateReading || s == stateLingering)
 	c.lastProgress = c.worker.now()
 }
 
@@ -119,7 +119,7 @@
 // readHead parses the head of a request, and starts a transaction once the head is complete. It
 // returns the number of bytes consumed.
 func (c *clientConn) readHead(b []byte) int {
-	if c.conn.Pending() > 0 { // part of the previous response is still unsent
+	if c.conn.BufferedOutput() > 0 { // part of the previous response is still unsent
 		c.conn.Pause()
 		return 0
 	}
@@ -195,11 +195,11 @@
 	case stateUploading:
 		c.current.upload.checkTimeout(waited)
 	case stateResponding:
-		if c.conn.Pending() > 0 && waited > limits.ClientBody.D() {
+		if c.conn.BufferedOutput() > 0 && waited > limits.ClientBody.D() {
 			c.conn.Reset()
 		}
 	case stateLingering:
-		if waited > lingerTimeout && c.conn.Pending() == 0 || waited > limits.ClientBody.D() {
+		if waited > lingerTimeout && c.conn.BufferedOutput() == 0 || waited > limits.ClientBody.D() {
 			c.conn.Close()
 		}
 	}
@@ -210,14 +210,14 @@
 func (c *clientConn) checkReadTimeout(waited time.Duration) {
 	limits := c.worker.gateway.cfg.Limits
 	switch {
-	case c.conn.Pending() > 0 && waited > limits.ClientBody.D():
+	case c.conn.BufferedOutput() > 0 && waited > limits.ClientBody.D():
 		c.conn.Reset()
-	case c.conn.Buffered() > 0 && waited > limits.ClientHead.D():
+	case c.conn.BufferedInput() > 0 && waited > limits.ClientHead.D():
 		t := c.newTransaction()
 		t.closeConn = true
 		apiErr := objectapi.NewError(objectapi.CodeRequestTimeout, "The head of the request did not come in time.")
 		t.respondError(apiErr, http.StatusRequestTimeout)
-	case c.conn.Buffered() == 0 && waited > limits.ClientIdle.D():
+	case c.conn.BufferedInput() == 0 && waited > limits.ClientIdle.D():
 		c.conn.Close()
 	}
 }
--- a/gateway/copy.go
+++ b/gateway/copy.go
@@ -220,7 +220,7 @@
 		return true
 	}
 	c.send(p)
-	return c.connCarriesWrite() && c.target.conn.Pending() == 0
+	return c.connCarriesWrite() && c.target.conn.BufferedOutput() == 0
 }
 
 // complete reports whether the source has a known length and all of its bytes have been received.
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -101,7 +101,7 @@
 		}
 	}
 	for i := range cfg.LoopCount() {
-		loop, err := eventloop.NewLoopWith(i, loopOptions(g.cfg, g.core.now))
+		loop, err := eventloop.NewLoopWithOptions(i, loopOptions(g.cfg, g.core.now))
 		if err != nil {
 			return nil, errors.Join(fmt.Errorf("gateway: %w", err), g.discard())
 		}
@@ -235,7 +235,7 @@
 	for _, w := range g.workers {
 		w.loop.Post(func() {
 			sum := 0
-			w.loop.EachConn(func(c *eventloop.Conn) { sum += c.Pending() + c.Buffered() })
+			w.loop.EachConn(func(c *eventloop.Conn) { sum += c.BufferedOutput() + c.BufferedInput() })
 			sums <- sum
 		})
 	}
--- a/gateway/nodeconn.go
+++ b/gateway/nodeconn.go
@@ -150,13 +150,13 @@
 	info := n.responseInfo()
 	sink := n.request.sink
 	if sink == nil || info.Result != dispatch.OK {
-		if n.reader.Buffer().Kind == upstreamhttp.ProtocolError {
+		if n.reader.BufferBody().Kind == upstreamhttp.ProtocolError {
 			n.abort()
 			return false
 		}
 		return true
 	}
-	n.reader.Stream()
+	n.reader.StreamBody()
 	n.lastData = n.worker.now()
 	n.worker.handle(forwarder.ResponseHeaders{Conn: n.id, Info: info})
 	if n.request == nil {
@@ -196,7 +196,7 @@
 // response is forwarded to the client or discarded.
 func (n *nodeConn) completeResponse(r nodeResult) {
 	n.result = r
-	reuse := n.reader.Reusable() && n.source == nil && n.conn.Pending() == 0
+	reuse := n.reader.Reusable() && n.source == nil && n.conn.BufferedOutput() == 0
 	n.worker.readLateTimings(n.reader.Response.Headers)
 	n.worker.handle(forwarder.ResponseCompleted{Conn: n.id, Info: n.responseInfo(), Reuse: reuse})
 }
@@ -262,7 +262,7 @@
 	n.releaseGrant()
 	n.request = nil
 	n.source = nil
-	n.reader.Break()
+	n.reader.MarkBroken()
 	if n.conn != nil {
 		n.conn.Close()
 	}
@@ -275,7 +275,7 @@
 	n.releaseGrant()
 	n.request = nil
 	n.source = nil
-	n.reader.Break()
+	n.reader.MarkBroken()
 	if conn != nil {
 		conn.Close()
 	}
--- a/gateway/response.go
+++ b/gateway/response.go
@@ -174,7 +174,7 @@
 	} else {
 		conn.Write(p)
 	}
-	if conn.Pending() == 0 {
+	if conn.BufferedOutput() == 0 {
 		t.conn.lastProgress = t.conn.worker.now()
 		return true
 	}
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -70,11 +70,11 @@
 		listener *eventloop.Listener
 		err      error
 	}
-	fd, err := eventloop.Detach(ln)
+	fd, err := eventloop.DuplicateFD(ln)
 	if err != nil {
 		return nil, err
 	}
-	_ = ln.Close() // Detach has duplicated the descriptor
+	_ = ln.Close() // DuplicateFD has duplicated the descriptor
 	first := g.workers[0]
 	listening := make(chan result, 1)
 	first.loop.PostOrDrop(func() {
--- a/gateway/span.go
+++ b/gateway/span.go
@@ -119,7 +119,7 @@
 	if c.worker.gateway.attribution == nil || !t.usedNodes {
 		return
 	}
-	if c.conn.Pending() == 0 && (!t.wasStalled || c.conn.Unacknowledged() == 0) {
+	if c.conn.BufferedOutput() == 0 && (!t.wasStalled || c.conn.Unacknowledged() == 0) {
 		t.endSpan()
 		return
 	}
@@ -140,7 +140,7 @@
 		loop.Post(func() {
 			switch {
 			case c.previous != t:
-			case c.conn.Open() && c.conn.Pending()+c.conn.Unacknowledged() > 0:
+			case c.conn.Open() && c.conn.BufferedOutput()+c.conn.Unacknowledged() > 0:
 				c.watchDelivery(t, since)
 			default:
 				c.endPreviousSpan()
--- a/gateway/upload.go
+++ b/gateway/upload.go
@@ -72,7 +72,7 @@
 		u.streaming = true
 		c.worker.handle(forwarder.BodyStreaming{ID: u.request.id})
 	}
-	if u.connCarriesRequest() && u.conn.conn.Pending() > 0 {
+	if u.connCarriesRequest() && u.conn.conn.BufferedOutput() > 0 {
 		u.nodeStall.start(t.now())
 		c.conn.Pause()
 	}
@@ -144,7 +144,7 @@
 	t := u.transaction
 	switch {
 	case !u.connCarriesRequest() || waited <= t.conn.worker.gateway.cfg.Limits.ClientBody.D():
-	case u.conn.conn.Pending() > 0:
+	case u.conn.conn.BufferedOutput() > 0:
 		u.conn.abort()
 	default:
 		u.abort()
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -78,13 +78,13 @@
 // VolumeUsage describes how much of the event loops a volume has used since the loops first served the
 // volume, and how many of the volume's connections and responses are waiting.
 type VolumeUsage struct {
-	Volume      string        `json:"volume"`
-	Weight      float64       `json:"weight"`
-	LoopTime    time.Duration `json:"loops_ns"` // loop time used; at least share.byte_time for each byte
-	Bytes       int64         `json:"bytes"`    // bytes read from clients and nodes
-	Waiting     int           `json:"waits"`    // connections that wait for a time slice
-	Streams     int           `json:"streams"`  // responses that wait for a grant of their node's gate
-	RateLimited bool          `json:"paced"`    // the volume's byte rate delays it on at least one loop
+	Volume           string        `json:"volume"`
+	Weight           float64       `json:"weight"`
+	LoopTime         time.Duration `json:"loops_ns"` // loop time used; at least share.byte_time for each byte
+	Bytes            int64         `json:"bytes"`    // bytes read from clients and nodes
+	Waiting          int           `json:"waits"`    // connections that wait for a time slice
+	WaitingResponses int           `json:"streams"`  // responses that wait for a grant of their node's gate
+	RateLimited      bool          `json:"paced"`    // the volume's byte rate delays it on at least one loop
 }
 
 // addUsage returns the sum of a volume's usage on two loops. The sum has the volume name and weight of u.
@@ -92,7 +92,7 @@
 	u.LoopTime += other.LoopTime
 	u.Bytes += other.Bytes
 	u.Waiting += other.Waiting
-	u.Streams += other.Streams
+	u.WaitingResponses += other.WaitingResponses
 	u.RateLimited = u.RateLimited || other.RateLimited
 	return u
 }
@@ -141,7 +141,7 @@
 	for _, g := range w.gates {
 		g.Flows(func(f *fairshare.Flow[*nodeConn]) {
 			if u, ok := byVolume[f.Name()]; ok {
-				u.Streams += f.Waiting()
+				u.WaitingResponses += f.Waiting()
 				byVolume[f.Name()] = u
 			}
 		})
--- a/gateway/worker.go
+++ b/gateway/worker.go
@@ -89,7 +89,7 @@
 		return
 	}
 	c.conn = conn
-	conn.SetStarting(true)
+	conn.SetNewWork(true)
 	c.assignVolume(w.newcomers)
 	w.clients[c] = struct{}{}
 }
@@ -114,7 +114,7 @@
 // bytes.
 func (w *loopWorker) closeIdleClients() {
 	for c := range w.clients {
-		if c.state == stateReading && c.conn.Pending() == 0 && c.conn.Buffered() == 0 {
+		if c.state == stateReading && c.conn.BufferedOutput() == 0 && c.conn.BufferedInput() == 0 {
 			c.conn.Close()
 		}
 	}
--- a/internal/attributionlog/log_test.go
+++ b/internal/attributionlog/log_test.go
@@ -206,11 +206,11 @@
 		Saved: epoch.Add(25 * time.Second),
 		At:    25 * time.Second,
 		Correction: &attribution.Correction{
-			Volume: "v",
-			Ended:  15 * time.Second,
-			From:   attribution.NodeUnknown,
-			Had:    2 * time.Millisecond,
-			To:     []attribution.ComponentTime{{Component: attribution.NodeQueue, Time: time.Millisecond}},
+			Volume:       "v",
+			Ended:        15 * time.Second,
+			From:         attribution.NodeUnknown,
+			PreviousTime: 2 * time.Millisecond,
+			To:           []attribution.ComponentTime{{Component: attribution.NodeQueue, Time: time.Millisecond}},
 		},
 	}
 	unmatched := correction
--- a/internal/attributionreport/text.go
+++ b/internal/attributionreport/text.go
@@ -166,7 +166,7 @@
 	flush(t)
 	if known {
 		fmt.Fprintf(out, "percentiles are of %d of its requests, each at most %.0f %% off\n",
-			distribution.Whole.Count(), 100*attribution.PercentileError)
+			distribution.Total.Count(), 100*attribution.PercentileError)
 	}
 }
 
@@ -236,9 +236,9 @@
 		fmt.Fprintf(out, "since its start: %d requests; of %d attempts the node had not told how its time divides, "+
 			"of %d it has since, %d of these in closed slots\n",
 			c.Entered, c.Unreported, c.ReportedLate, c.Corrected)
-		if c.Unplaced+c.Lost+c.Overdue > 0 {
+		if c.Unmatched+c.Lost+c.Overdue > 0 {
 			fmt.Fprintf(out, "%d reports of requests that are not known, %d accounts thrown away for lack of room, "+
-				"%d came after their slot was closed\n", c.Unplaced, c.Lost, c.Overdue)
+				"%d came after their slot was closed\n", c.Unmatched, c.Lost, c.Overdue)
 		}
 	}
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -27,9 +27,9 @@
 // A watch ends with one of these errors, with a network error, or with the error for a document that
 // cannot be parsed.
 var (
-	// ErrSilent means that the watch received no data for too long. The service's machine may have
-	// failed.
-	ErrSilent = errors.New("discovery: the watch received no data in time")
+	// ErrWatchTimeout means that the watch received no data for too long. The service's machine may
+	// have failed.
+	ErrWatchTimeout = errors.New("discovery: the watch received no data in time")
 	// ErrEnded means that the service ended the response to the watch with an end of file.
 	ErrEnded = errors.New("discovery: the service ended the watch")
 	// ErrTooLarge means that a document has more than endpoints.MaxDocument bytes.
@@ -74,7 +74,7 @@
 func run(ctx context.Context, addr string, since int64, o Options, onDocument func(endpoints.Document)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silenceTimer := time.AfterFunc(o.ResponseTimeout, func() { cancel(ErrSilent) })
+	silenceTimer := time.AfterFunc(o.ResponseTimeout, func() { cancel(ErrWatchTimeout) })
 	defer silenceTimer.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, watchURL(addr, since), nil)
 	if err != nil {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -187,8 +187,8 @@
 	}
 }
 
-// A watch ends with ErrSilent after SilenceTimeout without data, no matter which data it received
-// before. It also ends with ErrSilent if a document takes longer than SilenceTimeout to arrive.
+// A watch ends with ErrWatchTimeout after SilenceTimeout without data, no matter which data it received
+// before. It also ends with ErrWatchTimeout if a document takes longer than SilenceTimeout to arrive.
 func TestSilence(t *testing.T) {
 	short := Options{ResponseTimeout: 50 * time.Millisecond, SilenceTimeout: 50 * time.Millisecond}
 	for name, begin := range map[string]string{
@@ -203,8 +203,8 @@
 				send(c, begin)
 				_, _ = c.Read(make([]byte, 1)) // waits until the watch closes the connection
 			})
-			if !errors.Is(err, ErrSilent) {
-				t.Errorf("got error %v, want ErrSilent", err)
+			if !errors.Is(err, ErrWatchTimeout) {
+				t.Errorf("got error %v, want ErrWatchTimeout", err)
 			}
 		})
 	}
@@ -215,8 +215,8 @@
 				time.Sleep(time.Millisecond) // sets the rate of the bytes; the test needs no exact timing
 			}
 		})
-		if !errors.Is(err, ErrSilent) {
-			t.Errorf("got error %v, want ErrSilent", err)
+		if !errors.Is(err, ErrWatchTimeout) {
+			t.Errorf("got error %v, want ErrWatchTimeout", err)
 		}
 	})
 }
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -9,7 +9,8 @@
 )
 
 // ReadSize is the maximum number of bytes that one read takes from a socket. It is also the maximum
-// number of bytes that a stream has to buffer after its destination stops reading (see Conn.Pending).
+// number of bytes that a stream has to buffer after its destination stops reading (see
+// Conn.BufferedOutput).
 const ReadSize = 32 << 10
 
 // Conn is a socket on a loop. A Conn also represents a listening socket or a task that runs in time
@@ -33,7 +34,7 @@
 	task         *task                          // task that runs in time slices; nil for sockets
 
 	connecting      bool // whether the kernel has yet to report the result of the connect
-	starting        bool // whether the next input begins a new unit of work, such as a request
+	newWork         bool // whether the next input begins a new unit of work, such as a request
 	paused          bool
 	closeAfterFlush bool // whether to close the connection after the output is written
 	endAfterFlush   bool // whether to send an end of file after the output is written
@@ -73,10 +74,10 @@
 // slices to this flow.
 func (c *Conn) AssignFlow(f *Flow) { c.flow = f }
 
-// SetStarting sets whether the next input of the connection begins a new unit of work, such as a
+// SetNewWork sets whether the next input of the connection begins a new unit of work, such as a
 // request, or continues one in progress. The setting applies from the next time slice. Within a flow,
 // connections with work in progress get their time slices first.
-func (c *Conn) SetStarting(starting bool) { c.starting = starting }
+func (c *Conn) SetNewWork(newWork bool) { c.newWork = newWork }
 
 // SetReceiveBuffer limits how many unread bytes the kernel buffers, so that TCP flow control stops
 // the peer of a paused connection early. SetReceiveBuffer ignores a failure, because the limit is only
@@ -103,8 +104,8 @@
 // Open reports whether the connection is neither closed nor about to be closed.
 func (c *Conn) Open() bool { return c.fd >= 0 && !c.closeAfterFlush }
 
-// Buffered returns how many received bytes the handler has not consumed.
-func (c *Conn) Buffered() int { return len(c.input) }
+// BufferedInput returns how many received bytes the handler has not consumed.
+func (c *Conn) BufferedInput() int { return len(c.input) }
 
 // RemoteAddr returns the IP address of the peer, or the zero Addr if the peer has none.
 func (c *Conn) RemoteAddr() netip.Addr {
--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -17,8 +17,8 @@
 
 func (e *echo) OnData(c *Conn, b []byte) int {
 	c.Write(b)
-	e.maxHeld = max(e.maxHeld, c.Pending()+c.Buffered())
-	if c.Pending() > 0 {
+	e.maxHeld = max(e.maxHeld, c.BufferedOutput()+c.BufferedInput())
+	if c.BufferedOutput() > 0 {
 		c.Pause()
 	}
 	return len(b)
--- a/internal/eventloop/dialer.go
+++ b/internal/eventloop/dialer.go
@@ -75,13 +75,13 @@
 	if err != nil {
 		return -1, err
 	}
-	defer func() { _ = conn.Close() }() // the duplicate that Detach returns stays open
-	return Detach(conn.(*net.TCPConn))
+	defer func() { _ = conn.Close() }() // the duplicate that DuplicateFD returns stays open
+	return DuplicateFD(conn.(*net.TCPConn))
 }
 
-// Detach returns a non-blocking duplicate of the descriptor of a net.Conn or net.Listener, for use on
-// a loop. The caller closes the original.
-func Detach(from interface{ File() (*os.File, error) }) (int, error) {
+// DuplicateFD returns a non-blocking duplicate of the descriptor of a net.Conn or net.Listener, for
+// use on a loop. The caller closes the original.
+func DuplicateFD(from interface{ File() (*os.File, error) }) (int, error) {
 	f, err := from.File()
 	if err != nil {
 		return -1, err
--- a/internal/eventloop/end_test.go
+++ b/internal/eventloop/end_test.go
@@ -131,7 +131,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		fd, err := Detach(ln.(*net.TCPListener))
+		fd, err := DuplicateFD(ln.(*net.TCPListener))
 		if err := errors.Join(err, ln.Close()); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/eventloop/kit_test.go
+++ b/internal/eventloop/kit_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fd, err := Detach(ln.(*net.TCPListener))
+	fd, err := DuplicateFD(ln.(*net.TCPListener))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -28,7 +28,7 @@
 		closeFD(fd)
 		return nil, os.NewSyscallError("setnonblock", err)
 	}
-	c := &Conn{loop: l, fd: fd, flow: f, accept: accept, starting: true}
+	c := &Conn{loop: l, fd: fd, flow: f, accept: accept, newWork: true}
 	if err := watch(l.epollFD, fd, listenInterest); err != nil {
 		closeFD(fd)
 		return nil, os.NewSyscallError("epoll_ctl", err)
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -81,11 +81,11 @@
 }
 
 // NewLoop opens a loop with the default options. The caller then calls Run.
-func NewLoop(index int) (*Loop, error) { return NewLoopWith(index, DefaultOptions) }
+func NewLoop(index int) (*Loop, error) { return NewLoopWithOptions(index, DefaultOptions) }
 
-// NewLoopWith opens a loop with the given options. index is the number of the loop, from 0, among the
-// loops that share the usage of their flows.
-func NewLoopWith(index int, o Options) (*Loop, error) {
+// NewLoopWithOptions opens a loop with the given options. index is the number of the loop, from 0,
+// among the loops that share the usage of their flows.
+func NewLoopWithOptions(index int, o Options) (*Loop, error) {
 	scheduler, err := fairshare.New[*Conn](o.FairShare, index)
 	if err != nil {
 		return nil, err
--- a/internal/eventloop/schedule.go
+++ b/internal/eventloop/schedule.go
@@ -35,7 +35,7 @@
 	}
 	c.queued = true
 	c.queuedAt = l.now
-	if c.starting {
+	if c.newWork {
 		l.scheduler.PushNew(l.now, c.flow, c)
 	} else {
 		l.scheduler.Push(l.now, c.flow, c)
@@ -51,7 +51,7 @@
 		return true
 	case c.fd < 0:
 		return false
-	case c.writable && c.Pending() > 0:
+	case c.writable && c.BufferedOutput() > 0:
 		return true
 	}
 	return !c.paused && (c.readable || c.redeliver && len(c.input) > 0)
@@ -97,7 +97,7 @@
 		return 0
 	}
 	c.writable = false
-	if c.Pending() > 0 && !c.flush() {
+	if c.BufferedOutput() > 0 && !c.flush() {
 		return 0
 	}
 	if c.redeliver && !c.paused {
--- a/internal/eventloop/schedule_test.go
+++ b/internal/eventloop/schedule_test.go
@@ -32,7 +32,7 @@
 	o := DefaultOptions
 	o.Quantum = ReadSize
 	o.FairShare.ByteTime = 1000 // the cost of the bytes exceeds that of the time, so timing does not affect the test
-	l, err := NewLoopWith(0, o)
+	l, err := NewLoopWithOptions(0, o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,7 +102,7 @@
 				added <- err
 				return
 			}
-			c.SetStarting(i == 0)
+			c.SetNewWork(i == 0)
 		}
 		added <- nil
 		<-release
--- a/internal/eventloop/tasks_test.go
+++ b/internal/eventloop/tasks_test.go
@@ -13,7 +13,7 @@
 	var clock time.Duration // the tasks advance this clock
 	o := DefaultOptions
 	o.Now = func() time.Duration { return clock }
-	l, err := NewLoopWith(0, o)
+	l, err := NewLoopWithOptions(0, o)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Pending returns the number of buffered bytes that the kernel has not accepted yet.
-func (c *Conn) Pending() int { return len(c.output) - c.written }
+// BufferedOutput returns the number of buffered bytes that the kernel has not accepted yet.
+func (c *Conn) BufferedOutput() int { return len(c.output) - c.written }
 
 // Unacknowledged returns the number of bytes in the kernel that the peer has not acknowledged. It
 // returns 0 if the kernel does not report the number.
@@ -23,12 +23,12 @@
 }
 
 // Write sends b and keeps a copy of the bytes that the kernel does not accept. To limit the size of
-// this copy, the caller checks Pending, stops writing while it is large, and continues in OnDrained.
+// this copy, the caller checks BufferedOutput, stops writing while it is large, and continues in OnDrained.
 func (c *Conn) Write(b []byte) {
 	if c.fd < 0 || c.closeAfterFlush || c.endAfterFlush {
 		return
 	}
-	if c.Pending() == 0 {
+	if c.BufferedOutput() == 0 {
 		n, err := unix.Write(c.fd, b)
 		if err == unix.EAGAIN || err == unix.EINTR {
 			n, err = 0, nil
@@ -55,7 +55,7 @@
 // flush writes pending output until the kernel accepts no more. It reports whether the connection is
 // still open.
 func (c *Conn) flush() bool {
-	for c.Pending() > 0 {
+	for c.BufferedOutput() > 0 {
 		n, err := unix.Write(c.fd, c.output[c.written:])
 		if err == unix.EAGAIN || err == unix.EINTR {
 			return true // the kernel reports when it can accept more output
@@ -98,7 +98,7 @@
 		return
 	}
 	c.endAfterFlush = true
-	if c.Pending() == 0 {
+	if c.BufferedOutput() == 0 {
 		c.shutdownWrite()
 	}
 }
@@ -111,7 +111,7 @@
 	if c.fd < 0 {
 		return
 	}
-	if c.Pending() == 0 {
+	if c.BufferedOutput() == 0 {
 		c.shutdownWrite()
 		c.close(nil)
 		return
--- a/internal/modelcheck/apply.go
+++ b/internal/modelcheck/apply.go
@@ -25,7 +25,7 @@
 	w.checkOrphans()
 }
 
-func (w *World) applyToGateway(kind Kind) {
+func (w *World) applyToGateway(kind MoveKind) {
 	switch kind {
 	case RunLoop0:
 		w.runLoop(0)
@@ -47,7 +47,7 @@
 	}
 }
 
-func (w *World) applyToRequest(kind Kind, r *request) {
+func (w *World) applyToRequest(kind MoveKind, r *request) {
 	switch kind {
 	case StartRequest:
 		w.startRequest(r)
@@ -95,7 +95,7 @@
 	}, r.loop)
 }
 
-func (w *World) applyToConn(kind Kind, c *conn) {
+func (w *World) applyToConn(kind MoveKind, c *conn) {
 	switch kind {
 	case CompleteDial:
 		c.open = true
@@ -117,7 +117,7 @@
 }
 
 // respond simulates a node that sends the bytes for a kind of response on a connection.
-func (w *World) respond(kind Kind, c *conn) {
+func (w *World) respond(kind MoveKind, c *conn) {
 	switch kind {
 	case RespondAndClose:
 		w.counts.closes++
@@ -144,7 +144,7 @@
 }
 
 // applyToNode changes the state of a node and reports the change to the gateway.
-func (w *World) applyToNode(kind Kind, n *node) {
+func (w *World) applyToNode(kind MoveKind, n *node) {
 	switch kind {
 	case DrainNode:
 		w.counts.drains++
--- a/internal/modelcheck/checkresponse.go
+++ b/internal/modelcheck/checkresponse.go
@@ -11,7 +11,7 @@
 // recordResponse marks the request of a response as possibly executed, unless the node has
 // rejected the request. After an invalid response the node may still execute the request, so
 // the quiescence period of the request's key starts.
-func (w *World) recordResponse(kind Kind, c *conn) {
+func (w *World) recordResponse(kind MoveKind, c *conn) {
 	r := c.request
 	if r == nil {
 		return
--- a/internal/modelcheck/loop.go
+++ b/internal/modelcheck/loop.go
@@ -30,7 +30,7 @@
 )
 
 // responseText holds the bytes that a node sends for each kind of response.
-var responseText = map[Kind]string{
+var responseText = map[MoveKind]string{
 	RespondOK:       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
 	RespondAndClose: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok",
 	RespondError:    "HTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\nno",
@@ -167,7 +167,7 @@
 // connection's request.
 func (w *World) closeConn(c *conn) {
 	w.recordInterruption(c)
-	c.reader.Break()
+	c.reader.MarkBroken()
 	w.unlinkRequest(c)
 	delete(w.conns, c.id)
 }
@@ -216,13 +216,13 @@
 func (w *World) receiveHeaders(c *conn) bool {
 	info := responseInfo(c)
 	if info.Result != dispatch.OK {
-		if c.reader.Buffer().Kind == upstreamhttp.ProtocolError {
+		if c.reader.BufferBody().Kind == upstreamhttp.ProtocolError {
 			w.loseConn(c)
 			return false
 		}
 		return true
 	}
-	c.reader.Stream()
+	c.reader.StreamBody()
 	w.handle(forwarder.ResponseHeaders{Conn: c.id, Info: info}, c.loop)
 	if c.request == nil {
 		return false
--- a/internal/modelcheck/move.go
+++ b/internal/modelcheck/move.go
@@ -5,37 +5,37 @@
 	"slices"
 )
 
-// Kind is the kind of a move, for example the arrival of a request or the reset of a connection.
-type Kind uint8
+// MoveKind is the kind of a move, for example the arrival of a request or the reset of a connection.
+type MoveKind uint8
 
 // These constants are the kinds of moves that can happen in a world.
 const (
-	StartRequest     Kind = iota // a client sends a request
-	RunLoop0                     // event loop 0 performs its pending actions
-	RunLoop1                     // event loop 1 performs its pending actions
-	FireTimer                    // the forwarder's timer fires
-	CompleteDial                 // a connection is established
-	FailDial                     // a node refuses a connection
-	RespondOK                    // a node responds with status 200
-	RespondAndClose              // a node responds with status 200 and closes the connection
-	RespondError                 // a node responds with status 500
-	RespondReject                // a node responds with status 503
-	RespondStart                 // a node sends the headers and half of the body of a large response
-	RespondRest                  // a node sends the second half of the body of a large response
-	RespondInvalid               // a node sends bytes that are not an HTTP response
-	RespondTwice                 // a node sends a response and the start of a second one
-	ResetConn                    // a connection breaks
-	CancelRequest                // a client disconnects
-	StreamBody                   // a node starts to read the body of a request
-	FinishBody                   // the gateway has sent the whole body of a request
-	DrainNode                    // discovery reports a node as draining
-	RemoveNode                   // discovery reports a node as removed
-	AddNode                      // discovery reports a new node
-	RestartNode                  // discovery reports a new process at the address of a node
-	RestartGateway               // the gateway restarts with a stale endpoint list
-	RefreshEndpoints             // the gateway receives the current endpoint list
-	AdvanceBefore                // the clock advances to just before the next deadline
-	AdvanceTo                    // the clock advances to the next deadline
+	StartRequest     MoveKind = iota // a client sends a request
+	RunLoop0                         // event loop 0 performs its pending actions
+	RunLoop1                         // event loop 1 performs its pending actions
+	FireTimer                        // the forwarder's timer fires
+	CompleteDial                     // a connection is established
+	FailDial                         // a node refuses a connection
+	RespondOK                        // a node responds with status 200
+	RespondAndClose                  // a node responds with status 200 and closes the connection
+	RespondError                     // a node responds with status 500
+	RespondReject                    // a node responds with status 503
+	RespondStart                     // a node sends the headers and half of the body of a large response
+	RespondRest                      // a node sends the second half of the body of a large response
+	RespondInvalid                   // a node sends bytes that are not an HTTP response
+	RespondTwice                     // a node sends a response and the start of a second one
+	ResetConn                        // a connection breaks
+	CancelRequest                    // a client disconnects
+	StreamBody                       // a node starts to read the body of a request
+	FinishBody                       // the gateway has sent the whole body of a request
+	DrainNode                        // discovery reports a node as draining
+	RemoveNode                       // discovery reports a node as removed
+	AddNode                          // discovery reports a new node
+	RestartNode                      // discovery reports a new process at the address of a node
+	RestartGateway                   // the gateway restarts with a stale endpoint list
+	RefreshEndpoints                 // the gateway receives the current endpoint list
+	AdvanceBefore                    // the clock advances to just before the next deadline
+	AdvanceTo                        // the clock advances to the next deadline
 	kindCount
 )
 
@@ -89,10 +89,10 @@
 }
 
 // String returns the name that replays use for the kind.
-func (k Kind) String() string { return kinds[k].name }
+func (k MoveKind) String() string { return kinds[k].name }
 
 // target returns the type of object that the kind of move acts on.
-func (k Kind) target() target { return kinds[k].target }
+func (k MoveKind) target() target { return kinds[k].target }
 
 // kindNames returns the names of all kinds of moves.
 func kindNames() []string {
@@ -104,14 +104,14 @@
 }
 
 // kindByName returns the kind of move with the given name, and false if no kind has that name.
-func kindByName(name string) (Kind, bool) {
+func kindByName(name string) (MoveKind, bool) {
 	i := slices.Index(kindNames(), name)
-	return Kind(max(i, 0)), i >= 0
+	return MoveKind(max(i, 0)), i >= 0
 }
 
 // Move is one event in a world, for example the arrival of a certain request.
 type Move struct {
-	Kind Kind
+	Kind MoveKind
 	// Target is the number of a request or connection, or the index of a node in the scenario.
 	// It is 0 if the kind acts on none of these.
 	Target uint32
--- a/internal/modelcheck/moves.go
+++ b/internal/modelcheck/moves.go
@@ -17,12 +17,12 @@
 	moves []Move
 }
 
-func (l *moveList) add(kind Kind, target int) {
+func (l *moveList) add(kind MoveKind, target int) {
 	l.moves = append(l.moves, Move{Kind: kind, Target: uint32(target)})
 }
 
 // addWithin adds a move unless its kind has happened as often as the scenario allows.
-func (l *moveList) addWithin(count, limit int, kind Kind, target int) {
+func (l *moveList) addWithin(count, limit int, kind MoveKind, target int) {
 	if count < limit {
 		l.add(kind, target)
 	}
@@ -32,7 +32,7 @@
 // applies partial-order reduction: it omits alternative orders of moves that commute.
 func (w *World) enabledMoves(reduce bool) []Move {
 	l := &moveList{world: w}
-	for loop, kind := range [loopCount]Kind{RunLoop0, RunLoop1} {
+	for loop, kind := range [loopCount]MoveKind{RunLoop0, RunLoop1} {
 		if len(w.loopQueues[loop]) == 0 {
 			continue
 		}
--- a/internal/modelcheck/replay.go
+++ b/internal/modelcheck/replay.go
@@ -47,9 +47,9 @@
 	return nil
 }
 
-// GoTest writes the Go source of a test of this package. The test executes the path, which
+// WriteGoTest writes the Go source of a test of this package. The test executes the path, which
 // violates a rule, and fails until the violation is fixed.
-func GoTest(out io.Writer, s Scenario, path []Move, v *Violation) error {
+func WriteGoTest(out io.Writer, s Scenario, path []Move, v *Violation) error {
 	var replay strings.Builder
 	if err := WriteReplay(&replay, s, path); err != nil {
 		return err
--- a/internal/modelcheck/replay_test.go
+++ b/internal/modelcheck/replay_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// TestWriteReplay checks that Play accepts a replay from WriteReplay, and that GoTest writes the
+// TestWriteReplay checks that Play accepts a replay from WriteReplay, and that WriteGoTest writes the
 // source of a test with the same replay.
 func TestWriteReplay(t *testing.T) {
 	s := scenario(t, "turn")
@@ -77,9 +77,9 @@
 		t.Fatalf("executing the written replay: got violation %v and error %v, want neither", v, err)
 	}
 	var source strings.Builder
-	err := GoTest(&source, s, path, &Violation{Rule: ruleOrder, Message: "as an example"})
+	err := WriteGoTest(&source, s, path, &Violation{Rule: ruleOrder, Message: "as an example"})
 	if err != nil || !strings.Contains(source.String(), "func TestTurn") ||
 		!strings.Contains(source.String(), replay.String()) {
-		t.Fatalf("GoTest: got error %v and the source below, want TestTurn with the replay\n%s", err, source.String())
+		t.Fatalf("WriteGoTest: got error %v and the source below, want TestTurn with the replay\n%s", err, source.String())
 	}
 }
--- a/internal/settings/check_limits.go
+++ b/internal/settings/check_limits.go
@@ -87,7 +87,7 @@
 		fromTo(a.Volumes, 1, 4096, "accounts.volumes"),
 		fromTo(a.Pairs, 1, 16384, "accounts.pairs"),
 		fromTo(a.Distributions, 0, 256, "accounts.distributions"),
-		fromTo(a.Late, 1, 1<<20, "accounts.late"),
+		fromTo(a.LateReports, 1, 1<<20, "accounts.late"),
 		fromTo(a.Batches, 1, 4096, "accounts.batches"),
 		fromTo(a.LogFiles, 1, 1000, "accounts.log_files"),
 		atLeast(a.LogBytes, minLogBytes, "accounts.log_bytes"),
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -97,7 +97,7 @@
 		Volumes:       64,
 		Pairs:         128,
 		Distributions: 16,
-		Late:          8192,
+		LateReports:   8192,
 		Batches:       64,
 		LogBytes:      16 * mib,
 		LogFiles:      4,
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -194,7 +194,7 @@
 	Volumes       int    `json:"volumes"`       // volumes with their own entry in a time slot; the others share an entry
 	Pairs         int    `json:"pairs"`         // pairs with their own entry in a time slot: a volume and one that it waited behind
 	Distributions int    `json:"distributions"` // number of volumes with percentiles in a time slot
-	Late          int    `json:"late"`          // attempts of completed requests that are kept for late timing reports
+	LateReports   int    `json:"late"`          // attempts of completed requests that are kept for late timing reports
 	Batches       int    `json:"batches"`       // batches of 128 spans that can wait for the aggregator
 	Log           string `json:"log"`           // path of the attribution log; "" disables it
 	LogBytes      int64  `json:"log_bytes"`     // maximum size of a log file, in bytes
--- a/internal/upstreamhttp/reader.go
+++ b/internal/upstreamhttp/reader.go
@@ -18,7 +18,7 @@
 
 	// Response is the head of the current response. It is set from the first step of kind Headers or
 	// BufferedResponse on. Its slices point into the input that was passed to Next, except after a
-	// call of Buffer, which copies the headers.
+	// call of BufferBody, which copies the headers.
 	Response http1.Response
 
 	state       State
@@ -67,8 +67,8 @@
 	}
 }
 
-// Break marks the connection as broken.
-func (r *Reader) Break() {
+// MarkBroken marks the connection as broken.
+func (r *Reader) MarkBroken() {
 	r.state = Broken
 	r.body = nil
 	r.chunks = nil
@@ -112,19 +112,19 @@
 	return r.fail("a response without a request")
 }
 
-// Stream makes Next return the body of the current response in pieces. The owner calls it after a
+// StreamBody makes Next return the body of the current response in pieces. The owner calls it after a
 // step of kind Headers.
-func (r *Reader) Stream() {
+func (r *Reader) StreamBody() {
 	if r.state == HeadersReceived {
 		r.state = Streaming
 	}
 }
 
-// Buffer makes Next collect the body of the current response and return it as a whole. The owner
-// calls it after a step of kind Headers. Buffer breaks the connection if the response is not
+// BufferBody makes Next collect the body of the current response and return it as a whole. The owner
+// calls it after a step of kind Headers. BufferBody breaks the connection if the response is not
 // chunked: Next buffers a short response of known length at once, so that a response of known length
-// which reaches Buffer is too large.
-func (r *Reader) Buffer() Step {
+// which reaches BufferBody is too large.
+func (r *Reader) BufferBody() Step {
 	if r.state != HeadersReceived || r.chunks == nil {
 		return r.fail(tooLarge)
 	}
@@ -148,7 +148,7 @@
 
 // fail breaks the connection and returns a step of kind ProtocolError with the given reason.
 func (r *Reader) fail(reason string) Step {
-	r.Break()
+	r.MarkBroken()
 	return Step{Kind: ProtocolError, Reason: reason}
 }
 
--- a/internal/upstreamhttp/reader_test.go
+++ b/internal/upstreamhttp/reader_test.go
@@ -20,8 +20,8 @@
 }
 
 // readAll acts as the owner of a connection on which the given pieces of text are received one after
-// the other. After a step of kind Headers it calls Stream if stream is set, and Buffer otherwise. It
-// returns a summary of the steps, followed by the final state or by "error".
+// the other. After a step of kind Headers it calls StreamBody if stream is set, and BufferBody
+// otherwise. It returns a summary of the steps, followed by the final state or by "error".
 func readAll(r *Reader, pieces []string, stream bool) string {
 	var out, data strings.Builder
 	var buf []byte
@@ -53,13 +53,13 @@
 	return out.String() + r.State().String()
 }
 
-// streamOrBuffer calls r.Stream if stream is set, and r.Buffer otherwise. It returns the kind of
+// streamOrBuffer calls r.StreamBody if stream is set, and r.BufferBody otherwise. It returns the kind of
 // the step that the call results in.
 func streamOrBuffer(r *Reader, stream bool) StepKind {
 	if !stream {
-		return r.Buffer().Kind
+		return r.BufferBody().Kind
 	}
-	r.Stream()
+	r.StreamBody()
 	return NeedMore
 }
 
--- a/internal/upstreamhttp/step.go
+++ b/internal/upstreamhttp/step.go
@@ -7,7 +7,7 @@
 const (
 	Idle            State = iota // No request awaits a response.
 	AwaitingHeaders              // A request was sent, and the response's head is incomplete.
-	HeadersReceived              // The owner must call Stream or Buffer.
+	HeadersReceived              // The owner must call StreamBody or BufferBody.
 	Buffered                     // The Reader collects the body to return it as a whole.
 	Streaming                    // The Reader returns the body in pieces.
 	Complete                     // The response is complete, and the owner has not called ResponseTaken yet.
@@ -33,7 +33,7 @@
 // The kinds of steps.
 const (
 	NeedMore         StepKind = iota // The next step needs more input.
-	Headers                          // The head is complete, and the owner must call Stream or Buffer.
+	Headers                          // The head is complete, and the owner must call StreamBody or BufferBody.
 	BodyData                         // Step.Body holds a piece of a streamed body.
 	BufferedResponse                 // A buffered response is complete, and Step.Body holds its body.
 	ResponseEnd                      // A streamed response is complete.
--- a/lab/attributiontest/scenarios.go
+++ b/lab/attributiontest/scenarios.go
@@ -240,7 +240,7 @@
 					len(runs), logged, attributed)
 			}
 			v.expectNote("started anew")
-			if v.Counts.Unplaced+v.Counts.ReportedLate == 0 {
+			if v.Counts.Unmatched+v.Counts.ReportedLate == 0 {
 				v.failf("got no late report after the restart, want some: counts %+v", v.Counts)
 			}
 		},
--- a/lab/attributiontest/testrun.go
+++ b/lab/attributiontest/testrun.go
@@ -135,7 +135,7 @@
 
 // appendLog writes an action of a gateway's collector to the attribution log.
 func (r *testRun) appendLog(g *gateway.Gateway, a attribution.Action) {
-	if err := r.log.Append(attributionlog.NewRecord(g.Run(), r.wallClock(), g.Now(), a)); err != nil {
+	if err := r.log.Append(attributionlog.NewRecord(g.RunInfo(), r.wallClock(), g.Now(), a)); err != nil {
 		r.failf("append to the attribution log: %v", err)
 	}
 }
--- a/lab/bench/bench.go
+++ b/lab/bench/bench.go
@@ -48,8 +48,8 @@
 	PeakMemory int64                   // peak resident memory of the server since its start, in bytes
 }
 
-// PerSecond returns the number of requests per second.
-func (m Measurement) PerSecond() float64 { return float64(m.Requests) / m.Elapsed.Seconds() }
+// RequestsPerSecond returns the number of requests per second.
+func (m Measurement) RequestsPerSecond() float64 { return float64(m.Requests) / m.Elapsed.Seconds() }
 
 // MiBPerSecond returns the transfer rate of the bodies in MiB per second.
 func (m Measurement) MiBPerSecond() float64 {
@@ -59,15 +59,15 @@
 // CPUPerRequest returns the server's mean processor time per request.
 func (m Measurement) CPUPerRequest() time.Duration { return m.CPU / time.Duration(max(m.Requests, 1)) }
 
-// Quantile returns a percentile of the latency.
-func (m Measurement) Quantile(percent float64) time.Duration {
+// LatencyPercentile returns a percentile of the latency.
+func (m Measurement) LatencyPercentile(percent float64) time.Duration {
 	return time.Duration(m.Latency.ValueAtQuantile(percent)) * time.Microsecond
 }
 
 // Median returns the measurement with the median number of requests per second.
 func Median(ms []Measurement) Measurement {
 	sorted := slices.Clone(ms)
-	slices.SortFunc(sorted, func(a, b Measurement) int { return cmp.Compare(a.PerSecond(), b.PerSecond()) })
+	slices.SortFunc(sorted, func(a, b Measurement) int { return cmp.Compare(a.RequestsPerSecond(), b.RequestsPerSecond()) })
 	return sorted[len(sorted)/2]
 }
 
--- a/lab/bench/config.go
+++ b/lab/bench/config.go
@@ -40,8 +40,8 @@
 	return name, os.WriteFile(name, []byte(text), 0o600)
 }
 
-// ShareConfig configures a gateway that has a plan for the bucket heavy and a plan for the bucket light.
-type ShareConfig struct {
+// FairSharingConfig configures a gateway that has a plan for the bucket heavy and a plan for the bucket light.
+type FairSharingConfig struct {
 	Listen string
 	Node   string
 	Order  string  // the scheduling order: "fair" or "arrival"
@@ -75,8 +75,8 @@
 	"share": {"order": %q, "overload": {"target": "%v"}}, "log": {"level": "error"},
 }`
 
-// WriteShareConfig writes the settings of c to a file in dir and returns the file's name.
-func WriteShareConfig(dir string, c ShareConfig) (string, error) {
+// WriteFairSharingConfig writes the settings of c to a file in dir and returns the file's name.
+func WriteFairSharingConfig(dir string, c FairSharingConfig) (string, error) {
 	name := filepath.Join(dir, fmt.Sprintf("share-%s-%d-%g.jsonc", c.Order, c.Loops, c.Weight))
 	deadline := 2 * c.LatencyObjective
 	text := fmt.Sprintf(shareConfigText, c.Listen, c.Loops, c.Node,
--- a/lab/faultinjection/site.go
+++ b/lab/faultinjection/site.go
@@ -140,7 +140,7 @@
 	params := invariants.Parameters{
 		DrainGrace:        drainGrace,
 		Quiescence:        s.Rules.Quiescence.D(),
-		BudgetFree:        s.Rules.RetryBudget.MinRetries,
+		BudgetMinRetries:  s.Rules.RetryBudget.MinRetries,
 		BudgetRatio:       s.Rules.RetryBudget.Ratio,
 		BudgetWindow:      s.Rules.RetryBudget.Window.D(),
 		Limits:            map[string]invariants.RateLimit{},
--- a/lab/invariants/invariants_test.go
+++ b/lab/invariants/invariants_test.go
@@ -15,7 +15,7 @@
 	return Parameters{
 		DrainGrace:        250 * ms,
 		Quiescence:        100 * ms,
-		BudgetFree:        1,
+		BudgetMinRetries:  1,
 		BudgetRatio:       0.5,
 		BudgetWindow:      time.Second,
 		Limits:            map[string]RateLimit{"v": {Rate: 10, Capacity: 2}},
--- a/lab/invariants/log.go
+++ b/lab/invariants/log.go
@@ -26,13 +26,13 @@
 // Parameters holds the bounds of the invariants and the tolerances for comparing the logs of
 // different observers.
 type Parameters struct {
-	Classes      []Class
-	DrainGrace   time.Duration        // time after a drain notice in which requests may still arrive at the node
-	Quiescence   time.Duration        // pause of a key after an ambiguous attempt
-	BudgetFree   float64              // retries allowed in a window that has no requests
-	BudgetRatio  float64              // additional retries allowed for each request in the window
-	BudgetWindow time.Duration        // length of the retry budget's window; 0: no retry budget
-	Limits       map[string]RateLimit // keyed by volume; a volume without an entry has no limit
+	Classes          []Class
+	DrainGrace       time.Duration        // time after a drain notice in which requests may still arrive at the node
+	Quiescence       time.Duration        // pause of a key after an ambiguous attempt
+	BudgetMinRetries float64              // retries allowed in a window that has no requests
+	BudgetRatio      float64              // additional retries allowed for each request in the window
+	BudgetWindow     time.Duration        // length of the retry budget's window; 0: no retry budget
+	Limits           map[string]RateLimit // keyed by volume; a volume without an entry has no limit
 
 	LogTolerance      time.Duration // allowed difference between the times that two logs give for the same event
 	ResponseTolerance time.Duration // allowed delay of a response after its deadline
--- a/lab/invariants/nodes.go
+++ b/lab/invariants/nodes.go
@@ -87,7 +87,7 @@
 		from, _ := slices.BinarySearch(requests, at-window-tolerance)
 		to, _ := slices.BinarySearch(requests, at+tolerance)
 		count := float64(i - first + 1)
-		allowed := c.params.BudgetFree + c.params.BudgetRatio*float64(to-from)
+		allowed := c.params.BudgetMinRetries + c.params.BudgetRatio*float64(to-from)
 		if count > allowed {
 			c.report(RetryBudget, at, nil, "%s sent %.0f retries within %v, %.1f are allowed", gateway, count, window, allowed)
 		}
--- a/lab/mutation/reader.go
+++ b/lab/mutation/reader.go
@@ -33,8 +33,8 @@
 	{
 		Name:              "a partial response leaves the connection reusable",
 		File:              readerFile,
-		From:              "\t\tr.state = Broken\n\t}\n}\n\n// Break",
-		To:                "\t\tr.state = Idle\n\t}\n}\n\n// Break",
+		From:              "\t\tr.state = Broken\n\t}\n}\n\n// MarkBroken",
+		To:                "\t\tr.state = Idle\n\t}\n}\n\n// MarkBroken",
 		EquivalentBecause: "the forwarder closes the connection of a request that ends before its response",
 	},
 	{
--- a/lab/schedulereplay/site.go
+++ b/lab/schedulereplay/site.go
@@ -49,7 +49,7 @@
 var streamedBody = strings.Repeat("x", 256<<10)
 
 // responses holds the bytes that a node sends for each kind of move.
-var responses = map[modelcheck.Kind]string{
+var responses = map[modelcheck.MoveKind]string{
 	modelcheck.RespondOK:       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
 	modelcheck.RespondAndClose: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok",
 	modelcheck.RespondError:    "HTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\nno",
--- a/lab/soak/system.go
+++ b/lab/soak/system.go
@@ -68,7 +68,7 @@
 		},
 		DrainGrace:        drainGrace,
 		Quiescence:        quiescence,
-		BudgetFree:        freeRetries,
+		BudgetMinRetries:  freeRetries,
 		BudgetRatio:       retryRatio,
 		BudgetWindow:      retryWindow,
 		LogTolerance:      logTolerance,
--- a/respserver/clients.go
+++ b/respserver/clients.go
@@ -116,7 +116,7 @@
 // open request, no unsent reply and no unread input. The check for unread input is the last one
 // because it needs a system call.
 func (cl *client) idle() bool {
-	return len(cl.pipeline) == 0 && cl.conn.Pending() == 0 && cl.conn.NoUnreadInput()
+	return len(cl.pipeline) == 0 && cl.conn.BufferedOutput() == 0 && cl.conn.NoUnreadInput()
 }
 
 // OnData reads one command. If the client's input is discarded, OnData drops the bytes and pauses the
@@ -145,7 +145,7 @@
 	cl.partialSince = 0
 	cl.lastActivity = cl.lastReceived
 	cl.execute(args)
-	if conn.Pending() > maxUnsentBytes {
+	if conn.BufferedOutput() > maxUnsentBytes {
 		conn.Pause()
 	}
 	return n
@@ -338,7 +338,7 @@
 
 // expired reports whether the connection has reached one of its timeouts.
 func (cl *client) expired(now time.Duration) bool {
-	unsent := cl.conn.Pending() > 0
+	unsent := cl.conn.BufferedOutput() > 0
 	switch {
 	case unsent && now-cl.lastActivity > unreadReplyTimeout && len(cl.pipeline) == 0:
 		return true
--- a/respserver/export_test.go
+++ b/respserver/export_test.go
@@ -80,7 +80,7 @@
 // UnsentBytes returns how many bytes of replies the kernel has not accepted yet.
 func (s *Server) UnsentBytes() (n int) {
 	for _, cl := range s.clients {
-		n += cl.conn.Pending()
+		n += cl.conn.BufferedOutput()
 	}
 	return n
 }
--- a/respserver/nodes.go
+++ b/respserver/nodes.go
@@ -72,7 +72,7 @@
 	c.used = true
 	s.writeBuffer = req.command.AppendTo(s.writeBuffer[:0], deadline-s.now())
 	c.conn.Write(s.writeBuffer)
-	c.requestWritten = c.conn.Open() && c.conn.Pending() == 0
+	c.requestWritten = c.conn.Open() && c.conn.BufferedOutput() == 0
 }
 
 // closeLost closes the connection and reports its loss to the forwarder.
--- a/respserver/server.go
+++ b/respserver/server.go
@@ -103,7 +103,7 @@
 	}
 	options := eventloop.DefaultOptions
 	options.Now = func() time.Duration { return time.Since(s.startTime) }
-	if s.loop, err = eventloop.NewLoopWith(0, options); err != nil {
+	if s.loop, err = eventloop.NewLoopWithOptions(0, options); err != nil {
 		return nil, err
 	}
 	s.flows.newConns = s.loop.Flow("new", fairshare.FlowConfig{Weight: newConnsFlowWeight}, nil)
@@ -123,7 +123,7 @@
 	if err != nil {
 		return err
 	}
-	fd, err := eventloop.Detach(ln.(*net.TCPListener)) // fd is a duplicate, so closing ln does not affect it
+	fd, err := eventloop.DuplicateFD(ln.(*net.TCPListener)) // fd is a duplicate, so closing ln does not affect it
 	if err := errors.Join(err, ln.Close()); err != nil {
 		return err
 	}
