--- a/trace/convert.go
+++ b/trace/convert.go
@@ -26,89 +26,97 @@
 
 func encodeConfig(c *dispatch.Config) configRecord {
 	return configRecord{
-		Me:            c.DispatcherIndex,
-		Peers:         c.DispatcherCount,
-		Cancel:        c.CancelAttempts,
-		AskDiscovery:  c.PollDiscovery,
-		MaxRetryAfter: c.MaxRetryAfter,
-		MaxAttempts:   c.MaxAttempts,
-		Round:         c.RoundTrip,
-		Classes:       convert(c.Classes, encodeClass),
-		Plans:         convert(c.Plans, encodePlan),
-		UsualUnits:    c.MeanUnits,
-		LargestUnits:  c.MaxUnits,
-		Cold: coldRecord{
-			From:       c.SlowStart.InitialCapacity,
-			WarmUp:     c.SlowStart.WarmUp,
-			Multiple:   c.SlowStart.OverloadFactor,
-			Span:       c.SlowStart.Window,
-			YoungLimit: c.SlowStart.InitialUnits,
+		DispatcherIndex: c.DispatcherIndex,
+		DispatcherCount: c.DispatcherCount,
+		CancelAttempts:  c.CancelAttempts,
+		PollDiscovery:   c.PollDiscovery,
+		MaxRetryAfter:   c.MaxRetryAfter,
+		MaxAttempts:     c.MaxAttempts,
+		RoundTrip:       c.RoundTrip,
+		Classes:         convert(c.Classes, encodeClass),
+		Plans:           convert(c.Plans, encodePlan),
+		MeanUnits:       c.MeanUnits,
+		MaxUnits:        c.MaxUnits,
+		SlowStart: slowStartRecord{
+			InitialCapacity: c.SlowStart.InitialCapacity,
+			WarmUp:          c.SlowStart.WarmUp,
+			OverloadFactor:  c.SlowStart.OverloadFactor,
+			Window:          c.SlowStart.Window,
+			InitialUnits:    c.SlowStart.InitialUnits,
 		},
-		Budget: budgetRecord{Free: c.RetryBudget.MinRetries, Ratio: c.RetryBudget.Ratio, Span: c.RetryBudget.Window},
-		Settle: c.Quiescence,
+		RetryBudget: retryBudgetRecord{
+			MinRetries: c.RetryBudget.MinRetries,
+			Ratio:      c.RetryBudget.Ratio,
+			Window:     c.RetryBudget.Window,
+		},
+		Quiescence: c.Quiescence,
 	}
 }
 
 func (r *configRecord) decode() dispatch.Config {
 	return dispatch.Config{
-		DispatcherIndex: r.Me,
-		DispatcherCount: r.Peers,
-		CancelAttempts:  r.Cancel,
-		PollDiscovery:   r.AskDiscovery,
+		DispatcherIndex: r.DispatcherIndex,
+		DispatcherCount: r.DispatcherCount,
+		CancelAttempts:  r.CancelAttempts,
+		PollDiscovery:   r.PollDiscovery,
 		MaxRetryAfter:   r.MaxRetryAfter,
 		MaxAttempts:     r.MaxAttempts,
-		RoundTrip:       r.Round,
+		RoundTrip:       r.RoundTrip,
 		Classes:         convert(r.Classes, classRecord.decode),
 		Plans:           convert(r.Plans, planRecord.decode),
-		MeanUnits:       r.UsualUnits,
-		MaxUnits:        r.LargestUnits,
+		MeanUnits:       r.MeanUnits,
+		MaxUnits:        r.MaxUnits,
 		SlowStart: dispatch.SlowStart{
-			InitialCapacity: r.Cold.From,
-			WarmUp:          r.Cold.WarmUp,
-			OverloadFactor:  r.Cold.Multiple,
-			Window:          r.Cold.Span,
-			InitialUnits:    r.Cold.YoungLimit,
+			InitialCapacity: r.SlowStart.InitialCapacity,
+			WarmUp:          r.SlowStart.WarmUp,
+			OverloadFactor:  r.SlowStart.OverloadFactor,
+			Window:          r.SlowStart.Window,
+			InitialUnits:    r.SlowStart.InitialUnits,
+		},
+		RetryBudget: dispatch.RetryBudget{
+			MinRetries: r.RetryBudget.MinRetries,
+			Ratio:      r.RetryBudget.Ratio,
+			Window:     r.RetryBudget.Window,
 		},
-		RetryBudget: dispatch.RetryBudget{MinRetries: r.Budget.Free, Ratio: r.Budget.Ratio, Window: r.Budget.Span},
-		Quiescence:  r.Settle,
+		Quiescence: r.Quiescence,
 	}
 }
 
 func encodeClass(c dispatch.Class) classRecord {
 	return classRecord{
-		Name:     c.Name,
-		Aim:      c.LatencyObjective,
-		Deadline: c.Deadline,
-		Worth:    c.PriorityWeight,
-		Effect:   int(c.Idempotency),
-		Group:    int(c.DedupScope),
-		Window:   c.DedupWindow,
-		InTurn:   c.Ordered,
+		Name:             c.Name,
+		LatencyObjective: c.LatencyObjective,
+		Deadline:         c.Deadline,
+		PriorityWeight:   c.PriorityWeight,
+		Idempotency:      int(c.Idempotency),
+		DedupScope:       int(c.DedupScope),
+		DedupWindow:      c.DedupWindow,
+		Ordered:          c.Ordered,
 	}
 }
 
 func (r classRecord) decode() dispatch.Class {
 	return dispatch.Class{
 		Name:             r.Name,
-		LatencyObjective: r.Aim,
+		LatencyObjective: r.LatencyObjective,
 		Deadline:         r.Deadline,
-		PriorityWeight:   r.Worth,
-		Idempotency:      dispatch.Idempotency(r.Effect),
-		DedupScope:       dispatch.DedupScope(r.Group),
-		DedupWindow:      r.Window,
-		Ordered:          r.InTurn,
+		PriorityWeight:   r.PriorityWeight,
+		Idempotency:      dispatch.Idempotency(r.Idempotency),
+		DedupScope:       dispatch.DedupScope(r.DedupScope),
+		DedupWindow:      r.DedupWindow,
+		Ordered:          r.Ordered,
 	}
 }
 
 func encodePlan(p dispatch.Plan) planRecord {
 	return planRecord{
-		Name:    p.Name,
-		Reserve: p.Reserve,
-		Weight:  p.Weight,
-		Price:   p.Price,
-		Limit:   p.RateLimit,
-		Burst:   p.Burst,
-		Slack:   p.Slack,
+		Name:      p.Name,
+		Reserve:   p.Reserve,
+		Weight:    p.Weight,
+		Price:     p.Price,
+		RateLimit: p.RateLimit,
+		Burst:     p.Burst,
+		Slack:     p.Slack,
 	}
 }
 
@@ -118,7 +126,7 @@
 		Reserve:   r.Reserve,
 		Weight:    r.Weight,
 		Price:     r.Price,
-		RateLimit: r.Limit,
+		RateLimit: r.RateLimit,
 		Burst:     r.Burst,
 		Slack:     r.Slack,
 	}
@@ -148,15 +156,15 @@
 
 func encodeRequest(q *dispatch.Request) *requestRecord {
 	return &requestRecord{
-		ID:     uint64(q.ID),
-		Class:  q.Class,
-		Plan:   q.Plan,
-		Volume: string(q.Volume),
-		Key:    q.Key,
-		Shard:  int(q.Shard),
-		Units:  q.Units,
-		Hosts:  q.Dispatchers,
-		Left:   q.Timeout,
+		ID:          uint64(q.ID),
+		Class:       q.Class,
+		Plan:        q.Plan,
+		Volume:      string(q.Volume),
+		Key:         q.Key,
+		Shard:       int(q.Shard),
+		Units:       q.Units,
+		Dispatchers: q.Dispatchers,
+		Timeout:     q.Timeout,
 	}
 }
 
@@ -169,36 +177,36 @@
 		Key:         r.Key,
 		Shard:       dispatch.Shard(r.Shard),
 		Units:       r.Units,
-		Dispatchers: r.Hosts,
-		Timeout:     r.Left,
+		Dispatchers: r.Dispatchers,
+		Timeout:     r.Timeout,
 	}
 }
 
-func encodeOutcome(o *dispatch.AttemptCompleted) *outcomeRecord {
-	return &outcomeRecord{
-		ID:        uint64(o.ID),
-		Attempt:   o.Attempt,
-		Node:      string(o.Node),
-		Status:    int(o.Result),
-		Concluded: o.Responded,
-		Took:      o.Latency,
-		Use:       o.QuotaUsage,
-		Elsewhere: o.PeerUnits,
-		Report:    o.LoadReport,
+func encodeAttemptCompleted(o *dispatch.AttemptCompleted) *attemptCompletedRecord {
+	return &attemptCompletedRecord{
+		ID:         uint64(o.ID),
+		Attempt:    o.Attempt,
+		Node:       string(o.Node),
+		Result:     int(o.Result),
+		Responded:  o.Responded,
+		Latency:    o.Latency,
+		QuotaUsage: o.QuotaUsage,
+		PeerUnits:  o.PeerUnits,
+		LoadReport: o.LoadReport,
 	}
 }
 
-func (r *outcomeRecord) decode() dispatch.AttemptCompleted {
+func (r *attemptCompletedRecord) decode() dispatch.AttemptCompleted {
 	return dispatch.AttemptCompleted{
 		ID:         dispatch.RequestID(r.ID),
 		Attempt:    r.Attempt,
 		Node:       dispatch.NodeID(r.Node),
-		Result:     dispatch.AttemptResult(r.Status),
-		Responded:  r.Concluded,
-		Latency:    r.Took,
-		QuotaUsage: r.Use,
-		PeerUnits:  r.Elsewhere,
-		LoadReport: r.Report,
+		Result:     dispatch.AttemptResult(r.Result),
+		Responded:  r.Responded,
+		Latency:    r.Latency,
+		QuotaUsage: r.QuotaUsage,
+		PeerUnits:  r.PeerUnits,
+		LoadReport: r.LoadReport,
 	}
 }
 
@@ -208,17 +216,17 @@
 	r := eventRecord{Now: now, Actions: renderActions(actions)}
 	switch e := ev.(type) {
 	case dispatch.EndpointUpdate:
-		r.List = &listRecord{Kind: int(e.Kind), Nodes: convert(e.Nodes, encodeNode)}
+		r.EndpointUpdate = &endpointUpdateRecord{Kind: int(e.Kind), Nodes: convert(e.Nodes, encodeNode)}
 	case dispatch.Request:
 		r.Request = encodeRequest(&e)
 	case dispatch.AttemptCompleted:
-		r.Outcome = encodeOutcome(&e)
+		r.AttemptCompleted = encodeAttemptCompleted(&e)
 	case dispatch.ClientCanceled:
-		r.Gone = &goneRecord{ID: uint64(e.ID)}
+		r.ClientCanceled = &clientCanceledRecord{ID: uint64(e.ID)}
 	case dispatch.CostCorrection:
-		r.Measured = &measuredRecord{Volume: string(e.Volume), Node: string(e.Node), Units: e.Units}
+		r.CostCorrection = &costCorrectionRecord{Volume: string(e.Volume), Node: string(e.Node), Units: e.Units}
 	case dispatch.TimerFired:
-		r.Fired = &firedRecord{Token: e.Token}
+		r.TimerFired = &timerFiredRecord{Token: e.Token}
 	}
 	return r
 }
@@ -229,25 +237,25 @@
 // event converts the event of a record to its type in package dispatch.
 func (r *eventRecord) event() (dispatch.Event, error) {
 	switch {
-	case r.List != nil:
+	case r.EndpointUpdate != nil:
 		return dispatch.EndpointUpdate{
-			Kind:  dispatch.EndpointUpdateKind(r.List.Kind),
-			Nodes: convert(r.List.Nodes, nodeRecord.decode),
+			Kind:  dispatch.EndpointUpdateKind(r.EndpointUpdate.Kind),
+			Nodes: convert(r.EndpointUpdate.Nodes, nodeRecord.decode),
 		}, nil
 	case r.Request != nil:
 		return r.Request.decode(), nil
-	case r.Outcome != nil:
-		return r.Outcome.decode(), nil
-	case r.Gone != nil:
-		return dispatch.ClientCanceled{ID: dispatch.RequestID(r.Gone.ID)}, nil
-	case r.Measured != nil:
+	case r.AttemptCompleted != nil:
+		return r.AttemptCompleted.decode(), nil
+	case r.ClientCanceled != nil:
+		return dispatch.ClientCanceled{ID: dispatch.RequestID(r.ClientCanceled.ID)}, nil
+	case r.CostCorrection != nil:
 		return dispatch.CostCorrection{
-			Volume: dispatch.VolumeID(r.Measured.Volume),
-			Node:   dispatch.NodeID(r.Measured.Node),
-			Units:  r.Measured.Units,
+			Volume: dispatch.VolumeID(r.CostCorrection.Volume),
+			Node:   dispatch.NodeID(r.CostCorrection.Node),
+			Units:  r.CostCorrection.Units,
 		}, nil
-	case r.Fired != nil:
-		return dispatch.TimerFired{Token: r.Fired.Token}, nil
+	case r.TimerFired != nil:
+		return dispatch.TimerFired{Token: r.TimerFired.Token}, nil
 	}
 	return nil, errNoEvent
 }
--- a/trace/record.go
+++ b/trace/record.go
@@ -3,8 +3,8 @@
 import "time"
 
 // The types below define the JSON lines of a trace. Their JSON names must not change: every
-// build with the same Version must be able to read a stored trace. The functions in
-// convert.go map these types to the types of package dispatch, which use other names.
+// build with the same Version must be able to read a stored trace. The Go fields are named
+// after those of package dispatch, and the functions in convert.go map one to the other.
 
 // headerRecord is the first line of a trace.
 type headerRecord struct {
@@ -14,71 +14,71 @@
 }
 
 type configRecord struct {
-	Me            int           `json:"Me"`
-	Peers         int           `json:"Peers"`
-	Cancel        bool          `json:"Cancel"`
-	AskDiscovery  bool          `json:"AskDiscovery"`
-	MaxRetryAfter time.Duration `json:"MaxRetryAfter"`
-	MaxAttempts   int           `json:"MaxAttempts"`
-	Round         time.Duration `json:"Round"`
-	Classes       []classRecord `json:"Classes"`
-	Plans         []planRecord  `json:"Plans"`
-	UsualUnits    float64       `json:"UsualUnits"`
-	LargestUnits  float64       `json:"LargestUnits"`
-	Cold          coldRecord    `json:"Cold"`
-	Budget        budgetRecord  `json:"Budget"`
-	Settle        time.Duration `json:"Settle"`
+	DispatcherIndex int               `json:"Me"`
+	DispatcherCount int               `json:"Peers"`
+	CancelAttempts  bool              `json:"Cancel"`
+	PollDiscovery   bool              `json:"AskDiscovery"`
+	MaxRetryAfter   time.Duration     `json:"MaxRetryAfter"`
+	MaxAttempts     int               `json:"MaxAttempts"`
+	RoundTrip       time.Duration     `json:"Round"`
+	Classes         []classRecord     `json:"Classes"`
+	Plans           []planRecord      `json:"Plans"`
+	MeanUnits       float64           `json:"UsualUnits"`
+	MaxUnits        float64           `json:"LargestUnits"`
+	SlowStart       slowStartRecord   `json:"Cold"`
+	RetryBudget     retryBudgetRecord `json:"Budget"`
+	Quiescence      time.Duration     `json:"Settle"`
 }
 
 type classRecord struct {
-	Name     string        `json:"Name"`
-	Aim      time.Duration `json:"Aim"`
-	Deadline time.Duration `json:"Deadline"`
-	Worth    float64       `json:"Worth"`
-	Effect   int           `json:"Effect"`
-	Group    int           `json:"Group"`
-	Window   time.Duration `json:"Window"`
-	InTurn   bool          `json:"InTurn"`
+	Name             string        `json:"Name"`
+	LatencyObjective time.Duration `json:"Aim"`
+	Deadline         time.Duration `json:"Deadline"`
+	PriorityWeight   float64       `json:"Worth"`
+	Idempotency      int           `json:"Effect"`
+	DedupScope       int           `json:"Group"`
+	DedupWindow      time.Duration `json:"Window"`
+	Ordered          bool          `json:"InTurn"`
 }
 
 type planRecord struct {
-	Name    string  `json:"Name"`
-	Reserve float64 `json:"Reserve"`
-	Weight  float64 `json:"Weight"`
-	Price   float64 `json:"Price"`
-	Limit   float64 `json:"Limit"`
-	Burst   float64 `json:"Burst"`
-	Slack   float64 `json:"Slack"`
+	Name      string  `json:"Name"`
+	Reserve   float64 `json:"Reserve"`
+	Weight    float64 `json:"Weight"`
+	Price     float64 `json:"Price"`
+	RateLimit float64 `json:"Limit"`
+	Burst     float64 `json:"Burst"`
+	Slack     float64 `json:"Slack"`
 }
 
-type coldRecord struct {
-	From       float64       `json:"From"`
-	WarmUp     time.Duration `json:"WarmUp"`
-	Multiple   float64       `json:"Multiple"`
-	Span       time.Duration `json:"Span"`
-	YoungLimit float64       `json:"YoungLimit"`
+type slowStartRecord struct {
+	InitialCapacity float64       `json:"From"`
+	WarmUp          time.Duration `json:"WarmUp"`
+	OverloadFactor  float64       `json:"Multiple"`
+	Window          time.Duration `json:"Span"`
+	InitialUnits    float64       `json:"YoungLimit"`
 }
 
-type budgetRecord struct {
-	Free  float64       `json:"Free"`
-	Ratio float64       `json:"Ratio"`
-	Span  time.Duration `json:"Span"`
+type retryBudgetRecord struct {
+	MinRetries float64       `json:"Free"`
+	Ratio      float64       `json:"Ratio"`
+	Window     time.Duration `json:"Span"`
 }
 
 // eventRecord is a line of a trace after the header. It holds one event and the actions that
 // the dispatcher returned for it. Exactly one of the pointer fields is set.
 type eventRecord struct {
-	Now      time.Duration   `json:"t"`
-	List     *listRecord     `json:"list,omitempty"`
-	Request  *requestRecord  `json:"req,omitempty"`
-	Outcome  *outcomeRecord  `json:"out,omitempty"`
-	Gone     *goneRecord     `json:"gone,omitempty"`
-	Measured *measuredRecord `json:"meas,omitempty"`
-	Fired    *firedRecord    `json:"fired,omitempty"`
-	Actions  []string        `json:"a,omitempty"`
+	Now              time.Duration           `json:"t"`
+	EndpointUpdate   *endpointUpdateRecord   `json:"list,omitempty"`
+	Request          *requestRecord          `json:"req,omitempty"`
+	AttemptCompleted *attemptCompletedRecord `json:"out,omitempty"`
+	ClientCanceled   *clientCanceledRecord   `json:"gone,omitempty"`
+	CostCorrection   *costCorrectionRecord   `json:"meas,omitempty"`
+	TimerFired       *timerFiredRecord       `json:"fired,omitempty"`
+	Actions          []string                `json:"a,omitempty"`
 }
 
-type listRecord struct {
+type endpointUpdateRecord struct {
 	Kind  int          `json:"Kind"`
 	Nodes []nodeRecord `json:"Nodes"`
 }
@@ -93,39 +93,39 @@
 }
 
 type requestRecord struct {
-	ID     uint64        `json:"ID"`
-	Class  int           `json:"Class"`
-	Plan   int           `json:"Plan"`
-	Volume string        `json:"Volume"`
-	Key    string        `json:"Key"`
-	Shard  int           `json:"Shard"`
-	Units  float64       `json:"Units"`
-	Hosts  int           `json:"Hosts"`
-	Left   time.Duration `json:"Left"`
+	ID          uint64        `json:"ID"`
+	Class       int           `json:"Class"`
+	Plan        int           `json:"Plan"`
+	Volume      string        `json:"Volume"`
+	Key         string        `json:"Key"`
+	Shard       int           `json:"Shard"`
+	Units       float64       `json:"Units"`
+	Dispatchers int           `json:"Hosts"`
+	Timeout     time.Duration `json:"Left"`
 }
 
-type outcomeRecord struct {
-	ID        uint64             `json:"ID"`
-	Attempt   int                `json:"Attempt"`
-	Node      string             `json:"Node"`
-	Status    int                `json:"Status"`
-	Concluded bool               `json:"Concluded"`
-	Took      time.Duration      `json:"Took"`
-	Use       float64            `json:"Use"`
-	Elsewhere float64            `json:"Elsewhere"`
-	Report    map[string]float64 `json:"Report"`
+type attemptCompletedRecord struct {
+	ID         uint64             `json:"ID"`
+	Attempt    int                `json:"Attempt"`
+	Node       string             `json:"Node"`
+	Result     int                `json:"Status"`
+	Responded  bool               `json:"Concluded"`
+	Latency    time.Duration      `json:"Took"`
+	QuotaUsage float64            `json:"Use"`
+	PeerUnits  float64            `json:"Elsewhere"`
+	LoadReport map[string]float64 `json:"Report"`
 }
 
-type goneRecord struct {
+type clientCanceledRecord struct {
 	ID uint64 `json:"ID"`
 }
 
-type measuredRecord struct {
+type costCorrectionRecord struct {
 	Volume string  `json:"Volume"`
 	Node   string  `json:"Node"`
 	Units  float64 `json:"Units"`
 }
 
-type firedRecord struct {
+type timerFiredRecord struct {
 	Token string `json:"Token"`
 }
