--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -65,9 +65,9 @@
 	Name             string   `json:"name"`
 	LatencyObjective Duration `json:"aim"` // time within which a request should be answered
 	Deadline         Duration `json:"deadline"`
-	PriorityWeight   float64  `json:"worth"`   // factor by which the class counts when requests compete
+	PriorityWeight   float64  `json:"worth"`   // value of a response within the latency objective
 	Idempotency      string   `json:"effect"`  // "safe" (idempotent), "keyed" (deduplicated) or "unsafe" (not idempotent)
-	DedupScope       string   `json:"group"`   // nodes that share their deduplicated requests: "all", "zone" or "shard"
+	DedupScope       string   `json:"group"`   // nodes that drop repeats of a keyed request: those of the same "zone" or "shard", or "all"
 	DedupWindow      Duration `json:"window"`  // time for which nodes drop repeats of a keyed request
 	Ordered          bool     `json:"in_turn"` // whether requests with the same key run one at a time
 }
