--- a/cmd/chalkstand/accounts.go
+++ b/cmd/chalkstand/accounts.go
@@ -43,7 +43,7 @@
   chalkstand accounts report --out report.html
 
 A gateway keeps seconds for two minutes, ten seconds for half an hour, and five minutes for a
-day. docs/operate/accounts.md describes the components.`,
+day. docs/operate/attribution.md describes the components.`,
 	}
 	p := c.PersistentFlags()
 	p.StringVar(&f.admin, "admin", "127.0.0.1:9001", "admin address of a running gateway")
--- a/cmd/chalkstand/modelcheck.go
+++ b/cmd/chalkstand/modelcheck.go
@@ -34,7 +34,7 @@
 		Long: `Drive the real forwarder, dispatcher and connection reader through every ordering of events in small
 scenarios: requests, connections, responses, losses, clients that cancel, drains, restarts, and time on
 either side of each timer. Each distinct state is visited once. A violation is printed as the shortest
-sequence of events, as a replay and as a test. docs/design/explore.md has the invariants.`,
+sequence of events, as a replay and as a test. docs/design/model-checking.md has the invariants.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
--- a/cmd/chalkstand/top.go
+++ b/cmd/chalkstand/top.go
@@ -39,7 +39,7 @@
 		Short: "Show which volumes use a running gateway's event loops and links",
 		Long: `Show, second by second, how much of the event loops of a running gateway each volume uses, how
 many bytes it moves, and how many of its connections wait. Volumes share by the weights of their plans:
-docs/operate/share.md. (newcomers) are connections whose volume is not known yet, (gateway) is
+docs/operate/fair-sharing.md. (newcomers) are connections whose volume is not known yet, (gateway) is
 the gateway's own work, others are volumes beyond share.flows.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
